--- a/pkg/edge/call.go
+++ b/pkg/edge/call.go
@@ -120,7 +120,7 @@
 		return notRun
 	}
 	if !reading.Proven && answer.Status < http.StatusMultipleChoices {
-		answer.Spoil()
+		answer.DisableReuse()
 		return c.odd("answer without the server's signature")
 	}
 	if c.route.Kind == httproute.Streaming && answer.Status == http.StatusOK {
--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -162,8 +162,8 @@
 // Whole says whether the body was read to its end.
 func (a *Answer) Whole() bool { return a.whole }
 
-// Spoil keeps the connection from being used again.
-func (a *Answer) Spoil() { a.reuse = false }
+// DisableReuse keeps the connection from being used again.
+func (a *Answer) DisableReuse() { a.reuse = false }
 
 // Close ends the exchange: the connection is kept if nothing was odd, else closed.
 func (a *Answer) Close() {
