--- a/pkg/edge/call.go
+++ b/pkg/edge/call.go
@@ -67,7 +67,7 @@
 		Host:   c.request.Host,
 		Header: fields,
 		Body:   c.body,
-		Ours:   c.ours,
+		Matches:   c.ours,
 	})
 	if err != nil {
 		return c.failed(ctx, err)
--- a/pkg/edge/partner_test.go
+++ b/pkg/edge/partner_test.go
@@ -55,7 +55,7 @@
 	is.Equal(j.partner(peers, 28).Instance.Name, "c") // none is connected: drawn
 	for random := range uint64(100) {
 		target := j.partner(peers, random*7).Instance.Peers
-		answer, err := e.peers.Do(t.Context(), exchange.Target{ID: target, Address: target}, &exchange.Request{Method: http.MethodPost, URI: "/", Host: target, Header: http.Header{}, Body: []byte("call"), Ours: func(int, http.Header) bool { return true }})
+		answer, err := e.peers.Do(t.Context(), exchange.Target{ID: target, Address: target}, &exchange.Request{Method: http.MethodPost, URI: "/", Host: target, Header: http.Header{}, Body: []byte("call"), Matches: func(int, http.Header) bool { return true }})
 		is.NoErr(err)
 		_, err = answer.Read(make([]byte, 1))
 		is.True(err != nil) // an empty body
--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -35,9 +35,9 @@
 	Method, URI, Host string
 	Header            http.Header
 	Body              []byte
-	// Ours says whether an answer belongs to this request; others are skipped. Nil:
+	// Matches says whether an answer belongs to this request; others are skipped. Nil:
 	// every answer does.
-	Ours func(status int, header http.Header) bool
+	Matches func(status int, header http.Header) bool
 }
 
 // Stage is how far a failed exchange had come.
@@ -229,7 +229,7 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if request.Ours == nil || request.Ours(response.StatusCode, response.Header) {
+		if request.Matches == nil || request.Matches(response.StatusCode, response.Header) {
 			return response, skipped, nil
 		}
 		if skipped == maxSkipped || !framed(response) {
