--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -24,8 +24,8 @@
 	Version string
 	// Revision is the configuration by which the choice was made.
 	Revision config.Revision
-	// Begun is called when the answer begins; nil for none.
-	Begun func()
+	// OnFirstByte is called when the answer begins; nil for none.
+	OnFirstByte func()
 }
 
 // Router chooses targets by the newest snapshots.
@@ -211,7 +211,7 @@
 		Body:      r.request.Body,
 		Once:      !r.request.Repeatable,
 		Offset:    r.request.Offset,
-		Begun:     choice.Begun,
+		Begun:     choice.OnFirstByte,
 	}
 	if choice.Target.Peer {
 		call.Header = r.peerHeader(choice)
--- a/pkg/gateway/router.go
+++ b/pkg/gateway/router.go
@@ -160,7 +160,7 @@
 		flight, ok := w.tracker.Start(decision.Upstream.Name, w.request.PromptTokens, decision.FirstToken)
 		if ok {
 			choice := w.local(&decision)
-			choice.Begun = flight.FirstByte
+			choice.OnFirstByte = flight.FirstByte
 			return choice, w.finish(&decision, flight), nil
 		}
 	}
