--- a/pkg/dispatch/again.go
+++ b/pkg/dispatch/again.go
@@ -32,7 +32,7 @@
 		return false
 	}
 	r.left = true
-	own := route.Own()
+	own := route.LocalUpstreams()
 	r.tried = append(r.tried, own...)
 	return len(own) > 0
 }
--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -43,8 +43,8 @@
 	// Next waits for admission, once, and chooses a target that is not in tried.
 	// The place taken there is given back by calling done.
 	Next(ctx context.Context, tried []string) (choice Choice, done func(relay.Report), refusal *outcome.Refusal)
-	// Own names the own failure domain's upstreams that serve the request.
-	Own() []string
+	// LocalUpstreams names the own failure domain's upstreams that serve the request.
+	LocalUpstreams() []string
 	// End gives up what the request holds.
 	End()
 }
--- a/pkg/gateway/router.go
+++ b/pkg/gateway/router.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Own implements dispatch.Route.
-func (w *way) Own() []string {
+// LocalUpstreams implements dispatch.Route.
+func (w *way) LocalUpstreams() []string {
 	var names []string
 	for _, upstream := range w.config.Load().Pool(w.request.Serves) {
 		if upstream.Domain == w.settings.Domain {
