--- a/pkg/gateway/router.go
+++ b/pkg/gateway/router.go
@@ -265,7 +265,7 @@
 	}
 	done := func(report relay.Report) {
 		if unanswered(&report) {
-			w.suspects.failed(choice.Target.Name, digest, report.Silent)
+			w.suspects.failed(choice.Target.Name, digest, report.TimedOut)
 		}
 	}
 	return choice, done, nil
@@ -278,7 +278,7 @@
 	if failure == nil || failure.Unsent || failure.CallerGone {
 		return false
 	}
-	return report.Silent || report.Status == 0
+	return report.TimedOut || report.Status == 0
 }
 
 // nameSeparator stands between a failure domain and its instance in the names of
--- a/pkg/relay/attempt.go
+++ b/pkg/relay/attempt.go
@@ -64,7 +64,7 @@
 	a.timer = time.AfterFunc(c.idle, func() { cancel(errIdle{}) })
 	defer a.timer.Stop()
 	a.report.Failure = a.run(work)
-	a.report.Silent = context.Cause(work) == errIdle{}
+	a.report.TimedOut = context.Cause(work) == errIdle{}
 	if failure := a.report.Failure; failure != nil {
 		a.afterFailure(failure)
 	}
--- a/pkg/relay/keepalive_test.go
+++ b/pkg/relay/keepalive_test.go
@@ -128,7 +128,7 @@
 			_ = sink.write([]byte(chunkOf(testID, 0)))
 			<-ctx.Done()
 		})
-		is.True(report.Silent)
+		is.True(report.TimedOut)
 		is.Equal(recorder.Body.String(), chunkOf(testID, 0))
 		is.Equal(took, 20*time.Second+streamSilence)
 	})
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -68,8 +68,8 @@
 	Leaving bool
 	// Status is the HTTP status that the target answered; zero for none.
 	Status int
-	// Silent is true when the attempt was ended because nothing more came.
-	Silent bool
+	// TimedOut is true when the attempt was ended because nothing more came.
+	TimedOut bool
 	// FirstByte is how long the head of the answer took.
 	FirstByte time.Duration
 }
