--- a/pkg/dispatch/dispatch_test.go
+++ b/pkg/dispatch/dispatch_test.go
@@ -45,7 +45,7 @@
 	ran      atomic.Int32
 }
 
-func (s *script) LocalUpstreams() []string                          { return s.own }
+func (s *script) LocalUpstreams() []string               { return s.own }
 func (s *script) Route(*dispatch.Request) dispatch.Route { return s }
 func (s *script) End()                                   {}
 
--- a/pkg/edge/call.go
+++ b/pkg/edge/call.go
@@ -62,12 +62,12 @@
 		fields.Set(header.Attempts, strconv.Itoa(c.attempts))
 	}
 	answer, err := c.pool.Do(ctx, c.target, &exchange.Request{
-		Method: c.request.Method,
-		URI:    c.request.RequestURI,
-		Host:   c.request.Host,
-		Header: fields,
-		Body:   c.body,
-		Matches:   c.ours,
+		Method:  c.request.Method,
+		URI:     c.request.RequestURI,
+		Host:    c.request.Host,
+		Header:  fields,
+		Body:    c.body,
+		Matches: c.ours,
 	})
 	if err != nil {
 		return c.failed(ctx, err)
