--- a/pkg/admission/entry.go
+++ b/pkg/admission/entry.go
@@ -13,7 +13,7 @@
 	pool     *pool
 	flow     *flow
 	ticket   Ticket
-	order    time.Time
+	orderKey time.Time
 	sequence uint64
 	ready    chan struct{}
 	// The rest is guarded by Queue.mu.
@@ -51,7 +51,7 @@
 	switch e.state {
 	case waiting:
 		e.pool.remove(e)
-		e.pool.forget(e.flow)
+		e.pool.dropIfIdle(e.flow)
 		e.state = finished
 	case granted:
 		e.pool.finish(e, now)
@@ -70,7 +70,7 @@
 }
 
 func compareEntries(a, b *Entry) int {
-	return cmp.Or(a.order.Compare(b.order), cmp.Compare(a.sequence, b.sequence))
+	return cmp.Or(a.orderKey.Compare(b.orderKey), cmp.Compare(a.sequence, b.sequence))
 }
 
 // entryHeap implements heap.Interface.
--- a/pkg/admission/flow.go
+++ b/pkg/admission/flow.go
@@ -94,20 +94,20 @@
 
 // ahead is how much of the flow's work is done before a request of a class with
 // that much before it in the class.
-func (f *flow) ahead(size sizeClass, before int) float64 {
+func (f *flow) workAhead(size sizeClass, costBefore int) float64 {
 	own, other := &f.classes[size], &f.classes[1-size]
-	start := max(0, own.finish-f.virtual) + float64(before)
+	start := max(0, own.finish-f.virtual) + float64(costBefore)
 	if other.cost == 0 {
-		return float64(before)
+		return float64(costBefore)
 	}
-	return float64(before) + min(start, float64(other.cost))
+	return float64(costBefore) + min(start, float64(other.cost))
 }
 
 // before adds up the cost of the entries of a class that come before order.
-func (f *flow) before(size sizeClass, order time.Time) int {
+func (f *flow) costBefore(size sizeClass, orderKey time.Time) int {
 	sum := 0
 	for _, e := range f.classes[size].entries {
-		if !e.order.After(order) {
+		if !e.orderKey.After(orderKey) {
 			sum += e.ticket.cost()
 		}
 	}
--- a/pkg/admission/pool.go
+++ b/pkg/admission/pool.go
@@ -14,21 +14,21 @@
 	active          float64
 	// perCost is the mean time for which a place is held, in seconds for each
 	// unit of cost; holding that for each request.
-	perCost, holding mean
-	swept            time.Time
+	timePerCost, holdTime mean
+	lastSweep             time.Time
 }
 
 // First guesses until something has been measured.
 const (
-	firstPerCost = 1.0 / 30
-	firstHolding = 2.0
+	initialTimePerCost = 1.0 / 30
+	initialHoldTime    = 2.0
 )
 
 func newPool() *pool {
 	return &pool{
-		flows:   map[string]*flow{},
-		perCost: mean{value: firstPerCost},
-		holding: mean{value: firstHolding},
+		flows:       map[string]*flow{},
+		timePerCost: mean{value: initialTimePerCost},
+		holdTime:    mean{value: initialHoldTime},
 	}
 }
 
@@ -82,7 +82,7 @@
 }
 
 // forget drops a flow that has nothing waiting and nothing to pay off.
-func (p *pool) forget(f *flow) {
+func (p *pool) dropIfIdle(f *flow) {
 	if f.waiting == 0 && f.finish <= p.virtual {
 		delete(p.flows, f.caller)
 	}
@@ -93,7 +93,7 @@
 	var best *flow
 	for _, f := range p.flows {
 		if f.waiting == 0 {
-			p.forget(f)
+			p.dropIfIdle(f)
 			continue
 		}
 		if best == nil || p.precedes(f, best) {
@@ -124,18 +124,18 @@
 func (p *pool) finish(e *Entry, now time.Time) {
 	held := now.Sub(e.granted).Seconds()
 	p.running--
-	p.holding.add(held)
-	p.perCost.add(held / float64(e.ticket.cost()))
+	p.holdTime.add(held)
+	p.timePerCost.add(held / float64(e.ticket.cost()))
 }
 
 // rate is how much cost the pool works off in a second.
 func (p *pool) rate() float64 {
-	return float64(max(1, p.capacity)) / max(p.perCost.value, 1e-6)
+	return float64(max(1, p.capacity)) / max(p.timePerCost.value, 1e-6)
 }
 
 // predict is how long a request of a size would wait that comes behind the cost
 // before, of its own caller's requests of that size.
-func (p *pool) predict(f *flow, size sizeClass, before int) time.Duration {
+func (p *pool) predict(f *flow, size sizeClass, costBefore int) time.Duration {
 	if p.running < p.capacity && p.waiting == 0 {
 		return 0
 	}
@@ -143,29 +143,29 @@
 	if f.waiting == 0 {
 		active += f.weight
 	}
-	ahead := f.ahead(size, before)
-	virtual := max(0, f.finish-p.virtual) + ahead/f.weight
+	workAhead := f.workAhead(size, costBefore)
+	virtual := max(0, f.finish-p.virtual) + workAhead/f.weight
 	others := float64(p.queued - f.cost())
-	work := min(virtual*active, others+ahead)
-	next := p.holding.value / float64(max(1, p.capacity))
+	work := min(virtual*active, others+workAhead)
+	next := p.holdTime.value / float64(max(1, p.capacity))
 	return time.Duration((work/p.rate() + next) * float64(time.Second))
 }
 
 // greediest is the flow with the most waiting work for its weight.
-func (p *pool) greediest() *flow {
+func (p *pool) mostBacklogged() *flow {
 	var worst *flow
 	for _, f := range p.flows {
 		if f.waiting == 0 {
 			continue
 		}
-		if worst == nil || heavier(f, worst) {
+		if worst == nil || moreBacklogged(f, worst) {
 			worst = f
 		}
 	}
 	return worst
 }
 
-func heavier(a, b *flow) bool {
+func moreBacklogged(a, b *flow) bool {
 	loadA, loadB := float64(a.cost())/a.weight, float64(b.cost())/b.weight
 	if loadA != loadB {
 		return loadA > loadB
--- a/pkg/admission/queue.go
+++ b/pkg/admission/queue.go
@@ -13,16 +13,16 @@
 // Bounds of a queue.
 const (
 	// longestWait is how long a request without a deadline may have to wait.
-	longestWait = 30 * time.Second
+	maxWait = 30 * time.Second
 	// queuePerSlot bounds a queue's length, for each place, and leastQueue is the
 	// bound for a pool with few places.
-	queuePerSlot = 16
-	leastQueue   = 64
+	queuePerSlot  = 16
+	minQueueLimit = 64
 	// sweepInterval is how often the queued requests' deadlines are looked at.
 	sweepInterval = 100 * time.Millisecond
 	// patience is by how much a queued request's prediction may be worse than its
 	// deadline permits, since predictions waver.
-	patience = 1.25
+	deadlineTolerance = 1.25
 )
 
 // Queue admits requests to the pools of one gateway. It is safe for concurrent use.
@@ -82,18 +82,18 @@
 		return nil, refuseNoCapacity()
 	}
 	f := p.flowOf(&t)
-	order := t.order(now)
-	wait := p.predict(f, t.class(), f.before(t.class(), order))
+	orderKey := t.orderKey(now)
+	wait := p.predict(f, t.class(), f.costBefore(t.class(), orderKey))
 	if refusal := refuseLate(wait, t.allowed(now), &t); refusal != nil {
-		p.forget(f)
+		p.dropIfIdle(f)
 		return nil, refusal
 	}
-	if refusal := p.makeRoom(f, wait); refusal != nil {
+	if refusal := p.enforceQueueLimit(f, wait); refusal != nil {
 		return nil, refusal
 	}
 	q.sequence++
 	e := &Entry{
-		queue: q, pool: p, flow: f, ticket: t, order: order,
+		queue: q, pool: p, flow: f, ticket: t, orderKey: orderKey,
 		sequence: q.sequence, ready: make(chan struct{}),
 	}
 	p.add(e)
@@ -107,13 +107,13 @@
 	defer q.mu.Unlock()
 	p := q.pools[t.Serves]
 	if p == nil || p.capacity <= 0 {
-		return longestWait
+		return maxWait
 	}
 	f := p.flows[t.Caller.Name]
 	if f == nil {
 		f = &flow{weight: t.weight(), finish: p.virtual}
 	}
-	return p.predict(f, t.class(), f.before(t.class(), t.order(q.clock.Now())))
+	return p.predict(f, t.class(), f.costBefore(t.class(), t.orderKey(q.clock.Now())))
 }
 
 // Waiting counts queued requests by pool, without pools that have none.
@@ -159,8 +159,8 @@
 		}
 		p.grant(f.head(), now)
 	}
-	if now.Sub(p.swept) >= sweepInterval {
-		p.swept = now
+	if now.Sub(p.lastSweep) >= sweepInterval {
+		p.lastSweep = now
 		p.sweep(now)
 	}
 }
@@ -183,16 +183,16 @@
 	for _, f := range p.flows {
 		p.sweepClass(f, short, now)
 		p.sweepClass(f, long, now)
-		p.forget(f)
+		p.dropIfIdle(f)
 	}
 }
 
 func (p *pool) sweepClass(f *flow, size sizeClass, now time.Time) {
-	before := 0
+	costBefore := 0
 	for _, e := range f.inOrder(size) {
-		wait := p.predict(f, size, before)
-		if e.bearable(wait, now) {
-			before += e.ticket.cost()
+		wait := p.predict(f, size, costBefore)
+		if e.canMeetDeadline(wait, now) {
+			costBefore += e.ticket.cost()
 			continue
 		}
 		p.remove(e)
@@ -201,18 +201,18 @@
 }
 
 // bearable says whether an entry can still meet its deadline after wait.
-func (e *Entry) bearable(wait time.Duration, now time.Time) bool {
+func (e *Entry) canMeetDeadline(wait time.Duration, now time.Time) bool {
 	allowed := e.ticket.allowed(now)
-	return allowed >= 0 && wait.Seconds() <= patience*allowed.Seconds()
+	return allowed >= 0 && wait.Seconds() <= deadlineTolerance*allowed.Seconds()
 }
 
 // makeRoom keeps the queue's length bounded: it refuses the newcomer, or the last
 // request of a caller that has more waiting for its share.
-func (p *pool) makeRoom(f *flow, wait time.Duration) *outcome.Refusal {
-	if p.waiting < max(leastQueue, queuePerSlot*p.capacity) {
+func (p *pool) enforceQueueLimit(f *flow, wait time.Duration) *outcome.Refusal {
+	if p.waiting < max(minQueueLimit, queuePerSlot*p.capacity) {
 		return nil
 	}
-	worst := p.greediest()
+	worst := p.mostBacklogged()
 	if worst == f {
 		return refuseFull(wait)
 	}
--- a/pkg/admission/queue_test.go
+++ b/pkg/admission/queue_test.go
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestHopelessDeadlineNeedNotComeBack(t *testing.T) {
+func TestInfeasibleDeadlineIsRefusedWithoutRetryAfter(t *testing.T) {
 	is := is.New(t)
 	tk := ticket("a", 30)
 	tk.Deadline = time.Now().Add(time.Second)
@@ -149,7 +149,7 @@
 }
 
 // The caller that fills the queue loses its last requests to one that does not.
-func TestFullQueueShedsTheGreediestCaller(t *testing.T) {
+func TestFullQueueShedsTheMostBackloggedCaller(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(1)
 	_, refusal := q.Submit(ticket("modest", 1))
--- a/pkg/admission/refuse.go
+++ b/pkg/admission/refuse.go
@@ -10,7 +10,7 @@
 // leastRetry keeps callers from coming back at once; retryNoCapacity is about how
 // long it takes until a pool's share is divided anew.
 const (
-	leastRetry      = 100 * time.Millisecond
+	minRetryAfter   = 100 * time.Millisecond
 	retryNoCapacity = time.Second
 )
 
@@ -26,7 +26,7 @@
 		return refuseFull(wait - allowed)
 	}
 	if allowed < 0 {
-		return refuseHopeless()
+		return refuseInfeasible()
 	}
 	return refuseUnreachable(wait - allowed)
 }
@@ -34,19 +34,19 @@
 // refuseUnreachable is for a deadline that would be missed in the queue; coming
 // back helps once the queue has drained for retry.
 func refuseUnreachable(retry time.Duration) *outcome.Refusal {
-	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonDeadline, max(leastRetry, retry),
+	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonDeadline, max(minRetryAfter, retry),
 		"the deadline would be missed in the queue")
 }
 
 // refuseHopeless is for a request that takes longer than its deadline leaves, even
 // without a queue. Coming back with the same deadline does not help.
-func refuseHopeless() *outcome.Refusal {
+func refuseInfeasible() *outcome.Refusal {
 	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonDeadline, 0,
 		"the request is predicted to take longer than its deadline leaves")
 }
 
 func refuseFull(retry time.Duration) *outcome.Refusal {
-	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded, max(leastRetry, retry),
+	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded, max(minRetryAfter, retry),
 		"the queue is full")
 }
 
--- a/pkg/admission/ticket.go
+++ b/pkg/admission/ticket.go
@@ -54,7 +54,7 @@
 const priorityStep = 2 * time.Second
 
 // order is the key by which a caller's requests of one size are sorted.
-func (t *Ticket) order(now time.Time) time.Time {
+func (t *Ticket) orderKey(now time.Time) time.Time {
 	return now.Add(-time.Duration(t.Priority) * priorityStep)
 }
 
@@ -65,7 +65,7 @@
 // allowed is how long the request can wait; without a deadline, longestWait.
 func (t *Ticket) allowed(now time.Time) time.Duration {
 	if t.Deadline.IsZero() {
-		return longestWait
+		return maxWait
 	}
-	return min(longestWait, t.Deadline.Sub(now)-t.Run)
+	return min(maxWait, t.Deadline.Sub(now)-t.Run)
 }
