--- a/pkg/admission/bench_test.go
+++ b/pkg/admission/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/lilacweir/lilacweir/pkg/admission"
 )
 
-// BenchmarkQueue is one request of each caller, queued behind the others and then
-// run: fair queueing with so many callers waiting at once.
+// BenchmarkQueue submits and releases one request of each caller, which measures
+// fair queueing with that many callers waiting at once.
 func BenchmarkQueue(b *testing.B) {
 	for _, callers := range []int{1, 10, 60, 200, 600} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
--- a/pkg/admission/entry.go
+++ b/pkg/admission/entry.go
@@ -32,7 +32,7 @@
 	finished
 )
 
-// Ready is closed once the request has been granted or refused.
+// Ready returns a channel that is closed once the request is granted or refused.
 func (e *Entry) Ready() <-chan struct{} { return e.ready }
 
 // Refusal returns why the request was refused, or nil. Call it after Ready.
@@ -42,8 +42,8 @@
 	return e.refusal
 }
 
-// Release gives the place back, or leaves the queue when none was granted yet.
-// Only the first call counts.
+// Release returns the slot, or removes the entry from the queue if it has none
+// yet. Later calls do nothing.
 func (e *Entry) Release() {
 	e.queue.mu.Lock()
 	defer e.queue.mu.Unlock()
@@ -62,7 +62,7 @@
 	e.queue.advance(e.pool, now)
 }
 
-// refuse ends a waiting entry, which must be out of its flow already.
+// refuse ends a waiting entry that was already removed from its flow.
 func (e *Entry) refuse(refusal *outcome.Refusal) {
 	e.state = refused
 	e.refusal = refusal
--- a/pkg/admission/fair_test.go
+++ b/pkg/admission/fair_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// Each caller that always has work waiting gets its share of the work done, to
-// within one request, whatever the sizes of requests.
+// Callers that always have work waiting receive their shares of the completed
+// work, to within three requests of the largest size, whatever the request sizes.
 func TestBackloggedCallersGetTheirShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -74,8 +74,8 @@
 	return -1, -1
 }
 
-// However requests come, are cancelled and end while the capacity changes, no free
-// place is left while a request waits, and never do more run than may.
+// While requests arrive, are cancelled and end, and the capacity changes, no slot
+// stays free while a request waits, and no more requests run than the capacity.
 func TestNoLostWakeUps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
--- a/pkg/admission/flow.go
+++ b/pkg/admission/flow.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// flow holds one caller's waiting requests in one pool. Inside it, short and long
-// requests share the caller's part evenly, again by start-time fair queueing.
+// flow holds one caller's waiting requests in one pool. Short and long requests
+// split the caller's share evenly, again by start-time fair queueing.
 type flow struct {
 	caller string
 	weight float64
-	// finish is the pool's virtual time at which the work granted so far is paid
-	// off; virtual is the flow's own, by which its classes take turns.
+	// finish is the virtual finish time, in the pool's virtual time, of the work
+	// granted so far. virtual is the flow's own virtual time, which orders its classes.
 	finish, virtual float64
 	classes         [classes]class
 	waiting         int
 }
 
-// sizeClass tells short from long requests.
+// sizeClass separates short requests from long ones.
 type sizeClass uint8
 
 const (
@@ -62,12 +62,11 @@
 
 func (f *flow) cost() int { return f.classes[short].cost + f.classes[long].cost }
 
-// shortLead is how much more work short requests may be given than long ones
-// before a long one's turn comes: a question passes a review that has just come,
-// but not for ever.
+// shortLead is the extra work that short requests are granted ahead of long ones.
+// A short request overtakes a long one that has just arrived, without starving it.
 const shortLead = 150
 
-// head returns the entry whose turn it is. The flow must not be empty.
+// head returns the next entry to serve. The flow must not be empty.
 func (f *flow) head() *Entry {
 	a, b := &f.classes[short], &f.classes[long]
 	switch {
@@ -84,7 +83,7 @@
 	}
 }
 
-// charge books a granted request to its class.
+// charge adds a granted request's cost to its class.
 func (f *flow) charge(e *Entry) {
 	c := f.classOf(e)
 	start := max(c.finish, f.virtual)
@@ -92,8 +91,8 @@
 	c.finish = start + float64(e.ticket.cost())
 }
 
-// ahead is how much of the flow's work is done before a request of a class with
-// that much before it in the class.
+// workAhead returns the flow's work that is served before a request that has
+// costBefore ahead of it in its own class.
 func (f *flow) workAhead(size sizeClass, costBefore int) float64 {
 	own, other := &f.classes[size], &f.classes[1-size]
 	start := max(0, own.finish-f.virtual) + float64(costBefore)
@@ -103,7 +102,7 @@
 	return float64(costBefore) + min(start, float64(other.cost))
 }
 
-// before adds up the cost of the entries of a class that come before order.
+// costBefore sums the cost of a class's entries that sort before orderKey.
 func (f *flow) costBefore(size sizeClass, orderKey time.Time) int {
 	sum := 0
 	for _, e := range f.classes[size].entries {
@@ -114,7 +113,7 @@
 	return sum
 }
 
-// last returns the entry that would be served last of the class with the most work.
+// last returns the entry to be served last in the class with the most work.
 func (f *flow) last() *Entry {
 	c := &f.classes[short]
 	if f.classes[long].cost > c.cost {
@@ -123,7 +122,7 @@
 	return slices.MaxFunc(c.entries, compareEntries)
 }
 
-// inOrder returns a copy of a class's entries in the order in which they are served.
+// inOrder returns a copy of a class's entries in serving order.
 func (f *flow) inOrder(size sizeClass) []*Entry {
 	sorted := slices.Clone(f.classes[size].entries)
 	slices.SortFunc(sorted, compareEntries)
--- a/pkg/admission/pool.go
+++ b/pkg/admission/pool.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// pool is the queue before one set of upstreams that stand in for each other. It
-// is start-time fair queueing: virtual advances by cost over weight.
+// pool is the queue of one set of interchangeable upstreams. It implements
+// start-time fair queueing: virtual time advances by cost over weight.
 type pool struct {
 	capacity, running int
 	virtual           float64
 	flows             map[string]*flow
-	// waiting counts the queued requests, queued adds up their cost, and active
-	// the weights of the callers that they belong to.
+	// waiting counts the queued requests, queued sums their cost, and active sums
+	// the weights of their callers.
 	waiting, queued int
 	active          float64
-	// perCost is the mean time for which a place is held, in seconds for each
-	// unit of cost; holding that for each request.
+	// timePerCost is the mean time a slot is held for each unit of cost, and
+	// holdTime for each request, both in seconds.
 	timePerCost, holdTime mean
 	lastSweep             time.Time
 }
 
-// First guesses until something has been measured.
+// Estimates until a request has finished, in seconds.
 const (
 	initialTimePerCost = 1.0 / 30
 	initialHoldTime    = 2.0
@@ -32,7 +32,7 @@
 	}
 }
 
-// mean is exponentially weighted.
+// mean is an exponentially weighted moving average.
 type mean struct {
 	value    float64
 	measured bool
@@ -61,7 +61,6 @@
 	return f
 }
 
-// add puts an entry into its flow.
 func (p *pool) add(e *Entry) {
 	if e.flow.waiting == 0 {
 		p.active += e.flow.weight
@@ -71,7 +70,6 @@
 	p.waiting++
 }
 
-// remove takes a waiting entry out of its flow.
 func (p *pool) remove(e *Entry) {
 	e.flow.remove(e)
 	p.queued -= e.ticket.cost()
@@ -81,14 +79,14 @@
 	}
 }
 
-// forget drops a flow that has nothing waiting and nothing to pay off.
+// dropIfIdle deletes a flow that has no waiting requests and no outstanding charge.
 func (p *pool) dropIfIdle(f *flow) {
 	if f.waiting == 0 && f.finish <= p.virtual {
 		delete(p.flows, f.caller)
 	}
 }
 
-// next returns the flow whose turn it is, or nil.
+// next returns the flow to serve next, or nil if nothing waits.
 func (p *pool) next() *flow {
 	var best *flow
 	for _, f := range p.flows {
@@ -111,7 +109,7 @@
 	return compareEntries(a.head(), b.head()) < 0
 }
 
-// charge gives a place to a request.
+// charge grants a slot to a request.
 func (p *pool) charge(e *Entry) {
 	f := e.flow
 	start := max(f.finish, p.virtual)
@@ -128,13 +126,13 @@
 	p.timePerCost.add(held / float64(e.ticket.cost()))
 }
 
-// rate is how much cost the pool works off in a second.
+// rate returns the cost that the pool completes per second.
 func (p *pool) rate() float64 {
 	return float64(max(1, p.capacity)) / max(p.timePerCost.value, 1e-6)
 }
 
-// predict is how long a request of a size would wait that comes behind the cost
-// before, of its own caller's requests of that size.
+// predict returns the expected wait of a request of a size class behind costBefore
+// of its own caller's requests of that class.
 func (p *pool) predict(f *flow, size sizeClass, costBefore int) time.Duration {
 	if p.running < p.capacity && p.waiting == 0 {
 		return 0
@@ -151,7 +149,7 @@
 	return time.Duration((work/p.rate() + next) * float64(time.Second))
 }
 
-// greediest is the flow with the most waiting work for its weight.
+// mostBacklogged returns the flow with the most waiting work for its weight.
 func (p *pool) mostBacklogged() *flow {
 	var worst *flow
 	for _, f := range p.flows {
--- a/pkg/admission/queue.go
+++ b/pkg/admission/queue.go
@@ -12,16 +12,16 @@
 
 // Bounds of a queue.
 const (
-	// longestWait is how long a request without a deadline may have to wait.
+	// maxWait is the longest wait of any request, also without a deadline.
 	maxWait = 30 * time.Second
-	// queuePerSlot bounds a queue's length, for each place, and leastQueue is the
-	// bound for a pool with few places.
+	// queuePerSlot bounds a queue's length for each slot, and minQueueLimit is the
+	// bound for a pool with few slots.
 	queuePerSlot  = 16
 	minQueueLimit = 64
-	// sweepInterval is how often the queued requests' deadlines are looked at.
+	// sweepInterval is the time between checks of the queued requests' deadlines.
 	sweepInterval = 100 * time.Millisecond
-	// patience is by how much a queued request's prediction may be worse than its
-	// deadline permits, since predictions waver.
+	// deadlineTolerance is the factor by which a queued request's predicted wait
+	// may exceed its deadline, since predictions fluctuate.
 	deadlineTolerance = 1.25
 )
 
@@ -47,10 +47,10 @@
 	q.advance(p, q.clock.Now())
 }
 
-// Acquire waits until the request may run. Release must then be called once it has
-// ended; later calls do nothing. It returns a refusal, and no release, at once
-// when the deadline cannot be met or the queue is full, and later when that
-// becomes clear or ctx ends.
+// Acquire waits until the request may run. The caller must call release when the
+// request has ended; later calls do nothing. Acquire returns a refusal and no
+// release: at once if the deadline cannot be met or the queue is full, later if
+// that is predicted while the request waits or if ctx ends.
 func (q *Queue) Acquire(ctx context.Context, t Ticket) (release func(), refusal *outcome.Refusal) {
 	e, refusal := q.Submit(t)
 	if refusal != nil {
@@ -71,8 +71,8 @@
 	return e.Release, nil
 }
 
-// Submit is Acquire without the waiting: it returns an Entry that becomes ready,
-// or refuses at once.
+// Submit queues a request without waiting. It returns an Entry that becomes ready,
+// or a refusal.
 func (q *Queue) Submit(t Ticket) (*Entry, *outcome.Refusal) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -101,7 +101,7 @@
 	return e, nil
 }
 
-// Predict returns how long a request would wait in the queue now.
+// Predict returns the expected queueing time of a request submitted now.
 func (q *Queue) Predict(t Ticket) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -129,9 +129,8 @@
 	return counts
 }
 
-// Sweep refuses queued requests whose deadline has become unreachable. It also
-// happens as requests come and end; call it from time to time for queues that have
-// come to a stop.
+// Sweep refuses queued requests whose deadline has become unreachable. This also
+// happens as requests arrive and end; call Sweep periodically for stalled queues.
 func (q *Queue) Sweep() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -150,7 +149,7 @@
 	return p
 }
 
-// advance grants free places, then refuses what can no longer succeed.
+// advance grants free slots, then refuses requests that can no longer succeed.
 func (q *Queue) advance(p *pool, now time.Time) {
 	for p.running < p.capacity {
 		f := p.next()
@@ -165,7 +164,8 @@
 	}
 }
 
-// grant gives a place to a waiting entry, unless it is too late for it.
+// grant gives a slot to a waiting entry, or refuses it if its deadline is
+// unreachable.
 func (p *pool) grant(e *Entry, now time.Time) {
 	p.remove(e)
 	if e.ticket.allowed(now) < 0 {
@@ -178,7 +178,7 @@
 	close(e.ready)
 }
 
-// sweep refuses the entries whose predicted wait is more than they can bear.
+// sweep refuses the entries that can no longer meet their deadline.
 func (p *pool) sweep(now time.Time) {
 	for _, f := range p.flows {
 		p.sweepClass(f, short, now)
@@ -200,14 +200,14 @@
 	}
 }
 
-// bearable says whether an entry can still meet its deadline after wait.
+// canMeetDeadline reports whether an entry can still meet its deadline after wait.
 func (e *Entry) canMeetDeadline(wait time.Duration, now time.Time) bool {
 	allowed := e.ticket.allowed(now)
 	return allowed >= 0 && wait.Seconds() <= deadlineTolerance*allowed.Seconds()
 }
 
-// makeRoom keeps the queue's length bounded: it refuses the newcomer, or the last
-// request of a caller that has more waiting for its share.
+// enforceQueueLimit refuses the new request of a full queue, or the last request
+// of a caller that has more waiting for its share.
 func (p *pool) enforceQueueLimit(f *flow, wait time.Duration) *outcome.Refusal {
 	if p.waiting < max(minQueueLimit, queuePerSlot*p.capacity) {
 		return nil
--- a/pkg/admission/queue_test.go
+++ b/pkg/admission/queue_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// run acquires, holds for a while and releases; it reports the end on done.
+// run acquires a slot, holds it and releases it; it sends the end time on done.
 func run(t *testing.T, q *admission.Queue, tk admission.Ticket, hold time.Duration) <-chan time.Time {
 	t.Helper()
 	done := make(chan time.Time, 1)
@@ -66,10 +66,10 @@
 		asked := time.Now()
 		_, refusal := q.Acquire(t.Context(), tk)
 		is.True(refusal != nil)
-		is.Equal(time.Since(asked), time.Duration(0)) // nothing is held back
+		is.Equal(time.Since(asked), time.Duration(0)) // refused without waiting
 		is.Equal(refusal.Reason, outcome.ReasonDeadline)
 		is.Equal(refusal.Outcome, outcome.NotRun)
-		// Coming back after RetryAfter, with the same time to go, succeeds.
+		// A retry after RetryAfter with the same time to its deadline succeeds.
 		time.Sleep(refusal.RetryAfter)
 		tk.Deadline = time.Now().Add(3 * time.Second)
 		release, refusal := q.Acquire(t.Context(), tk)
@@ -91,8 +91,8 @@
 	is.Equal(refusal.RetryAfter, time.Duration(0))
 }
 
-// An entry that was promised a place is refused when the pool slows down, long
-// before its deadline.
+// A queued entry is refused when the pool's capacity drops so that its deadline
+// becomes unreachable, long before the deadline itself.
 func TestQueuedRequestIsRefusedWhenItsDeadlineBecomesUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -148,7 +148,8 @@
 	is.True(refusal.RetryAfter > 0)
 }
 
-// The caller that fills the queue loses its last requests to one that does not.
+// A full queue drops the last request of the caller that fills it, in favour of
+// one with less waiting.
 func TestFullQueueShedsTheMostBackloggedCaller(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(1)
@@ -171,8 +172,8 @@
 	is.Equal(last.Refusal().Reason, outcome.ReasonOverloaded)
 }
 
-// Inside a caller's share, priority goes first, short requests pass long ones, and
-// nothing waits for ever.
+// Within a caller's share, higher priorities go first, short requests overtake
+// long ones, and no request starves.
 func TestPrioritiesAndAging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/pkg/admission/refuse.go
+++ b/pkg/admission/refuse.go
@@ -7,14 +7,15 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// leastRetry keeps callers from coming back at once; retryNoCapacity is about how
-// long it takes until a pool's share is divided anew.
+// minRetryAfter prevents immediate retries. retryNoCapacity is about the time
+// until a pool's capacity is divided anew among the gateways.
 const (
 	minRetryAfter   = 100 * time.Millisecond
 	retryNoCapacity = time.Second
 )
 
-// statusClientClosed is the customary status for a request whose caller has gone.
+// statusClientClosed is the non-standard status of a request that its caller
+// cancelled, as nginx logs it.
 const statusClientClosed = 499
 
 // refuseLate returns a refusal when the predicted wait is longer than allowed.
@@ -31,15 +32,15 @@
 	return refuseUnreachable(wait - allowed)
 }
 
-// refuseUnreachable is for a deadline that would be missed in the queue; coming
-// back helps once the queue has drained for retry.
+// refuseUnreachable refuses a request that would miss its deadline in the queue.
+// A retry can succeed after the queue has drained for the duration retry.
 func refuseUnreachable(retry time.Duration) *outcome.Refusal {
 	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonDeadline, max(minRetryAfter, retry),
 		"the deadline would be missed in the queue")
 }
 
-// refuseHopeless is for a request that takes longer than its deadline leaves, even
-// without a queue. Coming back with the same deadline does not help.
+// refuseInfeasible refuses a request that would miss its deadline even without a
+// queue. A retry with the same deadline does not help.
 func refuseInfeasible() *outcome.Refusal {
 	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonDeadline, 0,
 		"the request is predicted to take longer than its deadline leaves")
--- a/pkg/admission/ticket.go
+++ b/pkg/admission/ticket.go
@@ -1,10 +1,10 @@
-// Package admission bounds how much one gateway runs at once and decides who goes
-// next: fair among callers over estimated work, by priority and age inside a
-// caller's share.
+// Package admission limits the concurrency of one gateway and schedules waiting
+// requests: fairly among callers by estimated work, and by priority and age
+// within a caller's share.
 //
 // Guarantees: a request is granted, refused or cancelled exactly once; one that
-// cannot meet its deadline is refused as soon as that is predicted; when a queue
-// is full, the caller that is furthest over its share loses its last request.
+// cannot meet its deadline is refused as soon as that is predicted; a full queue
+// sheds the last request of the caller that is furthest over its share.
 package admission
 
 import (
@@ -23,9 +23,9 @@
 	PriorityHigh   Priority = 1
 )
 
-// Ticket is what admission needs to know of a request.
+// Ticket describes a request to admission.
 type Ticket struct {
-	// Caller is who sent it. Never nil.
+	// Caller sent the request. Never nil.
 	Caller *config.Caller
 	// Serves is the key of the pool that the request needs, route.PoolKey.
 	Serves string
@@ -33,14 +33,14 @@
 	Cost int
 	// Priority orders it among its caller's own requests.
 	Priority Priority
-	// Deadline is when the answer must be whole; zero means none.
+	// Deadline is the time by which the answer must be complete; zero means none.
 	Deadline time.Time
-	// Run is the predicted time from the grant to the whole answer.
+	// Run is the predicted time from the grant to the complete answer.
 	Run time.Duration
 }
 
-// promptWeight is how many prompt tokens weigh as much as one token of the answer:
-// prefill works on many tokens at once.
+// promptWeight is the number of prompt tokens that cost as much as one answer
+// token, since prefill processes many tokens at once.
 const promptWeight = 16
 
 // Cost estimates a request's work, in answer tokens.
@@ -48,12 +48,11 @@
 	return max(1, promptTokens/promptWeight+answerTokens)
 }
 
-// priorityStep is how much earlier than it did a request counts as having come,
-// for each step of priority. Later ones of a lower priority therefore wait at most
-// that much longer: requests age.
+// priorityStep is the time by which a request's arrival is antedated for each
+// step of priority. It bounds the extra wait of a lower priority, so requests age.
 const priorityStep = 2 * time.Second
 
-// order is the key by which a caller's requests of one size are sorted.
+// orderKey is the sort key of a caller's requests of one size class.
 func (t *Ticket) orderKey(now time.Time) time.Time {
 	return now.Add(-time.Duration(t.Priority) * priorityStep)
 }
@@ -62,7 +61,7 @@
 
 func (t *Ticket) weight() float64 { return float64(max(1, t.Caller.Share)) }
 
-// allowed is how long the request can wait; without a deadline, longestWait.
+// allowed returns the time that the request can wait, at most maxWait.
 func (t *Ticket) allowed(now time.Time) time.Duration {
 	if t.Deadline.IsZero() {
 		return maxWait
