--- a/pkg/claim/begin.go
+++ b/pkg/claim/begin.go
@@ -16,12 +16,12 @@
 	if decision.Verdict != VerdictNotMine {
 		return decision, nil
 	}
-	search := &search{coordinator: c, key: key, claim: claim, asked: make(map[string]bool)}
-	search.keep(c.copies.Get(claim))
+	search := &search{coordinator: c, key: key, claim: claim, queried: make(map[string]bool)}
+	search.offerCopy(c.copies.Get(claim))
 	if key.Domain == c.options.Self.Domain {
 		search.inDomain(ctx, decision.Successor)
 	} else {
-		search.elsewhere(ctx)
+		search.inRemoteDomain(ctx)
 	}
 	if search.decided == nil {
 		c.withdraw(ctx, key, claim)
@@ -40,14 +40,14 @@
 	if held := c.copies.Get(claim); held != nil {
 		return held.answer(claim)
 	}
-	c.ask(key, claim, decision.Holder)
-	return c.unlessLost(decision)
+	c.fetchResult(key, claim, decision.Holder)
+	return c.markLostHolder(decision)
 }
 
 // ask looks for the end of a running attempt at its holder, whose report may have
 // been lost, for the next repeat.
-func (c *Coordinator) ask(key Key, claim Claim, holder Origin) {
-	instances := c.known(holder.Domain)
+func (c *Coordinator) fetchResult(key Key, claim Claim, holder Origin) {
+	instances := c.knownInstances(holder.Domain)
 	i := slices.IndexFunc(instances, func(instance board.Instance) bool { return deciderOf(&instance).Origin == holder })
 	if i < 0 || holder == c.options.Self {
 		return
@@ -58,13 +58,13 @@
 		var reply CopyReply
 		err := c.options.Peers.Call(ctx, instances[i].Addresses.Control, MethodCopy, CopyArgs{Claim: claim}, &reply)
 		if err == nil && reply.Copy != nil {
-			c.record(key, reply.Copy.Claim, reply.Copy.end())
+			c.record(key, reply.Copy.Claim, reply.Copy.finalResult())
 		}
 	})
 }
 
 // end is what became of a record's attempt.
-func (r *Record) end() Result {
+func (r *Record) finalResult() Result {
 	if r.State == StateComplete {
 		return r.Result
 	}
@@ -73,9 +73,9 @@
 
 // unlessLost turns in progress into unresolved when the holder is gone: coming
 // back does not help then. A late report of the end is still taken in.
-func (c *Coordinator) unlessLost(decision Decision) Decision {
+func (c *Coordinator) markLostHolder(decision Decision) Decision {
 	if c.replaced(decision.Holder) {
-		decision.Refusal = doubtUnresolved()
+		decision.Refusal = unknownUnresolved()
 	}
 	return decision
 }
@@ -93,27 +93,27 @@
 	coordinator *Coordinator
 	key         Key
 	claim       Claim
-	asked       map[string]bool
+	queried     map[string]bool
 
-	mu      sync.Mutex
-	copy    *Record
-	decided *Decision
-	decider *Decider
+	mu       sync.Mutex
+	bestCopy *Record
+	decided  *Decision
+	decider  *Decider
 	// silent says that someone who may decide did not answer, so that asking again
 	// may help.
-	silent bool
+	unanswered bool
 }
 
 // inDomain asks the gateways of the own domain: the likely ones one after
 // another, then all others at once.
 func (s *search) inDomain(ctx context.Context, successor *Decider) {
-	first, others := s.coordinator.here(s.key)
+	first, others := s.coordinator.localDeciders(s.key)
 	if successor != nil {
 		first = append([]Decider{*successor}, first...)
 	}
-	s.silent = !s.coordinator.replaced(s.key.Origin)
+	s.unanswered = !s.coordinator.replaced(s.key.Origin)
 	for _, decider := range first {
-		if s.follow(ctx, decider) {
+		if s.followSuccessors(ctx, decider) {
 			return
 		}
 	}
@@ -121,10 +121,10 @@
 }
 
 // follow asks a decider, and then the successors that it and they name.
-func (s *search) follow(ctx context.Context, decider Decider) bool {
+func (s *search) followSuccessors(ctx context.Context, decider Decider) bool {
 	next := &decider
-	for next != nil && !s.asked[next.Control] {
-		next = s.ask(ctx, *next, false)
+	for next != nil && !s.queried[next.Control] {
+		next = s.query(ctx, *next, false)
 		if s.decided != nil {
 			return true
 		}
@@ -135,29 +135,29 @@
 func (s *search) askAll(ctx context.Context, deciders []Decider) {
 	var group sync.WaitGroup
 	for _, decider := range deciders {
-		if s.asked[decider.Control] {
+		if s.queried[decider.Control] {
 			continue
 		}
-		s.asked[decider.Control] = true
+		s.queried[decider.Control] = true
 		group.Go(func() { s.call(ctx, decider, false) })
 	}
 	group.Wait()
 }
 
 // elsewhere asks entry instances of the key's own domain, which ask theirs.
-func (s *search) elsewhere(ctx context.Context) {
+func (s *search) inRemoteDomain(ctx context.Context) {
 	relays := s.coordinator.relays(s.key)
-	s.silent = len(relays) == 0
+	s.unanswered = len(relays) == 0
 	for _, relay := range relays {
-		s.ask(ctx, relay, true)
+		s.query(ctx, relay, true)
 		if s.decided != nil {
 			return
 		}
 	}
 }
 
-func (s *search) ask(ctx context.Context, decider Decider, relay bool) *Decider {
-	s.asked[decider.Control] = true
+func (s *search) query(ctx context.Context, decider Decider, relay bool) *Decider {
+	s.queried[decider.Control] = true
 	return s.call(ctx, decider, relay)
 }
 
@@ -170,13 +170,13 @@
 	if err := s.coordinator.options.Peers.Call(ctx, decider.Control, MethodBegin, args, &reply); err != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.silent = true
+		s.unanswered = true
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keepLocked(reply.Copy)
-	s.silent = s.silent || reply.Silent
+	s.offerCopyLocked(reply.Copy)
+	s.unanswered = s.unanswered || reply.Silent
 	if reply.Decision.Verdict == VerdictNotMine {
 		return reply.Decision.Successor
 	}
@@ -186,16 +186,16 @@
 	return nil
 }
 
-func (s *search) keep(copy *Record) {
+func (s *search) offerCopy(copy *Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keepLocked(copy)
+	s.offerCopyLocked(copy)
 }
 
 // keepLocked prefers a complete copy to any other.
-func (s *search) keepLocked(copy *Record) {
-	if copy != nil && (s.copy == nil || copy.State == StateComplete) {
-		s.copy = copy
+func (s *search) offerCopyLocked(copy *Record) {
+	if copy != nil && (s.bestCopy == nil || copy.State == StateComplete) {
+		s.bestCopy = copy
 	}
 }
 
@@ -205,22 +205,22 @@
 	switch {
 	case s.decided != nil:
 		return *s.decided, s.decider
-	case s.copy != nil:
-		return s.copy.answer(s.claim), nil
-	case s.silent:
-		return Decision{Verdict: VerdictRefused, Refusal: doubtOwnerLost(RetryOwnerLost)}, nil
+	case s.bestCopy != nil:
+		return s.bestCopy.answer(s.claim), nil
+	case s.unanswered:
+		return Decision{Verdict: VerdictRefused, Refusal: unknownOwnerLost(RetryOwnerLost)}, nil
 	default:
-		return Decision{Verdict: VerdictRefused, Refusal: doubtOwnerLost(0)}, nil
+		return Decision{Verdict: VerdictRefused, Refusal: unknownOwnerLost(0)}, nil
 	}
 }
 
 // answer is what a copy says about a claim. It never grants.
 func (r *Record) answer(claim Claim) Decision {
 	if r.Fingerprint != claim.Fingerprint {
-		return Decision{Verdict: VerdictRefused, Refusal: doubtReused()}
+		return Decision{Verdict: VerdictRefused, Refusal: unknownReused()}
 	}
 	if r.State == StateComplete {
 		return Decision{Verdict: VerdictRecorded, Recorded: r.recorded()}
 	}
-	return Decision{Verdict: VerdictRefused, Refusal: doubtUnresolved()}
+	return Decision{Verdict: VerdictRefused, Refusal: unknownUnresolved()}
 }
--- a/pkg/claim/concurrent_test.go
+++ b/pkg/claim/concurrent_test.go
@@ -10,14 +10,14 @@
 
 // TestOneGrantAmongMany asks for each key from many goroutines at once while the
 // owner hands over: at most one is granted, and the successor knows of it.
-func TestOneGrantAmongMany(t *testing.T) {
+func TestKeyIsGrantedOnceDuringHandover(t *testing.T) {
 	is := is.New(t)
 	const keys, askers = 200, 8
 	p := newHandoverPair()
 	var granted [keys][askers]bool
-	var asking sync.WaitGroup
+	var workers sync.WaitGroup
 	for asker := range askers {
-		asking.Go(func() {
+		workers.Go(func() {
 			for i := range keys {
 				key := keyAt(p.old.self, epoch, fmt.Sprintf("%016x", i))
 				granted[i][asker] = p.old.Begin(key, claimOf(key, "desk", fmt.Sprint(asker))).Verdict == VerdictGranted
@@ -27,8 +27,8 @@
 	var transfer *Transfer
 	var parts []Part
 	var err error
-	asking.Go(func() { transfer, parts, err = p.old.Export("t", asDecider(p.next)) })
-	asking.Wait()
+	workers.Go(func() { transfer, parts, err = p.old.Export("t", asDecider(p.next)) })
+	workers.Wait()
 	is.NoErr(err)
 	is.Equal(p.next.adoptAll(transfer, parts), FaultNone)
 	for i := range keys {
--- a/pkg/claim/coordinator.go
+++ b/pkg/claim/coordinator.go
@@ -133,7 +133,7 @@
 func (c *Coordinator) beginOpaque(ctx context.Context, claim Claim) (*Grant, *Recorded, *outcome.Refusal) {
 	ticket, decision := c.store.Begin(ctx, claim)
 	if ticket == nil {
-		decision = c.unlessLost(decision)
+		decision = c.markLostHolder(decision)
 		return nil, decision.Recorded, decision.Refusal
 	}
 	return NewGrant(false, func(ctx context.Context, result Result) { c.store.Finish(ctx, ticket, result) }), nil, nil
--- a/pkg/claim/coordinator_test.go
+++ b/pkg/claim/coordinator_test.go
@@ -14,12 +14,12 @@
 )
 
 // issued returns a fresh key of an instance.
-func (w *world) issued(instance string) string {
+func (w *simulation) issued(instance string) string {
 	prefix, _ := w.processes[instance].coordinator.Prefix()
 	return prefix + "." + randomPart
 }
 
-func (w *world) begin(instance, key string) (*Grant, string) {
+func (w *simulation) begin(instance, key string) (*Grant, string) {
 	claim := Claim{Key: key, Caller: propertyCaller}
 	grant, recorded, refusal := w.processes[instance].coordinator.Begin(context.Background(), claim)
 	switch {
@@ -32,7 +32,7 @@
 	}
 }
 
-func (w *world) crash(instance string) {
+func (w *simulation) crash(instance string) {
 	w.processes[instance].dead = true
 	w.start(instance)
 	w.refreshAll()
@@ -40,37 +40,37 @@
 
 // TestRepeatThroughOthers: a key of a1 is used first through one instance, then
 // something happens, then it is repeated through another.
-func TestRepeatThroughOthers(t *testing.T) {
+func TestRepeatsThroughOtherInstances(t *testing.T) {
 	finish := func(g *Grant) { g.Finish(context.Background(), answered) }
 	cases := []struct {
 		name, first, second string
-		between             func(w *world, grant *Grant)
+		between             func(w *simulation, grant *Grant)
 		want                string
 	}{
-		{"running, same domain", "a2", "a3", func(*world, *Grant) {}, "unknown idempotency-key-in-progress"},
-		{"running, other domain", "a2", "b1", func(*world, *Grant) {}, "unknown idempotency-key-in-progress"},
-		{"complete, same domain", "a2", "a3", func(_ *world, g *Grant) { finish(g) }, "recorded stored"},
-		{"complete, other domain", "b2", "b1", func(_ *world, g *Grant) { finish(g) }, "recorded stored"},
-		{"abandoned", "b2", "a3", func(_ *world, g *Grant) { g.Abandon(context.Background()) }, "granted"},
-		{"owner crashed while running", "a2", "a3", func(w *world, _ *Grant) { w.crash("a1") }, "unknown idempotency-key-owner-lost"},
-		{"owner crashed after the end", "a2", "b1", func(w *world, g *Grant) { finish(g); w.crash("a1") }, "recorded stored"},
-		{"owner crashed before the end", "a2", "b1", func(w *world, g *Grant) { w.crash("a1"); finish(g) }, "recorded stored"},
-		{"owner crashed before the end, run elsewhere", "b1", "a3", func(w *world, g *Grant) { w.crash("a1"); finish(g) }, "recorded stored"},
-		{"owner left while running", "a2", "a3", func(w *world, _ *Grant) { w.leave("a1") }, "unknown idempotency-key-in-progress"},
-		{"owner left before the end", "b2", "b1", func(w *world, g *Grant) { w.leave("a1"); finish(g) }, "recorded stored"},
-		{"owner frozen before the end", "a2", "a3", func(w *world, g *Grant) {
+		{"running, same domain", "a2", "a3", func(*simulation, *Grant) {}, "unknown idempotency-key-in-progress"},
+		{"running, other domain", "a2", "b1", func(*simulation, *Grant) {}, "unknown idempotency-key-in-progress"},
+		{"complete, same domain", "a2", "a3", func(_ *simulation, g *Grant) { finish(g) }, "recorded stored"},
+		{"complete, other domain", "b2", "b1", func(_ *simulation, g *Grant) { finish(g) }, "recorded stored"},
+		{"abandoned", "b2", "a3", func(_ *simulation, g *Grant) { g.Abandon(context.Background()) }, "granted"},
+		{"owner crashed while running", "a2", "a3", func(w *simulation, _ *Grant) { w.crash("a1") }, "unknown idempotency-key-owner-lost"},
+		{"owner crashed after the end", "a2", "b1", func(w *simulation, g *Grant) { finish(g); w.crash("a1") }, "recorded stored"},
+		{"owner crashed before the end", "a2", "b1", func(w *simulation, g *Grant) { w.crash("a1"); finish(g) }, "recorded stored"},
+		{"owner crashed before the end, run elsewhere", "b1", "a3", func(w *simulation, g *Grant) { w.crash("a1"); finish(g) }, "recorded stored"},
+		{"owner left while running", "a2", "a3", func(w *simulation, _ *Grant) { w.leave("a1") }, "unknown idempotency-key-in-progress"},
+		{"owner left before the end", "b2", "b1", func(w *simulation, g *Grant) { w.leave("a1"); finish(g) }, "recorded stored"},
+		{"owner frozen before the end", "a2", "a3", func(w *simulation, g *Grant) {
 			w.processes["a1"].frozen = true
 			finish(g)
 		}, "recorded stored"},
-		{"owner frozen before the end and thawed", "a2", "a1", func(w *world, g *Grant) {
+		{"owner frozen before the end and thawed", "a2", "a1", func(w *simulation, g *Grant) {
 			w.processes["a1"].frozen = true
 			finish(g)
 			w.processes["a1"].thaw()
 		}, "recorded stored"},
-		{"holder crashed", "a2", "a3", func(w *world, _ *Grant) { w.crash("a2") }, "unknown idempotency-key-unresolved"},
-		{"holder of another domain crashed", "b1", "a3", func(w *world, _ *Grant) { w.crash("b1") }, "unknown idempotency-key-unresolved"},
-		{"holder crashed, and the end came late", "a2", "a3", func(w *world, g *Grant) { w.crash("a2"); finish(g) }, "recorded stored"},
-		{"left twice", "a2", "a3", func(w *world, g *Grant) {
+		{"holder crashed", "a2", "a3", func(w *simulation, _ *Grant) { w.crash("a2") }, "unknown idempotency-key-unresolved"},
+		{"holder of another domain crashed", "b1", "a3", func(w *simulation, _ *Grant) { w.crash("b1") }, "unknown idempotency-key-unresolved"},
+		{"holder crashed, and the end came late", "a2", "a3", func(w *simulation, g *Grant) { w.crash("a2"); finish(g) }, "recorded stored"},
+		{"left twice", "a2", "a3", func(w *simulation, g *Grant) {
 			finish(g)
 			w.leave("a1")
 			successor := w.processes["a1"].coordinator.Successor()
@@ -80,7 +80,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(1)
+			w := newSimulation(1)
 			key := w.issued("a1")
 			grant, got := w.begin(c.first, key)
 			is.Equal(got, "granted")
@@ -92,7 +92,7 @@
 }
 
 // leave hands over an instance's keys, and shows it to all.
-func (w *world) leave(instance string) {
+func (w *simulation) leave(instance string) {
 	p := w.processes[instance]
 	p.leaving = true
 	_, _ = p.coordinator.Handover(context.Background())
@@ -100,21 +100,21 @@
 }
 
 // A repeat is told to come back as long as that may help.
-func TestWhenToComeBack(t *testing.T) {
+func TestRetryAfterIsSetWhileARetryMayHelp(t *testing.T) {
 	cases := []struct {
 		name, through string
-		event         func(w *world)
+		event         func(w *simulation)
 		want          time.Duration
 	}{
-		{"owner frozen", "a2", func(w *world) { w.processes["a1"].frozen = true }, RetryOwnerLost},
-		{"owner frozen, from another domain", "b1", func(w *world) { w.processes["a1"].frozen = true }, RetryOwnerLost},
-		{"owner not listed for now", "a2", func(w *world) {
+		{"owner frozen", "a2", func(w *simulation) { w.processes["a1"].frozen = true }, RetryOwnerLost},
+		{"owner frozen, from another domain", "b1", func(w *simulation) { w.processes["a1"].frozen = true }, RetryOwnerLost},
+		{"owner not listed for now", "a2", func(w *simulation) {
 			w.processes["a1"].frozen = true
 			w.processes["a2"].members.Instances[0].Incarnation = 0
 		}, RetryOwnerLost},
-		{"owner replaced", "a2", func(w *world) { w.crash("a1") }, 0},
-		{"owner replaced, from another domain", "b1", func(w *world) { w.crash("a1") }, 0},
-		{"owner replaced, a peer that may have its keys frozen", "a2", func(w *world) {
+		{"owner replaced", "a2", func(w *simulation) { w.crash("a1") }, 0},
+		{"owner replaced, from another domain", "b1", func(w *simulation) { w.crash("a1") }, 0},
+		{"owner replaced, a peer that may have its keys frozen", "a2", func(w *simulation) {
 			w.crash("a1")
 			w.processes["a3"].frozen = true
 		}, RetryOwnerLost},
@@ -122,7 +122,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(1)
+			w := newSimulation(1)
 			claim := Claim{Key: w.issued("a1"), Caller: propertyCaller}
 			c.event(w)
 			_, _, refusal := w.processes[c.through].coordinator.Begin(context.Background(), claim)
@@ -133,14 +133,14 @@
 }
 
 // The decider that missed the report of an end asks for it when a repeat comes.
-func TestLostReportIsAskedFor(t *testing.T) {
+func TestDeciderFetchesALostReport(t *testing.T) {
 	for _, result := range []Result{answered, {Outcome: outcome.Complete, Status: 200, Body: make([]byte, MaxStoredBody+1)}} {
 		is := is.New(t)
-		w := newWorld(1)
+		w := newSimulation(1)
 		key := w.issued("a1")
 		grant, _ := w.begin("b1", key)
 		for _, relay := range []string{"a1", "a2", "a3"} {
-			w.fates["b1>"+relay] = []fault{faultRequestLost, faultRequestLost}
+			w.nextFaults["b1>"+relay] = []fault{faultRequestLost, faultRequestLost}
 		}
 		grant.Finish(context.Background(), result)
 		_, got := w.begin("a3", key)
@@ -156,9 +156,9 @@
 // A grant whose answer was lost is withdrawn, so that the next attempt may run.
 func TestLostGrantIsWithdrawn(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1)
+	w := newSimulation(1)
 	key := w.issued("a1")
-	w.fates["a2>a1"] = []fault{faultReplyLost}
+	w.nextFaults["a2>a1"] = []fault{faultReplyLost}
 	_, got := w.begin("a2", key)
 	is.Equal(got, "unknown idempotency-key-owner-lost")
 	_, got = w.begin("a3", key)
@@ -169,12 +169,12 @@
 // its holder may get the grant by another way, and run.
 func TestRelayDoesNotWithdraw(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1)
+	w := newSimulation(1)
 	key := w.issued("a1")
 	holder := w.processes["b1"]
 	entries := holder.domains.Remote[0].Entries
 	holder.domains.Remote[0].Entries = entries[1:] // has not heard of a1
-	w.fates["a2>a1"] = []fault{faultRequestLost, faultDelayed}
+	w.nextFaults["a2>a1"] = []fault{faultRequestLost, faultDelayed}
 	_, got := w.begin("b1", key) // a2 does not reach a1, but a3 does
 	is.Equal(got, "granted")
 	for _, deliver := range w.delayed {
@@ -190,33 +190,33 @@
 		name    string
 		before  func(kv *platformtest.Service)
 		first   string
-		between func(w *world, grant *Grant)
+		between func(w *simulation, grant *Grant)
 		want    string
 	}{
-		{"running", func(*platformtest.Service) {}, "granted", func(*world, *Grant) {}, "unknown idempotency-key-in-progress"},
-		{"complete", func(*platformtest.Service) {}, "granted", func(_ *world, g *Grant) { finish(g) }, "recorded stored"},
-		{"abandoned", func(*platformtest.Service) {}, "granted", func(_ *world, g *Grant) { g.Abandon(context.Background()) }, "granted"},
+		{"running", func(*platformtest.Service) {}, "granted", func(*simulation, *Grant) {}, "unknown idempotency-key-in-progress"},
+		{"complete", func(*platformtest.Service) {}, "granted", func(_ *simulation, g *Grant) { finish(g) }, "recorded stored"},
+		{"abandoned", func(*platformtest.Service) {}, "granted", func(_ *simulation, g *Grant) { g.Abandon(context.Background()) }, "granted"},
 		{"claim's answer lost", func(kv *platformtest.Service) { kv.FailWrites(platformtest.LoseAnswer) }, "granted",
-			func(_ *world, g *Grant) { finish(g) }, "recorded stored"},
+			func(_ *simulation, g *Grant) { finish(g) }, "recorded stored"},
 		{"claim's write lost", func(kv *platformtest.Service) { kv.FailWrites(platformtest.LoseWrite) }, "granted",
-			func(_ *world, g *Grant) { finish(g) }, "recorded stored"},
+			func(_ *simulation, g *Grant) { finish(g) }, "recorded stored"},
 		{"end's answer lost", func(*platformtest.Service) {}, "granted",
-			func(w *world, g *Grant) { w.keyValue.FailWrites(platformtest.LoseAnswer); finish(g) }, "recorded stored"},
+			func(w *simulation, g *Grant) { w.keyValue.FailWrites(platformtest.LoseAnswer); finish(g) }, "recorded stored"},
 		{"end's write lost", func(*platformtest.Service) {}, "granted",
-			func(w *world, g *Grant) { w.keyValue.FailWrites(platformtest.LoseWrite); finish(g) }, "unknown idempotency-key-in-progress"},
-		{"holder crashed", func(*platformtest.Service) {}, "granted", func(w *world, _ *Grant) { w.crash("a1") },
+			func(w *simulation, g *Grant) { w.keyValue.FailWrites(platformtest.LoseWrite); finish(g) }, "unknown idempotency-key-in-progress"},
+		{"holder crashed", func(*platformtest.Service) {}, "granted", func(w *simulation, _ *Grant) { w.crash("a1") },
 			"unknown idempotency-key-unresolved"},
-		{"service down at the repeat", func(*platformtest.Service) {}, "granted", func(w *world, g *Grant) {
+		{"service down at the repeat", func(*platformtest.Service) {}, "granted", func(w *simulation, g *Grant) {
 			finish(g)
 			w.keyValue.SetDown(true)
 		}, "unknown idempotency-key-store-unavailable"},
 		{"service down at first", func(kv *platformtest.Service) { kv.SetDown(true) }, "unknown idempotency-key-store-unavailable",
-			func(w *world, _ *Grant) { w.keyValue.SetDown(false) }, "granted"},
+			func(w *simulation, _ *Grant) { w.keyValue.SetDown(false) }, "granted"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(1)
+			w := newSimulation(1)
 			c.before(w.keyValue)
 			grant, got := w.begin("a1", "order-77")
 			is.Equal(got, c.first)
@@ -229,7 +229,7 @@
 
 // A claim that took so long to write that the service forgets it too early is
 // given back.
-func TestSlowOpaqueClaimIsGivenBack(t *testing.T) {
+func TestSlowOpaqueClaimIsReleased(t *testing.T) {
 	is := is.New(t)
 	clock := &fakeClock{}
 	keyValue := &slowKeyValue{Service: platformtest.New(clock), clock: clock}
@@ -267,9 +267,9 @@
 }
 
 // Without a view of the membership nothing is granted for keys of others.
-func TestNoMembershipNoGrant(t *testing.T) {
+func TestNoGrantWithoutMembership(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1)
+	w := newSimulation(1)
 	key := w.issued("a1")
 	w.processes["a2"].members = nil
 	w.processes["b1"].domains = &board.Domains{}
--- a/pkg/claim/copies.go
+++ b/pkg/claim/copies.go
@@ -27,9 +27,9 @@
 	oldest *list.List
 }
 
-type heldCopy struct {
-	record Record
-	until  time.Time
+type copyEntry struct {
+	record  Record
+	expires time.Time
 }
 
 // NewCopies returns an empty set; max zero means DefaultMaxCopies.
@@ -47,13 +47,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if held := c.byKey[claim.identity()]; held != nil {
-		if held.Value.(*heldCopy).record.State == StateComplete {
+		if held.Value.(*copyEntry).record.State == StateComplete {
 			return
 		}
 		c.remove(held)
 	}
-	until := c.clock.Now().Add(copyLifetimes * c.ttl())
-	c.byKey[claim.identity()] = c.oldest.PushBack(&heldCopy{record: record, until: until})
+	expires := c.clock.Now().Add(copyLifetimes * c.ttl())
+	c.byKey[claim.identity()] = c.oldest.PushBack(&copyEntry{record: record, expires: expires})
 	c.trim()
 }
 
@@ -66,14 +66,14 @@
 	if held == nil {
 		return nil
 	}
-	record := held.Value.(*heldCopy).record
+	record := held.Value.(*copyEntry).record
 	return &record
 }
 
 func (c *Copies) trim() {
 	now := c.clock.Now()
 	for first := c.oldest.Front(); first != nil; first = c.oldest.Front() {
-		if c.oldest.Len() <= c.max && now.Before(first.Value.(*heldCopy).until) {
+		if c.oldest.Len() <= c.max && now.Before(first.Value.(*copyEntry).expires) {
 			return
 		}
 		c.remove(first)
@@ -81,6 +81,6 @@
 }
 
 func (c *Copies) remove(held *list.Element) {
-	delete(c.byKey, held.Value.(*heldCopy).record.identity())
+	delete(c.byKey, held.Value.(*copyEntry).record.identity())
 	c.oldest.Remove(held)
 }
--- a/pkg/claim/experiment_test.go
+++ b/pkg/claim/experiment_test.go
@@ -19,10 +19,10 @@
 // running when it comes, and two come after it, half of these with a key from
 // before.
 type experiment struct {
-	world  *world
-	dice   *rand.Rand
-	opaque bool
-	trials []*trial
+	simulation *simulation
+	random     *rand.Rand
+	opaque     bool
+	samples    []*sample
 	// unknownFirst counts first tries that were told unknown, unknownRepeat
 	// repeats; falseAnswers is what must not be: a second run, a not-run after a
 	// run, a recorded answer without one.
@@ -30,7 +30,7 @@
 }
 
 // trial is one request that may not be repeated.
-type trial struct {
+type sample struct {
 	phase  int
 	key    string
 	holder *process
@@ -48,27 +48,27 @@
 )
 
 // any draws an instance that serves callers.
-func (e *experiment) any() *process {
+func (e *experiment) anyServing() *process {
 	for {
-		p := e.world.processes[instanceNames[e.dice.IntN(len(instanceNames))]]
+		p := e.simulation.processes[instanceNames[e.random.IntN(len(instanceNames))]]
 		if !p.dead && !p.frozen && !p.leaving {
 			return p
 		}
 	}
 }
 
-func (e *experiment) issue(t *trial, number int) {
+func (e *experiment) issue(t *sample, number int) {
 	t.key = fmt.Sprintf("order-%d", number)
 	if e.opaque {
 		return
 	}
-	prefix, _ := e.any().coordinator.Prefix()
+	prefix, _ := e.anyServing().coordinator.Prefix()
 	t.key = fmt.Sprintf("%s.%016x", prefix, number)
 }
 
 // send begins a request through an instance and runs it when that is granted.
-func (e *experiment) send(t *trial) (told string) {
-	through := e.any()
+func (e *experiment) send(t *sample) (told string) {
+	through := e.anyServing()
 	grant, recorded, refusal := through.coordinator.Begin(context.Background(), Claim{Key: t.key, Caller: propertyCaller})
 	switch {
 	case grant != nil:
@@ -83,7 +83,7 @@
 }
 
 // end finishes a running request, unless its gateway is gone.
-func (t *trial) end() {
+func (t *sample) end() {
 	if t.grant != nil && !t.holder.dead && !t.holder.frozen {
 		t.grant.Finish(context.Background(), answered)
 	}
@@ -91,8 +91,8 @@
 
 func (e *experiment) run(event func(e *experiment)) {
 	for i := range experimentKeys {
-		t := &trial{phase: e.dice.IntN(phases)}
-		e.trials = append(e.trials, t)
+		t := &sample{phase: e.random.IntN(phases)}
+		e.samples = append(e.samples, t)
 		if t.phase < phaseUnstarted {
 			e.issue(t, i)
 		}
@@ -104,7 +104,7 @@
 		}
 	}
 	event(e)
-	for i, t := range e.trials {
+	for i, t := range e.samples {
 		if t.phase == phaseUnstarted {
 			e.issue(t, i)
 		}
@@ -113,12 +113,12 @@
 		}
 		t.end()
 	}
-	for _, t := range e.trials {
+	for _, t := range e.samples {
 		e.count(t, e.send(t))
 	}
 }
 
-func (e *experiment) count(t *trial, repeat string) {
+func (e *experiment) count(t *sample, repeat string) {
 	if t.first == string(outcome.Unknown) {
 		e.unknownFirst++
 	}
@@ -140,30 +140,30 @@
 // its keys are handed over, and a new process takes its place.
 func rollingReplacement(e *experiment) {
 	for _, name := range instanceNames {
-		leaving := e.world.processes[name]
-		for _, t := range e.trials {
+		leaving := e.simulation.processes[name]
+		for _, t := range e.samples {
 			if t.holder == leaving {
 				t.end()
 			}
 		}
-		e.world.leave(name)
-		e.world.crash(name)
+		e.simulation.leave(name)
+		e.simulation.crash(name)
 	}
 }
 
 func crashEach(e *experiment) {
 	for _, name := range instanceNames {
-		e.world.crash(name)
+		e.simulation.crash(name)
 	}
 }
 
-func outage(e *experiment) { e.world.keyValue.SetDown(true) }
+func outage(e *experiment) { e.simulation.keyValue.SetDown(true) }
 
-func crashOne(e *experiment) { e.world.crash("a1") }
+func crashOne(e *experiment) { e.simulation.crash("a1") }
 
 func freezeOne(e *experiment) {
-	e.world.processes["a1"].frozen = true
-	e.world.refreshAll()
+	e.simulation.processes["a1"].frozen = true
+	e.simulation.refreshAll()
 }
 
 func both(one, other func(*experiment)) func(*experiment) {
@@ -192,10 +192,10 @@
 		for _, event := range events {
 			t.Run(design+" "+event.name, func(t *testing.T) {
 				is := is.New(t)
-				e := &experiment{world: newWorld(1), opaque: opaque, dice: rand.New(rand.NewPCG(1, 1))}
+				e := &experiment{simulation: newSimulation(1), opaque: opaque, random: rand.New(rand.NewPCG(1, 1))}
 				e.run(event.during)
 				t.Logf("| %s | %s | %d | %d | %d | %d | %d |", design, event.name,
-					e.unknownFirst, e.unknownRepeat, e.recorded, e.granted, e.world.keyValue.Counts().Writes)
+					e.unknownFirst, e.unknownRepeat, e.recorded, e.granted, e.simulation.keyValue.Counts().Writes)
 				is.Equal(e.falseAnswers, 0)
 			})
 		}
--- a/pkg/claim/finish.go
+++ b/pkg/claim/finish.go
@@ -27,15 +27,15 @@
 	if decided, _ := c.record(key, claim, result); decided {
 		return
 	}
-	abroad := key.Domain != c.options.Self.Domain
-	if granted != nil && c.tell(ctx, *granted, claim, result, abroad) {
+	remote := key.Domain != c.options.Self.Domain
+	if granted != nil && c.reportTo(ctx, *granted, claim, result, remote) {
 		return
 	}
-	if abroad {
-		c.tellRelays(ctx, key, claim, result)
+	if remote {
+		c.reportToRelays(ctx, key, claim, result)
 		return
 	}
-	c.tellDomain(ctx, key, claim, result)
+	c.reportToDomain(ctx, key, claim, result)
 }
 
 // record takes in how an attempt ended: as the decider, then with a copy to a
@@ -44,7 +44,7 @@
 	result = bounded(result, MaxStoredBody)
 	ended := c.owner.Finish(key, claim, result)
 	if !ended.Decided {
-		c.keepCopy(claim, result)
+		c.storeCopy(claim, result)
 		return false, ended.Successor
 	}
 	if ended.Changed && result.Outcome != outcome.NotRun {
@@ -53,7 +53,7 @@
 	return true, nil
 }
 
-func (c *Coordinator) keepCopy(claim Claim, result Result) {
+func (c *Coordinator) storeCopy(claim Claim, result Result) {
 	if result.Outcome != outcome.NotRun {
 		c.copies.Put(claim, result)
 	}
@@ -61,10 +61,10 @@
 
 // tell asks one gateway, and the successors that are named, to record how an
 // attempt ended; false when no decider is known to have done so.
-func (c *Coordinator) tell(ctx context.Context, decider Decider, claim Claim, result Result, relay bool) bool {
-	asked := make(map[string]bool)
-	for next := &decider; next != nil && !asked[next.Control]; {
-		asked[next.Control] = true
+func (c *Coordinator) reportTo(ctx context.Context, decider Decider, claim Claim, result Result, relay bool) bool {
+	queried := make(map[string]bool)
+	for next := &decider; next != nil && !queried[next.Control]; {
+		queried[next.Control] = true
 		reply, err := c.callFinish(ctx, *next, claim, result, relay)
 		if err != nil {
 			return false
@@ -88,20 +88,20 @@
 
 // tellDomain tells every gateway of the own domain at once: a decider records
 // it, all others keep a copy.
-func (c *Coordinator) tellDomain(ctx context.Context, key Key, claim Claim, result Result) bool {
-	first, others := c.here(key)
+func (c *Coordinator) reportToDomain(ctx context.Context, key Key, claim Claim, result Result) bool {
+	first, others := c.localDeciders(key)
 	results := make([]bool, len(first)+len(others))
 	var group sync.WaitGroup
 	for i, decider := range append(first, others...) {
-		group.Go(func() { results[i] = c.tell(ctx, decider, claim, result, false) })
+		group.Go(func() { results[i] = c.reportTo(ctx, decider, claim, result, false) })
 	}
 	group.Wait()
 	return slices.Contains(results, true)
 }
 
-func (c *Coordinator) tellRelays(ctx context.Context, key Key, claim Claim, result Result) {
+func (c *Coordinator) reportToRelays(ctx context.Context, key Key, claim Claim, result Result) {
 	for _, relay := range c.relays(key) {
-		if c.tell(ctx, relay, claim, result, true) {
+		if c.reportTo(ctx, relay, claim, result, true) {
 			return
 		}
 	}
@@ -110,16 +110,16 @@
 // replicate copies an ended attempt to one peer of the domain, chosen by
 // rendezvous hashing, to answer repeats should this gateway be lost.
 func (c *Coordinator) replicate(key Key, claim Claim, result Result) {
-	_, others := c.here(key)
+	_, others := c.localDeciders(key)
 	if len(others) == 0 {
 		return
 	}
-	peer := rank(claim.Key, others)[0]
+	peer := rendezvousOrder(claim.Key, others)[0]
 	_, _ = c.callFinish(context.Background(), peer, claim, result, false)
 }
 
 // rank orders deciders by rendezvous hash for a text, first choice first.
-func rank(text string, deciders []Decider) []Decider {
+func rendezvousOrder(text string, deciders []Decider) []Decider {
 	ranked := slices.Clone(deciders)
 	weight := func(d Decider) uint64 { return xxhash.Sum64String(text + "/" + d.Instance) }
 	slices.SortFunc(ranked, func(a, b Decider) int { return cmp.Compare(weight(b), weight(a)) })
--- a/pkg/claim/handover.go
+++ b/pkg/claim/handover.go
@@ -73,8 +73,8 @@
 // second call is refused with ErrHandedOver, unless the first successor itself
 // has refused (see Refused).
 func (o *Owner) Export(id string, successor Decider) (*Transfer, []Part, error) {
-	o.gate.Lock()
-	defer o.gate.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	if o.outstanding != "" {
 		return nil, nil, ErrHandedOver
 	}
@@ -114,8 +114,8 @@
 func (o *Owner) Unsent(transfer *Transfer) { o.release(transfer) }
 
 func (o *Owner) release(transfer *Transfer) bool {
-	o.gate.Lock()
-	defer o.gate.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	if o.outstanding != transfer.ID {
 		return false
 	}
@@ -126,16 +126,16 @@
 
 // Stopped reports whether the owner has stopped deciding, and for whom.
 func (o *Owner) Stopped() (successor *Decider, stopped bool) {
-	o.gate.RLock()
-	defer o.gate.RUnlock()
+	o.mu.RLock()
+	defer o.mu.RUnlock()
 	return o.successor, o.stopped
 }
 
 // Stage keeps a part until its transfer comes. Only the parts of one transfer
 // from each owner are kept: the latest.
 func (o *Owner) Stage(part Part) {
-	o.gate.Lock()
-	defer o.gate.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	o.dropStale()
 	if part.Successor != o.self || o.stopped {
 		return
@@ -154,16 +154,16 @@
 // Adopt takes over the origins of a transfer, or refuses. The answer to one
 // transfer never changes, so that a late or repeated one does no harm.
 func (o *Owner) Adopt(transfer *Transfer) TransferReply {
-	o.gate.Lock()
-	defer o.gate.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	if transfer.Successor != o.self {
 		return TransferReply{By: o.self, Fault: FaultAddressee}
 	}
 	if earlier, ok := o.transfers[transfer.ID]; ok {
 		return earlier
 	}
-	parts := o.unstage(transfer)
-	reply := TransferReply{By: o.self, Fault: o.faultOf(transfer, parts)}
+	parts := o.takeStaged(transfer)
+	reply := TransferReply{By: o.self, Fault: o.checkTransfer(transfer, parts)}
 	o.transfers[transfer.ID] = reply
 	if reply.Fault == FaultNone {
 		o.adopt(transfer, parts)
@@ -172,7 +172,7 @@
 }
 
 // unstage returns the parts of a transfer that have come, in order.
-func (o *Owner) unstage(transfer *Transfer) []Part {
+func (o *Owner) takeStaged(transfer *Transfer) []Part {
 	held := o.staged[transfer.From]
 	if held == nil || held.transfer != transfer.ID {
 		return nil
@@ -187,7 +187,7 @@
 	return parts
 }
 
-func (o *Owner) faultOf(transfer *Transfer, parts []Part) TransferFault {
+func (o *Owner) checkTransfer(transfer *Transfer, parts []Part) TransferFault {
 	if o.stopped {
 		return FaultLeaving
 	}
--- a/pkg/claim/handover_test.go
+++ b/pkg/claim/handover_test.go
@@ -71,7 +71,7 @@
 
 // A successor that adopted, ran keys and was restarted at the same address must
 // not be taken for one that never adopted.
-func TestRestartedSuccessorProvesNothing(t *testing.T) {
+func TestRefusalOfARestartedSuccessorIsNotProof(t *testing.T) {
 	is := is.New(t)
 	p := newHandoverPair()
 	transfer, parts, err := p.old.Export("t", asDecider(p.next))
@@ -87,7 +87,7 @@
 
 // A successor that adopted and left in its turn answers a repeated transfer as
 // it did the first time.
-func TestRepeatedTransferIsAnsweredAlike(t *testing.T) {
+func TestRepeatedTransferGetsTheSameReply(t *testing.T) {
 	is := is.New(t)
 	p := newHandoverPair()
 	transfer, parts, err := p.old.Export("t", asDecider(p.next))
@@ -138,11 +138,11 @@
 
 // A successor that does not answer while the records are sent cannot have got
 // the authority: the next one is asked.
-func TestSilentPeerIsPassedOver(t *testing.T) {
+func TestUnresponsivePeerIsSkipped(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1)
+	w := newSimulation(1)
 	first := w.processes["a1"].coordinator.candidates()[0].Instance
-	w.fates["a1>"+first] = []fault{faultReplyLost}
+	w.nextFaults["a1>"+first] = []fault{faultReplyLost}
 	successor, err := w.processes["a1"].coordinator.Handover(context.Background())
 	is.NoErr(err)
 	is.True(successor.Instance != first)
@@ -151,7 +151,7 @@
 }
 
 // Records beyond one message go in parts.
-func TestManyRecordsGoInParts(t *testing.T) {
+func TestManyRecordsAreSplitIntoParts(t *testing.T) {
 	is := is.New(t)
 	p := newHandoverPair()
 	const records = 100
@@ -178,9 +178,9 @@
 	return buffer.Len()
 }
 
-func TestNoPeerNoHandover(t *testing.T) {
+func TestNoHandoverWithoutAPeer(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1)
+	w := newSimulation(1)
 	for _, name := range []string{"a2", "a3"} {
 		w.processes[name].dead = true
 	}
@@ -191,7 +191,7 @@
 	is.True(issuing) // with no one to hand over to it goes on deciding
 }
 
-func TestSuccessorForgetsExpiredOrigin(t *testing.T) {
+func TestSuccessorDropsExpiredOrigin(t *testing.T) {
 	is := is.New(t)
 	p := newHandoverPair()
 	transfer, parts, err := p.old.Export("t", asDecider(p.next))
--- a/pkg/claim/leases.go
+++ b/pkg/claim/leases.go
@@ -25,9 +25,9 @@
 	clock     clock.Clock
 	retention time.Duration
 
-	asking  singleflight.Group
-	mu      sync.Mutex
-	present lease
+	grants singleflight.Group
+	mu     sync.Mutex
+	active lease
 }
 
 type lease struct {
@@ -45,7 +45,7 @@
 	if held, ok := l.held(); ok {
 		return held, nil
 	}
-	_, err, _ := l.asking.Do("", func() (any, error) { return nil, l.grant(ctx) })
+	_, err, _ := l.grants.Do("", func() (any, error) { return nil, l.grant(ctx) })
 	if err != nil {
 		return lease{}, err
 	}
@@ -56,7 +56,7 @@
 func (l *leases) held() (lease, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.present, l.present.id != 0 && l.clock.Now().Sub(l.present.granted) < leaseWindow
+	return l.active, l.active.id != 0 && l.clock.Now().Sub(l.active.granted) < leaseWindow
 }
 
 func (l *leases) grant(ctx context.Context) error {
@@ -67,7 +67,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.present = lease{id: id, granted: asked}
+	l.active = lease{id: id, granted: asked}
 	return nil
 }
 
--- a/pkg/claim/leave.go
+++ b/pkg/claim/leave.go
@@ -41,14 +41,14 @@
 // candidates lists the live peers in rendezvous order of this origin.
 func (c *Coordinator) candidates() []Decider {
 	var live []Decider
-	instances := c.known(c.options.Self.Domain)
+	instances := c.knownInstances(c.options.Self.Domain)
 	for i := range instances {
 		instance := &instances[i]
-		if c.askable(instance) && instance.State == board.InstanceLive {
+		if c.canQuery(instance) && instance.State == board.InstanceLive {
 			live = append(live, deciderOf(instance))
 		}
 	}
-	return rank(c.options.Self.String(), live)
+	return rendezvousOrder(c.options.Self.String(), live)
 }
 
 // transfer stages the records and then sends the authority until the successor
--- a/pkg/claim/owner.go
+++ b/pkg/claim/owner.go
@@ -78,7 +78,7 @@
 
 	// gate is held for reading by every decision, and for writing by what
 	// changes who decides.
-	gate      sync.RWMutex
+	mu        sync.RWMutex
 	tables    map[Origin]*table
 	stopped   bool
 	successor *Decider
@@ -108,8 +108,8 @@
 // Prefix returns the key prefix to give out now; ok is false once the owner has
 // stopped deciding.
 func (o *Owner) Prefix() (prefix string, ok bool) {
-	o.gate.RLock()
-	defer o.gate.RUnlock()
+	o.mu.RLock()
+	defer o.mu.RUnlock()
 	if o.stopped {
 		return "", false
 	}
@@ -119,8 +119,8 @@
 // Begin decides a claim on a key. Asking again with the same attempt gives the
 // same answer, as long as the attempt has not ended.
 func (o *Owner) Begin(key Key, claim Claim) Decision {
-	o.gate.RLock()
-	defer o.gate.RUnlock()
+	o.mu.RLock()
+	defer o.mu.RUnlock()
 	records, successor := o.decides(key.Origin)
 	if records == nil {
 		return Decision{Verdict: VerdictNotMine, Successor: successor}
@@ -129,7 +129,7 @@
 }
 
 // Ended says what became of a Finish.
-type Ended struct {
+type FinishStatus struct {
 	// Decided is true when this owner decides the key; otherwise nothing was
 	// recorded, and Successor is as in Decision.
 	Decided   bool
@@ -139,14 +139,14 @@
 }
 
 // Finish records what became of a granted attempt. Repeating it changes nothing.
-func (o *Owner) Finish(key Key, claim Claim, result Result) Ended {
-	o.gate.RLock()
-	defer o.gate.RUnlock()
+func (o *Owner) Finish(key Key, claim Claim, result Result) FinishStatus {
+	o.mu.RLock()
+	defer o.mu.RUnlock()
 	records, successor := o.decides(key.Origin)
 	if records == nil {
-		return Ended{Successor: successor}
+		return FinishStatus{Successor: successor}
 	}
-	return Ended{Decided: true, Changed: records.finish(key, claim, result)}
+	return FinishStatus{Decided: true, Changed: records.finish(key, claim, result)}
 }
 
 // decides returns the records of an origin that this owner decides, else nil
@@ -164,8 +164,8 @@
 
 // Records counts the records held, of all origins.
 func (o *Owner) Records() int {
-	o.gate.RLock()
-	defer o.gate.RUnlock()
+	o.mu.RLock()
+	defer o.mu.RUnlock()
 	total := 0
 	for _, records := range o.tables {
 		total += int(records.count.Load())
--- a/pkg/claim/parts.go
+++ b/pkg/claim/parts.go
@@ -17,12 +17,12 @@
 }
 
 // stagingLife is how long parts are kept for their transfer, from the first.
-const stagingLife = time.Minute
+const stagingTimeout = time.Minute
 
 // dropStale forgets the parts of transfers that never came.
 func (o *Owner) dropStale() {
 	now := o.clock.Now()
-	maps.DeleteFunc(o.staged, func(_ Origin, held *staging) bool { return now.Sub(held.began) > stagingLife })
+	maps.DeleteFunc(o.staged, func(_ Origin, held *staging) bool { return now.Sub(held.began) > stagingTimeout })
 }
 
 // split cuts records into parts of about partSize.
--- a/pkg/claim/property_test.go
+++ b/pkg/claim/property_test.go
@@ -23,9 +23,9 @@
 
 // machine drives a world at random and checks what callers are told.
 type machine struct {
-	world  *world
-	keys   []string
-	grants []*running
+	simulation *simulation
+	keys       []string
+	grants     []*running
 	// runs holds the answers of the runs of each key.
 	runs map[string][]string
 }
@@ -37,7 +37,7 @@
 // runs at most once, a not-run is true, and a recorded answer is the run's.
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{world: newWorld(rapid.Byte().Draw(t, "seed")), runs: make(map[string][]string)}
+		m := &machine{simulation: newSimulation(rapid.Byte().Draw(t, "seed")), runs: make(map[string][]string)}
 		m.keys = []string{"opaque-1", "opaque-2"}
 		t.Repeat(map[string]func(*rapid.T){
 			"issue":    m.issue,
@@ -65,7 +65,7 @@
 func (m *machine) able(t *rapid.T) *process {
 	var able []*process
 	for _, name := range instanceNames {
-		if p := m.world.processes[name]; !p.dead && !p.frozen {
+		if p := m.simulation.processes[name]; !p.dead && !p.frozen {
 			able = append(able, p)
 		}
 	}
@@ -160,14 +160,14 @@
 }
 
 func (m *machine) instance(t *rapid.T) *process {
-	return m.world.processes[rapid.SampledFrom(instanceNames).Draw(t, "instance")]
+	return m.simulation.processes[rapid.SampledFrom(instanceNames).Draw(t, "instance")]
 }
 
 // crash ends a process and starts its successor, which remembers nothing.
 func (m *machine) crash(t *rapid.T) {
 	p := m.instance(t)
 	p.dead = true
-	m.world.start(p.self.Instance)
+	m.simulation.start(p.self.Instance)
 }
 
 func (m *machine) leave(t *rapid.T) {
@@ -183,7 +183,7 @@
 // pauses lets other things happen while a handover waits to try again.
 func (m *machine) pauses(t *rapid.T) {
 	actions := []func(*rapid.T){m.request, m.run, m.crash, m.deliver, m.refresh, m.network, m.thaw, m.leaveInPause}
-	m.world.pause = func() {
+	m.simulation.pause = func() {
 		for range rapid.IntRange(0, 4).Draw(t, "meanwhile") {
 			actions[rapid.IntRange(0, len(actions)-1).Draw(t, "action")](t)
 		}
@@ -195,11 +195,11 @@
 	if p == nil {
 		return
 	}
-	before := m.world.pause
-	m.world.pause = func() {}
+	before := m.simulation.pause
+	m.simulation.pause = func() {}
 	p.leaving = true
 	_, _ = p.coordinator.Handover(context.Background())
-	m.world.pause = before
+	m.simulation.pause = before
 }
 
 func (m *machine) freeze(t *rapid.T) {
@@ -212,24 +212,24 @@
 
 // deliver lets one delayed call arrive.
 func (m *machine) deliver(t *rapid.T) {
-	if len(m.world.delayed) == 0 {
+	if len(m.simulation.delayed) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.world.delayed)-1).Draw(t, "message")
-	message := m.world.delayed[i]
-	m.world.delayed = slices.Delete(m.world.delayed, i, i+1)
+	i := rapid.IntRange(0, len(m.simulation.delayed)-1).Draw(t, "message")
+	message := m.simulation.delayed[i]
+	m.simulation.delayed = slices.Delete(m.simulation.delayed, i, i+1)
 	message()
 }
 
 func (m *machine) refresh(t *rapid.T) { m.instance(t).refresh() }
 
 func (m *machine) network(t *rapid.T) {
-	m.world.faulty = rapid.Bool().Draw(t, "faulty")
-	m.world.seed = rapid.Uint64().Draw(t, "faults")
+	m.simulation.faulty = rapid.Bool().Draw(t, "faulty")
+	m.simulation.seed = rapid.Uint64().Draw(t, "faults")
 }
 
 func (m *machine) outage(t *rapid.T) {
-	kv := m.world.keyValue
+	kv := m.simulation.keyValue
 	kv.Mend()
 	kv.SetDown(rapid.IntRange(0, 3).Draw(t, "down") == 0)
 	answers := rapid.IntRange(0, 2).Draw(t, "answers")
@@ -240,7 +240,7 @@
 }
 
 func (m *machine) time(t *rapid.T) {
-	m.world.clock.advance(time.Duration(rapid.IntRange(1, 6).Draw(t, "minutes")) * time.Minute)
+	m.simulation.clock.advance(time.Duration(rapid.IntRange(1, 6).Draw(t, "minutes")) * time.Minute)
 }
 
 func (m *machine) check(t *rapid.T) {
--- a/pkg/claim/refusal.go
+++ b/pkg/claim/refusal.go
@@ -34,32 +34,32 @@
 		"The instance that decides this key can keep no more keys for now.")
 }
 
-func doubtExpired() *outcome.Refusal {
+func unknownExpired() *outcome.Refusal {
 	return outcome.MayHaveRun(http.StatusGone, outcome.ReasonKeyExpired, 0,
 		"The idempotency key is too old: whether its request ran is no longer kept.")
 }
 
-func doubtReused() *outcome.Refusal {
+func unknownReused() *outcome.Refusal {
 	return outcome.MayHaveRun(http.StatusUnprocessableEntity, outcome.ReasonKeyReused, 0,
 		"The idempotency key was used before with another request, which may have run.")
 }
 
-func doubtInProgress() *outcome.Refusal {
+func unknownInProgress() *outcome.Refusal {
 	return outcome.MayHaveRun(http.StatusConflict, outcome.ReasonKeyInProgress, RetryInProgress,
 		"A request with this idempotency key is running.")
 }
 
-func doubtUnresolved() *outcome.Refusal {
+func unknownUnresolved() *outcome.Refusal {
 	return outcome.MayHaveRun(http.StatusConflict, outcome.ReasonKeyUnresolved, 0,
 		"A request with this idempotency key started, and how it ended is not known.")
 }
 
-func doubtOwnerLost(retryAfter time.Duration) *outcome.Refusal {
+func unknownOwnerLost(retryAfter time.Duration) *outcome.Refusal {
 	return outcome.MayHaveRun(http.StatusServiceUnavailable, outcome.ReasonKeyOwnerLost, retryAfter,
 		"The instance that decides this idempotency key does not answer: the request may have run before.")
 }
 
-func doubtStoreDown() *outcome.Refusal {
+func unknownStoreDown() *outcome.Refusal {
 	return outcome.MayHaveRun(http.StatusServiceUnavailable, outcome.ReasonKeyStoreDown, RetryOwnerLost,
 		"Idempotency keys not given out by the system need the key-value service, which does not answer.")
 }
--- a/pkg/claim/routing.go
+++ b/pkg/claim/routing.go
@@ -12,12 +12,12 @@
 // here lists the gateways of the own domain to ask about a key, likeliest first:
 // the successor that its owner named, the owner, then all others, since one of
 // them may have adopted the key's origin.
-func (c *Coordinator) here(key Key) (first, others []Decider) {
-	instances := c.known(c.options.Self.Domain)
+func (c *Coordinator) localDeciders(key Key) (first, others []Decider) {
+	instances := c.knownInstances(c.options.Self.Domain)
 	successor := successorOf(instances, key.Origin)
 	for i := range instances {
 		instance := &instances[i]
-		if !c.askable(instance) {
+		if !c.canQuery(instance) {
 			continue
 		}
 		decider := deciderOf(instance)
@@ -35,7 +35,7 @@
 
 // askable leaves out this instance, those without a gateway, and those that have
 // left. A silent one is asked all the same: silence is only a suspicion.
-func (c *Coordinator) askable(instance *board.Instance) bool {
+func (c *Coordinator) canQuery(instance *board.Instance) bool {
 	if instance.Name == c.options.Self.Instance || instance.Addresses.Control == "" {
 		return false
 	}
@@ -45,13 +45,13 @@
 // replaced reports whether a gateway's instance is known to run a later
 // incarnation, so that this one will not come back. Incarnations grow.
 func (c *Coordinator) replaced(gateway Origin) bool {
-	return slices.ContainsFunc(c.known(gateway.Domain), func(instance board.Instance) bool {
+	return slices.ContainsFunc(c.knownInstances(gateway.Domain), func(instance board.Instance) bool {
 		return instance.Name == gateway.Instance && instance.Incarnation > gateway.Incarnation
 	})
 }
 
 // known lists the instances of a domain as far as they are known here.
-func (c *Coordinator) known(domain string) []board.Instance {
+func (c *Coordinator) knownInstances(domain string) []board.Instance {
 	if domain == c.options.Self.Domain {
 		if members := c.options.Members(); members != nil {
 			return members.Instances
@@ -85,7 +85,7 @@
 // relays lists the gateways of another domain that can ask about a key there,
 // the owner first.
 func (c *Coordinator) relays(key Key) []Decider {
-	return relaysAmong(c.known(key.Domain), key)
+	return relaysAmong(c.knownInstances(key.Domain), key)
 }
 
 func relaysAmong(entries []board.Instance, key Key) []Decider {
--- a/pkg/claim/service.go
+++ b/pkg/claim/service.go
@@ -67,10 +67,10 @@
 func (c *Coordinator) relayBegin(key Key, claim Claim, held *Record, successor *Decider) BeginReply {
 	ctx, cancel := context.WithTimeout(context.Background(), DefaultRelayTimeout)
 	defer cancel()
-	search := &search{coordinator: c, key: key, claim: claim, asked: make(map[string]bool), copy: held}
+	search := &search{coordinator: c, key: key, claim: claim, queried: make(map[string]bool), bestCopy: held}
 	search.inDomain(ctx, successor)
 	if search.decided == nil {
-		return BeginReply{Copy: search.copy, Silent: search.silent}
+		return BeginReply{Copy: search.bestCopy, Silent: search.unanswered}
 	}
 	return BeginReply{Decision: *search.decided}
 }
@@ -82,5 +82,5 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), DefaultRelayTimeout)
 	defer cancel()
-	return FinishReply{Decided: c.tellDomain(ctx, key, args.Claim, args.Result)}
+	return FinishReply{Decided: c.reportToDomain(ctx, key, args.Claim, args.Result)}
 }
--- a/pkg/claim/world_test.go
+++ b/pkg/claim/simulation_test.go
@@ -31,29 +31,29 @@
 var errNetwork = errors.New("no answer")
 
 // world is a handful of gateways on a network that loses and delays calls.
-type world struct {
+type simulation struct {
 	clock    fakeClock
 	random   *rand.ChaCha8
 	keyValue *platformtest.Service
 
-	mu        sync.Mutex
-	processes map[string]*process // by instance name, the present incarnation
-	births    uint64
+	mu           sync.Mutex
+	processes    map[string]*process // by instance name, the present incarnation
+	incarnations uint64
 	// faulty makes calls fail as chosen by seed, the link and a counter.
 	faulty bool
 	// fates are those of the next calls on a link, before chance decides.
-	fates   map[string][]fault
-	seed    uint64
-	counter map[string]uint64
-	delayed []func()
+	nextFaults map[string][]fault
+	seed       uint64
+	counter    map[string]uint64
+	delayed    []func()
 	// pause is what happens between two tries of a handover.
-	pause func()
-	wires map[reflect.Type]*wire
+	pause  func()
+	codecs map[reflect.Type]*codec
 }
 
 // process is one incarnation of a gateway.
 type process struct {
-	world        *world
+	simulation   *simulation
 	self         Origin
 	coordinator  *Coordinator
 	frozen, dead bool
@@ -67,8 +67,8 @@
 
 var instanceNames = []string{"a1", "a2", "a3", "b1", "b2"}
 
-func newWorld(seed byte) *world {
-	w := &world{processes: make(map[string]*process), wires: make(map[reflect.Type]*wire), counter: make(map[string]uint64), fates: make(map[string][]fault), pause: func() {}}
+func newSimulation(seed byte) *simulation {
+	w := &simulation{processes: make(map[string]*process), codecs: make(map[reflect.Type]*codec), counter: make(map[string]uint64), nextFaults: make(map[string][]fault), pause: func() {}}
 	w.random = rand.NewChaCha8([32]byte{seed})
 	w.keyValue = platformtest.New(new(fakeClock)) // stands still: no claim is forgotten
 	for _, name := range instanceNames {
@@ -78,9 +78,9 @@
 	return w
 }
 
-func (w *world) start(name string) *process {
-	w.births++
-	p := &process{world: w, self: Origin{Domain: deployment[name], Instance: name, Incarnation: w.births}}
+func (w *simulation) start(name string) *process {
+	w.incarnations++
+	p := &process{simulation: w, self: Origin{Domain: deployment[name], Instance: name, Incarnation: w.incarnations}}
 	p.coordinator = New(Options{
 		Self: p.self, Clock: &w.clock, Random: w.random, Peers: p, KeyValue: w.keyValue, TTL: fixedTTL,
 		Members:    func() *board.Members { return p.members },
@@ -98,7 +98,7 @@
 func (p *process) sleepOnce() func(context.Context, time.Duration) error {
 	slept := 0
 	return func(context.Context, time.Duration) error {
-		p.world.pause()
+		p.simulation.pause()
 		slept++
 		if slept%2 == 0 || p.dead {
 			return context.DeadlineExceeded
@@ -107,7 +107,7 @@
 	}
 }
 
-func (w *world) refreshAll() {
+func (w *simulation) refreshAll() {
 	for _, name := range instanceNames {
 		w.processes[name].refresh()
 	}
@@ -117,7 +117,7 @@
 func (p *process) refresh() {
 	members, digest := &board.Members{Self: p.self.Instance}, board.DomainDigest{}
 	for _, name := range instanceNames {
-		other := p.world.processes[name]
+		other := p.simulation.processes[name]
 		if other == nil {
 			continue
 		}
@@ -148,7 +148,7 @@
 
 // Call implements Peers. Arguments and replies pass through gob, as in net/rpc.
 func (p *process) Call(_ context.Context, address, method string, args, reply any) error {
-	w := p.world
+	w := p.simulation
 	w.mu.Lock()
 	target := w.processes[address]
 	chosen := w.choose(p.self.Instance + ">" + address)
@@ -178,10 +178,10 @@
 }
 
 // choose draws the fate of the next call on a link; about half go wrong.
-func (w *world) choose(link string) fault {
-	if fates := w.fates[link]; len(fates) > 0 {
-		w.fates[link] = fates[1:]
-		return fates[0]
+func (w *simulation) choose(link string) fault {
+	if nextFaults := w.nextFaults[link]; len(nextFaults) > 0 {
+		w.nextFaults[link] = nextFaults[1:]
+		return nextFaults[0]
 	}
 	if !w.faulty {
 		return faultNone
@@ -216,33 +216,33 @@
 
 func serveAs[A, R any](p *process, handle func(A, *R) error, message any) func(reply any) bool {
 	var args A
-	p.world.carry(message, &args)
+	p.simulation.roundTrip(message, &args)
 	return func(reply any) bool {
 		var answer R
 		if p.dead || handle(args, &answer) != nil {
 			return false
 		}
-		p.world.carry(answer, reply)
+		p.simulation.roundTrip(answer, reply)
 		return true
 	}
 }
 
 // wire carries values of one type as net/rpc does: by gob.
-type wire struct {
+type codec struct {
 	buffer  bytes.Buffer
 	encoder *gob.Encoder
 	decoder *gob.Decoder
 }
 
-func (w *world) carry(value, to any) {
+func (w *simulation) roundTrip(value, to any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	kind := reflect.TypeOf(to)
-	line := w.wires[kind]
+	line := w.codecs[kind]
 	if line == nil {
-		line = &wire{}
+		line = &codec{}
 		line.encoder, line.decoder = gob.NewEncoder(&line.buffer), gob.NewDecoder(&line.buffer)
-		w.wires[kind] = line
+		w.codecs[kind] = line
 	}
 	if err := errors.Join(line.encoder.Encode(value), line.decoder.Decode(to)); err != nil {
 		panic(err)
--- a/pkg/claim/store.go
+++ b/pkg/claim/store.go
@@ -53,7 +53,7 @@
 	defer cancel()
 	lease, err := s.leases.current(ctx)
 	if err != nil {
-		return nil, doubtStore(err)
+		return nil, unknownStore(err)
 	}
 	ticket := &Ticket{record: Record{Claim: claim, State: StateGranted}, lease: lease.id}
 	for range storeTries {
@@ -67,7 +67,7 @@
 		}
 		return nil, stored.answerOpaque(claim)
 	}
-	return nil, doubtStore(err)
+	return nil, unknownStore(err)
 }
 
 // put writes the claim where there is none. It returns the record that stood
@@ -97,7 +97,7 @@
 		return ticket, Decision{Verdict: VerdictGranted}
 	}
 	s.Finish(ctx, ticket, notRun)
-	return nil, doubtStore(platform.ErrLeaseLost)
+	return nil, unknownStore(platform.ErrLeaseLost)
 }
 
 // Finish writes how the attempt ended. A lost write leaves the claim as running,
@@ -137,7 +137,7 @@
 func (r *Record) answerOpaque(claim Claim) Decision {
 	decision := r.answer(claim)
 	if r.State == StateGranted && r.Fingerprint == claim.Fingerprint {
-		decision.Refusal, decision.Holder = doubtInProgress(), r.Holder
+		decision.Refusal, decision.Holder = unknownInProgress(), r.Holder
 	}
 	return decision
 }
@@ -148,8 +148,8 @@
 	return StorePrefix + claim.Caller + "/" + hex.EncodeToString(hash[:])
 }
 
-func doubtStore(err error) Decision {
-	refusal := doubtStoreDown()
+func unknownStore(err error) Decision {
+	refusal := unknownStoreDown()
 	refusal.Err = err
 	return Decision{Verdict: VerdictRefused, Refusal: refusal}
 }
--- a/pkg/claim/table.go
+++ b/pkg/claim/table.go
@@ -14,7 +14,7 @@
 const shardCount = 16
 
 // sweepParts is how many sweeps fall into one lifetime of a key.
-const sweepParts = 16
+const sweepsPerTTL = 16
 
 // table holds the records of one origin, and judges their age by the origin's
 // clock alone.
@@ -60,14 +60,14 @@
 func (t *table) begin(key Key, claim Claim, ttl time.Duration) Decision {
 	now := t.now()
 	t.sweep(now, ttl)
-	part := t.shard(claim.identity())
-	part.mu.Lock()
-	defer part.mu.Unlock()
-	if record := part.records[claim.identity()]; record != nil && key.Issued > t.floor.Load() {
+	s := t.shard(claim.identity())
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if record := s.records[claim.identity()]; record != nil && key.Issued > t.floor.Load() {
 		return record.decide(claim, now)
 	}
 	if key.Issued <= max(t.floor.Load(), now-ttl.Milliseconds()) {
-		return Decision{Verdict: VerdictRefused, Refusal: doubtExpired()}
+		return Decision{Verdict: VerdictRefused, Refusal: unknownExpired()}
 	}
 	if key.Issued > now {
 		return Decision{Verdict: VerdictRefused, Refusal: refuseFuture()}
@@ -75,7 +75,7 @@
 	if t.count.Load() >= int64(t.limits.MaxRecords) {
 		return Decision{Verdict: VerdictRefused, Refusal: refuseFull()}
 	}
-	t.put(part, &Record{Claim: claim, State: StateGranted, Issued: key.Issued, Granted: now})
+	t.put(s, &Record{Claim: claim, State: StateGranted, Issued: key.Issued, Granted: now})
 	return Decision{Verdict: VerdictGranted}
 }
 
@@ -86,18 +86,18 @@
 		return Decision{Verdict: VerdictGranted}
 	}
 	if r.Fingerprint != claim.Fingerprint {
-		return Decision{Verdict: VerdictRefused, Refusal: doubtReused()}
+		return Decision{Verdict: VerdictRefused, Refusal: unknownReused()}
 	}
 	switch r.State {
 	case StateGranted:
 		if r.Attempt == claim.Attempt {
 			return Decision{Verdict: VerdictGranted}
 		}
-		return Decision{Verdict: VerdictRefused, Refusal: doubtInProgress(), Holder: r.Holder}
+		return Decision{Verdict: VerdictRefused, Refusal: unknownInProgress(), Holder: r.Holder}
 	case StateComplete:
 		return Decision{Verdict: VerdictRecorded, Recorded: r.recorded()}
 	default:
-		return Decision{Verdict: VerdictRefused, Refusal: doubtUnresolved()}
+		return Decision{Verdict: VerdictRefused, Refusal: unknownUnresolved()}
 	}
 }
 
@@ -108,12 +108,12 @@
 // finish records an attempt's end. For an attempt that was never granted here a
 // free record stays behind, which turns down a delayed Begin of that attempt.
 func (t *table) finish(key Key, claim Claim, result Result) (changed bool) {
-	part := t.shard(claim.identity())
-	part.mu.Lock()
-	defer part.mu.Unlock()
-	record := part.records[claim.identity()]
+	s := t.shard(claim.identity())
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	record := s.records[claim.identity()]
 	if record == nil {
-		t.tombstone(part, key, claim)
+		t.tombstone(s, key, claim)
 		return false
 	}
 	if record.Attempt != claim.Attempt || record.State != StateGranted {
@@ -125,15 +125,15 @@
 }
 
 // tombstone keeps a delayed Begin of an ended attempt from being granted.
-func (t *table) tombstone(part *shard, key Key, claim Claim) {
+func (t *table) tombstone(s *shard, key Key, claim Claim) {
 	if key.Issued <= t.floor.Load() || t.count.Load() >= int64(t.limits.MaxRecords) {
 		return
 	}
-	t.put(part, &Record{Claim: claim, State: StateFree, Issued: key.Issued, Granted: t.now()})
+	t.put(s, &Record{Claim: claim, State: StateFree, Issued: key.Issued, Granted: t.now()})
 }
 
-func (t *table) put(part *shard, record *Record) {
-	part.records[record.identity()] = record
+func (t *table) put(s *shard, record *Record) {
+	s.records[record.identity()] = record
 	t.count.Add(1)
 }
 
@@ -151,7 +151,7 @@
 // that no key whose record is dropped can be granted again.
 func (t *table) sweep(now int64, ttl time.Duration) {
 	last := t.swept.Load()
-	if now-last < ttl.Milliseconds()/sweepParts || !t.swept.CompareAndSwap(last, now) {
+	if now-last < ttl.Milliseconds()/sweepsPerTTL || !t.swept.CompareAndSwap(last, now) {
 		return
 	}
 	floor := t.raiseFloor(now - ttl.Milliseconds())
@@ -162,24 +162,24 @@
 
 func (t *table) raiseFloor(floor int64) int64 {
 	for {
-		present := t.floor.Load()
-		if floor <= present {
-			return present
+		current := t.floor.Load()
+		if floor <= current {
+			return current
 		}
-		if t.floor.CompareAndSwap(present, floor) {
+		if t.floor.CompareAndSwap(current, floor) {
 			return floor
 		}
 	}
 }
 
-func (t *table) sweepShard(part *shard, floor int64) {
-	part.mu.Lock()
-	defer part.mu.Unlock()
-	for id, record := range part.records {
+func (t *table) sweepShard(s *shard, floor int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for id, record := range s.records {
 		if record.Issued > floor {
 			continue
 		}
-		delete(part.records, id)
+		delete(s.records, id)
 		t.count.Add(-1)
 		t.bodies.Add(-int64(len(record.Result.Body)))
 	}
