--- a/pkg/claim/begin.go
+++ b/pkg/claim/begin.go
@@ -9,8 +9,8 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// begin finds the decider of a key and returns its decision, and who that was
-// (nil: this gateway). Without a decider it answers from a copy, else unknown.
+// begin finds the decider of a key and returns its decision and the decider, which
+// is nil for this gateway. Without a decider it answers from a copy, else unknown.
 func (c *Coordinator) begin(ctx context.Context, key Key, claim Claim) (Decision, *Decider) {
 	decision := c.decide(key, claim)
 	if decision.Verdict != VerdictNotMine {
@@ -29,9 +29,9 @@
 	return search.answer()
 }
 
-// decide is the own decision. Where the record still says running, a copy of the
-// end may have come here while the decider could not be reached, or the holder
-// may be gone.
+// decide returns this gateway's own decision. If the record is still running, a
+// copy of the result may have been stored here while the decider was unreachable,
+// or the holder may have crashed.
 func (c *Coordinator) decide(key Key, claim Claim) Decision {
 	decision := c.owner.Begin(key, claim)
 	if decision.Verdict != VerdictRefused || decision.Refusal.Reason != outcome.ReasonKeyInProgress {
@@ -44,8 +44,8 @@
 	return c.markLostHolder(decision)
 }
 
-// ask looks for the end of a running attempt at its holder, whose report may have
-// been lost, for the next repeat.
+// fetchResult asks the holder of a running attempt for its result, for the next
+// repeat, since the holder's report may have been lost.
 func (c *Coordinator) fetchResult(key Key, claim Claim, holder Origin) {
 	instances := c.knownInstances(holder.Domain)
 	i := slices.IndexFunc(instances, func(instance board.Instance) bool { return deciderOf(&instance).Origin == holder })
@@ -63,7 +63,7 @@
 	})
 }
 
-// end is what became of a record's attempt.
+// finalResult returns the result of an ended record's attempt.
 func (r *Record) finalResult() Result {
 	if r.State == StateComplete {
 		return r.Result
@@ -71,8 +71,8 @@
 	return Result{Outcome: outcome.Unknown}
 }
 
-// unlessLost turns in progress into unresolved when the holder is gone: coming
-// back does not help then. A late report of the end is still taken in.
+// markLostHolder changes in-progress to unresolved if the holder was replaced,
+// since a retry does not help then. A late report of the result is still recorded.
 func (c *Coordinator) markLostHolder(decision Decision) Decision {
 	if c.replaced(decision.Holder) {
 		decision.Refusal = unknownUnresolved()
@@ -80,15 +80,15 @@
 	return decision
 }
 
-// withdraw ends an attempt wherever its Begin may have been granted without the
-// answer coming back, so that the key is free for the next. Only the attempt's
-// holder may do so, and it must not begin that attempt again.
+// withdraw abandons an attempt wherever its Begin may have been granted and the
+// reply lost, so that the next attempt can get the key. Only the attempt's holder
+// may do so, and it must not begin that attempt again.
 func (c *Coordinator) withdraw(ctx context.Context, key Key, claim Claim) {
 	ctx = context.WithoutCancel(ctx)
 	c.options.Background(func() { c.finish(ctx, key, claim, notRun, nil) })
 }
 
-// search is the asking of other gateways about one claim.
+// search queries other gateways about one claim.
 type search struct {
 	coordinator *Coordinator
 	key         Key
@@ -99,13 +99,12 @@
 	bestCopy *Record
 	decided  *Decision
 	decider  *Decider
-	// silent says that someone who may decide did not answer, so that asking again
-	// may help.
+	// unanswered is true if a possible decider did not reply, so a retry may help.
 	unanswered bool
 }
 
-// inDomain asks the gateways of the own domain: the likely ones one after
-// another, then all others at once.
+// inDomain queries the gateways of the own domain: the likely deciders in
+// sequence, then all others concurrently.
 func (s *search) inDomain(ctx context.Context, successor *Decider) {
 	first, others := s.coordinator.localDeciders(s.key)
 	if successor != nil {
@@ -120,7 +119,8 @@
 	s.askAll(ctx, others)
 }
 
-// follow asks a decider, and then the successors that it and they name.
+// followSuccessors queries a decider, then the chain of successors that the
+// replies name.
 func (s *search) followSuccessors(ctx context.Context, decider Decider) bool {
 	next := &decider
 	for next != nil && !s.queried[next.Control] {
@@ -144,7 +144,8 @@
 	group.Wait()
 }
 
-// elsewhere asks entry instances of the key's own domain, which ask theirs.
+// inRemoteDomain queries entry instances of the key's domain, which query that
+// domain's gateways.
 func (s *search) inRemoteDomain(ctx context.Context) {
 	relays := s.coordinator.relays(s.key)
 	s.unanswered = len(relays) == 0
@@ -161,7 +162,7 @@
 	return s.call(ctx, decider, relay)
 }
 
-// call asks one gateway, and returns the successor that it names.
+// call sends the claim to one gateway and returns the successor that it names.
 func (s *search) call(ctx context.Context, decider Decider, relay bool) *Decider {
 	ctx, cancel := context.WithTimeout(ctx, timeoutOf(relay))
 	defer cancel()
@@ -192,14 +193,14 @@
 	s.offerCopyLocked(copy)
 }
 
-// keepLocked prefers a complete copy to any other.
+// offerCopyLocked prefers a complete copy to any other.
 func (s *search) offerCopyLocked(copy *Record) {
 	if copy != nil && (s.bestCopy == nil || copy.State == StateComplete) {
 		s.bestCopy = copy
 	}
 }
 
-// answer is the decision after all were asked. Only a decider grants; without
+// answer returns the decision after all replies. Only a decider grants; without
 // one the best answer is a copy, then unknown.
 func (s *search) answer() (Decision, *Decider) {
 	switch {
@@ -214,7 +215,7 @@
 	}
 }
 
-// answer is what a copy says about a claim. It never grants.
+// answer returns the decision that a copy supports. It never grants.
 func (r *Record) answer(claim Claim) Decision {
 	if r.Fingerprint != claim.Fingerprint {
 		return Decision{Verdict: VerdictRefused, Refusal: unknownReused()}
--- a/pkg/claim/benchmark_test.go
+++ b/pkg/claim/benchmark_test.go
@@ -13,14 +13,14 @@
 	"github.com/lilacweir/lilacweir/pkg/settings"
 )
 
-// benchmarkSizes are numbers of records held.
+// benchmarkSizes are the numbers of stored records.
 var benchmarkSizes = []int{1_000, 10_000, 100_000}
 
 func benchmarkKey(owner *Owner, number int) Key {
 	return Key{Origin: owner.self, Issued: owner.tables[owner.self].now(), Random: fmt.Sprintf("%016x", number)}
 }
 
-// filled returns an owner that holds complete records with short answers.
+// filled returns an owner with complete records of short answers.
 func filled(records int) (*Owner, []Key) {
 	owner := NewOwner(ownOrigin, clock.System{}, fixedTTL, Limits{})
 	keys := make([]Key, records)
@@ -50,8 +50,8 @@
 	}
 }
 
-// BenchmarkBeginFinish grants and ends attempts on keys that hold records,
-// so that their number stays the same.
+// BenchmarkBeginFinish grants and ends attempts on a key that has a record, so that
+// the number of records stays the same.
 func BenchmarkBeginFinish(b *testing.B) {
 	for _, records := range benchmarkSizes {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
@@ -69,8 +69,8 @@
 	}
 }
 
-// BenchmarkRecordMemory reports the heap that a complete record takes, with a
-// body of 6 bytes.
+// BenchmarkRecordMemory reports the heap size of a complete record with a body of 6
+// bytes.
 func BenchmarkRecordMemory(b *testing.B) {
 	for _, records := range benchmarkSizes {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
@@ -116,9 +116,9 @@
 	}
 }
 
-// BenchmarkCoordinator runs one claim from Begin to Finish on the machine's
-// loopback: decided by the asked gateway itself, and by a peer over net/rpc.
-// Each end is copied to a peer.
+// BenchmarkCoordinator runs one claim from Begin to Finish over loopback, decided by
+// the receiving gateway itself or by a peer over net/rpc. Each result is replicated
+// to a peer.
 func BenchmarkCoordinator(b *testing.B) {
 	pair := newLoopbackPair(b)
 	for asked, name := range []string{"decided=here", "decided=peer"} {
--- a/pkg/claim/concurrent_test.go
+++ b/pkg/claim/concurrent_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestOneGrantAmongMany asks for each key from many goroutines at once while the
-// owner hands over: at most one is granted, and the successor knows of it.
+// TestKeyIsGrantedOnceDuringHandover claims each key from many goroutines while the
+// owner hands over. Exactly one claim is granted, by the owner or by its successor.
 func TestKeyIsGrantedOnceDuringHandover(t *testing.T) {
 	is := is.New(t)
 	const keys, askers = 200, 8
--- a/pkg/claim/coordinator.go
+++ b/pkg/claim/coordinator.go
@@ -17,9 +17,9 @@
 	// DefaultCallTimeout bounds one call to a gateway of the own domain.
 	DefaultCallTimeout = 500 * time.Millisecond
 	// DefaultRelayTimeout bounds one call to a gateway of another domain, which
-	// may have to ask its own.
+	// may have to query its own domain.
 	DefaultRelayTimeout = 1500 * time.Millisecond
-	// DefaultTransferTimeout bounds one try to hand over to a successor.
+	// DefaultTransferTimeout bounds one attempt to hand over to a successor.
 	DefaultTransferTimeout = 2 * time.Second
 )
 
@@ -29,33 +29,34 @@
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Options is what a Coordinator works with.
+// Options configures a Coordinator.
 type Options struct {
 	// Self is this gateway's incarnation.
 	Self Origin
 	// Clock carries a monotonic reading (see clock.Clock).
 	Clock clock.Clock
-	// Random names attempts and transfers; crypto/rand.Reader outside of tests.
+	// Random provides the IDs of attempts and transfers; crypto/rand.Reader except
+	// in tests.
 	Random io.Reader
 	// Peers reaches other gateways.
 	Peers Peers
-	// Members and Domains return the present snapshots; nil while there is none.
+	// Members and Domains return the current snapshots, or nil while there is none.
 	Members func() *board.Members
 	Domains func() *board.Domains
 	// KeyValue holds the claims of opaque keys.
 	KeyValue platform.KeyValue
-	// TTL is how long a key may be used, asked at each decision.
+	// TTL returns the lifetime of a key. It is called for each decision.
 	TTL func() time.Duration
 	// Limits bounds the memory.
 	Limits Limits
 	// Background runs work that no caller waits for; nil means a goroutine.
 	Background func(func())
-	// Sleep waits between tries until ctx ends; nil means the machine's timer.
+	// Sleep waits between retries until ctx ends; nil means a system timer.
 	Sleep func(ctx context.Context, pause time.Duration) error
 }
 
-// Coordinator is what the gateway asks: it finds the decider of a key, here or
-// elsewhere. It is safe for concurrent use.
+// Coordinator finds the decider of a key, local or remote, for its gateway. It is
+// safe for concurrent use.
 type Coordinator struct {
 	options Options
 	owner   *Owner
@@ -63,7 +64,7 @@
 	store   *Store
 }
 
-// New returns the coordinator of a fresh incarnation.
+// New returns the coordinator of a new incarnation.
 func New(options Options) *Coordinator {
 	if options.Background == nil {
 		options.Background = func(work func()) { go work() }
@@ -83,8 +84,8 @@
 // stopped deciding.
 func (c *Coordinator) Prefix() (prefix string, ok bool) { return c.owner.Prefix() }
 
-// Successor names the instance that this gateway's keys were handed to; empty
-// when they were not.
+// Successor returns the name of the instance that this gateway's keys were handed
+// to, or an empty string.
 func (c *Coordinator) Successor() string {
 	if successor, _ := c.owner.Stopped(); successor != nil {
 		return successor.Instance
@@ -92,16 +93,16 @@
 	return ""
 }
 
-// Records counts the records that this gateway decides on.
+// Records returns the number of records that this gateway holds as decider.
 func (c *Coordinator) Records() int { return c.owner.Records() }
 
-// Begin asks for the right to run a request. Exactly one of the results is set:
-// a grant, the recorded answer of the earlier run, or a refusal. It never waits
-// for a running request.
+// Begin requests the right to run a request. Exactly one of the results is set: a
+// grant, the recorded answer of the earlier run, or a refusal. It never waits for
+// a running request.
 //
-// Call it before any check that can refuse a request as not-run for a passing
-// cause (queues, limits): a repeat of a request that ran must not be told so.
-// An empty Attempt is filled in, and Holder always.
+// Call it before any check that can refuse a request as not-run for a transient
+// cause (queues, limits): a repeat of a request that ran must not get not-run.
+// Begin fills in an empty Attempt, and always sets Holder.
 func (c *Coordinator) Begin(ctx context.Context, claim Claim) (*Grant, *Recorded, *outcome.Refusal) {
 	if claim.Attempt == "" {
 		claim.Attempt = c.newID()
@@ -139,18 +140,17 @@
 	return NewGrant(false, func(ctx context.Context, result Result) { c.store.Finish(ctx, ticket, result) }), nil, nil
 }
 
-// idBytes makes IDs of 128 random bits.
-const idBytes = 16
+const idBytes = 16 // 128 random bits
 
 func (c *Coordinator) newID() string {
 	var id [idBytes]byte
 	if _, err := io.ReadFull(c.options.Random, id[:]); err != nil {
-		panic(err) // crypto/rand never fails; a test's source must not either.
+		panic(err) // crypto/rand never fails; test sources must not either.
 	}
 	return hex.EncodeToString(id[:])
 }
 
-// errKeyLength refuses keys before any work is done on them.
+// errKeyLength rejects overlong keys before they are parsed or hashed.
 var errKeyLength = &KeyError{Field: FieldWhole, Offset: MaxKeyLength, Expected: "at most 255 bytes"}
 
 func sleep(ctx context.Context, pause time.Duration) error {
--- a/pkg/claim/coordinator_test.go
+++ b/pkg/claim/coordinator_test.go
@@ -13,7 +13,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-// issued returns a fresh key of an instance.
+// issued returns a new key of an instance.
 func (w *simulation) issued(instance string) string {
 	prefix, _ := w.processes[instance].coordinator.Prefix()
 	return prefix + "." + randomPart
@@ -38,8 +38,8 @@
 	w.refreshAll()
 }
 
-// TestRepeatThroughOthers: a key of a1 is used first through one instance, then
-// something happens, then it is repeated through another.
+// A key of a1 is first used through one instance and, after an event, repeated
+// through another.
 func TestRepeatsThroughOtherInstances(t *testing.T) {
 	finish := func(g *Grant) { g.Finish(context.Background(), answered) }
 	cases := []struct {
@@ -91,7 +91,7 @@
 	}
 }
 
-// leave hands over an instance's keys, and shows it to all.
+// leave hands over an instance's keys and refreshes all memberships.
 func (w *simulation) leave(instance string) {
 	p := w.processes[instance]
 	p.leaving = true
@@ -99,7 +99,7 @@
 	w.refreshAll()
 }
 
-// A repeat is told to come back as long as that may help.
+// The refusal of a repeat carries Retry-After only if a retry may help.
 func TestRetryAfterIsSetWhileARetryMayHelp(t *testing.T) {
 	cases := []struct {
 		name, through string
@@ -132,7 +132,8 @@
 	}
 }
 
-// The decider that missed the report of an end asks for it when a repeat comes.
+// A decider that missed the report of a result fetches it from the holder on the
+// next repeat.
 func TestDeciderFetchesALostReport(t *testing.T) {
 	for _, result := range []Result{answered, {Outcome: outcome.Complete, Status: 200, Body: make([]byte, MaxStoredBody+1)}} {
 		is := is.New(t)
@@ -153,7 +154,7 @@
 	}
 }
 
-// A grant whose answer was lost is withdrawn, so that the next attempt may run.
+// A grant is withdrawn if the reply was lost, so that the next attempt may run.
 func TestLostGrantIsWithdrawn(t *testing.T) {
 	is := is.New(t)
 	w := newSimulation(1)
@@ -165,15 +166,15 @@
 	is.Equal(got, "granted")
 }
 
-// A gateway that asks for one of another domain must not withdraw the attempt:
-// its holder may get the grant by another way, and run.
+// A gateway that relays a claim of another domain must not withdraw the attempt,
+// since its holder may get the grant through another relay and run.
 func TestRelayDoesNotWithdraw(t *testing.T) {
 	is := is.New(t)
 	w := newSimulation(1)
 	key := w.issued("a1")
 	holder := w.processes["b1"]
 	entries := holder.domains.Remote[0].Entries
-	holder.domains.Remote[0].Entries = entries[1:] // has not heard of a1
+	holder.domains.Remote[0].Entries = entries[1:] // does not know a1
 	w.nextFaults["a2>a1"] = []fault{faultRequestLost, faultDelayed}
 	_, got := w.begin("b1", key) // a2 does not reach a1, but a3 does
 	is.Equal(got, "granted")
@@ -227,8 +228,8 @@
 	}
 }
 
-// A claim that took so long to write that the service forgets it too early is
-// given back.
+// A claim is released if its write took so long that its lease would expire before
+// the end of the retention.
 func TestSlowOpaqueClaimIsReleased(t *testing.T) {
 	is := is.New(t)
 	clock := &fakeClock{}
@@ -259,14 +260,14 @@
 	for _, claim := range claims {
 		copies.Put(claim, answered)
 	}
-	is.True(copies.Get(claims[0]) == nil) // the oldest made room
+	is.True(copies.Get(claims[0]) == nil) // the oldest was evicted
 	copies.Put(claims[2], Result{Outcome: outcome.Unknown})
 	is.Equal(copies.Get(claims[2]).State, StateComplete) // a complete copy stays
 	clock.advance(copyLifetimes * testTTL)
 	is.True(copies.Get(claims[2]) == nil)
 }
 
-// Without a view of the membership nothing is granted for keys of others.
+// Without membership data no key of another instance is granted.
 func TestNoGrantWithoutMembership(t *testing.T) {
 	is := is.New(t)
 	w := newSimulation(1)
--- a/pkg/claim/copies.go
+++ b/pkg/claim/copies.go
@@ -8,15 +8,15 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// DefaultMaxCopies bounds the copies that one gateway keeps for others.
+// DefaultMaxCopies bounds the copies that one gateway keeps for other deciders.
 const DefaultMaxCopies = 50_000
 
-// copyLifetimes is how many key lifetimes a copy is kept.
+// copyLifetimes is the retention of a copy, in key lifetimes.
 const copyLifetimes = 2
 
-// Copies holds ended attempts that other gateways decided. A copy lets a repeat
-// be answered when the decider is gone; that there is none means nothing.
-// Oldest copies go first when there are too many. It is safe for concurrent use.
+// Copies stores ended attempts of keys that other gateways decide. A copy answers
+// repeats if the decider is lost; the absence of a copy proves nothing. The oldest
+// copies are evicted first. It is safe for concurrent use.
 type Copies struct {
 	clock clock.Clock
 	ttl   func() time.Duration
@@ -40,7 +40,7 @@
 	return &Copies{clock: now, ttl: ttl, max: max, byKey: make(map[identity]*list.Element), oldest: list.New()}
 }
 
-// Put keeps how an attempt ended. A complete one is never replaced.
+// Put stores the result of an attempt. A complete result is never replaced.
 func (c *Copies) Put(claim Claim, result Result) {
 	record := Record{Claim: claim}
 	record.finish(result)
--- a/pkg/claim/experiment_test.go
+++ b/pkg/claim/experiment_test.go
@@ -11,25 +11,24 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// experimentKeys is how many requests each experiment sends, once and again.
+// experimentKeys is the number of requests of an experiment, each sent twice.
 const experimentKeys = 1000
 
-// experiment sends requests around an event and then repeats each through
-// another instance. By chance six of ten requests end before the event, two are
-// running when it comes, and two come after it, half of these with a key from
-// before.
+// experiment sends requests around an event and then repeats each through a random
+// instance. On average six of ten requests end before the event, two are running
+// during it, and two are sent after it, half of these with a key issued before it.
 type experiment struct {
 	simulation *simulation
 	random     *rand.Rand
 	opaque     bool
 	samples    []*sample
-	// unknownFirst counts first tries that were told unknown, unknownRepeat
-	// repeats; falseAnswers is what must not be: a second run, a not-run after a
-	// run, a recorded answer without one.
+	// unknownFirst and unknownRepeat count unknown replies to first attempts and to
+	// repeats. falseAnswers counts violations: a second run, a not-run after a run,
+	// a recorded answer without a run.
 	unknownFirst, unknownRepeat, recorded, granted, falseAnswers int
 }
 
-// trial is one request that may not be repeated.
+// sample is one request that must not run twice.
 type sample struct {
 	phase  int
 	key    string
@@ -39,7 +38,7 @@
 	first  string
 }
 
-// The phases of a trial, of ten parts.
+// The phases of a sample, in tenths.
 const (
 	phases         = 10
 	phaseRunning   = 6
@@ -47,7 +46,7 @@
 	phaseUnstarted = 9
 )
 
-// any draws an instance that serves callers.
+// anyServing draws an instance that serves callers.
 func (e *experiment) anyServing() *process {
 	for {
 		p := e.simulation.processes[instanceNames[e.random.IntN(len(instanceNames))]]
@@ -66,7 +65,7 @@
 	t.key = fmt.Sprintf("%s.%016x", prefix, number)
 }
 
-// send begins a request through an instance and runs it when that is granted.
+// send begins a request through a random instance and runs it if granted.
 func (e *experiment) send(t *sample) (told string) {
 	through := e.anyServing()
 	grant, recorded, refusal := through.coordinator.Begin(context.Background(), Claim{Key: t.key, Caller: propertyCaller})
@@ -82,7 +81,7 @@
 	}
 }
 
-// end finishes a running request, unless its gateway is gone.
+// end finishes a running request, unless its gateway is dead or frozen.
 func (t *sample) end() {
 	if t.grant != nil && !t.holder.dead && !t.holder.frozen {
 		t.grant.Finish(context.Background(), answered)
@@ -136,8 +135,8 @@
 	}
 }
 
-// rollingReplacement ends each instance gracefully: its running requests end,
-// its keys are handed over, and a new process takes its place.
+// rollingReplacement restarts each instance gracefully: its running requests end,
+// its keys are handed over, and a new process replaces it.
 func rollingReplacement(e *experiment) {
 	for _, name := range instanceNames {
 		leaving := e.simulation.processes[name]
@@ -170,8 +169,8 @@
 	return func(e *experiment) { one(e); other(e) }
 }
 
-// TestUnknownAnswers counts what callers are told under designs (a), a claim in
-// the key-value service, and (d), the issuing incarnation as the only decider.
+// TestUnknownAnswers counts the replies to callers under design (a), a claim in the
+// key-value service, and design (d), the issuing incarnation as the only decider.
 // docs/design/idempotency.md holds the table.
 func TestUnknownAnswers(t *testing.T) {
 	events := []struct {
--- a/pkg/claim/finish.go
+++ b/pkg/claim/finish.go
@@ -21,8 +21,9 @@
 	return DefaultCallTimeout
 }
 
-// finish tells how an attempt ended to the decider that granted it (nil: this
-// gateway, or not known), or else to all that may decide or answer for it.
+// finish reports the result of an attempt to the decider that granted it, which is
+// nil if it is this gateway or unknown. If that fails it reports to all gateways
+// that may decide the key or answer for it.
 func (c *Coordinator) finish(ctx context.Context, key Key, claim Claim, result Result, granted *Decider) {
 	if decided, _ := c.record(key, claim, result); decided {
 		return
@@ -38,8 +39,8 @@
 	c.reportToDomain(ctx, key, claim, result)
 }
 
-// record takes in how an attempt ended: as the decider, then with a copy to a
-// peer, or as a copy.
+// record stores the result of an attempt, either as the decider, which also
+// replicates it to a peer, or as a copy.
 func (c *Coordinator) record(key Key, claim Claim, result Result) (decided bool, successor *Decider) {
 	result = bounded(result, MaxStoredBody)
 	ended := c.owner.Finish(key, claim, result)
@@ -59,8 +60,8 @@
 	}
 }
 
-// tell asks one gateway, and the successors that are named, to record how an
-// attempt ended; false when no decider is known to have done so.
+// reportTo asks one gateway, and the successors that the replies name, to record
+// the result of an attempt. It returns false unless a decider confirmed it.
 func (c *Coordinator) reportTo(ctx context.Context, decider Decider, claim Claim, result Result, relay bool) bool {
 	queried := make(map[string]bool)
 	for next := &decider; next != nil && !queried[next.Control]; {
@@ -86,8 +87,8 @@
 	return reply, err
 }
 
-// tellDomain tells every gateway of the own domain at once: a decider records
-// it, all others keep a copy.
+// reportToDomain reports to all gateways of the own domain concurrently: a decider
+// records the result, all others store a copy.
 func (c *Coordinator) reportToDomain(ctx context.Context, key Key, claim Claim, result Result) bool {
 	first, others := c.localDeciders(key)
 	results := make([]bool, len(first)+len(others))
@@ -108,7 +109,7 @@
 }
 
 // replicate copies an ended attempt to one peer of the domain, chosen by
-// rendezvous hashing, to answer repeats should this gateway be lost.
+// rendezvous hashing, so that repeats can be answered if this gateway crashes.
 func (c *Coordinator) replicate(key Key, claim Claim, result Result) {
 	_, others := c.localDeciders(key)
 	if len(others) == 0 {
@@ -118,7 +119,7 @@
 	_, _ = c.callFinish(context.Background(), peer, claim, result, false)
 }
 
-// rank orders deciders by rendezvous hash for a text, first choice first.
+// rendezvousOrder sorts deciders by rendezvous hash for a text, first choice first.
 func rendezvousOrder(text string, deciders []Decider) []Decider {
 	ranked := slices.Clone(deciders)
 	weight := func(d Decider) uint64 { return xxhash.Sum64String(text + "/" + d.Instance) }
--- a/pkg/claim/handover.go
+++ b/pkg/claim/handover.go
@@ -2,76 +2,76 @@
 
 import "errors"
 
-// ErrHandedOver: the owner's authority may already be with a successor.
+// ErrHandedOver means that a successor may already have the owner's authority.
 var ErrHandedOver = errors.New("authority over idempotency keys was handed over")
 
-// TransferFault says why a transfer was not adopted.
+// TransferFault is the reason why a transfer was not adopted.
 type TransferFault string
 
 // The faults of a transfer.
 const (
-	// FaultNone: the transfer was adopted.
+	// FaultNone means that the transfer was adopted.
 	FaultNone TransferFault = ""
-	// FaultAddressee: the transfer names another incarnation than the one that
-	// answers. It says nothing about what the named one did.
+	// FaultAddressee means that the transfer names another incarnation than the
+	// replying one. It gives no evidence of what the named incarnation did.
 	FaultAddressee TransferFault = "other-addressee"
-	// FaultIncomplete: count or checksum do not match.
+	// FaultIncomplete means that the part count or the checksum does not match.
 	FaultIncomplete TransferFault = "incomplete"
-	// FaultLeaving: the addressee has itself stopped deciding.
+	// FaultLeaving means that the addressee has itself stopped deciding.
 	FaultLeaving TransferFault = "leaving"
-	// FaultDuplicate: the addressee already decides one of the origins.
+	// FaultDuplicate means that the addressee already decides one of the origins.
 	FaultDuplicate TransferFault = "already-decided"
 )
 
-// Transfer passes the authority of a leaving owner to exactly one incarnation.
-// The records have gone there before, in parts.
+// Transfer passes the authority of a leaving owner to exactly one incarnation. The
+// records are sent before it, in parts.
 type Transfer struct {
-	// ID is random. A repeat with the same ID changes nothing.
+	// ID is random. A repeat with the same ID has no effect.
 	ID string
-	// From is the leaving owner, Successor the only one who may adopt.
+	// From is the leaving owner; only Successor may adopt the transfer.
 	From, Successor Origin
 	Tables          []TableExport
-	// Parts counts the parts that hold all records, and Sum is the checksum of
-	// the tables and parts.
+	// Parts is the number of parts that hold all records, and Sum the checksum of
+	// tables and parts.
 	Parts int
 	Sum   uint64
 }
 
-// TableExport is what is known of one origin's keys besides the records.
+// TableExport holds the state of one origin's keys besides the records.
 type TableExport struct {
 	Origin Origin
-	// Now is the origin's clock when the owner had stopped deciding, and Floor
-	// the issue time up to which records may be missing; both Unix milliseconds.
+	// Now is the origin's clock after the owner stopped deciding, and Floor the
+	// issue time up to which records may be missing; both in Unix milliseconds.
 	Now, Floor int64
 }
 
-// Part is a piece of a transfer's records. It gives no authority.
+// Part holds some of a transfer's records. It transfers no authority.
 type Part struct {
 	// Transfer is the transfer's ID.
 	Transfer string
 	// From and Successor are the transfer's.
 	From, Successor Origin
-	// Index counts the parts from zero.
+	// Index is the part's number, from zero.
 	Index int
-	// Origin is that of all Records.
+	// Origin is the origin of all Records.
 	Origin  Origin
 	Records []Record
 }
 
-// partSize is about how many bytes a part takes on the wire at most.
+// partSize is the approximate upper bound of a part on the wire, in bytes.
 const partSize = 1 << 20
 
-// TransferReply answers a transfer.
+// TransferReply is the reply to a Transfer.
 type TransferReply struct {
-	// By is the incarnation that answers.
+	// By is the replying incarnation.
 	By Origin
-	// Fault is FaultNone when the transfer was adopted.
+	// Fault is FaultNone if the transfer was adopted.
 	Fault TransferFault
 }
 
-// Export stops all deciding for good and returns what the successor needs. A
-// second call is refused with ErrHandedOver, unless the first successor itself
-// has refused (see Refused).
+// Export permanently stops this owner's decisions and returns the transfer for
+// successor. A second call returns ErrHandedOver, unless the first successor itself
+// refused (see Refused) or the transfer was not sent (see Unsent).
 func (o *Owner) Export(id string, successor Decider) (*Transfer, []Part, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -88,7 +88,7 @@
 		parts = append(parts, split(origin, records.all())...)
 	}
 	if len(parts) == 0 {
-		parts = []Part{{Origin: o.self}} // shows whether the successor answers
+		parts = []Part{{Origin: o.self}} // an empty part tests that the successor replies
 	}
 	for i := range parts {
 		parts[i].Transfer, parts[i].Index = id, i
@@ -99,9 +99,9 @@
 	return transfer, parts, nil
 }
 
-// Refused takes in a reply to a transfer. It returns true when the named
-// successor itself refused and will refuse for ever, so that another may be
-// asked. Any other incarnation's refusal proves nothing.
+// Refused processes the reply to a transfer. It returns true if the named successor
+// itself refused, which is final, so that another may be chosen. A refusal by any
+// other incarnation proves nothing.
 func (o *Owner) Refused(transfer *Transfer, reply TransferReply) bool {
 	if reply.Fault == FaultNone || reply.By != transfer.Successor {
 		return false
@@ -109,8 +109,8 @@
 	return o.release(transfer)
 }
 
-// Unsent says that a transfer was never sent to its successor, so that another
-// may be asked.
+// Unsent records that a transfer was never sent to its successor, so that another
+// may be chosen.
 func (o *Owner) Unsent(transfer *Transfer) { o.release(transfer) }
 
 func (o *Owner) release(transfer *Transfer) bool {
@@ -124,15 +124,15 @@
 	return true
 }
 
-// Stopped reports whether the owner has stopped deciding, and for whom.
+// Stopped reports whether the owner has stopped deciding, and its successor.
 func (o *Owner) Stopped() (successor *Decider, stopped bool) {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
 	return o.successor, o.stopped
 }
 
-// Stage keeps a part until its transfer comes. Only the parts of one transfer
-// from each owner are kept: the latest.
+// Stage stores a part until its transfer arrives. For each owner only the parts
+// of the latest transfer are kept.
 func (o *Owner) Stage(part Part) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -151,8 +151,8 @@
 	stage.parts[part.Index] = part
 }
 
-// Adopt takes over the origins of a transfer, or refuses. The answer to one
-// transfer never changes, so that a late or repeated one does no harm.
+// Adopt takes over the origins of a transfer, or refuses. The reply to a transfer
+// never changes, so late and repeated deliveries are harmless.
 func (o *Owner) Adopt(transfer *Transfer) TransferReply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -171,7 +171,7 @@
 	return reply
 }
 
-// unstage returns the parts of a transfer that have come, in order.
+// takeStaged removes and returns the parts received for a transfer, in order.
 func (o *Owner) takeStaged(transfer *Transfer) []Part {
 	held := o.staged[transfer.From]
 	if held == nil || held.transfer != transfer.ID {
@@ -213,8 +213,8 @@
 	}
 }
 
-// dropExpired forgets adopted origins whose last key has expired: no key of
-// theirs was issued after the time that base stands for.
+// dropExpired deletes adopted origins after the expiry of their last key: they
+// issued no key after the time that base stands for.
 func (o *Owner) dropExpired() {
 	ttl := o.ttl().Milliseconds()
 	for origin, records := range o.tables {
@@ -224,7 +224,7 @@
 	}
 }
 
-// all returns a copy of every record.
+// all returns copies of all records.
 func (t *table) all() []Record {
 	records := make([]Record, 0, t.count.Load())
 	for i := range t.shards {
--- a/pkg/claim/handover_test.go
+++ b/pkg/claim/handover_test.go
@@ -28,7 +28,8 @@
 
 func asDecider(o *Owner) Decider { return Decider{Origin: o.self, Control: o.self.Instance} }
 
-// handoverPair is a leaving owner with a running and a complete key, and a peer.
+// handoverPair is a leaving owner with one running and one complete key, and its
+// successor.
 type handoverPair struct {
 	clock              *fakeClock
 	old, next          *Owner
@@ -56,7 +57,7 @@
 	is.Equal(moved.Verdict, VerdictNotMine)
 	is.Equal(moved.Successor.Origin, p.next.self)
 	_, issuing := p.old.Prefix()
-	is.True(!issuing) // no new keys for an origin that decides no more
+	is.True(!issuing) // no new keys from an origin that has stopped deciding
 	is.Equal(p.next.Begin(p.complete, claimOf(p.complete, "desk", "c")).Verdict, VerdictNotMine)
 	is.Equal(p.next.adoptAll(transfer, parts), FaultNone)
 	is.Equal(verdictOf(p.next.Begin(p.complete, claimOf(p.complete, "desk", "c"))), "recorded")
@@ -69,14 +70,14 @@
 	is.Equal(verdictOf(p.next.Begin(p.complete, claimOf(p.complete, "desk", "f"))), "unknown idempotency-key-expired")
 }
 
-// A successor that adopted, ran keys and was restarted at the same address must
-// not be taken for one that never adopted.
+// A successor that adopted keys and was restarted at the same address must not be
+// mistaken for one that never adopted.
 func TestRefusalOfARestartedSuccessorIsNotProof(t *testing.T) {
 	is := is.New(t)
 	p := newHandoverPair()
 	transfer, parts, err := p.old.Export("t", asDecider(p.next))
 	is.NoErr(err)
-	is.Equal(p.next.adoptAll(transfer, parts), FaultNone) // the answer is lost
+	is.Equal(p.next.adoptAll(transfer, parts), FaultNone) // the reply is lost
 	restarted, third := ownerAt(p.clock, "hn-2", 4), ownerAt(p.clock, "hn-3", 1)
 	reply := restarted.Adopt(transfer)
 	is.Equal(reply.Fault, FaultAddressee)
@@ -85,8 +86,8 @@
 	is.True(errors.Is(err, ErrHandedOver))
 }
 
-// A successor that adopted and left in its turn answers a repeated transfer as
-// it did the first time.
+// A successor that adopted and has itself handed over replies to a repeated
+// transfer as it did the first time.
 func TestRepeatedTransferGetsTheSameReply(t *testing.T) {
 	is := is.New(t)
 	p := newHandoverPair()
@@ -124,20 +125,20 @@
 			is.Equal(p.next.adoptAll(transfer, parts), c.want)
 			reply := p.next.Adopt(transfer)
 			is.Equal(p.next.Begin(p.complete, p.finalAs).Verdict, VerdictNotMine)
-			is.True(p.old.Refused(transfer, reply)) // the successor itself refused for good
+			is.True(p.old.Refused(transfer, reply)) // the successor's own refusal is final
 			is.Equal(p.old.Begin(p.complete, p.finalAs).Verdict, VerdictNotMine)
 			third := ownerAt(p.clock, "hn-3", 1)
 			again, parts, err := p.old.Export("u", asDecider(third))
 			is.NoErr(err)
 			is.Equal(third.adoptAll(again, parts), FaultNone)
-			is.Equal(p.next.Adopt(transfer).Fault, c.want) // a late duplicate changes nothing
+			is.Equal(p.next.Adopt(transfer).Fault, c.want) // a late duplicate has no effect
 			is.Equal(verdictOf(third.Begin(p.complete, claimOf(p.complete, "desk", "c"))), "recorded")
 		})
 	}
 }
 
-// A successor that does not answer while the records are sent cannot have got
-// the authority: the next one is asked.
+// A successor that does not reply while the records are sent cannot have received
+// the authority, so the next candidate is tried.
 func TestUnresponsivePeerIsSkipped(t *testing.T) {
 	is := is.New(t)
 	w := newSimulation(1)
@@ -150,7 +151,7 @@
 	is.Equal(verdictOf(w.processes[successor.Instance].coordinator.owner.Begin(key, claimOf(key, "desk", "a"))), "granted")
 }
 
-// Records beyond one message go in parts.
+// Records that exceed one message are split into parts.
 func TestManyRecordsAreSplitIntoParts(t *testing.T) {
 	is := is.New(t)
 	p := newHandoverPair()
@@ -188,7 +189,7 @@
 	_, err := w.processes["a1"].coordinator.Handover(context.Background())
 	is.True(errors.Is(err, ErrNoSuccessor))
 	_, issuing := w.processes["a1"].coordinator.Prefix()
-	is.True(issuing) // with no one to hand over to it goes on deciding
+	is.True(issuing) // without a successor it continues to decide
 }
 
 func TestSuccessorDropsExpiredOrigin(t *testing.T) {
--- a/pkg/claim/key.go
+++ b/pkg/claim/key.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// KeyPrefix starts every key that the system gives out. Other keys are opaque.
+// KeyPrefix starts every key that the system issues. Other keys are opaque.
 const KeyPrefix = "lw1."
 
 // Bounds of a key.
 const (
 	// MaxKeyLength bounds any key, opaque ones included, in bytes.
 	MaxKeyLength = 255
-	// MinRandomLength is the least number of hexadecimal characters that a
+	// MinRandomLength is the minimum number of hexadecimal characters that a
 	// caller appends to a key prefix: 64 bits.
 	MinRandomLength = 16
 )
 
-// keyFields is how many fields a key has, KeyPrefix included.
+// keyFields is the number of fields of a key, KeyPrefix included.
 const keyFields = 6
 
 // Field names a part of a key.
@@ -34,17 +34,17 @@
 	FieldRandom      Field = "random part"
 )
 
-// KeyError is a key that cannot be one of ours.
+// KeyError reports a malformed key.
 type KeyError struct {
-	// Field is the part at fault.
+	// Field is the invalid field.
 	Field Field
-	// Offset is where that part begins in the key, in bytes.
+	// Offset is the start of that field in the key, in bytes.
 	Offset int
-	// Expected says what should stand there.
+	// Expected describes a valid value.
 	Expected string
 }
 
-// Error implements error. It does not repeat the key.
+// Error implements error. The text does not contain the key.
 func (e *KeyError) Error() string {
 	return fmt.Sprintf("idempotency key: %s at byte %d: expected %s", e.Field, e.Offset, e.Expected)
 }
@@ -57,33 +57,33 @@
 	Incarnation uint64
 }
 
-// String returns the origin as it stands in a key.
+// String returns the origin as encoded in a key.
 func (o Origin) String() string {
 	return escapeName(o.Domain) + "." + escapeName(o.Instance) + "." + strconv.FormatUint(o.Incarnation, 16)
 }
 
-// Key is a key that the system gave out.
+// Key is a key issued by the system.
 type Key struct {
 	Origin
-	// Issued is when the origin gave it out: Unix milliseconds of the origin's clock.
+	// Issued is the issue time in Unix milliseconds of the origin's clock.
 	Issued int64
-	// Random tells apart the keys of one prefix.
+	// Random distinguishes the keys of one prefix.
 	Random string
 }
 
-// String returns the key as it travels.
+// String returns the encoded key.
 func (k Key) String() string { return Prefix(k.Origin, k.Issued) + "." + k.Random }
 
-// Prefix returns what a caller completes with "." and at least MinRandomLength
-// hexadecimal characters.
+// Prefix returns a key prefix, which a caller completes with "." and at least
+// MinRandomLength hexadecimal characters.
 func Prefix(origin Origin, issued int64) string {
 	return KeyPrefix + origin.String() + "." + strconv.FormatInt(issued, 16)
 }
 
-// IsOpaque reports whether the key was not given out by the system.
+// IsOpaque reports whether the key was not issued by the system.
 func IsOpaque(text string) bool { return !strings.HasPrefix(text, KeyPrefix) }
 
-// ParseKey reads a key that starts with KeyPrefix. Errors are *KeyError.
+// ParseKey parses a key that starts with KeyPrefix. Errors are *KeyError.
 func ParseKey(text string) (Key, error) {
 	if len(text) > MaxKeyLength {
 		return Key{}, &KeyError{Field: FieldWhole, Offset: MaxKeyLength, Expected: fmt.Sprintf("at most %d bytes", MaxKeyLength)}
@@ -105,7 +105,7 @@
 	return key, nil
 }
 
-// fieldReader takes the fields one after another and keeps the first error.
+// fieldReader parses the fields in sequence and keeps the first error.
 type fieldReader struct {
 	fields []string
 	next   int
@@ -151,8 +151,8 @@
 	return text
 }
 
-// Names may hold dots, which separate a key's fields; in keys they are
-// underscores, which names cannot hold.
+// Names may contain dots, which separate a key's fields. Keys encode them as
+// underscores, which names cannot contain.
 const (
 	hexAlphabet  = "0123456789abcdef"
 	nameAlphabet = "abcdefghijklmnopqrstuvwxyz0123456789-_"
--- a/pkg/claim/leases.go
+++ b/pkg/claim/leases.go
@@ -11,15 +11,15 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// leaseWindow is how long one lease takes new claims. It keeps the calls for
-// leases few: one in a window.
+// leaseWindow is the period in which one lease accepts new claims, so that leases
+// cost one call per window.
 const leaseWindow = 5 * time.Minute
 
-// leaseMargin is what a claim's own write may take beyond the window.
+// leaseMargin is the time that a claim's write may take beyond the window.
 const leaseMargin = time.Minute
 
-// leases hands out a lease that lives for at least the retention after the
-// window in which claims are put under it. It is never renewed.
+// leases provides a lease that lasts for at least the retention after the window
+// in which it accepts claims. It is never renewed.
 type leases struct {
 	keyValue  platform.KeyValue
 	clock     clock.Clock
@@ -39,8 +39,8 @@
 	return &leases{keyValue: keyValue, clock: now, retention: retention}
 }
 
-// current returns the lease for a new claim. Many who need a new one at the
-// same time ask the service once.
+// current returns the lease for a new claim. Concurrent requests for a new lease
+// make one call to the service.
 func (l *leases) current(ctx context.Context) (lease, error) {
 	if held, ok := l.held(); ok {
 		return held, nil
@@ -71,9 +71,8 @@
 	return nil
 }
 
-// usable reports whether a claim that was just written under the lease lives
-// for the whole retention. It judges by the own monotonic clock, from before
-// the lease was asked for.
+// usable reports whether a claim just written under the lease lasts for the whole
+// retention. It uses the local monotonic clock, starting before the lease request.
 func (l *leases) usable(held lease) bool {
 	return l.clock.Now().Sub(held.granted) < leaseWindow+leaseMargin
 }
--- a/pkg/claim/leave.go
+++ b/pkg/claim/leave.go
@@ -9,14 +9,14 @@
 	"github.com/lilacweir/lilacweir/pkg/board"
 )
 
-// ErrNoSuccessor: no live peer of the domain could take over.
+// ErrNoSuccessor means that no live peer of the domain could take over.
 var ErrNoSuccessor = errors.New("no successor for idempotency keys")
 
 // Handover stops deciding and passes all records and the authority over them to
-// one live peer. Once the authority was sent it keeps trying that peer until ctx
-// ends, and turns to another only when the first itself refused. While there is no live peer at all it
-// does not stop deciding and returns ErrNoSuccessor. After any other error no
-// one may decide these keys: repeats are answered from copies, or unknown.
+// one live peer. Once the authority was sent it retries that peer until ctx ends,
+// and tries another only if the first itself refused. Without any live peer it
+// continues to decide and returns ErrNoSuccessor. After any other error no instance
+// may decide these keys: repeats are answered from copies, or with unknown.
 func (c *Coordinator) Handover(ctx context.Context) (Decider, error) {
 	candidates := c.candidates()
 	for _, candidate := range candidates {
@@ -35,10 +35,10 @@
 	return Decider{}, ErrNoSuccessor
 }
 
-// retryTransfer is the pause between two tries to reach the successor.
+// retryTransfer is the pause between attempts to reach the successor.
 const retryTransfer = 100 * time.Millisecond
 
-// candidates lists the live peers in rendezvous order of this origin.
+// candidates returns the live peers in rendezvous order for this origin.
 func (c *Coordinator) candidates() []Decider {
 	var live []Decider
 	instances := c.knownInstances(c.options.Self.Domain)
@@ -51,9 +51,9 @@
 	return rendezvousOrder(c.options.Self.String(), live)
 }
 
-// transfer stages the records and then sends the authority until the successor
-// answers or ctx ends. False means that this successor has not adopted and never
-// will: it refused itself, or the authority was not sent to it.
+// transfer stages the records, then sends the authority until the successor replies
+// or ctx ends. False means that this successor has not adopted and never will: it
+// refused, or the authority was not sent to it.
 func (c *Coordinator) transfer(ctx context.Context, successor Decider, transfer *Transfer, parts []Part) (bool, error) {
 	for i := range parts {
 		if c.callSuccessor(ctx, successor, MethodStage, &parts[i], &StageReply{}) != nil {
@@ -89,10 +89,10 @@
 	return c.options.Peers.Call(ctx, successor.Control, method, args, reply)
 }
 
-// TransferError is a successor that is no longer the incarnation that was
-// addressed. Whether that one had adopted the keys cannot be known.
+// TransferError means that the successor's address is now served by another
+// incarnation. Whether the addressed one had adopted the keys is unknown.
 type TransferError struct {
-	// Successor is the incarnation that was addressed.
+	// Successor is the addressed incarnation.
 	Successor Origin
 	Fault     TransferFault
 }
--- a/pkg/claim/messages.go
+++ b/pkg/claim/messages.go
@@ -12,25 +12,25 @@
 	MethodAdopt  = ServiceName + ".Adopt"
 )
 
-// BeginArgs asks a gateway to decide a claim.
+// BeginArgs requests a decision on a claim.
 type BeginArgs struct {
 	Claim Claim
-	// Relay asks an instance that does not decide the key to ask its own failure
-	// domain. It is never set from one instance to another of the same domain.
+	// Relay makes an instance that does not decide the key query its own failure
+	// domain. It is never set between instances of one domain.
 	Relay bool
 }
 
-// BeginReply is the answer, and the copy that the asked instance holds when it
-// does not decide the key.
+// BeginReply holds the decision, and the local copy if the queried instance does
+// not decide the key.
 type BeginReply struct {
 	Decision Decision
 	Copy     *Record
-	// Silent says, with Relay, that someone who may decide did not answer.
+	// Silent reports, with Relay, that a possible decider did not reply.
 	Silent bool
 }
 
-// FinishArgs tells a gateway how an attempt ended. One that decides the key
-// records it; any other keeps a copy.
+// FinishArgs reports the result of an attempt. The decider of the key records it;
+// any other gateway stores a copy.
 type FinishArgs struct {
 	Claim  Claim
 	Result Result
@@ -38,17 +38,17 @@
 	Relay bool
 }
 
-// FinishReply says whether a decider of the key has recorded it.
+// FinishReply reports whether a decider of the key recorded the result.
 type FinishReply struct {
 	Decided   bool
 	Successor *Decider
 }
 
-// CopyArgs asks for the copy that a gateway holds of an ended attempt.
+// CopyArgs requests a gateway's copy of an ended attempt.
 type CopyArgs struct{ Claim Claim }
 
-// CopyReply holds the copy; nil when there is none.
+// CopyReply holds the copy, or nil if there is none.
 type CopyReply struct{ Copy *Record }
 
-// StageReply answers a part: it was received.
+// StageReply confirms that a part was received.
 type StageReply struct{}
--- a/pkg/claim/owner.go
+++ b/pkg/claim/owner.go
@@ -33,63 +33,63 @@
 	return l
 }
 
-// Verdict is how a decider answered.
+// Verdict is the kind of a decision.
 type Verdict uint8
 
 // The verdicts of a decision.
 const (
-	// VerdictNotMine: the asked instance does not decide this key. Absence of a
-	// record there means nothing.
+	// VerdictNotMine means that the queried instance does not decide this key, so
+	// the absence of a record there proves nothing.
 	VerdictNotMine Verdict = iota
-	// VerdictGranted: the attempt may run.
+	// VerdictGranted means that the attempt may run.
 	VerdictGranted
-	// VerdictRecorded: the request is complete, and this is its answer.
+	// VerdictRecorded means that the request is complete; Recorded holds its answer.
 	VerdictRecorded
-	// VerdictRefused: the attempt must not run.
+	// VerdictRefused means that the attempt must not run.
 	VerdictRefused
 )
 
-// Decision answers a claim. One of the fields is set, as Verdict says.
+// Decision is the result of a claim. Verdict determines which other field is set.
 type Decision struct {
 	Verdict  Verdict
 	Recorded *Recorded
 	Refusal  *outcome.Refusal
-	// Successor decides in the place of the asked instance, with VerdictNotMine;
-	// nil when that is not known.
+	// Successor, with VerdictNotMine, decides in place of the queried instance; nil
+	// if unknown.
 	Successor *Decider
-	// Holder has the grant, with a refusal for a running request.
+	// Holder, with an in-progress refusal, has the grant.
 	Holder Origin
 }
 
-// Decider names a gateway that decides keys, and where to reach it.
+// Decider identifies a gateway that decides keys, and its address.
 type Decider struct {
 	Origin
-	// Control is the net/rpc address of its gateway.
+	// Control is the gateway's net/rpc address.
 	Control string
 }
 
-// Owner decides the keys of its own origin and of those handed over to it. It
-// is safe for concurrent use.
+// Owner decides the keys of its own origin and of origins handed over to it. It is
+// safe for concurrent use.
 type Owner struct {
 	self   Origin
 	clock  clock.Clock
 	ttl    func() time.Duration
 	limits Limits
 
-	// gate is held for reading by every decision, and for writing by what
-	// changes who decides.
+	// mu is read-locked by every decision, and write-locked by changes of the
+	// decider.
 	mu        sync.RWMutex
 	tables    map[Origin]*table
 	stopped   bool
 	successor *Decider
-	// outstanding is the transfer that may have been adopted; empty: none.
+	// outstanding is the ID of the transfer that may have been adopted, or empty.
 	outstanding string
 	transfers   map[string]TransferReply
 	staged      map[Origin]*staging
 }
 
-// NewOwner returns the decider of a fresh incarnation's keys. ttl is asked at
-// each decision, since operators may change it.
+// NewOwner returns the decider of a new incarnation's keys. ttl is called for each
+// decision, since operators may change it.
 func NewOwner(self Origin, now clock.Clock, ttl func() time.Duration, limits Limits) *Owner {
 	limits = limits.orDefault()
 	start := now.Now()
@@ -105,7 +105,7 @@
 	}
 }
 
-// Prefix returns the key prefix to give out now; ok is false once the owner has
+// Prefix returns the key prefix to issue now; ok is false once the owner has
 // stopped deciding.
 func (o *Owner) Prefix() (prefix string, ok bool) {
 	o.mu.RLock()
@@ -116,8 +116,8 @@
 	return Prefix(o.self, o.tables[o.self].now()), true
 }
 
-// Begin decides a claim on a key. Asking again with the same attempt gives the
-// same answer, as long as the attempt has not ended.
+// Begin decides a claim on a key. It is idempotent for an attempt until that
+// attempt ends.
 func (o *Owner) Begin(key Key, claim Claim) Decision {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
@@ -128,9 +128,9 @@
 	return records.begin(key, claim, o.ttl())
 }
 
-// Ended says what became of a Finish.
+// FinishStatus is the result of Owner.Finish.
 type FinishStatus struct {
-	// Decided is true when this owner decides the key; otherwise nothing was
+	// Decided is true if this owner decides the key; otherwise nothing was
 	// recorded, and Successor is as in Decision.
 	Decided   bool
 	Successor *Decider
@@ -138,7 +138,7 @@
 	Changed bool
 }
 
-// Finish records what became of a granted attempt. Repeating it changes nothing.
+// Finish records the result of a granted attempt. It is idempotent.
 func (o *Owner) Finish(key Key, claim Claim, result Result) FinishStatus {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
@@ -149,8 +149,8 @@
 	return FinishStatus{Decided: true, Changed: records.finish(key, claim, result)}
 }
 
-// decides returns the records of an origin that this owner decides, else nil
-// and, where it is known, the one that does.
+// decides returns the records of an origin that this owner decides; otherwise nil
+// and the decider, if known.
 func (o *Owner) decides(origin Origin) (*table, *Decider) {
 	records := o.tables[origin]
 	if records == nil {
@@ -162,7 +162,7 @@
 	return records, nil
 }
 
-// Records counts the records held, of all origins.
+// Records returns the number of records of all origins.
 func (o *Owner) Records() int {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
--- a/pkg/claim/owner_test.go
+++ b/pkg/claim/owner_test.go
@@ -12,7 +12,7 @@
 
 const testTTL = 15 * time.Minute
 
-// fakeClock is a clock that the test moves.
+// fakeClock is a clock that the test advances.
 type fakeClock struct{ offset atomic.Int64 }
 
 var epoch = time.UnixMilli(1_800_000_000_000)
@@ -34,7 +34,7 @@
 
 var answered = Result{Outcome: outcome.Complete, Status: 201, Body: []byte("stored")}
 
-// verdictOf names a decision: its verdict, or its outcome and reason.
+// verdictOf returns a decision's verdict, or the outcome and reason of its refusal.
 func verdictOf(decision Decision) string {
 	switch decision.Verdict {
 	case VerdictGranted:
@@ -109,8 +109,8 @@
 	}
 }
 
-// A lifetime that operators shorten and lengthen again must not bring back keys
-// whose records were dropped in between.
+// If operators shorten and then lengthen the key lifetime, keys with records that
+// were dropped in between must not become valid again.
 func TestDroppedRecordNeverGrantedAgain(t *testing.T) {
 	is := is.New(t)
 	clock, ttl := &fakeClock{}, testTTL
@@ -138,7 +138,7 @@
 	kept := owner.Begin(keys[0], claimOf(keys[0], "desk", "b"))
 	is.Equal(string(kept.Recorded.Body), "stored")
 	dropped := owner.Begin(keys[1], claimOf(keys[1], "desk", "b"))
-	is.True(dropped.Recorded.BodyDropped) // complete, but no room for its body
+	is.True(dropped.Recorded.BodyDropped) // complete, but its body exceeded the limit
 	clock.advance(testTTL)
 	fresh := keyAt(ownOrigin, clock.Now(), randomPart)
 	is.Equal(verdictOf(owner.Begin(fresh, claimOf(fresh, "desk", "a"))), "granted")
--- a/pkg/claim/parts.go
+++ b/pkg/claim/parts.go
@@ -9,23 +9,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// staging holds the parts of a transfer that has not come yet.
+// staging holds the parts of a transfer that has not arrived yet.
 type staging struct {
 	transfer string
 	parts    map[int]Part
 	began    time.Time
 }
 
-// stagingLife is how long parts are kept for their transfer, from the first.
+// stagingTimeout bounds the wait for a transfer, from its first part.
 const stagingTimeout = time.Minute
 
-// dropStale forgets the parts of transfers that never came.
+// dropStale deletes the parts of transfers that never arrived.
 func (o *Owner) dropStale() {
 	now := o.clock.Now()
 	maps.DeleteFunc(o.staged, func(_ Origin, held *staging) bool { return now.Sub(held.began) > stagingTimeout })
 }
 
-// split cuts records into parts of about partSize.
+// split divides records into parts of about partSize.
 func split(origin Origin, records []Record) []Part {
 	var parts []Part
 	room := 0
@@ -41,14 +41,14 @@
 	return parts
 }
 
-// fixedSize is about what a record's numbers and field lengths take.
+// fixedSize is the approximate size of a record's numbers and field lengths.
 const fixedSize = 64
 
 func (r *Record) size() int {
 	return fixedSize + len(r.Key) + len(r.Caller) + len(r.Attempt) + len(r.Result.Body)
 }
 
-// checksum covers who is transferred and every record.
+// checksum covers the parties, the tables and every record.
 func (t *Transfer) checksum(parts []Part) uint64 {
 	digest := xxhash.New()
 	hashText(digest, t.ID, t.From.String(), t.Successor.String())
--- a/pkg/claim/property_test.go
+++ b/pkg/claim/property_test.go
@@ -13,7 +13,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-// running is a grant that is in the hands of a gateway.
+// running is a grant that a gateway holds.
 type running struct {
 	holder *process
 	grant  *Grant
@@ -21,12 +21,12 @@
 	ran    bool
 }
 
-// machine drives a world at random and checks what callers are told.
+// machine drives a simulation at random and checks the replies to callers.
 type machine struct {
 	simulation *simulation
 	keys       []string
 	grants     []*running
-	// runs holds the answers of the runs of each key.
+	// runs holds the answers of each key's runs.
 	runs map[string][]string
 }
 
@@ -61,7 +61,7 @@
 	})
 }
 
-// able draws one of the processes that can act, nil when there is none.
+// able draws one of the processes that can act, or returns nil.
 func (m *machine) able(t *rapid.T) *process {
 	var able []*process
 	for _, name := range instanceNames {
@@ -90,7 +90,7 @@
 	if p == nil {
 		return
 	}
-	// Later keys are drawn more often: old ones have mostly run.
+	// Only recent keys are drawn, since old ones have mostly run.
 	back := rapid.IntRange(0, min(len(m.keys)-1, 5)).Draw(t, "key")
 	key := m.keys[len(m.keys)-1-back]
 	grant, recorded, refusal := p.coordinator.Begin(context.Background(), Claim{Key: key, Caller: propertyCaller})
@@ -106,8 +106,8 @@
 	}
 }
 
-// held draws a grant whose holder can act, with the given progress; nil when
-// there is none.
+// held draws a grant of the given progress with a holder that can act, or returns
+// nil.
 func (m *machine) held(t *rapid.T, ran bool) *running {
 	var held []*running
 	for _, r := range m.grants {
@@ -163,7 +163,7 @@
 	return m.simulation.processes[rapid.SampledFrom(instanceNames).Draw(t, "instance")]
 }
 
-// crash ends a process and starts its successor, which remembers nothing.
+// crash terminates a process and starts a new incarnation without its state.
 func (m *machine) crash(t *rapid.T) {
 	p := m.instance(t)
 	p.dead = true
@@ -180,7 +180,7 @@
 	_, _ = p.coordinator.Handover(context.Background())
 }
 
-// pauses lets other things happen while a handover waits to try again.
+// pauses runs other actions while a handover waits for its retry.
 func (m *machine) pauses(t *rapid.T) {
 	actions := []func(*rapid.T){m.request, m.run, m.crash, m.deliver, m.refresh, m.network, m.thaw, m.leaveInPause}
 	m.simulation.pause = func() {
@@ -210,7 +210,7 @@
 
 func (m *machine) thaw(t *rapid.T) { m.instance(t).thaw() }
 
-// deliver lets one delayed call arrive.
+// deliver delivers one delayed call.
 func (m *machine) deliver(t *rapid.T) {
 	if len(m.simulation.delayed) == 0 {
 		return
--- a/pkg/claim/record.go
+++ b/pkg/claim/record.go
@@ -7,12 +7,12 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// MaxStoredBody is the longest answer in bytes that is kept for repeats; of a
-// longer one only the fact that it was complete is kept.
+// MaxStoredBody is the longest answer, in bytes, that is stored for repeats. For a
+// longer one only its completion is recorded.
 const MaxStoredBody = 32 << 10
 
-// Fingerprint identifies what a request asks for, to tell a repeat from another
-// request under the same key.
+// Fingerprint identifies the content of a request, to distinguish a repeat from
+// another request under the same key.
 type Fingerprint [16]byte
 
 // FingerprintOf hashes a request's method, path with query, and body.
@@ -27,57 +27,57 @@
 	return Fingerprint(hash.Sum(nil)[:16])
 }
 
-// Claim asks for the right to run a request.
+// Claim requests the right to run a request.
 type Claim struct {
 	// Key is the idempotency key as the caller sent it.
 	Key string
-	// Caller is the name of the caller. Keys of different callers never meet.
-	Caller string
-	// Fingerprint is the request's.
+	// Caller is the name of the caller. Each caller has its own key space.
+	Caller      string
 	Fingerprint Fingerprint
-	// Attempt names this very try to run the request. It is random and never
-	// used for a second try.
+	// Attempt is the random ID of this attempt to run the request. It is never
+	// reused.
 	Attempt string
 	// Holder is the gateway that makes the attempt. Coordinator.Begin fills it in.
 	Holder Origin
 }
 
-// identity is what records are kept by.
+// identity is the map key of records.
 type identity struct{ caller, key string }
 
 func (c Claim) identity() identity { return identity{caller: c.Caller, key: c.Key} }
 
-// Result is what became of an attempt.
+// Result is the final result of an attempt.
 type Result struct {
-	// Outcome is Complete, NotRun (the upstream said that it did not start) or
-	// Unknown.
+	// Outcome is Complete, NotRun (the upstream reported that it did not start)
+	// or Unknown.
 	Outcome outcome.Outcome
-	// Status, Header and Body are the answer that the caller got; Header is the
-	// small part worth repeating, such as Content-Type.
+	// Status, Header and Body are the caller's answer. Header holds only the few
+	// fields to replay, such as Content-Type.
 	Status int
 	Header map[string]string
 	Body   []byte
-	// BodyDropped says that Body was too long to keep, or had to go: the request
-	// was answered completely, but the answer cannot be given again.
+	// BodyDropped means that Body was too long or was dropped to bound memory: the
+	// request was answered completely, but the answer cannot be replayed.
 	BodyDropped bool
 }
 
-// State is what a decider knows of a key.
+// State is the state of a record.
 type State uint8
 
 // The states of a record.
 const (
-	// StateFree: the attempt was abandoned before it sent a byte.
+	// StateFree means that the attempt was abandoned before it sent a byte.
 	StateFree State = iota + 1
-	// StateGranted: the attempt may be running.
+	// StateGranted means that the attempt may be running.
 	StateGranted
-	// StateComplete: the attempt was answered completely.
+	// StateComplete means that the attempt was answered completely.
 	StateComplete
-	// StateUnknown: the attempt ended without a complete answer and may have run.
+	// StateUnknown means that the attempt ended without a complete answer and may
+	// have run.
 	StateUnknown
 )
 
-// Record is what a decider remembers of a key.
+// Record is a decider's record of a key.
 type Record struct {
 	Claim
 	State State
@@ -90,7 +90,7 @@
 // Recorded is the answer to a repeat of a request that is complete.
 type Recorded struct{ Result }
 
-// finish moves the record to what the result says.
+// finish sets the record's state from the result.
 func (r *Record) finish(result Result) {
 	switch result.Outcome {
 	case outcome.Complete:
--- a/pkg/claim/refusal.go
+++ b/pkg/claim/refusal.go
@@ -7,13 +7,13 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// RetryInProgress is when a repeat of a running request should come back.
+// RetryInProgress is the Retry-After for a repeat of a running request.
 const RetryInProgress = 2 * time.Second
 
-// RetryOwnerLost is when to ask again about a key whose decider did not answer.
+// RetryOwnerLost is the Retry-After for a key with an unreachable decider.
 const RetryOwnerLost = 5 * time.Second
 
-// RetryFull is when to come back after the table of records was full.
+// RetryFull is the Retry-After if the record table is full.
 const RetryFull = 30 * time.Second
 
 func refuseInvalid(err error) *outcome.Refusal {
@@ -22,7 +22,7 @@
 	return refusal
 }
 
-// refuseFuture is true as not-run: the decider's clock never steps back, so it
+// refuseFuture may claim not-run: the decider's clock never steps back, so it
 // cannot have granted the key before.
 func refuseFuture() *outcome.Refusal {
 	return outcome.Refuse(http.StatusBadRequest, outcome.ReasonKeyInvalid, 0,
--- a/pkg/claim/routing.go
+++ b/pkg/claim/routing.go
@@ -6,12 +6,13 @@
 	"github.com/lilacweir/lilacweir/pkg/board"
 )
 
-// maxRelays is how many entry instances of another domain are asked about a key.
+// maxRelays bounds the entry instances of another domain that are queried about a
+// key.
 const maxRelays = 2
 
-// here lists the gateways of the own domain to ask about a key, likeliest first:
-// the successor that its owner named, the owner, then all others, since one of
-// them may have adopted the key's origin.
+// localDeciders returns the gateways of the own domain to query about a key. The
+// likely ones are the successor that the owner named and the owner itself; any of
+// the others may have adopted the key's origin.
 func (c *Coordinator) localDeciders(key Key) (first, others []Decider) {
 	instances := c.knownInstances(c.options.Self.Domain)
 	successor := successorOf(instances, key.Origin)
@@ -33,8 +34,8 @@
 	return first, others
 }
 
-// askable leaves out this instance, those without a gateway, and those that have
-// left. A silent one is asked all the same: silence is only a suspicion.
+// canQuery excludes this instance, instances without a gateway, and those that have
+// left. An unreachable one is still queried, since the state is only a suspicion.
 func (c *Coordinator) canQuery(instance *board.Instance) bool {
 	if instance.Name == c.options.Self.Instance || instance.Addresses.Control == "" {
 		return false
@@ -42,15 +43,15 @@
 	return instance.State != board.InstanceLeft && instance.Incarnation != 0
 }
 
-// replaced reports whether a gateway's instance is known to run a later
-// incarnation, so that this one will not come back. Incarnations grow.
+// replaced reports whether a gateway's instance is known to run a later incarnation,
+// so that this one cannot return. Incarnations increase.
 func (c *Coordinator) replaced(gateway Origin) bool {
 	return slices.ContainsFunc(c.knownInstances(gateway.Domain), func(instance board.Instance) bool {
 		return instance.Name == gateway.Instance && instance.Incarnation > gateway.Incarnation
 	})
 }
 
-// known lists the instances of a domain as far as they are known here.
+// knownInstances returns the instances of a domain that this gateway knows.
 func (c *Coordinator) knownInstances(domain string) []board.Instance {
 	if domain == c.options.Self.Domain {
 		if members := c.options.Members(); members != nil {
@@ -70,8 +71,8 @@
 	return nil
 }
 
-// successorOf returns the instance to which an origin's gateway handed its keys,
-// as far as the membership tells.
+// successorOf returns the instance to which an origin's gateway handed its keys
+// according to the membership, or an empty string.
 func successorOf(instances []board.Instance, origin Origin) string {
 	for i := range instances {
 		instance := &instances[i]
@@ -82,8 +83,8 @@
 	return ""
 }
 
-// relays lists the gateways of another domain that can ask about a key there,
-// the owner first.
+// relays returns the gateways of another domain that can query it about a key, the
+// owner first.
 func (c *Coordinator) relays(key Key) []Decider {
 	return relaysAmong(c.knownInstances(key.Domain), key)
 }
--- a/pkg/claim/service.go
+++ b/pkg/claim/service.go
@@ -4,15 +4,16 @@
 	"context"
 )
 
-// Service is what a gateway registers with net/rpc under ServiceName.
+// Service is the net/rpc service that a gateway registers under ServiceName.
 type Service struct {
 	coordinator *Coordinator
 }
 
-// Service returns the receiver of other gateways' calls.
+// Service returns the net/rpc receiver of other gateways' calls.
 func (c *Coordinator) Service() *Service { return &Service{coordinator: c} }
 
-// Begin decides a claim if this gateway may, or says what it knows.
+// Begin decides a claim if this gateway is the decider; otherwise it returns the
+// copy and the successor that it knows.
 func (s *Service) Begin(args BeginArgs, reply *BeginReply) error {
 	key, err := ParseKey(args.Claim.Key)
 	if err != nil {
@@ -22,7 +23,7 @@
 	return nil
 }
 
-// Finish records how an attempt ended, as the decider or as a copy.
+// Finish records the result of an attempt, as the decider or as a copy.
 func (s *Service) Finish(args FinishArgs, reply *FinishReply) error {
 	key, err := ParseKey(args.Claim.Key)
 	if err != nil {
@@ -32,13 +33,13 @@
 	return nil
 }
 
-// Copy returns the copy held of an ended attempt. It decides nothing.
+// Copy returns the local copy of an ended attempt. It makes no decision.
 func (s *Service) Copy(args CopyArgs, reply *CopyReply) error {
 	reply.Copy = s.coordinator.copies.Get(args.Claim)
 	return nil
 }
 
-// Stage takes a part of a leaving gateway's records.
+// Stage receives a part of a leaving gateway's records.
 func (s *Service) Stage(args Part, _ *StageReply) error {
 	s.coordinator.owner.Stage(args)
 	return nil
@@ -62,8 +63,8 @@
 	return c.relayBegin(key, args.Claim, held, decision.Successor)
 }
 
-// relayBegin asks the own domain for a gateway of another. It never withdraws:
-// the attempt's holder may be asking another relay at the same time.
+// relayBegin queries the own domain on behalf of a gateway of another. It never
+// withdraws, since the attempt's holder may be querying another relay concurrently.
 func (c *Coordinator) relayBegin(key Key, claim Claim, held *Record, successor *Decider) BeginReply {
 	ctx, cancel := context.WithTimeout(context.Background(), DefaultRelayTimeout)
 	defer cancel()
--- a/pkg/claim/simulation_test.go
+++ b/pkg/claim/simulation_test.go
@@ -17,7 +17,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-// fault is what the network does to a call.
+// fault is the fault that the simulated network injects into a call.
 type fault uint64
 
 const (
@@ -30,23 +30,23 @@
 
 var errNetwork = errors.New("no answer")
 
-// world is a handful of gateways on a network that loses and delays calls.
+// simulation is a set of gateways on a network that loses and delays calls.
 type simulation struct {
 	clock    fakeClock
 	random   *rand.ChaCha8
 	keyValue *platformtest.Service
 
 	mu           sync.Mutex
-	processes    map[string]*process // by instance name, the present incarnation
+	processes    map[string]*process // by instance name, the current incarnation
 	incarnations uint64
-	// faulty makes calls fail as chosen by seed, the link and a counter.
+	// faulty makes calls fail as determined by the seed, the link and a counter.
 	faulty bool
-	// fates are those of the next calls on a link, before chance decides.
+	// nextFaults are scripted for the next calls on a link, before random ones.
 	nextFaults map[string][]fault
 	seed       uint64
 	counter    map[string]uint64
 	delayed    []func()
-	// pause is what happens between two tries of a handover.
+	// pause is called between two attempts of a handover.
 	pause  func()
 	codecs map[reflect.Type]*codec
 }
@@ -70,7 +70,7 @@
 func newSimulation(seed byte) *simulation {
 	w := &simulation{processes: make(map[string]*process), codecs: make(map[reflect.Type]*codec), counter: make(map[string]uint64), nextFaults: make(map[string][]fault), pause: func() {}}
 	w.random = rand.NewChaCha8([32]byte{seed})
-	w.keyValue = platformtest.New(new(fakeClock)) // stands still: no claim is forgotten
+	w.keyValue = platformtest.New(new(fakeClock)) // a stopped clock, so no claim expires
 	for _, name := range instanceNames {
 		w.start(name)
 	}
@@ -93,8 +93,8 @@
 	return p
 }
 
-// sleepOnce lets each handover try twice and then give up. What happens during
-// the pause is up to the world.
+// sleepOnce lets each handover try twice and then fail. The simulation's pause runs
+// in between.
 func (p *process) sleepOnce() func(context.Context, time.Duration) error {
 	slept := 0
 	return func(context.Context, time.Duration) error {
@@ -113,7 +113,8 @@
 	}
 }
 
-// refresh shows a process the present membership; until the next it is stale.
+// refresh gives a process the current membership, which then becomes stale until
+// the next refresh.
 func (p *process) refresh() {
 	members, digest := &board.Members{Self: p.self.Instance}, board.DomainDigest{}
 	for _, name := range instanceNames {
@@ -177,7 +178,8 @@
 	return nil
 }
 
-// choose draws the fate of the next call on a link; about half go wrong.
+// choose returns the fault of the next call on a link; when faulty, about three in
+// eight calls fail.
 func (w *simulation) choose(link string) fault {
 	if nextFaults := w.nextFaults[link]; len(nextFaults) > 0 {
 		w.nextFaults[link] = nextFaults[1:]
@@ -194,8 +196,8 @@
 	return fault(drawn / 2 % uint64(faultKinds))
 }
 
-// prepare returns the serving of a message by this process, which gives the
-// reply to take, or false when the process is gone.
+// prepare returns a function that serves a message by this process and fills in the
+// reply, or returns false if the process is dead.
 func (p *process) prepare(method string, args any) func(reply any) bool {
 	service := p.coordinator.Service()
 	switch method {
@@ -227,7 +229,7 @@
 	}
 }
 
-// wire carries values of one type as net/rpc does: by gob.
+// codec encodes values of one type with gob, as net/rpc does.
 type codec struct {
 	buffer  bytes.Buffer
 	encoder *gob.Encoder
@@ -249,7 +251,7 @@
 	}
 }
 
-// thaw lets a frozen process handle what has reached it in the meantime.
+// thaw unfreezes a process and delivers the calls received in the meantime.
 func (p *process) thaw() {
 	p.frozen = false
 	inbox := p.inbox
--- a/pkg/claim/store.go
+++ b/pkg/claim/store.go
@@ -12,42 +12,44 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// StorePrefix starts the key-value service's keys of opaque claims.
+// StorePrefix is the prefix of opaque claims in the key-value service.
 const StorePrefix = "claim/"
 
-// DefaultRetention is the least time for which an opaque key is remembered.
+// DefaultRetention is the minimum time that an opaque claim is stored.
 const DefaultRetention = time.Hour
 
-// MaxStoredOpaqueBody is the longest answer in bytes kept in the key-value service.
+// MaxStoredOpaqueBody is the longest answer, in bytes, that is stored in the
+// key-value service.
 const MaxStoredOpaqueBody = 4 << 10
 
 // storeTimeout bounds all of a claim's calls together.
 const storeTimeout = time.Second
 
-// storeTries is how often a claim whose write went unanswered is tried.
+// storeTries bounds the attempts to write a claim when replies are lost.
 const storeTries = 2
 
-// Store claims opaque keys in the key-value service: one write before the run
+// Store claims opaque keys in the key-value service, with one write before the run
 // and one after it.
 type Store struct {
 	keyValue platform.KeyValue
 	leases   *leases
 }
 
-// NewStore returns a store that remembers keys for at least retention.
+// NewStore returns a store that keeps claims for at least retention.
 func NewStore(keyValue platform.KeyValue, now clock.Clock, retention time.Duration) *Store {
 	return &Store{keyValue: keyValue, leases: newLeases(keyValue, now, retention)}
 }
 
-// Ticket is a claim that was won in the store.
+// Ticket is a granted claim in the store.
 type Ticket struct {
 	record   Record
 	lease    platform.LeaseID
 	revision int64
 }
 
-// Begin claims an opaque key. Without a ticket the decision says why.
-// A write whose answer was lost is read back by the attempt's name.
+// Begin claims an opaque key. Without a ticket, the decision gives the reason. If
+// the reply to the write is lost, Begin reads the claim back and compares its
+// attempt ID.
 func (s *Store) Begin(ctx context.Context, claim Claim) (*Ticket, Decision) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -70,9 +72,9 @@
 	return nil, unknownStore(err)
 }
 
-// put writes the claim where there is none. It returns the record that stood
-// there instead, or nil when the claim is this ticket's. An error means that
-// neither is known; trying again is safe, since the attempt's name is unique.
+// put writes the claim if the key has none. It returns the conflicting record, or
+// nil if the claim is this ticket's. After an error neither is known; a retry is
+// safe, since the attempt ID is unique.
 func (s *Store) put(ctx context.Context, ticket *Ticket) (*Record, error) {
 	revision, err := s.write(ctx, ticket, 0)
 	if err == nil {
@@ -90,8 +92,8 @@
 	return nil, nil
 }
 
-// granted gives the claim back when so much time passed while it was written
-// that the service will forget it sooner than promised.
+// granted returns the ticket. It releases the claim instead if the write took so
+// long that the lease would expire before the end of the retention.
 func (s *Store) granted(ctx context.Context, ticket *Ticket, lease lease) (*Ticket, Decision) {
 	if s.leases.usable(lease) {
 		return ticket, Decision{Verdict: VerdictGranted}
@@ -100,14 +102,14 @@
 	return nil, unknownStore(platform.ErrLeaseLost)
 }
 
-// Finish writes how the attempt ended. A lost write leaves the claim as running,
-// so that repeats are told unknown until it is forgotten.
+// Finish writes the result of the attempt. If the write is lost the claim stays
+// running, and repeats get unknown until it expires.
 func (s *Store) Finish(ctx context.Context, ticket *Ticket, result Result) {
 	ticket.record.finish(bounded(result, MaxStoredOpaqueBody))
 	_, _ = s.write(ctx, ticket, ticket.revision)
 }
 
-// write puts the ticket's record; a free one is removed.
+// write stores the ticket's record, or deletes the entry if the record is free.
 func (s *Store) write(ctx context.Context, ticket *Ticket, expected int64) (int64, error) {
 	key := storeKey(ticket.record.Claim)
 	value, err := json.Marshal(ticket.record)
@@ -133,7 +135,7 @@
 	return record, entry.ModRevision, nil
 }
 
-// answerOpaque is what the stored record says to a repeat.
+// answerOpaque returns the decision that a stored record supports for a repeat.
 func (r *Record) answerOpaque(claim Claim) Decision {
 	decision := r.answer(claim)
 	if r.State == StateGranted && r.Fingerprint == claim.Fingerprint {
@@ -142,7 +144,7 @@
 	return decision
 }
 
-// storeKey hides the caller's key behind a hash.
+// storeKey returns the entry's key, with a hash in place of the caller's key.
 func storeKey(claim Claim) string {
 	hash := sha256.Sum256([]byte(claim.Key))
 	return StorePrefix + claim.Caller + "/" + hex.EncodeToString(hash[:])
--- a/pkg/claim/table.go
+++ b/pkg/claim/table.go
@@ -10,22 +10,22 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// shardCount spreads the records of one origin over as many locks.
+// shardCount is the number of locks that the records of one origin are split over.
 const shardCount = 16
 
-// sweepParts is how many sweeps fall into one lifetime of a key.
+// sweepsPerTTL is the number of sweeps in one key lifetime.
 const sweepsPerTTL = 16
 
-// table holds the records of one origin, and judges their age by the origin's
+// table holds the records of one origin. It determines their age by the origin's
 // clock alone.
 type table struct {
 	clock  clock.Clock
 	limits Limits
-	// base and baseMillis tie the local monotonic clock to the origin's clock.
+	// base and baseMillis map the local monotonic clock to the origin's clock.
 	base       time.Time
 	baseMillis int64
-	// floor is the latest issue time whose records may have been dropped. Keys
-	// issued then or before are expired for ever, whatever the lifetime becomes.
+	// floor is the latest issue time with records that may have been dropped. Keys
+	// issued up to then stay expired, even if operators lengthen the lifetime.
 	floor  atomic.Int64
 	swept  atomic.Int64
 	count  atomic.Int64
@@ -48,7 +48,7 @@
 	return t
 }
 
-// now is the origin's clock in Unix milliseconds. It never steps back.
+// now returns the origin's clock in Unix milliseconds. It never steps back.
 func (t *table) now() int64 {
 	return t.baseMillis + t.clock.Now().Sub(t.base).Milliseconds()
 }
@@ -79,7 +79,7 @@
 	return Decision{Verdict: VerdictGranted}
 }
 
-// decide answers a claim on a key that has a record.
+// decide returns the decision for a claim on a key that has a record.
 func (r *Record) decide(claim Claim, now int64) Decision {
 	if r.State == StateFree && r.Attempt != claim.Attempt {
 		r.Claim, r.State, r.Granted = claim, StateGranted, now
@@ -105,8 +105,8 @@
 	return &Recorded{Result: r.Result}
 }
 
-// finish records an attempt's end. For an attempt that was never granted here a
-// free record stays behind, which turns down a delayed Begin of that attempt.
+// finish records the result of an attempt. For an attempt that was never granted
+// here it leaves a tombstone, which refuses a delayed Begin of that attempt.
 func (t *table) finish(key Key, claim Claim, result Result) (changed bool) {
 	s := t.shard(claim.identity())
 	s.mu.Lock()
@@ -124,7 +124,8 @@
 	return true
 }
 
-// tombstone keeps a delayed Begin of an ended attempt from being granted.
+// tombstone adds a free record, so that a delayed Begin of an ended attempt is not
+// granted.
 func (t *table) tombstone(s *shard, key Key, claim Claim) {
 	if key.Issued <= t.floor.Load() || t.count.Load() >= int64(t.limits.MaxRecords) {
 		return
@@ -137,7 +138,8 @@
 	t.count.Add(1)
 }
 
-// account counts a record's stored body, or drops it when there is no room.
+// account adds a record's body to the stored total, or drops the body if the limit
+// is exceeded.
 func (t *table) account(record *Record) {
 	size := int64(len(record.Result.Body))
 	if t.bodies.Add(size) <= int64(t.limits.MaxBodies) {
@@ -147,8 +149,8 @@
 	record.Result.Body, record.Result.BodyDropped = nil, true
 }
 
-// sweep drops expired records from time to time. It raises the floor first, so
-// that no key whose record is dropped can be granted again.
+// sweep periodically drops expired records. It raises the floor first, so that a
+// key with a dropped record cannot be granted again.
 func (t *table) sweep(now int64, ttl time.Duration) {
 	last := t.swept.Load()
 	if now-last < ttl.Milliseconds()/sweepsPerTTL || !t.swept.CompareAndSwap(last, now) {
