--- a/pkg/dispatch/claim.go
+++ b/pkg/dispatch/claim.go
@@ -58,7 +58,7 @@
 	defer func() { r.recordResult(ctx, grant, result) }()
 	refusal := r.serve(ctx, work)
 	switch {
-	case refusal == nil || r.sink.Complete:
+	case refusal == nil || r.sink.Received:
 		result = resultOf(r.sink.Copy)
 	case !r.mayHaveRun:
 		result.Outcome = outcome.NotRun
--- a/pkg/relay/answer.go
+++ b/pkg/relay/answer.go
@@ -39,12 +39,12 @@
 func (a *attempt) stream(response *http.Response, buffer []byte) *Failure {
 	id := []byte(a.call.RequestID)
 	fill := 0
-	begun := false
+	gotFirstByte := false
 	for {
 		n, err := response.Body.Read(buffer[fill:])
 		a.resetTimer(min(a.idleLimit, streamIdleTimeout))
-		if n > 0 && !begun {
-			begun = true
+		if n > 0 && !gotFirstByte {
+			gotFirstByte = true
 			a.gotFirstByte()
 		}
 		fill += n
@@ -156,7 +156,7 @@
 		setLength(fields, length)
 	})
 	a.sink.begin(response.StatusCode)
-	a.sink.Complete = true
+	a.sink.Received = true
 	// Flushed here, the answer does not wait for the request's log line. One that
 	// is kept for repeats does: its run is recorded before it leaves.
 	pass := a.sink.write
--- a/pkg/relay/sink.go
+++ b/pkg/relay/sink.go
@@ -43,9 +43,9 @@
 	Chunks int
 	// Copy receives the answer as far as it is kept for repeats; nil for none.
 	Copy *Copy
-	// Complete is true once the upstream's whole answer was received, whether or not
+	// Received is true once the upstream's whole answer was received, whether or not
 	// the caller took it.
-	Complete bool
+	Received bool
 }
 
 // NewSink returns the sink of one request.
