--- a/pkg/dispatch/claim.go
+++ b/pkg/dispatch/claim.go
@@ -11,11 +11,11 @@
 	"github.com/lilacweir/lilacweir/pkg/relay"
 )
 
-// finishTimeout bounds the recording of how a claimed request ended.
+// finishTimeout bounds the recording of a claimed request's result.
 const finishTimeout = 3 * time.Second
 
-// claimed serves the request, after claiming its idempotency key where running it
-// twice would do harm. A forwarded request was claimed where it came in.
+// serveClaimed serves the request, after claiming its idempotency key if it must not
+// run twice. A forwarded request was claimed by the gateway that received it.
 func (r *run) serveClaimed(ctx context.Context) *outcome.Refusal {
 	if r.request.Repeatable {
 		return r.serve(ctx, ctx)
@@ -39,9 +39,9 @@
 	return r.runGranted(ctx, detached, grant)
 }
 
-// outliving returns a context that does not end when the caller goes away: a
-// request that may not be repeated is better run to its end, so that its repeat
-// finds an answer. Its deadline holds.
+// detach returns a context that does not end when the caller disconnects: a request
+// that may not be repeated runs to its end, so that a repeat finds an answer. The
+// deadline still applies.
 func (r *run) detach(ctx context.Context) (context.Context, context.CancelFunc) {
 	detached := context.WithoutCancel(ctx)
 	if r.request.Deadline.IsZero() {
@@ -50,9 +50,9 @@
 	return context.WithDeadline(detached, r.request.Deadline)
 }
 
-// granted runs the request and records how it ended, in every case.
+// runGranted runs the request and records its result in every case.
 func (r *run) runGranted(ctx, work context.Context, grant *claim.Grant) *outcome.Refusal {
-	// One byte more than is kept for repeats shows that an answer was longer.
+	// One byte beyond the stored maximum shows that an answer is too long.
 	r.sink.Copy = &relay.Copy{Limit: claim.MaxStoredBody + 1}
 	result := claim.Result{Outcome: outcome.Unknown}
 	defer func() { r.recordResult(ctx, grant, result) }()
@@ -66,8 +66,8 @@
 	return refusal
 }
 
-// recordResult tells the decider of the key how the run ended. The caller's answer does
-// not wait for a decider elsewhere, but a shutdown does.
+// recordResult reports the result to the decider of the key. The caller's answer
+// does not wait for a remote decider, but a shutdown does.
 func (r *run) recordResult(ctx context.Context, grant *claim.Grant, result claim.Result) {
 	finish := func() {
 		finishing, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishTimeout)
@@ -93,7 +93,7 @@
 	return result
 }
 
-// replay answers with what the earlier run answered.
+// replay answers with the recorded answer of the earlier run.
 func (r *run) replay(recorded *claim.Recorded) *outcome.Refusal {
 	if recorded.BodyDropped {
 		return r.refuse(&outcome.Refusal{
@@ -110,7 +110,7 @@
 		fields.Set(header.Replayed, header.True)
 		fields.Set(header.Outcome, string(outcome.Complete))
 	})
-	// A caller that has gone can ask again.
+	// A caller that has disconnected can retry.
 	_ = r.sink.Answer(recorded.Status, recorded.Body)
 	return nil
 }
--- a/pkg/dispatch/claim_test.go
+++ b/pkg/dispatch/claim_test.go
@@ -20,8 +20,8 @@
 	"github.com/lilacweir/lilacweir/pkg/trace"
 )
 
-// slowClaims grants every claim; the end of a run is taken in only after the
-// caller has been answered, or when the time for it is over.
+// slowClaims grants every claim. Recording a result blocks until the caller has been
+// answered or the context ends.
 type slowClaims struct {
 	answered chan struct{}
 	ended    chan claim.Result
@@ -39,8 +39,8 @@
 	}), nil, nil
 }
 
-// localClaims grants every claim and decides it here; it notes whether the answer
-// had left before the end of the run was recorded.
+// localClaims grants every claim locally. It observes whether the answer was flushed
+// before the result was recorded.
 type localClaims struct {
 	recorder      *httptest.ResponseRecorder
 	answerFlushed bool
@@ -54,8 +54,8 @@
 	}), nil, nil
 }
 
-// A gateway that decides the key itself records the run before its answer leaves,
-// so that a repeat through it is never told that the run goes on.
+// A gateway that decides the key itself records the result before it sends the
+// answer, so that a repeat through it never gets in-progress.
 func TestLocalResultIsRecordedBeforeTheAnswer(t *testing.T) {
 	is := is.New(t)
 	upstream := &script{steps: []string{answers}}
@@ -89,8 +89,8 @@
 	}
 }
 
-// The answer to a caller does not wait for the decider of its key, which may be
-// frozen, and the gateway does not end before the decider was told.
+// The answer to a caller does not wait for the remote decider of its key, which may
+// be frozen, and the gateway's shutdown waits for the report to the decider.
 func TestAnswerDoesNotWaitForARemoteRecord(t *testing.T) {
 	for step, want := range map[string]outcome.Outcome{answers: outcome.Complete, refuses: outcome.NotRun, crashes: outcome.Unknown} {
 		t.Run(step, func(t *testing.T) {
@@ -107,8 +107,8 @@
 	}
 }
 
-// Where the own domain refuses for overload and neither the free attempt nor a
-// retry is left, another domain is tried once; a forwarded request is not sent on.
+// If the own domain refuses for overload, and the unbudgeted attempts and the retry
+// budget are used up, another domain is tried once, except for a forwarded request.
 func TestLocalOverloadIsRetriedInAnotherDomainOnce(t *testing.T) {
 	cases := []struct {
 		name, origin string
--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -15,41 +15,41 @@
 	"github.com/lilacweir/lilacweir/pkg/trace"
 )
 
-// Choice is where the next attempt goes.
+// Choice is the target of the next attempt.
 type Choice struct {
 	Target relay.Target
-	// Domain and Region say where the request will be processed.
+	// Domain and Region are those where the request will be processed.
 	Domain, Region string
 	// Version is the model version there; empty for services.
 	Version string
-	// Revision is the configuration by which the choice was made.
+	// Revision is the configuration revision used for the choice.
 	Revision config.Revision
-	// OnFirstByte is called when the answer begins; nil for none.
+	// OnFirstByte is called when the answer begins, unless nil.
 	OnFirstByte func()
 }
 
-// Router chooses targets by the newest snapshots.
+// Router chooses targets from the latest snapshots.
 type Router interface {
-	// Route begins the way of one request. End must be called on the result.
+	// Route starts routing one request. The caller must call End on the result.
 	Route(request *Request) Route
-	// Permitted checks a choice against the configuration that is in force now.
+	// Permitted checks a choice against the configuration now in force.
 	Permitted(request *Request, choice *Choice) *outcome.Refusal
-	// Retry asks for one retry of a request that may have run.
+	// Retry takes one retry from the budget for a request that may have run.
 	Retry() bool
 }
 
-// Route is the way of one request through admission and its attempts.
+// Route takes one request through admission and its attempts.
 type Route interface {
 	// Next waits for admission, once, and chooses a target that is not in tried.
-	// The place taken there is given back by calling done.
+	// Calling done releases the slot taken there.
 	Next(ctx context.Context, tried []string) (choice Choice, done func(relay.Report), refusal *outcome.Refusal)
-	// LocalUpstreams names the own failure domain's upstreams that serve the request.
+	// LocalUpstreams returns the own failure domain's upstreams that serve the request.
 	LocalUpstreams() []string
-	// End gives up what the request holds.
+	// End releases the request's resources.
 	End()
 }
 
-// Claims gives the right to run requests that may not be repeated.
+// Claims grants the right to run requests that may not be repeated.
 // *claim.Coordinator implements it.
 type Claims interface {
 	Begin(ctx context.Context, asked claim.Claim) (*claim.Grant, *claim.Recorded, *outcome.Refusal)
@@ -68,18 +68,18 @@
 	Domain string
 }
 
-// notedWait is the least time in the queue that operators are told of.
+// minTracedWait is the minimum queueing time that is traced.
 const minTracedWait = 10 * time.Millisecond
 
-// freeAttempts is how many attempts a request has, without regard to the retry
-// budget, while nothing has run for lack of capacity: one more costs next to nothing,
-// and a single engine that starts nothing says little of the others.
+// unbudgetedAttempts is the number of attempts outside the retry budget while
+// upstreams refuse for lack of capacity: a rejected attempt costs almost nothing, and
+// one overloaded engine is little evidence about the others.
 const unbudgetedAttempts = 2
 
 // maxAttempts bounds the attempts of one request.
 const maxAttempts = 4
 
-// run is one request on its way.
+// run is the state of one request in progress.
 type run struct {
 	*Dispatcher
 	request  *Request
@@ -90,13 +90,13 @@
 	attempts int
 	// mayHaveRun is true once an attempt may have run.
 	mayHaveRun bool
-	// leftDomain is true once the own failure domain's upstreams were given up.
+	// leftDomain is true once the own failure domain's upstreams were excluded.
 	leftDomain  bool
 	lastFailure *relay.Failure
 }
 
-// Serve takes the request to its end. It panics with http.ErrAbortHandler where
-// only a broken connection can tell the caller that the answer is not whole.
+// Serve processes the request and answers the caller. It panics with
+// http.ErrAbortHandler if only a broken connection can signal an incomplete answer.
 func (d *Dispatcher) Serve(ctx context.Context, request *Request, sink *relay.Sink) {
 	start := d.Now()
 	r := &run{Dispatcher: d, request: request, sink: sink, start: start, record: d.Trace.Begin(request.ID, start)}
@@ -114,8 +114,8 @@
 	}
 }
 
-// serve makes attempts until one succeeds or the request must be given up. Waiting
-// ends with ctx; an attempt, once it is made, ends with work.
+// serve makes attempts until one succeeds or no retry is allowed. ctx bounds the
+// waiting, work the attempts.
 func (r *run) serve(ctx, work context.Context) *outcome.Refusal {
 	route := r.Router.Route(r.request)
 	defer route.End()
@@ -134,9 +134,9 @@
 	}
 }
 
-// next chooses a target. A repeatable request goes back to a target that broke off
-// before when there is no other: a stream's chunks are worth more than a fresh
-// start, and other requests have paid for their retry from the budget.
+// next chooses a target. If there is no other, a repeatable request that may have run
+// returns to targets that failed before: resuming a stream is worth more than starting
+// anew, and a request without a begun stream has paid its retry from the budget.
 func (r *run) next(ctx context.Context, route Route) (Choice, func(relay.Report), *outcome.Refusal) {
 	asked := r.Now()
 	choice, done, refusal := route.Next(ctx, r.tried)
@@ -150,7 +150,7 @@
 	return route.Next(ctx, nil)
 }
 
-// attempt tries one target.
+// attempt makes one attempt at a target.
 func (r *run) attempt(ctx context.Context, choice *Choice, done func(relay.Report)) relay.Report {
 	chunks := r.sink.Chunks
 	report := r.send(ctx, choice)
@@ -175,7 +175,8 @@
 	return r.Client.Do(ctx, choice.Target, r.call(choice), r.sink)
 }
 
-// announce notes an attempt, and tells the caller where it goes.
+// recordAttempt traces and counts an attempt, and sets the caller's header fields that
+// name its target.
 func (r *run) recordAttempt(choice *Choice) {
 	kind := trace.Sent
 	switch {
@@ -201,7 +202,7 @@
 	})
 }
 
-// call is what is sent to the choice.
+// call returns the call to send to the choice.
 func (r *run) call(choice *Choice) *relay.Call {
 	call := &relay.Call{
 		RequestID:   r.request.ID,
@@ -219,7 +220,7 @@
 	return call
 }
 
-// failed notes a failed attempt.
+// recordFailure traces, counts and logs a failed attempt.
 func (r *run) recordFailure(choice *Choice, failure *relay.Failure) {
 	r.lastFailure = failure
 	if failure.Refusal.Outcome != outcome.NotRun {
@@ -236,7 +237,7 @@
 		Err(failure.Refusal.Err).Msg("attempt-failed")
 }
 
-// refuse returns the refusal that is true for the whole request.
+// refuse returns the refusal that applies to the request as a whole.
 func (r *run) refuse(refusal *outcome.Refusal) *outcome.Refusal {
 	if r.lastFailure != nil && !r.lastFailure.CallerGone && refusal.Reason == outcome.ReasonNoUpstream {
 		refusal = r.lastFailure.Refusal
--- a/pkg/dispatch/dispatch_test.go
+++ b/pkg/dispatch/dispatch_test.go
@@ -21,18 +21,18 @@
 	"github.com/lilacweir/lilacweir/pkg/trace"
 )
 
-// What an upstream does with one attempt.
+// The behaviour of an upstream in one attempt.
 const (
-	refuses    = "refuses"  // says that it did not start
+	refuses    = "refuses"  // reports that it did not start
 	closed     = "closed"   // cannot be reached
-	crashes    = "dies"     // runs, then breaks off
+	crashes    = "dies"     // runs, then aborts the connection
 	fails      = "fails"    // runs, answers 500
 	mismatches = "crosses"  // runs, answers as if to another request
 	answers    = "answers"  // runs
-	withdraw   = "withdraw" // is no longer permitted when it is to be sent to
+	withdraw   = "withdraw" // is no longer permitted when the attempt is made
 )
 
-// script is a Router whose targets behave as scripted, one attempt after another.
+// script is a Router with targets that behave as scripted for each attempt.
 type script struct {
 	steps    []string
 	next     int
@@ -94,8 +94,8 @@
 	}
 }
 
-// Whatever the upstreams do: a request that may not be repeated runs at most once,
-// "not run" is said only when nothing ran, and retries stay within their bounds.
+// For any upstream behaviour, a request that may not be repeated runs at most once,
+// not-run is reported only if nothing ran, and retries stay within their bounds.
 func TestOutcomesAreTrue(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/pkg/dispatch/metrics.go
+++ b/pkg/dispatch/metrics.go
@@ -8,16 +8,16 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// Metrics counts what becomes of requests.
+// Metrics counts requests and attempts by result.
 type Metrics struct {
 	registry metrics.Registry
-	// Requests counts accepted requests, Active those in hand, accepted or not.
+	// Requests counts accepted requests, Active those in progress, accepted or not.
 	Requests, Active metrics.Counter
-	// Refused counts requests that did not end in a whole answer.
+	// Refused counts requests that ended without a complete answer.
 	Refused metrics.Counter
-	// Forwarded counts attempts that went to another failure domain, Retried
-	// attempts after a failed one, Resumed those within a stream, Mismatched the
-	// answers that were dropped because they belong to another request.
+	// Forwarded counts attempts at another failure domain, Retried attempts after a
+	// failed one, Resumed attempts that continue a stream, and Mismatched answers
+	// dropped because they belong to another request.
 	Forwarded, Retried, Resumed, Mismatched metrics.Counter
 	latency                                 metrics.Timer
 }
--- a/pkg/dispatch/peer.go
+++ b/pkg/dispatch/peer.go
@@ -8,7 +8,7 @@
 	"github.com/lilacweir/lilacweir/pkg/header"
 )
 
-// peerHeader returns the header of a request that another domain's gateway gets.
+// peerHeader returns the header of a request to another domain's gateway.
 func (r *run) peerHeader(choice *Choice) http.Header {
 	fields := make(http.Header, len(r.request.Header)+peerFields)
 	for name, values := range r.request.Header {
@@ -28,5 +28,5 @@
 	return fields
 }
 
-// peerFields is how many fields peerHeader may add.
+// peerFields is the number of fields that peerHeader may add.
 const peerFields = 6
--- a/pkg/dispatch/retry.go
+++ b/pkg/dispatch/retry.go
@@ -5,7 +5,7 @@
 	"github.com/lilacweir/lilacweir/pkg/relay"
 )
 
-// again decides whether another attempt may be made.
+// mayRetry reports whether another attempt may be made.
 func (r *run) mayRetry(route Route, failure *relay.Failure) bool {
 	switch {
 	case failure.CallerGone, r.attempts >= maxAttempts:
@@ -24,9 +24,9 @@
 	return r.Router.Retry() || r.switchDomain(route, failure)
 }
 
-// leave gives up the own failure domain for another, once, after an upstream
-// refused for overload. It costs no retry, since it spares the pool that is
-// overloaded; the other domain's credit and the spill rules bound it.
+// switchDomain excludes the own failure domain's upstreams, once, after an upstream
+// refused for overload. It costs no retry from the budget, since it relieves the
+// overloaded pool; the other domain's credit and the spill rules bound it.
 func (r *run) switchDomain(route Route, failure *relay.Failure) bool {
 	if r.leftDomain || r.request.Origin != "" || !failure.Overload || failure.Refusal.Outcome != outcome.NotRun {
 		return false
--- a/pkg/relay/answer.go
+++ b/pkg/relay/answer.go
@@ -13,18 +13,19 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// bufferSize bounds an event, and an answer that is held until it is whole.
+// bufferSize bounds an event, and an answer that is buffered until it is complete,
+// in bytes.
 const bufferSize = 64 << 10
 
 var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
-// Faults of a whole engine answer.
+// Faults of a complete engine answer.
 var (
 	errNoID    = errors.New("answer lacks the request's ID")
 	errNotJSON = errors.New("answer is not whole JSON")
 )
 
-// answer passes the body on.
+// answer relays the body.
 func (a *attempt) answer(response *http.Response) *Failure {
 	buffer := buffers.Get().(*[bufferSize]byte)
 	defer buffers.Put(buffer)
@@ -35,7 +36,7 @@
 	return a.whole(response, buffer[:])
 }
 
-// stream passes whole events on: one write for all that one read completed.
+// stream relays complete events, with one write for all events that a read completed.
 func (a *attempt) stream(response *http.Response, buffer []byte) *Failure {
 	id := []byte(a.call.RequestID)
 	fill := 0
@@ -65,7 +66,7 @@
 	}
 }
 
-// deliver writes events to the caller, and the head before the first.
+// deliver writes events to the caller, preceded by the head if it was not written.
 func (a *attempt) deliver(response *http.Response, events []byte, chunks int) *Failure {
 	if len(events) == 0 {
 		return nil
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// ended turns the verdict on a stream into its end.
+// endStream returns the result of a stream that a scan found to have ended.
 func (a *attempt) endStream(end scanResult, response *http.Response) *Failure {
 	switch end {
 	case scanDone:
@@ -97,13 +98,14 @@
 	}
 }
 
-// exhaust reads the end of a finished stream, so that its connection is kept.
+// drain reads the end of a finished stream, so that its connection can be reused.
 func (a *attempt) drain(response *http.Response) {
 	var rest [1]byte
 	_, _ = response.Body.Read(rest[:])
 }
 
-// whole holds an answer until it is whole; a longer one is passed on as it comes.
+// whole buffers an answer until it is complete; one that exceeds the buffer is
+// relayed as it arrives.
 func (a *attempt) whole(response *http.Response, buffer []byte) *Failure {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return a.fail(outcome.Unknown, outcome.ReasonUpstreamFailed, "the upstream does not say where its answer ends", nil)
@@ -128,7 +130,8 @@
 	return a.sendUnbuffered(response, buffer)
 }
 
-// hold reads until the buffer is full (nil), the body ends (io.EOF) or breaks.
+// readUntilFull reads until the buffer is full, which returns nil, or the body ends
+// (io.EOF) or fails.
 func (a *attempt) readUntilFull(body io.Reader, buffer []byte) (fill int, err error) {
 	for err == nil && fill < len(buffer) {
 		var n int
@@ -139,12 +142,12 @@
 	return fill, err
 }
 
-// checked says whether the answer is one whose content must hold the request's ID.
+// mustHoldID reports whether the answer's body must contain the request ID.
 func (a *attempt) mustHoldID(response *http.Response) bool {
 	return a.target.Kind == config.KindEngine && response.StatusCode == http.StatusOK
 }
 
-// short passes on an answer that was held until it was whole.
+// sendWhole sends an answer that was buffered completely.
 func (a *attempt) sendWhole(response *http.Response, data []byte) *Failure {
 	length := int64(len(data))
 	if response.Request.Method == http.MethodHead {
@@ -157,8 +160,8 @@
 	})
 	a.sink.begin(response.StatusCode)
 	a.sink.Received = true
-	// Flushed here, the answer does not wait for the request's log line. One that
-	// is kept for repeats does: its run is recorded before it leaves.
+	// Flushing here avoids waiting for the request's log line. An answer that is
+	// stored for repeats is not flushed: its result is recorded before it is sent.
 	pass := a.sink.write
 	if a.sink.Copy != nil {
 		pass = a.sink.writeUnflushed
@@ -169,8 +172,8 @@
 	return nil
 }
 
-// long passes on an answer that is longer than the buffer. Its first bytes are
-// in the buffer.
+// sendUnbuffered relays an answer that is longer than the buffer, which holds its
+// first bytes.
 func (a *attempt) sendUnbuffered(response *http.Response, buffer []byte) *Failure {
 	a.sink.Head(func(fields http.Header) {
 		a.head(fields, response)
@@ -212,7 +215,7 @@
 	}
 }
 
-// setLength states the body's length where it is known.
+// setLength sets Content-Length if the length is known.
 func setLength(fields http.Header, length int64) {
 	if length >= 0 {
 		fields.Set("Content-Length", strconv.FormatInt(length, 10))
--- a/pkg/relay/attempt.go
+++ b/pkg/relay/attempt.go
@@ -15,15 +15,15 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// Waiting times that refusals of a broken path suggest.
+// Values of RetryAfter for failed attempts.
 const (
 	retrySoon  = time.Second
 	retryLater = 3 * time.Second
-	// longestRetry bounds, in seconds, what a target may ask callers to wait.
+	// maxRetrySeconds bounds a target's Retry-After.
 	maxRetrySeconds = 3600
 )
 
-// attempt is one try at one target.
+// attempt is one attempt at one target.
 type attempt struct {
 	client      *Client
 	target      Target
@@ -32,28 +32,28 @@
 	ctx         context.Context
 	connTracker connTracker
 	timer       *time.Timer
-	// patience is how long the target may be silent when it would give signs of
-	// life: until the head of its answer, and inside a stream.
+	// idleLimit bounds the time without data from a target that sends keep-alives:
+	// until the head of its answer, and inside a stream.
 	idleLimit time.Duration
 	report    Report
 }
 
-// begun tells that the answer's first part has come.
+// gotFirstByte reports that the answer has begun.
 func (a *attempt) gotFirstByte() {
 	if a.call.OnFirstByte != nil {
 		a.call.OnFirstByte()
 	}
 }
 
-// errIdle is the cancel cause of an attempt whose target fell silent.
+// errIdle is the cancel cause of an attempt that reached its idle timeout.
 type errIdle struct{}
 
 // Error implements error.
 func (errIdle) Error() string { return "upstream fell silent" }
 
-// Do sends the call to the target and passes the answer to the sink. When the
-// sink has chunks of an earlier attempt, the target is asked to go on after them.
-// The context ends when the caller goes away or the deadline passes.
+// Do sends the call to the target and relays the answer to the sink. If the sink has
+// chunks of an earlier attempt, the target is asked to resume after them. The context
+// must end when the caller disconnects or the deadline passes.
 func (c *Client) Do(ctx context.Context, target Target, call *Call, sink *Sink) Report {
 	work, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -71,7 +71,7 @@
 	return a.report
 }
 
-// afterFailure stops the engine's work on a request that was given up.
+// afterFailure cancels the engine's work on a failed request that may have run.
 func (a *attempt) afterFailure(failure *Failure) {
 	ran := failure.Refusal.Outcome != outcome.NotRun
 	if ran && a.target.Kind == config.KindEngine && !a.target.Peer {
@@ -105,7 +105,7 @@
 	return a.answer(response)
 }
 
-// heard puts off the end of the attempt.
+// resetTimer restarts the idle timeout.
 func (a *attempt) resetTimer(idleLimit time.Duration) { a.timer.Reset(idleLimit) }
 
 func (a *attempt) gotInterim(int, textproto.MIMEHeader) error {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// noAnswer classifies an attempt that got no head of an answer.
+// noAnswer classifies an attempt that received no answer head.
 func (a *attempt) noAnswer(err error) *Failure {
 	if a.connTracker.seal() {
 		return a.fail(outcome.Unknown, outcome.ReasonUpstreamFailed, "the upstream broke off after the request was sent", err)
@@ -121,7 +121,7 @@
 	return a.fail(outcome.NotRun, outcome.ReasonNoUpstream, "the upstream could not be reached", err)
 }
 
-// fail builds a failure. When the caller's context has ended, that is the cause.
+// fail returns a failure, attributed to the caller if the caller's context has ended.
 func (a *attempt) fail(out outcome.Outcome, reason outcome.Reason, detail string, err error) *Failure {
 	failure := &Failure{Refusal: &outcome.Refusal{
 		Outcome:    out,
@@ -151,7 +151,7 @@
 	}
 }
 
-// judge decides from the head whether the answer may be passed on.
+// checkHead decides from the answer's head whether the answer may be relayed.
 func (a *attempt) checkHead(response *http.Response) *Failure {
 	if refused := a.refused(response); refused != nil {
 		return refused
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// refused returns the failure of a target that says that it did not start, or of
+// refused returns the failure of a target that reports that it did not start, or of
 // a peer that refuses.
 func (a *attempt) refused(response *http.Response) *Failure {
 	if a.target.Peer && response.Header.Get(header.Outcome) != "" && response.StatusCode >= http.StatusBadRequest {
@@ -187,7 +187,7 @@
 	return failure
 }
 
-// retryAfter is when the target asks to come back; zero when it does not say so in
+// retryAfterOf returns the answer's Retry-After, or zero if it is not given in
 // seconds.
 func retryAfterOf(response *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(response.Header.Get(header.RetryAfter))
@@ -209,8 +209,8 @@
 	return failure
 }
 
-// echoed checks the request ID in the head. Plain services need not echo it, nor
-// need an engine that refuses a request as malformed.
+// echoed checks the request ID in the head. Plain services need not echo it, nor does
+// an engine that answers with an error status, such as for a malformed request.
 func (a *attempt) echoed(response *http.Response) bool {
 	echo := response.Header.Get(header.RequestID)
 	strict := a.target.Kind == config.KindEngine || a.target.Peer
--- a/pkg/relay/bench_test.go
+++ b/pkg/relay/bench_test.go
@@ -18,7 +18,7 @@
 	"github.com/lilacweir/lilacweir/pkg/header"
 )
 
-// discard is a caller that takes everything.
+// discard is a caller that discards the answer.
 type discard struct{ header http.Header }
 
 func (d *discard) Header() http.Header         { return d.header }
@@ -26,7 +26,7 @@
 func (d *discard) WriteHeader(int)             {}
 func (d *discard) Flush()                      {}
 
-// stepReader gives one chunk a read, and the end marker last.
+// stepReader returns one chunk for each read, and finally the end marker.
 type stepReader struct {
 	chunk []byte
 	left  int
@@ -45,7 +45,7 @@
 
 func (*stepReader) Close() error { return nil }
 
-// streamed passes on a stream of that many chunks.
+// streamed relays a stream of that many chunks.
 func streamed(chunks int) *Failure {
 	client := &Client{idle: time.Hour}
 	a := &attempt{
@@ -67,7 +67,7 @@
 	is.True(streamed(3) == nil)
 	few := testing.AllocsPerRun(100, func() { streamed(10) })
 	many := testing.AllocsPerRun(100, func() { streamed(2010) })
-	is.True(many-few < 20) // less than one for a hundred chunks
+	is.True(many-few < 20) // less than one allocation per hundred chunks
 }
 
 func BenchmarkChunk(b *testing.B) {
@@ -77,14 +77,14 @@
 	}
 }
 
-// Sizes of BenchmarkRelayedToDirect: chunks come one by one, as from an engine.
+// Load of BenchmarkRelayedToDirect: chunks arrive one by one, as from an engine.
 const (
 	benchStreams = 64
 	benchPace    = 2 * time.Millisecond
 )
 
-// BenchmarkRelayedToDirect compares the processor time, of caller, engine and
-// gateway together, for a chunk that is relayed with that of a direct one.
+// BenchmarkRelayedToDirect compares the CPU time of caller, engine and gateway
+// together for a relayed chunk with that for a direct one.
 func BenchmarkRelayedToDirect(b *testing.B) {
 	engine := httptest.NewServer(http.HandlerFunc(pacedEngine))
 	defer engine.Close()
@@ -126,7 +126,7 @@
 	_, _ = io.WriteString(w, doneEvent)
 }
 
-// streamAll reads streams from a server and returns the processor time it took.
+// streamAll reads streams from a server and returns the CPU time used.
 func streamAll(b *testing.B, url string, chunks int) time.Duration {
 	before := cpuTime(b)
 	var running sync.WaitGroup
--- a/pkg/relay/capture.go
+++ b/pkg/relay/capture.go
@@ -1,11 +1,10 @@
 package relay
 
-// Copy keeps the beginning of an answer, for repeats of a request that may not
-// run again.
+// Copy stores the beginning of an answer, for repeats of a request that may not run
+// again.
 type Copy struct {
 	// Limit bounds Body in bytes.
-	Limit int
-	// Status and ContentType are those of the answer.
+	Limit       int
 	Status      int
 	ContentType string
 	// Body holds the first Limit bytes of the answer.
--- a/pkg/relay/client.go
+++ b/pkg/relay/client.go
@@ -16,23 +16,23 @@
 // maxCancels bounds the cancel calls that run at the same time.
 const maxCancels = 64
 
-// Client sends attempts. It keeps connections for repeatable requests; each
-// request that may not be repeated gets a fresh one, so that neither a
-// connection that the other side was closing nor a replay by the HTTP transport
-// can put its outcome in doubt.
+// Client sends attempts. It pools connections for repeatable requests. Each request
+// that may not be repeated gets a new connection, so that neither a connection that
+// the other side is closing nor a replay by the HTTP transport can make its outcome
+// uncertain.
 type Client struct {
 	upstreams, peers transports
-	// idle and silence end an attempt whose target says nothing: an upstream's,
-	// and a peer's that would give signs of life.
+	// idle is the idle timeout of upstreams, peerIdle that of peers, which send
+	// keep-alives.
 	idle, peerIdle time.Duration
 	cancels        chan struct{}
 }
 
-// transports are the two ways to reach one kind of target.
+// transports are the two HTTP transports for one kind of target.
 type transports struct{ pooled, atMostOnce *http.Transport }
 
-// NewClient returns a client that reaches upstreams and other gateways with the
-// given dialers.
+// NewClient returns a client that connects to upstreams and to other gateways with
+// the given dialers.
 func NewClient(upstreams, peers Dialer) *Client {
 	return &Client{
 		upstreams: newTransports(upstreams),
@@ -58,7 +58,7 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	for _, pair := range []transports{c.upstreams, c.peers} {
 		pair.pooled.CloseIdleConnections()
@@ -77,8 +77,8 @@
 	return pair.pooled
 }
 
-// request builds the HTTP request of one attempt. GetBody stays unset: the
-// transport must not replay a request of its own accord.
+// request builds the HTTP request of one attempt. GetBody stays unset, since the
+// transport must not replay a request by itself.
 func (c *Client) request(ctx context.Context, target Target, call *Call, offset int) *http.Request {
 	fields := make(http.Header, len(call.Header)+2)
 	for name, values := range call.Header {
@@ -108,7 +108,7 @@
 // Close implements io.Closer.
 func (body) Close() error { return nil }
 
-// Probe asks the gateway at an address whether it is alive.
+// Probe checks the health of the gateway at an address.
 func (c *Client) Probe(ctx context.Context, address string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+HealthPath, nil)
 	if err != nil {
@@ -122,11 +122,11 @@
 	return nil
 }
 
-// HealthPath is where a gateway says that it is alive.
+// HealthPath is the path of a gateway's health check.
 const HealthPath = "/healthz"
 
-// Cancel tells an engine, in the background, to stop working on a request. When
-// many cancels are under way it is left out: the broken connection says the same.
+// Cancel asks an engine, in the background, to stop working on a request. It is
+// skipped while maxCancels are in flight: the broken connection has the same meaning.
 func (c *Client) Cancel(target Target, requestID string) {
 	select {
 	case c.cancels <- struct{}{}:
--- a/pkg/relay/conn.go
+++ b/pkg/relay/conn.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 )
 
-// errSealed: the attempt was settled before its first byte was written.
+// errSealed means that the attempt was sealed before its first byte was written.
 var errSealed = errors.New("attempt settled before the first byte")
 
 // States of a trackedConn within one attempt.
@@ -19,8 +19,8 @@
 	connSealed
 )
 
-// trackedConn knows exactly whether a byte of the present attempt was handed to
-// the kernel, and can forbid the first one.
+// trackedConn records whether a byte of the current attempt was passed to the kernel,
+// and can be sealed against the first one.
 type trackedConn struct {
 	net.Conn
 	state atomic.Int32
@@ -34,10 +34,10 @@
 	return c.Conn.Write(p)
 }
 
-// Dialer makes connections: a method of control.Network in production.
+// Dialer opens connections: a method of control.Network in production.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// tracked wraps each connection that dial makes.
+// tracked wraps each connection that dial opens.
 func tracked(dial Dialer) Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -48,7 +48,7 @@
 	}
 }
 
-// flight follows the connections of one attempt.
+// connTracker tracks the connections of one attempt.
 type connTracker struct {
 	mu      sync.Mutex
 	conn    *trackedConn
@@ -69,7 +69,7 @@
 	f.conn = conn
 }
 
-// settle says whether a byte of the request left. When it did not, none will.
+// seal reports whether a byte of the request was written. If not, none can be later.
 func (f *connTracker) seal() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -77,7 +77,7 @@
 	return f.written
 }
 
-// absorb seals the connection at hand and notes whether it was written to.
+// sealCurrent seals the current connection and records whether it was written to.
 func (f *connTracker) sealCurrent() {
 	if f.conn == nil {
 		return
--- a/pkg/relay/events.go
+++ b/pkg/relay/events.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// Parts of a stream of server-sent events, as engines and gateways write them.
+// Syntax elements of server-sent events, as engines and gateways write them.
 var (
 	eventEnd    = []byte("\n\n")
 	dataField   = []byte("data:")
@@ -12,18 +12,18 @@
 	commentLine = byte(':')
 )
 
-// verdict is what a scan found after the events that may be passed on.
+// scanResult is what a scan found after the events that may be relayed.
 type scanResult int
 
 const (
-	scanMore     scanResult = iota // the stream goes on
+	scanMore     scanResult = iota // the stream continues
 	scanDone                       // the end marker was read
 	scanMismatch                   // the next event belongs to another request
 	scanError                      // the sender reports that the answer is broken
 )
 
-// scan returns the length of the leading whole events that belong to the
-// request, the number of chunks in them, and what follows.
+// scan returns the length of the leading complete events that belong to the request,
+// the number of chunks in them, and what follows.
 func scan(data, requestID []byte) (whole, chunks int, next scanResult) {
 	for {
 		end := bytes.Index(data[whole:], eventEnd)
@@ -77,8 +77,9 @@
 	return eventMismatch
 }
 
-// belongs says whether the first "id" member of the JSON data is requestID. Inside
-// a JSON string the quotes are escaped, so content cannot pass for the member.
+// hasRequestID reports whether the first "id" member of the JSON data is requestID.
+// Quotes inside a JSON string are escaped, so content cannot be mistaken for the
+// member.
 func hasRequestID(data, requestID []byte) bool {
 	at := bytes.Index(data, idField)
 	if at < 0 {
--- a/pkg/relay/events_fuzz_test.go
+++ b/pkg/relay/events_fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzScan: whatever an upstream sends, only whole events are passed on, they all
-// belong to the request, and where a read ends makes no difference.
+// FuzzScan checks that for any input only complete events of the request are relayed,
+// independently of read boundaries.
 func FuzzScan(f *testing.F) {
 	const id = "kal-1-x"
 	f.Add([]byte("data: {\"id\":\"kal-1-x\"}\n\ndata: [DONE]\n\n"), 7)
--- a/pkg/relay/keepalive.go
+++ b/pkg/relay/keepalive.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Between gateways silence means a cut link: the receiver of a forwarded request
-// gives a sign while it has nothing else to send.
+// Between gateways no data means a partitioned link: the receiver of a forwarded
+// request sends keep-alives while it has nothing else to send.
 const (
-	// keepAliveInterval is how often the receiver gives a sign.
+	// keepAliveInterval is the receiver's interval between keep-alives.
 	keepAliveInterval = time.Second
-	// peerSilence is how long the sender goes without one.
+	// peerIdleTimeout is the time that the sender waits for data or a keep-alive.
 	peerIdleTimeout = 4 * time.Second
 )
 
-// keepAliveEvent is a comment, which is no part of the answer.
+// keepAliveEvent is a comment, which is not part of the answer.
 var keepAliveEvent = []byte(": waiting\n\n")
 
-// KeepAlive gives signs to a waiting gateway until stop is called: interim
+// KeepAlive sends keep-alives to a waiting gateway until stop is called: interim
 // responses before the answer begins, and comments inside a stream.
 func (s *Sink) KeepAlive() (stop func()) {
 	done := make(chan struct{})
@@ -41,7 +41,8 @@
 	}
 }
 
-// sign writes one sign of life. A failed write shows at the next regular one.
+// sendKeepAlive writes one keep-alive if it is needed. The next regular write reports
+// a failed connection.
 func (s *Sink) sendKeepAlive() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/relay/keepalive_test.go
+++ b/pkg/relay/keepalive_test.go
@@ -18,7 +18,7 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// pipes is a listener whose connections are made in memory, in the test's time.
+// pipeListener is a listener with in-memory connections, for virtual time.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -50,12 +50,12 @@
 func (p *pipeListener) Close() error   { close(p.done); return nil }
 func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// askPeer forwards one request to a gateway that serves it so, in virtual time.
+// sendToPeer forwards one request to a gateway that runs serve, in virtual time.
 func sendToPeer(kind config.UpstreamKind, serve func(ctx context.Context, sink *Sink)) (Report, *httptest.ResponseRecorder, time.Duration) {
 	return sendTo(Target{Name: "peer", Address: "peer:1", Kind: kind, Peer: true}, serve)
 }
 
-// ask sends one request to a target that serves it so, in virtual time.
+// sendTo sends one request to a target that runs serve, in virtual time.
 func sendTo(target Target, serve func(ctx context.Context, sink *Sink)) (Report, *httptest.ResponseRecorder, time.Duration) {
 	listener := newPipeListener()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -72,7 +72,7 @@
 	start := time.Now()
 	report := client.Do(context.Background(), target, testCall(false), NewSink(recorder, time.Now))
 	took := time.Since(start)
-	synctest.Wait() // a cancel may be under way
+	synctest.Wait() // a cancel may be in flight
 	client.Close()
 	_ = server.Close()
 	return report, recorder, took
@@ -124,7 +124,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		report, recorder, took := sendTo(Target{Name: "engine", Address: "engine:1", Kind: config.KindEngine}, func(ctx context.Context, sink *Sink) {
-			time.Sleep(20 * time.Second) // the queue and the prompt may take long
+			time.Sleep(20 * time.Second) // queueing and prefill may take long
 			sink.Head(func(fields http.Header) { fields.Set(header.ContentType, streamType) })
 			sink.begin(http.StatusOK)
 			_ = sink.write([]byte(chunkOf(testID, 0)))
--- a/pkg/relay/refusal.go
+++ b/pkg/relay/refusal.go
@@ -12,7 +12,7 @@
 	Error RefusalError `json:"error"`
 }
 
-// RefusalError is what a refusal says.
+// RefusalError is the content of a refusal.
 type RefusalError struct {
 	Type         outcome.Reason  `json:"type"`
 	Outcome      outcome.Outcome `json:"outcome"`
@@ -36,7 +36,7 @@
 	return message
 }
 
-// decodeRefusal reads a peer's refusal; ok is false when it is none.
+// decodeRefusal decodes a peer's refusal; ok is false if data is not a refusal.
 func decodeRefusal(data []byte, status int) (refusal *outcome.Refusal, ok bool) {
 	var body RefusalBody
 	if err := json.Unmarshal(data, &body); err != nil || body.Error.Outcome == "" {
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -39,8 +39,8 @@
 
 const doneEvent = "data: [DONE]\n\n"
 
-// rawUpstream answers each connection as the script says; it returns its address
-// and how many connections it took.
+// rawUpstream runs the script for each connection; it returns its address and the
+// number of accepted connections.
 func rawUpstream(t *testing.T, script func(conn net.Conn, request *bufio.Reader)) (string, *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,7 +65,6 @@
 	return listener.Addr().String(), &taken
 }
 
-// readRequest reads a whole request.
 func readRequest(reader *bufio.Reader) {
 	request, err := http.ReadRequest(reader)
 	if err == nil {
@@ -145,7 +144,7 @@
 			is.Equal(mismatched, test.mismatched)
 			is.Equal(sink.HeadWritten, test.headWritten)
 			is.Equal(sink.Chunks, test.chunks)
-			is.True(!strings.Contains(recorder.Body.String(), "req-2")) // nothing of another request
+			is.True(!strings.Contains(recorder.Body.String(), "req-2")) // no data of another request
 			if test.kind == config.KindService {
 				is.Equal(taken.Load(), int32(1)) // never replayed by the HTTP transport
 			}
@@ -163,15 +162,15 @@
 	is.Equal(report.Failure.Refusal.Reason, outcome.ReasonNoUpstream)
 }
 
-// A request that may not be repeated must not be replayed by the HTTP transport
-// over a kept connection, whatever its method and headers are.
+// The HTTP transport must not replay a request that may not be repeated over a reused
+// connection, whatever its method and headers.
 func TestAtMostOnceRequestIsNeverReplayed(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		is := is.New(t)
 		var runs atomic.Int32
 		upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if runs.Add(1) > 1 {
-				panic(http.ErrAbortHandler) // ran, then broke off
+				panic(http.ErrAbortHandler) // ran, then aborted
 			}
 			w.Header().Set("Content-Length", "0")
 		}))
@@ -226,7 +225,7 @@
 	is.True(last.Failure == nil)
 	is.Equal(offsets, []string{"", "3", "6"})
 	is.Equal(recorder.Body.String(), wholeStream(testID, 0, total)+doneEvent)
-	<-cancels // the engine was told to stop each broken attempt
+	<-cancels // each broken attempt was cancelled at the engine
 	<-cancels
 }
 
@@ -270,5 +269,5 @@
 	f.conn = conn
 	is.Equal(f.seal(), false)
 	_, err := conn.Write([]byte("late"))
-	is.True(err != nil) // the first byte is forbidden once "not run" may have been said
+	is.True(err != nil) // no byte may be written once not-run may have been reported
 }
--- a/pkg/relay/sink.go
+++ b/pkg/relay/sink.go
@@ -11,11 +11,12 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// WriteTimeout is how long a caller may take to read one part of its answer.
+// WriteTimeout bounds the time that a caller may take to read one write of its
+// answer.
 const WriteTimeout = 20 * time.Second
 
-// CallerError is a failed write of the answer: the caller has gone or reads too
-// slowly.
+// CallerError is a failed write of the answer: the caller has disconnected or reads
+// too slowly.
 type CallerError struct{ Err error }
 
 // Error implements error.
@@ -24,27 +25,27 @@
 // Unwrap returns the cause.
 func (e *CallerError) Unwrap() error { return e.Err }
 
-// Sink is the caller's side of a request: it takes the answer, across attempts.
-// It is used by one goroutine at a time, beside its own keep-alive.
+// Sink is the caller's side of a request: it receives the answer across attempts. It
+// is used by one goroutine at a time, besides its own keep-alive.
 type Sink struct {
-	// mu guards the writer and its header against the keep-alive.
+	// mu protects the writer and its header from the concurrent keep-alive.
 	mu         sync.Mutex
 	writer     http.ResponseWriter
 	controller *http.ResponseController
 	now        func() time.Time
 	extendAt   time.Time
-	// quiet is true when nothing was written since the last keep-alive.
+	// idle is true if nothing was written since the last keep-alive.
 	idle bool
 	// HeadWritten is true once the head of the answer was written.
 	HeadWritten bool
-	// Stream is true when the answer is a stream of events.
+	// Stream is true if the answer is a stream of events.
 	Stream bool
-	// Chunks counts the chunks that were passed on.
+	// Chunks counts the relayed chunks.
 	Chunks int
-	// Copy receives the answer as far as it is kept for repeats; nil for none.
+	// Copy receives the beginning of the answer for repeats, unless nil.
 	Copy *Copy
-	// Received is true once the upstream's whole answer was received, whether or not
-	// the caller took it.
+	// Received is true once the upstream's complete answer was received, whether or not
+	// the caller read it.
 	Received bool
 }
 
@@ -53,14 +54,14 @@
 	return &Sink{writer: w, controller: http.NewResponseController(w), now: now}
 }
 
-// Head changes the header of the answer, before it begins.
+// Head changes the header of the answer before it is sent.
 func (s *Sink) Head(change func(fields http.Header)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.writer.Header())
 }
 
-// Answer gives a whole answer that was kept from an earlier run.
+// Answer sends a complete answer that was stored from an earlier run.
 func (s *Sink) Answer(status int, body []byte) error {
 	s.Head(func(fields http.Header) { fields.Set("Content-Length", strconv.Itoa(len(body))) })
 	s.begin(status)
@@ -82,7 +83,7 @@
 	}
 }
 
-// write passes bytes on and flushes them.
+// write sends bytes to the caller and flushes them.
 func (s *Sink) write(p []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// put passes bytes on without flushing them.
+// writeUnflushed sends bytes to the caller without a flush.
 func (s *Sink) writeUnflushed(p []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,21 +115,21 @@
 	return nil
 }
 
-// extend moves the write deadline on. It is renewed at half of its time, so that
-// a chunk rarely pays for it.
+// extendDeadline extends the write deadline. It does so only after half of
+// WriteTimeout, so that few chunks bear the cost.
 func (s *Sink) extendDeadline() {
 	now := s.now()
 	if now.Before(s.extendAt) {
 		return
 	}
 	s.extendAt = now.Add(WriteTimeout / 2)
-	// A writer without deadlines (a test's recorder) has no slow reader either.
+	// A writer without deadlines, such as a test recorder, has no slow reader.
 	_ = s.controller.SetWriteDeadline(now.Add(WriteTimeout))
 }
 
-// Refuse ends the request with a refusal: as JSON before the answer has begun,
-// as an error event inside a stream, and else by breaking the connection, so
-// that the answer cannot look complete.
+// Refuse ends the request with a refusal: as JSON before the answer has begun, as an
+// error event inside a stream, otherwise by breaking the connection, so that the
+// answer cannot look complete.
 func (s *Sink) Refuse(refusal *outcome.Refusal) {
 	message := EncodeRefusal(refusal)
 	if !s.HeadWritten {
@@ -138,7 +139,7 @@
 	if !s.Stream {
 		panic(http.ErrAbortHandler)
 	}
-	// The caller may have gone: then there is no one to tell.
+	// The write fails if the caller has disconnected, which needs no handling.
 	_ = s.write([]byte("event: error\ndata: " + string(message) + "\n\n"))
 }
 
