--- a/pkg/order/controller.go
+++ b/pkg/order/controller.go
@@ -59,14 +59,14 @@
 // that, brings the engines to their declared versions.
 type Controller struct {
 	Dependencies
-	tenure atomic.Pointer[tenure]
+	term atomic.Pointer[term]
 	// claim is the last attempt at the lease whose answer was lost, look when to
 	// look at the key again; they belong to the loop of hold.
-	claim *claim
-	look  time.Time
+	leaseAttempt *leaseAttempt
+	nextCheck    time.Time
 
 	// The rest belongs to the loop of give.
-	last tally
+	current termState
 }
 
 // New returns a controller.
@@ -76,17 +76,17 @@
 
 // Holding reports whether this instance is the order-giver.
 func (c *Controller) Holding() bool {
-	held := c.tenure.Load()
+	held := c.term.Load()
 	return held != nil && !held.expired(c.Clock.Now())
 }
 
 // Run works until ctx ends; then it gives the lease back.
 func (c *Controller) Run(ctx context.Context) {
 	var loops sync.WaitGroup
-	loops.Go(func() { every(ctx, func() { c.hold(ctx) }, func() time.Duration { return interval }) })
-	loops.Go(func() { every(ctx, func() { c.give(ctx) }, c.pause) })
+	loops.Go(func() { every(ctx, func() { c.maintainLease(ctx) }, func() time.Duration { return interval }) })
+	loops.Go(func() { every(ctx, func() { c.sendOrders(ctx) }, c.sendPause) })
 	loops.Wait()
-	held := c.tenure.Load()
+	held := c.term.Load()
 	if held == nil {
 		return
 	}
@@ -98,8 +98,8 @@
 // pause is how long the loop of give waits for its next round. It is short when
 // the weight store is free before long: a holder that asks later than it was told
 // to may find the store busy time after time, with loads of other domains.
-func (c *Controller) pause() time.Duration {
-	busy := c.last.wait.Sub(c.Clock.Now())
+func (c *Controller) sendPause() time.Duration {
+	busy := c.current.nextReserve.Sub(c.Clock.Now())
 	if busy <= 0 || busy > interval {
 		return interval
 	}
--- a/pkg/order/fake_engine_test.go
+++ b/pkg/order/fake_engine_test.go
@@ -37,7 +37,7 @@
 
 // backwards returns the first order that was carried out after a newer one: the
 // declared versions are v1, v2 and so on.
-func (e *fakeEngine) backwards() error {
+func (e *fakeEngine) outOfOrder() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	newest := 0
--- a/pkg/order/order_test.go
+++ b/pkg/order/order_test.go
@@ -18,7 +18,7 @@
 
 // settle is longer than any takeover: a lease that ends, a new one, the wait for
 // orders of the old one, and the rounds between.
-const settle = 3*LeaseTTL + 2*lookInterval + 10*interval
+const settleTime = 3*LeaseTTL + 2*checkInterval + 10*interval
 
 func declared(version string, checks bool, engines ...string) *config.Declaration {
 	declaration := &config.Declaration{}
@@ -33,7 +33,7 @@
 
 // scene is two candidates before one engine that has v1 as declared; the first
 // holds the lease.
-type scene struct {
+type harness struct {
 	service       *platformtest.Service
 	engine        *fakeEngine
 	source        *fakeSource
@@ -41,36 +41,36 @@
 	checks        bool
 }
 
-func open(t *testing.T, checks bool) *scene {
-	s := &scene{service: platformtest.New(clock.System{}), engine: &fakeEngine{checks: checks, state: State{Version: "v1"}}, checks: checks}
+func newHarness(t *testing.T, checks bool) *harness {
+	s := &harness{service: platformtest.New(clock.System{}), engine: &fakeEngine{checks: checks, state: State{Version: "v1"}}, checks: checks}
 	engines := map[string]*fakeEngine{"nurse-1": s.engine}
 	s.source = &fakeSource{engines: engines, declaration: declared("v1", checks, "nurse-1")}
 	s.first = startProcess(t.Context(), "lar-1", s.service, engines, s.source)
-	time.Sleep(settle + interval/2) // between two looks of the first
+	time.Sleep(settleTime + interval/2) // between two looks of the first
 	s.second = startProcess(t.Context(), "lar-2", s.service, engines, s.source)
 	return s
 }
 
-func (s *scene) close() {
+func (s *harness) close() {
 	s.first.stop()
 	s.second.stop()
 }
 
-func (s *scene) declare(version string) { s.source.declare(declared(version, s.checks, "nurse-1")) }
+func (s *harness) declare(version string) { s.source.declare(declared(version, s.checks, "nurse-1")) }
 
 // took reports whether the engine carried out an order for a version.
-func (s *scene) took(version string) bool {
+func (s *harness) took(version string) bool {
 	return slices.ContainsFunc(s.engine.taken, func(load Load) bool { return load.Version == version })
 }
 
-func TestDisturbedHolder(t *testing.T) {
+func TestPausedOrDelayedHolder(t *testing.T) {
 	const long = 10 * LeaseTTL
 	for name, test := range map[string]struct {
 		checks bool
 		faults callFaults
 		// took says that the disturbed order is carried out, which is backwards
 		// when a newer one was before it.
-		took, backwards bool
+		took, outOfOrder bool
 	}{
 		"checking, paused before the permit": {checks: true, faults: callFaults{pauseAfterRead: long}},
 		"ignoring, paused before the permit": {checks: false, faults: callFaults{pauseAfterRead: long}},
@@ -79,22 +79,22 @@
 		"checking, delayed by the network":   {checks: true, faults: callFaults{late: long}, took: true}, // sent again at once
 		"ignoring, paused past the lease and the wait": {
 			// Nothing can stop this order; the next reading mends it.
-			checks: false, faults: callFaults{pauseAfterPermit: long}, took: true, backwards: true,
+			checks: false, faults: callFaults{pauseAfterPermit: long}, took: true, outOfOrder: true,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := open(t, test.checks)
+				s := newHarness(t, test.checks)
 				defer s.close()
 				s.first.engines.set(func(f *callFaults) { *f = test.faults })
 				s.declare("v2")
 				time.Sleep(2 * interval) // the fault has struck
 				s.declare("v3")
-				time.Sleep(long + settle)
+				time.Sleep(long + settleTime)
 				is.Equal(s.engine.read().Version, "v3")
 				is.Equal(s.took("v2"), test.took)
-				is.Equal(s.engine.backwards() != nil, test.backwards)
+				is.Equal(s.engine.outOfOrder() != nil, test.outOfOrder)
 			})
 		})
 	}
@@ -103,29 +103,29 @@
 func TestNoOrderWithoutALease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := open(t, true)
+		s := newHarness(t, true)
 		defer s.close()
 		is.True(s.first.controller.Holding())
 		s.service.SetDown(true)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		is.True(!s.first.controller.Holding())
 		s.declare("v2")
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		is.Equal(s.engine.read().Version, "v1")
 		s.service.SetDown(false)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		is.Equal(s.engine.read().Version, "v2")
 	})
 }
 
-func TestHolderFindsItsClaimAfterALostAnswer(t *testing.T) {
+func TestHolderRecoversItsLeaseAfterALostReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		service := platformtest.New(clock.System{})
 		service.FailWrites(platformtest.LoseAnswer)
 		only := startProcess(t.Context(), "lar-1", service, nil, &fakeSource{})
 		defer only.stop()
-		time.Sleep(2*lookInterval + interval)
+		time.Sleep(2*checkInterval + interval)
 		is.True(only.controller.Holding())
 		is.Equal(service.Counts().Grants, 1)
 	})
@@ -145,7 +145,7 @@
 
 // A holder asks again as soon as the store said that it would be free, not only at
 // a later round of its own, when other domains may have taken the place.
-func TestBusyStoreIsAskedAgainInTime(t *testing.T) {
+func TestBusyWeightStoreIsRetriedWhenFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		start := time.Now()
@@ -156,7 +156,7 @@
 			if c.reserve(ctx, config.Upstream{}) {
 				cancel()
 			}
-		}, c.pause)
+		}, c.sendPause)
 		is.Equal(store.asked, []time.Time{start, store.until}) // once in vain, and then in time
 	})
 }
@@ -166,23 +166,23 @@
 	engines := declared("v2", true, names...).Upstreams
 	old := State{Version: "v1"}
 	for name, test := range map[string]struct {
-		states map[string]State
-		doubt  map[string]bool
-		loads  int
-		want   []string
+		states     map[string]State
+		unverified map[string]bool
+		loads      int
+		want       []string
 	}{
 		"one at a time by default": {states: map[string]State{"nurse-1": old, "nurse-2": old}, want: []string{"nurse-1"}},
 		"two":                      {states: map[string]State{"nurse-1": old, "nurse-2": old, "nurse-3": old}, loads: 2, want: []string{"nurse-1", "nurse-2"}},
 		"one loads already":        {states: map[string]State{"nurse-1": {Version: "v1", Loading: "v2"}, "nurse-2": old}},
 		"the wrong one is loading": {states: map[string]State{"nurse-1": old, "nurse-2": {Loading: "v0"}}, want: []string{"nurse-2"}},
-		"in doubt counts":          {states: map[string]State{"nurse-2": old}, doubt: map[string]bool{"nurse-1": true}},
+		"in doubt counts":          {states: map[string]State{"nurse-2": old}, unverified: map[string]bool{"nurse-1": true}},
 		"unread is left alone":     {states: map[string]State{}},
 		"as declared":              {states: map[string]State{"nurse-1": {Version: "v2"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var got []string
-			for _, engine := range plan(engines, test.states, test.doubt, test.loads) {
+			for _, engine := range plan(engines, test.states, test.unverified, test.loads) {
 				got = append(got, engine.Name)
 			}
 			is.Equal(got, test.want)
@@ -200,32 +200,32 @@
 		steps := rapid.SliceOfN(rapid.IntRange(0, 6), 1, 12).Draw(draw, "steps")
 		lengths := rapid.SliceOfN(rapid.Int64Range(0, int64(20*LeaseTTL)), len(steps), len(steps)).Draw(draw, "lengths")
 		var failure error
-		synctest.Test(t, func(t *testing.T) { failure = disturb(t, checks, steps, lengths) })
+		synctest.Test(t, func(t *testing.T) { failure = runDisturbances(t, checks, steps, lengths) })
 		if failure != nil {
 			draw.Fatal(failure)
 		}
 	})
 }
 
-func disturb(t *testing.T, checks bool, steps []int, lengths []int64) error {
-	s := open(t, checks)
+func runDisturbances(t *testing.T, checks bool, steps []int, lengths []int64) error {
+	s := newHarness(t, checks)
 	version := ""
 	for i, step := range steps {
 		length := time.Duration(lengths[i])
-		one := []*process{s.first, s.second}[i%2]
+		target := []*process{s.first, s.second}[i%2]
 		bounded, late := length, length
 		if !checks {
 			bounded, late = length%LeaseTTL, 0
 		}
 		switch step {
 		case 0:
-			one.pause.begin(length)
+			target.pause.begin(length)
 		case 1:
-			one.engines.set(func(f *callFaults) { f.pauseAfterRead = length })
+			target.engines.set(func(f *callFaults) { f.pauseAfterRead = length })
 		case 2:
-			one.engines.set(func(f *callFaults) { f.pauseAfterPermit = bounded })
+			target.engines.set(func(f *callFaults) { f.pauseAfterPermit = bounded })
 		case 3:
-			one.engines.set(func(f *callFaults) { f.late = late })
+			target.engines.set(func(f *callFaults) { f.late = late })
 		case 4:
 			s.service.SetDown(true)
 		case 5:
@@ -236,10 +236,10 @@
 		time.Sleep(length/2 + interval)
 		s.service.SetDown(false)
 	}
-	time.Sleep(20*LeaseTTL + 2*settle)
+	time.Sleep(20*LeaseTTL + 2*settleTime)
 	s.close()
 	if got := s.engine.read().Version; got != version {
 		return fmt.Errorf("engine has %s, declared is %s: %w", got, version, ErrNoLease)
 	}
-	return s.engine.backwards()
+	return s.engine.outOfOrder()
 }
--- a/pkg/order/plan.go
+++ b/pkg/order/plan.go
@@ -24,7 +24,7 @@
 }
 
 // wanted returns the engines of a failure domain whose version is declared.
-func wanted(declaration *config.Declaration, domain string) []config.Upstream {
+func declaredEngines(declaration *config.Declaration, domain string) []config.Upstream {
 	var engines []config.Upstream
 	for _, upstream := range declaration.Upstreams {
 		if upstream.Kind == config.KindEngine && upstream.Domain == domain && upstream.Version != "" {
@@ -38,13 +38,13 @@
 // order of the declaration. At most loads engines load at the same time; one
 // that is in doubt, since an order to it had no answer, counts as loading.
 // Engines without a state are left alone.
-func plan(engines []config.Upstream, states map[string]State, doubt map[string]bool, loads int) []config.Upstream {
+func plan(engines []config.Upstream, states map[string]State, unverified map[string]bool, loads int) []config.Upstream {
 	var next []config.Upstream
-	room := max(loads, 1)
+	spare := max(loads, 1)
 	for _, engine := range engines {
 		state, known := states[engine.Name]
-		if state.Loading != "" || (!known && doubt[engine.Name]) {
-			room--
+		if state.Loading != "" || (!known && unverified[engine.Name]) {
+			spare--
 		}
 	}
 	for _, engine := range engines {
@@ -54,9 +54,9 @@
 		case state.Loading != "":
 			// It loads the wrong version; the new order takes that one's place.
 			next = append(next, engine)
-		case state.Version != engine.Version && room > 0:
+		case state.Version != engine.Version && spare > 0:
 			next = append(next, engine)
-			room--
+			spare--
 		}
 	}
 	return next
--- a/pkg/order/turns_test.go
+++ b/pkg/order/reserve_schedule_test.go
@@ -17,14 +17,14 @@
 )
 
 // lender lends one load in each slot, to who asks first.
-type lender struct {
+type weightStore struct {
 	slot time.Duration
 	mu   sync.Mutex
 	free time.Time
 }
 
 // reserve is a reservation as it reaches the store.
-func (l *lender) reserve() time.Duration {
+func (l *weightStore) reserve() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -36,27 +36,27 @@
 }
 
 // distant is the lender as it is reached from a failure domain, a way off.
-type distant struct {
-	lender *lender
-	way    time.Duration
+type remoteStore struct {
+	weightStore *weightStore
+	delay       time.Duration
 }
 
 // Reserve implements platform.WeightStore.
-func (d *distant) Reserve(context.Context, string, string) (time.Duration, error) {
-	time.Sleep(d.way)
-	defer time.Sleep(d.way)
-	return d.lender.reserve(), nil
+func (d *remoteStore) Reserve(context.Context, string, string) (time.Duration, error) {
+	time.Sleep(d.delay)
+	defer time.Sleep(d.delay)
+	return d.weightStore.reserve(), nil
 }
 
 // domainOfThree is a failure domain with three engines and its order-giver.
-type domainOfThree struct {
+type testDomain struct {
 	engines map[string]*fakeEngine
 	names   []string
 	process *process
 }
 
-func newDomainOfThree(t *testing.T, name string, service *platformtest.Service, weights *distant) *domainOfThree {
-	d := &domainOfThree{engines: make(map[string]*fakeEngine)}
+func newTestDomain(t *testing.T, name string, service *platformtest.Service, weights *remoteStore) *testDomain {
+	d := &testDomain{engines: make(map[string]*fakeEngine)}
 	declaration := &config.Declaration{}
 	for i := range 3 {
 		engine := fmt.Sprint(name, "-", i)
@@ -85,7 +85,7 @@
 }
 
 // loaded is how many of the domain's engines have taken their order.
-func (d *domainOfThree) loaded() int {
+func (d *testDomain) loaded() int {
 	count := 0
 	for _, engine := range d.engines {
 		if engine.read().Version == "v2" {
@@ -100,17 +100,17 @@
 // beside it, one in another region, 55 ms away, whose asks come last each time. Without turns
 // it got nothing until the others had all their loads: its callers stayed on the old version
 // for as long as all others together took.
-func TestDomainsTakeTurnsAtTheWeightStore(t *testing.T) {
+func TestWeightStoreIsSharedFairlyAmongDomains(t *testing.T) {
 	for _, slot := range []time.Duration{2 * time.Second, 500 * time.Millisecond} {
 		t.Run(slot.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				service := platformtest.New(clock.System{})
-				store := &lender{slot: slot}
-				domains := []*domainOfThree{
-					newDomainOfThree(t, "north-a", service, &distant{store, time.Millisecond}),
-					newDomainOfThree(t, "north-b", service, &distant{store, 2 * time.Millisecond}),
-					newDomainOfThree(t, "south-a", service, &distant{store, 55 * time.Millisecond}),
+				store := &weightStore{slot: slot}
+				domains := []*testDomain{
+					newTestDomain(t, "north-a", service, &remoteStore{store, time.Millisecond}),
+					newTestDomain(t, "north-b", service, &remoteStore{store, 2 * time.Millisecond}),
+					newTestDomain(t, "south-a", service, &remoteStore{store, 55 * time.Millisecond}),
 				}
 				begun, first := time.Now(), time.Time{}
 				all := func() (loaded int) {
@@ -123,9 +123,9 @@
 					if first.IsZero() && all() > 0 {
 						first = time.Now()
 					}
-					far := domains[2].loaded()
-					if all()-far >= 4 {
-						is.True(far >= 1)
+					remote := domains[2].loaded()
+					if all()-remote >= 4 {
+						is.True(remote >= 1)
 					}
 					is.True(time.Since(begun) < time.Minute)
 					time.Sleep(10 * time.Millisecond)
--- a/pkg/order/give.go
+++ b/pkg/order/send.go
@@ -22,23 +22,23 @@
 const readLimit = 8
 
 // give reads the engines that need it and sends the orders that are due.
-func (c *Controller) give(ctx context.Context) {
-	held := c.tenure.Load()
+func (c *Controller) sendOrders(ctx context.Context) {
+	held := c.term.Load()
 	declaration := c.Source.Declaration()
 	if held == nil || declaration == nil {
 		return
 	}
-	if c.last.lease != held.lease {
-		c.last = newTally(held)
+	if c.current.lease != held.lease {
+		c.current = newTermState(held)
 	}
-	engines := wanted(declaration, c.Domain)
-	states := c.read(ctx, engines)
+	engines := declaredEngines(declaration, c.Domain)
+	states := c.readStates(ctx, engines)
 	if c.superseded(states) {
 		c.stepDown(ctx)
 		return
 	}
-	for _, engine := range plan(engines, states, c.last.recentDoubt(c.Clock.Now()), declaration.Policy.WeightLoads) {
-		if !c.sendOne(ctx, engine) {
+	for _, engine := range plan(engines, states, c.current.possiblyLoading(c.Clock.Now()), declaration.Policy.WeightLoads) {
+		if !c.sendOrder(ctx, engine) {
 			return
 		}
 	}
@@ -46,14 +46,14 @@
 
 // read returns the state of every engine that is not known to be as declared,
 // and remembers those that are.
-func (c *Controller) read(ctx context.Context, engines []config.Upstream) map[string]State {
+func (c *Controller) readStates(ctx context.Context, engines []config.Upstream) map[string]State {
 	var mu sync.Mutex
 	states := make(map[string]State, len(engines))
 	failed := make(map[string]error)
 	var group errgroup.Group
 	group.SetLimit(readLimit)
 	for _, engine := range engines {
-		if c.settled(engine) {
+		if c.upToDate(engine) {
 			continue
 		}
 		group.Go(func() error {
@@ -69,12 +69,12 @@
 		})
 	}
 	_ = group.Wait()
-	c.noteUnread(failed)
+	c.recordUnread(failed)
 	for name, state := range states {
-		delete(c.last.doubt, name)
-		delete(c.last.confirmed, name)
+		delete(c.current.unverified, name)
+		delete(c.current.confirmed, name)
 		if state.Loading == "" {
-			c.last.confirmed[name] = state.Version
+			c.current.confirmed[name] = state.Version
 		}
 	}
 	return states
@@ -82,30 +82,30 @@
 
 // noteUnread remembers which engines could not be read, and logs the first failure of each
 // in a row: without a state an engine gets no order.
-func (c *Controller) noteUnread(failed map[string]error) {
+func (c *Controller) recordUnread(failed map[string]error) {
 	for name, err := range failed {
-		if !c.last.unread[name] {
+		if !c.current.unread[name] {
 			c.Log.Warn().Str("upstream", name).Err(err).Msg("order-state-unread")
 		}
 	}
-	clear(c.last.unread)
+	clear(c.current.unread)
 	for name := range failed {
-		c.last.unread[name] = true
+		c.current.unread[name] = true
 	}
 }
 
 // settled reports whether an engine was read to be as declared, and its load
 // report says the same.
-func (c *Controller) settled(engine config.Upstream) bool {
+func (c *Controller) upToDate(engine config.Upstream) bool {
 	reported, ok := c.Source.Reported(engine.Name)
 	agrees := ok && reported == engine.Version
-	_, doubt := c.last.doubt[engine.Name]
-	return agrees && !doubt && c.last.confirmed[engine.Name] == engine.Version
+	_, unverified := c.current.unverified[engine.Name]
+	return agrees && !unverified && c.current.confirmed[engine.Name] == engine.Version
 }
 
 // superseded reports whether an engine has taken an order of a later holder.
 func (c *Controller) superseded(states map[string]State) bool {
-	highest := c.last.fence()
+	highest := c.current.fence()
 	for _, state := range states {
 		if state.Fence > highest {
 			return true
@@ -115,20 +115,20 @@
 }
 
 // sendOne sends an engine its order; false ends this round.
-func (c *Controller) sendOne(ctx context.Context, engine config.Upstream) bool {
-	permit := func() error { return c.permit(c.last.lease, engine.ChecksFencing) }
+func (c *Controller) sendOrder(ctx context.Context, engine config.Upstream) bool {
+	permit := func() error { return c.permit(c.current.lease, engine.ChecksFencing) }
 	if err := permit(); err != nil {
 		// The weight store need not be asked. The check that counts is in Send.
-		c.noteHeld(engine, err)
+		c.logHeld(engine, err)
 		return true
 	}
 	if !c.reserve(ctx, engine) {
 		return false
 	}
-	c.last.sent++
-	c.last.held = ""
+	c.current.sent++
+	c.current.heldReason = ""
 	load := c.load(engine)
-	c.last.doubt[engine.Name] = c.Clock.Now()
+	c.current.unverified[engine.Name] = c.Clock.Now()
 	err := c.Engines.Send(ctx, load, permit)
 	c.Log.Info().Str("upstream", engine.Name).Str("version", load.Version).Int64("fence", load.Fence).AnErr("error", err).Msg("order-sent")
 	if errors.Is(err, ErrStaleFence) {
@@ -139,7 +139,7 @@
 }
 
 func (c *Controller) load(engine config.Upstream) Load {
-	fence := c.last.fence()
+	fence := c.current.fence()
 	return Load{
 		ID:       fmt.Sprintf("%s-%d", c.Holder, fence),
 		Upstream: engine,
@@ -151,15 +151,15 @@
 
 // stepDown gives up the lease that this loop worked under.
 func (c *Controller) stepDown(ctx context.Context) {
-	held := c.tenure.Load()
-	if held != nil && held.lease == c.last.lease {
+	held := c.term.Load()
+	if held != nil && held.lease == c.current.lease {
 		c.release(ctx, held, "superseded")
 	}
 }
 
 // permit says whether an order may leave now under the lease.
 func (c *Controller) permit(lease platform.LeaseID, checks bool) error {
-	held := c.tenure.Load()
+	held := c.term.Load()
 	if held == nil || held.lease != lease {
 		return ErrNoLease
 	}
@@ -172,29 +172,29 @@
 		return true
 	}
 	asked := c.Clock.Now()
-	if asked.Before(c.last.wait) {
+	if asked.Before(c.current.nextReserve) {
 		return false
 	}
 	wait, err := c.Weights.Reserve(ctx, engine.Serves, engine.Version)
 	if err != nil {
-		c.noteHeld(engine, fmt.Errorf("weight store: %w", err))
+		c.logHeld(engine, fmt.Errorf("weight store: %w", err))
 		return false
 	}
 	if wait > 0 {
-		c.last.wait = c.last.turns.next(asked, wait)
-		c.noteHeld(engine, ErrWeightsBusy)
+		c.current.nextReserve = c.current.reserveSchedule.nextAttempt(asked, wait)
+		c.logHeld(engine, ErrWeightsBusy)
 		return false
 	}
-	c.last.turns.served()
+	c.current.reserveSchedule.recordGrant()
 	return true
 }
 
 // noteHeld logs why an engine's order is held back, when the reason is another than before.
-func (c *Controller) noteHeld(engine config.Upstream, reason error) {
+func (c *Controller) logHeld(engine config.Upstream, reason error) {
 	text := reason.Error()
-	if c.last.held == text {
+	if c.current.heldReason == text {
 		return
 	}
-	c.last.held = text
+	c.current.heldReason = text
 	c.Log.Info().Str("upstream", engine.Name).Str("reason", text).Msg("order-held")
 }
--- a/pkg/order/tenure.go
+++ b/pkg/order/term.go
@@ -27,7 +27,7 @@
 	renewInterval = LeaseTTL / 4
 	// lookInterval is how often a candidate without the lease looks whether it is
 	// free.
-	lookInterval = LeaseTTL / 4
+	checkInterval = LeaseTTL / 4
 	// FlightMargin bounds the time from the check of the lease to the order's
 	// effect, and the drift between clocks during a lease.
 	FlightMargin = time.Second
@@ -41,11 +41,11 @@
 	ErrNoLease = errors.New("order lease ends too soon")
 	// ErrSettling: an earlier holder's order may still be under way to an engine
 	// that ignores fencing numbers.
-	ErrSettling = errors.New("orders of an earlier holder may be under way")
+	ErrOrdersInFlight = errors.New("orders of an earlier holder may be under way")
 )
 
 // tenure is the time in which this process is the order-giver. It is immutable.
-type tenure struct {
+type term struct {
 	lease platform.LeaseID
 	// revision is the key-value service's revision of the claim.
 	revision int64
@@ -58,30 +58,30 @@
 }
 
 // expired reports whether the lease may have ended.
-func (t *tenure) expired(now time.Time) bool { return atMost(now, t.renewed) >= t.ttl }
+func (t *term) expired(now time.Time) bool { return maxElapsed(now, t.renewed) >= t.ttl }
 
 // due reports whether the lease is to be renewed.
-func (t *tenure) due(now time.Time) bool { return atMost(now, t.renewed) >= renewInterval }
+func (t *term) renewalDue(now time.Time) bool { return maxElapsed(now, t.renewed) >= renewInterval }
 
 // permit says whether an order may leave now, to an engine that checks fencing
 // numbers or to one that ignores them.
-func (t *tenure) permit(now time.Time, checks bool) error {
-	if atMost(now, t.renewed)+FlightMargin >= t.ttl {
+func (t *term) permit(now time.Time, checks bool) error {
+	if maxElapsed(now, t.renewed)+FlightMargin >= t.ttl {
 		return ErrNoLease
 	}
-	if !checks && atLeast(now, t.acquired) < LeaseTTL+FlightMargin {
-		return ErrSettling
+	if !checks && minElapsed(now, t.acquired) < LeaseTTL+FlightMargin {
+		return ErrOrdersInFlight
 	}
 	return nil
 }
 
 // atMost is the longest that the time since then can have been: the monotonic
 // clock stands still while some machines sleep, and the wall clock may be set.
-func atMost(now, then time.Time) time.Duration {
+func maxElapsed(now, then time.Time) time.Duration {
 	return max(now.Sub(then), now.Round(0).Sub(then.Round(0)))
 }
 
 // atLeast is the shortest that the time since then can have been.
-func atLeast(now, then time.Time) time.Duration {
+func minElapsed(now, then time.Time) time.Duration {
 	return min(now.Sub(then), now.Round(0).Sub(then.Round(0)))
 }
