--- a/pkg/order/controller.go
+++ b/pkg/order/controller.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// interval is how often the lease and the engines are looked at.
+	// interval is the time between checks of the lease and of the engines.
 	interval = time.Second
-	// releaseTimeout bounds the giving back of the lease at the end.
+	// releaseTimeout bounds the release of the lease at shutdown.
 	releaseTimeout = time.Second
 )
 
-// Engines reaches model engines. Every call has a deadline.
+// Engines calls model engines. Every call has a deadline.
 type Engines interface {
 	// State reads an engine's state.
 	State(ctx context.Context, engine config.Upstream) (State, error)
-	// Send sends an order. It calls permit right before the order's bytes leave,
-	// and sends nothing when that returns an error. An answer of the engine that
-	// refuses the fencing number is ErrStaleFence; after any other error the
-	// order may have taken effect.
+	// Send sends an order. It calls permit right before it writes the order, and
+	// sends nothing if that returns an error. If the engine refuses the fencing
+	// number the error is ErrStaleFence; after any other error the order may have
+	// taken effect.
 	Send(ctx context.Context, load Load, permit func() error) error
 }
 
-// Source is what the controller reads of the agent.
+// Source is the agent's state that the controller reads.
 type Source interface {
 	// Declaration returns the declaration in force, or nil.
 	Declaration() *config.Declaration
 	// Reported returns the version in an engine's last load report.
 	Reported(upstream string) (version string, ok bool)
-	// Candidate reports whether this instance may take the lease. A few
-	// candidates for each failure domain keep the calls of the key-value service few.
+	// Candidate reports whether this instance may take the lease. Only a few
+	// instances per failure domain are candidates, to limit key-value calls.
 	Candidate() bool
 }
 
@@ -47,7 +47,7 @@
 	// Domain is the failure domain, Holder this instance's name and incarnation.
 	Domain, Holder string
 	KeyValue       platform.KeyValue
-	// Weights staggers the loads; nil when the platform has no weight store.
+	// Weights staggers the loads; nil if the platform has no weight store.
 	Weights platform.WeightStore
 	Engines Engines
 	Source  Source
@@ -55,32 +55,31 @@
 	Log     zerolog.Logger
 }
 
-// Controller takes and keeps the lease of its failure domain, and while it holds
-// that, brings the engines to their declared versions.
+// Controller acquires and renews the lease of its failure domain. While it holds the
+// lease it brings the engines to their declared versions.
 type Controller struct {
 	Dependencies
 	term atomic.Pointer[term]
-	// claim is the last attempt at the lease whose answer was lost, look when to
-	// look at the key again; they belong to the loop of hold.
+	// leaseAttempt is the last lease request if its reply was lost, and nextCheck the
+	// time of the next check of the key. Only the loop of maintainLease uses them.
 	leaseAttempt *leaseAttempt
 	nextCheck    time.Time
 
-	// The rest belongs to the loop of give.
+	// current is used only by the loop of sendOrders.
 	current termState
 }
 
-// New returns a controller.
 func New(dependencies Dependencies) *Controller {
 	return &Controller{Dependencies: dependencies}
 }
 
-// Holding reports whether this instance is the order-giver.
+// Holding reports whether this instance holds the order lease.
 func (c *Controller) Holding() bool {
 	held := c.term.Load()
 	return held != nil && !held.expired(c.Clock.Now())
 }
 
-// Run works until ctx ends; then it gives the lease back.
+// Run maintains the lease and sends orders until ctx ends; then it releases the lease.
 func (c *Controller) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { every(ctx, func() { c.maintainLease(ctx) }, func() time.Duration { return interval }) })
@@ -95,9 +94,9 @@
 	c.release(bounded, held, "stopping")
 }
 
-// pause is how long the loop of give waits for its next round. It is short when
-// the weight store is free before long: a holder that asks later than it was told
-// to may find the store busy time after time, with loads of other domains.
+// sendPause returns the pause before the next round of sendOrders. It is shorter if
+// the weight store becomes free sooner: a holder that retries later than the store
+// stated may repeatedly find it busy with the loads of other domains.
 func (c *Controller) sendPause() time.Duration {
 	busy := c.current.nextReserve.Sub(c.Clock.Now())
 	if busy <= 0 || busy > interval {
@@ -106,7 +105,7 @@
 	return busy
 }
 
-// every repeats a step until ctx ends, with a pause after each.
+// every repeats a step, followed by a pause, until ctx ends.
 func every(ctx context.Context, step func(), pause func() time.Duration) {
 	for ctx.Err() == nil {
 		step()
--- a/pkg/order/fake_engine_test.go
+++ b/pkg/order/fake_engine_test.go
@@ -9,7 +9,7 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// fakeEngine takes orders, and remembers each that it carried out.
+// fakeEngine accepts orders and records those that it executed.
 type fakeEngine struct {
 	mu     sync.Mutex
 	checks bool
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// backwards returns the first order that was carried out after a newer one: the
-// declared versions are v1, v2 and so on.
+// outOfOrder returns an error for the first order that was executed after a newer one.
+// The declared versions are v1, v2 and so on.
 func (e *fakeEngine) outOfOrder() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// fakeEngines is one process's way to the engines. Each fault strikes once.
+// fakeEngines is one process's connection to the engines. Each fault occurs once.
 type fakeEngines struct {
 	engines map[string]*fakeEngine
 	pause   *pause
@@ -64,11 +64,11 @@
 
 // callFaults are faults of the next call.
 type callFaults struct {
-	// pauseAfterRead pauses the process when it has read an engine's state.
+	// pauseAfterRead pauses the process after it has read an engine's state.
 	pauseAfterRead time.Duration
-	// pauseAfterPermit pauses it when an order was permitted, before that leaves.
+	// pauseAfterPermit pauses it after an order was permitted, before it is sent.
 	pauseAfterPermit time.Duration
-	// late fails an order's call, and delivers the order after so long.
+	// late fails an order's call, and delivers the order after this delay.
 	late time.Duration
 }
 
@@ -78,7 +78,7 @@
 	change(&f.faults)
 }
 
-// take returns one of the faults, and takes it away.
+// take returns one of the faults and clears it.
 func (f *fakeEngines) take(fault *time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/order/fakes_test.go
+++ b/pkg/order/fakes_test.go
@@ -12,7 +12,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-// pause stops a process: its calls wait until it goes on.
+// pause suspends a process: its calls wait until the pause ends.
 type pause struct {
 	mu    sync.Mutex
 	until time.Time
@@ -33,8 +33,8 @@
 	}
 }
 
-// fakeSource is a declaration that a test changes, seen by every process, and
-// the engines' reports.
+// fakeSource provides a declaration that the test changes, the same for every process,
+// and the engines' load reports.
 type fakeSource struct {
 	engines     map[string]*fakeEngine
 	mu          sync.Mutex
@@ -59,7 +59,7 @@
 
 func (s *fakeSource) Candidate() bool { return true }
 
-// process is a controller with its faults.
+// process is a controller with fault injection.
 type process struct {
 	controller *Controller
 	engines    *fakeEngines
--- a/pkg/order/lease.go
+++ b/pkg/order/lease.go
@@ -9,19 +9,19 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// claim is an attempt at the lease.
+// leaseAttempt is an attempt to acquire the lease.
 type leaseAttempt struct {
 	lease platform.LeaseID
-	// value is what the attempt writes; it names the holder and the lease.
+	// value is the entry that the attempt writes; it names the holder and the lease.
 	value string
-	// begun is just before the lease was asked for.
+	// requested is the time just before the lease request.
 	requested time.Time
 }
 
-// key is where the failure domain's order-giver is written.
+// key returns the key of the failure domain's lease holder.
 func (c *Controller) key() string { return "order/" + c.Domain }
 
-// hold takes the lease, renews it, or notices that it has ended.
+// maintainLease acquires the lease, renews it, or detects its expiry.
 func (c *Controller) maintainLease(ctx context.Context) {
 	held := c.term.Load()
 	now := c.Clock.Now()
@@ -56,7 +56,7 @@
 		return
 	}
 	if attempt != nil {
-		// Should the attempt be still under way, it fails without its lease.
+		// If the attempt's write is still in flight, it fails without its lease.
 		_ = c.KeyValue.Revoke(ctx, attempt.lease)
 	}
 	if c.Source.Candidate() {
@@ -64,7 +64,8 @@
 	}
 }
 
-// ask asks for the lease. When the answer is lost, the next look at the key tells.
+// requestLease requests the lease. If the reply is lost, the next check of the key
+// shows the result.
 func (c *Controller) requestLease(ctx context.Context) {
 	requested := c.Clock.Now()
 	lease, err := c.KeyValue.Grant(ctx, LeaseTTL)
@@ -78,7 +79,7 @@
 	case err == nil:
 		c.startTerm(attempt, revision)
 	case errors.Is(err, platform.ErrConflict):
-		// Nobody else can use this lease; left alone it ends by itself.
+		// No other process uses this lease; if the call fails the lease expires.
 		_ = c.KeyValue.Revoke(ctx, lease)
 	default:
 		c.leaseAttempt = attempt
@@ -93,8 +94,8 @@
 	c.Log.Info().Str("domain", c.Domain).Int64("revision", revision).Msg("order-lease-taken")
 }
 
-// renew renews the lease. A failed call changes nothing: the lease runs on from
-// the last renewal that was answered.
+// renew renews the lease. After a failed call the lease still lasts from the last
+// confirmed renewal.
 func (c *Controller) renew(ctx context.Context, held *term, requested time.Time) {
 	ttl, err := c.KeyValue.KeepAlive(ctx, held.lease)
 	if errors.Is(err, platform.ErrLeaseLost) {
@@ -109,16 +110,16 @@
 	c.term.CompareAndSwap(held, &longer)
 }
 
-// drop ends a tenure here.
+// endTerm ends a term locally.
 func (c *Controller) endTerm(held *term, cause string) {
 	if c.term.CompareAndSwap(held, nil) {
 		c.Log.Warn().Str("domain", c.Domain).Int64("revision", held.revision).Str("cause", cause).Msg("order-lease-ended")
 	}
 }
 
-// release ends a tenure here and at the service.
+// release ends a term locally and in the key-value service.
 func (c *Controller) release(ctx context.Context, held *term, cause string) {
 	c.endTerm(held, cause)
-	// Unanswered, the lease ends by itself.
+	// If the call fails the lease expires.
 	_ = c.KeyValue.Revoke(ctx, held.lease)
 }
--- a/pkg/order/order_test.go
+++ b/pkg/order/order_test.go
@@ -16,8 +16,8 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-// settle is longer than any takeover: a lease that ends, a new one, the wait for
-// orders of the old one, and the rounds between.
+// settleTime is longer than any takeover: the expiry of a lease, a new lease, the wait
+// for orders of the old holder, and the rounds between.
 const settleTime = 3*LeaseTTL + 2*checkInterval + 10*interval
 
 func declared(version string, checks bool, engines ...string) *config.Declaration {
@@ -31,8 +31,8 @@
 	return declaration
 }
 
-// scene is two candidates before one engine that has v1 as declared; the first
-// holds the lease.
+// harness is two candidates and one engine with the declared version v1; the first
+// candidate holds the lease.
 type harness struct {
 	service       *platformtest.Service
 	engine        *fakeEngine
@@ -46,7 +46,7 @@
 	engines := map[string]*fakeEngine{"nurse-1": s.engine}
 	s.source = &fakeSource{engines: engines, declaration: declared("v1", checks, "nurse-1")}
 	s.first = startProcess(t.Context(), "lar-1", s.service, engines, s.source)
-	time.Sleep(settleTime + interval/2) // between two looks of the first
+	time.Sleep(settleTime + interval/2) // between two checks of the first
 	s.second = startProcess(t.Context(), "lar-2", s.service, engines, s.source)
 	return s
 }
@@ -58,7 +58,7 @@
 
 func (s *harness) declare(version string) { s.source.declare(declared(version, s.checks, "nurse-1")) }
 
-// took reports whether the engine carried out an order for a version.
+// took reports whether the engine executed an order for a version.
 func (s *harness) took(version string) bool {
 	return slices.ContainsFunc(s.engine.taken, func(load Load) bool { return load.Version == version })
 }
@@ -68,8 +68,8 @@
 	for name, test := range map[string]struct {
 		checks bool
 		faults callFaults
-		// took says that the disturbed order is carried out, which is backwards
-		// when a newer one was before it.
+		// took means that the disturbed order is executed, which is outOfOrder if a
+		// newer one was executed before it.
 		took, outOfOrder bool
 	}{
 		"checking, paused before the permit": {checks: true, faults: callFaults{pauseAfterRead: long}},
@@ -78,7 +78,7 @@
 		"ignoring, paused past the lease":    {checks: false, faults: callFaults{pauseAfterPermit: LeaseTTL + 5*time.Second}, took: true},
 		"checking, delayed by the network":   {checks: true, faults: callFaults{late: long}, took: true}, // sent again at once
 		"ignoring, paused past the lease and the wait": {
-			// Nothing can stop this order; the next reading mends it.
+			// This order cannot be prevented; the next reading of the engine corrects it.
 			checks: false, faults: callFaults{pauseAfterPermit: long}, took: true, outOfOrder: true,
 		},
 	} {
@@ -89,7 +89,7 @@
 				defer s.close()
 				s.first.engines.set(func(f *callFaults) { *f = test.faults })
 				s.declare("v2")
-				time.Sleep(2 * interval) // the fault has struck
+				time.Sleep(2 * interval) // the fault has occurred
 				s.declare("v3")
 				time.Sleep(long + settleTime)
 				is.Equal(s.engine.read().Version, "v3")
@@ -143,8 +143,8 @@
 	return max(0, time.Until(s.until)), nil
 }
 
-// A holder asks again as soon as the store said that it would be free, not only at
-// a later round of its own, when other domains may have taken the place.
+// A holder retries at the time when the store stated that it would be free, not at its
+// next regular round, when other domains may have taken the slot.
 func TestBusyWeightStoreIsRetriedWhenFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -157,7 +157,7 @@
 				cancel()
 			}
 		}, c.sendPause)
-		is.Equal(store.asked, []time.Time{start, store.until}) // once in vain, and then in time
+		is.Equal(store.asked, []time.Time{start, store.until}) // once while busy, then when free
 	})
 }
 
@@ -175,7 +175,7 @@
 		"two":                      {states: map[string]State{"nurse-1": old, "nurse-2": old, "nurse-3": old}, loads: 2, want: []string{"nurse-1", "nurse-2"}},
 		"one loads already":        {states: map[string]State{"nurse-1": {Version: "v1", Loading: "v2"}, "nurse-2": old}},
 		"the wrong one is loading": {states: map[string]State{"nurse-1": old, "nurse-2": {Loading: "v0"}}, want: []string{"nurse-2"}},
-		"in doubt counts":          {states: map[string]State{"nurse-2": old}, unverified: map[string]bool{"nurse-1": true}},
+		"unverified counts":        {states: map[string]State{"nurse-2": old}, unverified: map[string]bool{"nurse-1": true}},
 		"unread is left alone":     {states: map[string]State{}},
 		"as declared":              {states: map[string]State{"nurse-1": {Version: "v2"}}},
 	} {
@@ -190,10 +190,11 @@
 	}
 }
 
-// TestOldOrdersNeverFollowNewerOnes disturbs two candidates, the service and the
-// declaration at random. Checking engines never go backwards; ignoring ones do
-// not when no pause after a permit outlasts the new holder's wait, and the
-// network delivers within the flight. All end as declared.
+// TestOldOrdersNeverFollowNewerOnes injects random faults into two candidates and the
+// key-value service while the declaration changes. Engines that check fencing numbers
+// never execute an older order after a newer one. Engines that ignore them do not either
+// if no pause after a permit outlasts the new holder's wait and the network delivers
+// within FlightMargin. All engines end as declared.
 func TestOldOrdersNeverFollowNewerOnes(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		checks := rapid.Bool().Draw(draw, "checks")
--- a/pkg/order/orderhttp/client.go
+++ b/pkg/order/orderhttp/client.go
@@ -1,8 +1,8 @@
 // Package orderhttp sends orders to model engines over HTTP.
 //
-// Guarantees: the permit is asked for after the connection stands, as the last
-// thing before the order's bytes are written; a call that ends early resets its
-// connection, so that the machine does not go on sending the order.
+// Guarantees: permit is called after the connection is established, immediately before
+// the order is written; a call that ends early resets its connection, so that the
+// kernel does not send the rest of the order.
 package orderhttp
 
 import (
@@ -21,21 +21,21 @@
 )
 
 const (
-	// callTimeout bounds each call; it is within order.FlightMargin.
+	// callTimeout bounds each call, within order.FlightMargin.
 	callTimeout = order.FlightMargin * 3 / 4
-	// maxAnswer bounds an answer that is read, in bytes.
+	// maxAnswer bounds the size of an answer, in bytes.
 	maxAnswer = 1 << 20
 )
 
-// Dial connects to an engine.
+// Dial opens a connection to an engine.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Client is an order.Engines.
+// Client implements order.Engines over HTTP.
 type Client struct{ http *http.Client }
 
 var _ order.Engines = (*Client)(nil)
 
-// New returns a client that makes its connections with dial.
+// New returns a client that opens its connections with dial.
 func New(dial Dial) *Client {
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -47,11 +47,11 @@
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// abortive is a connection whose closing can be made to discard unsent data.
+// abortive is a connection that can discard unsent data when closed.
 type abortive interface{ SetLinger(seconds int) error }
 
-// ErrNotAbortive: dial returned a connection that can't be made to discard
-// unsent data when it is closed.
+// ErrNotAbortive means that dial returned a connection that cannot discard unsent data
+// when closed.
 var ErrNotAbortive = errors.New("connection can't be reset")
 
 func dialAbortive(ctx context.Context, dial Dial, network, address string) (net.Conn, error) {
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// guardedBody asks for the permit at each read. The transport reads a body once
-// its connection stands, and writes what it read at once.
+// guardedBody calls permit before each read. The transport reads a body once its
+// connection is established, and writes what it read immediately.
 type guardedBody struct {
 	permit func() error
 	rest   *bytes.Reader
--- a/pkg/order/orderhttp/client_test.go
+++ b/pkg/order/orderhttp/client_test.go
@@ -58,11 +58,11 @@
 
 	connected.Store(false)
 	refuse := func() error {
-		is.True(connected.Load()) // asked when the connection stands
+		is.True(connected.Load()) // called once the connection is established
 		return order.ErrNoLease
 	}
 	is.True(errors.Is(client.Send(t.Context(), load("v3", 10), refuse), order.ErrNoLease))
-	is.Equal(len(j.Entries("nurse-1")), 2) // nothing of the third arrived
+	is.Equal(len(j.Entries("nurse-1")), 2) // the third order did not arrive
 }
 
 func TestCallsEndByTheirDeadline(t *testing.T) {
--- a/pkg/order/plan.go
+++ b/pkg/order/plan.go
@@ -4,17 +4,17 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// State is what an engine says of the orders that it took.
+// State is an engine's order state.
 type State struct {
-	// Version is loaded; Loading is being loaded, or empty.
+	// Version is the loaded version; Loading the one being loaded, or empty.
 	Version, Loading string
-	// Fence is the highest fencing number that it has seen.
+	// Fence is the highest fencing number that the engine has seen.
 	Fence int64
 }
 
-// Load tells an engine to load a version of a model.
+// Load is an order to load a version of a model.
 type Load struct {
-	// ID names the order.
+	// ID is the order's ID.
 	ID string
 	// Upstream is the engine.
 	Upstream config.Upstream
@@ -23,7 +23,7 @@
 	Fence    int64
 }
 
-// wanted returns the engines of a failure domain whose version is declared.
+// declaredEngines returns the engines of a failure domain with a declared version.
 func declaredEngines(declaration *config.Declaration, domain string) []config.Upstream {
 	var engines []config.Upstream
 	for _, upstream := range declaration.Upstreams {
@@ -34,10 +34,10 @@
 	return engines
 }
 
-// plan returns the engines that are to load their declared version now, in the
-// order of the declaration. At most loads engines load at the same time; one
-// that is in doubt, since an order to it had no answer, counts as loading.
-// Engines without a state are left alone.
+// plan returns the engines that should load their declared version now, in the order
+// of the declaration. At most loads engines load concurrently; an unverified engine,
+// with an order that got no reply, counts as loading. Engines without a state are
+// skipped.
 func plan(engines []config.Upstream, states map[string]State, unverified map[string]bool, loads int) []config.Upstream {
 	var next []config.Upstream
 	spare := max(loads, 1)
@@ -52,7 +52,7 @@
 		switch {
 		case !known, state.Loading == engine.Version:
 		case state.Loading != "":
-			// It loads the wrong version; the new order takes that one's place.
+			// It loads the wrong version; the new order replaces that load.
 			next = append(next, engine)
 		case state.Version != engine.Version && spare > 0:
 			next = append(next, engine)
--- a/pkg/order/reserve_schedule_test.go
+++ b/pkg/order/reserve_schedule_test.go
@@ -16,14 +16,14 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-// lender lends one load in each slot, to who asks first.
+// weightStore grants one load per slot, to the first request.
 type weightStore struct {
 	slot time.Duration
 	mu   sync.Mutex
 	free time.Time
 }
 
-// reserve is a reservation as it reaches the store.
+// reserve handles a reservation that has arrived at the store.
 func (l *weightStore) reserve() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,7 +35,7 @@
 	return 0
 }
 
-// distant is the lender as it is reached from a failure domain, a way off.
+// remoteStore is the store as seen from a failure domain with a one-way delay.
 type remoteStore struct {
 	weightStore *weightStore
 	delay       time.Duration
@@ -48,7 +48,7 @@
 	return d.weightStore.reserve(), nil
 }
 
-// domainOfThree is a failure domain with three engines and its order-giver.
+// testDomain is a failure domain with three engines and the holder of its lease.
 type testDomain struct {
 	engines map[string]*fakeEngine
 	names   []string
@@ -84,7 +84,7 @@
 	return d
 }
 
-// loaded is how many of the domain's engines have taken their order.
+// loaded returns the number of the domain's engines that have executed their order.
 func (d *testDomain) loaded() int {
 	count := 0
 	for _, engine := range d.engines {
@@ -95,11 +95,10 @@
 	return count
 }
 
-// TestDomainsTakeTurnsAtTheWeightStore: a new version is declared for the engines of three
-// failure domains at once, and the weight store lends one load in two seconds. Two domains lie
-// beside it, one in another region, 55 ms away, whose asks come last each time. Without turns
-// it got nothing until the others had all their loads: its callers stayed on the old version
-// for as long as all others together took.
+// A new version is declared for three failure domains at once. Two are near the weight store,
+// and one is in another region, 55 ms away, so its reservations always arrive last. The test
+// guards against starvation: without reserveSchedule the remote domain got no load until the
+// others had all of theirs, and its callers stayed on the old version until then.
 func TestWeightStoreIsSharedFairlyAmongDomains(t *testing.T) {
 	for _, slot := range []time.Duration{2 * time.Second, 500 * time.Millisecond} {
 		t.Run(slot.String(), func(t *testing.T) {
--- a/pkg/order/send.go
+++ b/pkg/order/send.go
@@ -12,16 +12,17 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// ErrStaleFence: an engine has seen a higher fencing number.
+// ErrStaleFence means that an engine has seen a higher fencing number.
 var ErrStaleFence = errors.New("engine has seen a higher fencing number")
 
-// ErrWeightsBusy: the weight store lends no further load now.
+// ErrWeightsBusy means that the weight store grants no further load now.
 var ErrWeightsBusy = errors.New("weight store is busy")
 
-// readLimit bounds the engines that are read at the same time.
+// readLimit bounds the concurrent reads of engine states.
 const readLimit = 8
 
-// give reads the engines that need it and sends the orders that are due.
+// sendOrders reads the engines that are not known to be up to date and sends the
+// orders that are due.
 func (c *Controller) sendOrders(ctx context.Context) {
 	held := c.term.Load()
 	declaration := c.Source.Declaration()
@@ -44,8 +45,8 @@
 	}
 }
 
-// read returns the state of every engine that is not known to be as declared,
-// and remembers those that are.
+// readStates returns the state of every engine that is not known to be up to date,
+// and records the versions that it read.
 func (c *Controller) readStates(ctx context.Context, engines []config.Upstream) map[string]State {
 	var mu sync.Mutex
 	states := make(map[string]State, len(engines))
@@ -80,8 +81,8 @@
 	return states
 }
 
-// noteUnread remembers which engines could not be read, and logs the first failure of each
-// in a row: without a state an engine gets no order.
+// recordUnread records the engines that could not be read, and logs the first of
+// consecutive failures of each: without a state an engine gets no order.
 func (c *Controller) recordUnread(failed map[string]error) {
 	for name, err := range failed {
 		if !c.current.unread[name] {
@@ -94,8 +95,8 @@
 	}
 }
 
-// settled reports whether an engine was read to be as declared, and its load
-// report says the same.
+// upToDate reports whether both an engine's last read state and its load report show
+// the declared version.
 func (c *Controller) upToDate(engine config.Upstream) bool {
 	reported, ok := c.Source.Reported(engine.Name)
 	agrees := ok && reported == engine.Version
@@ -103,7 +104,7 @@
 	return agrees && !unverified && c.current.confirmed[engine.Name] == engine.Version
 }
 
-// superseded reports whether an engine has taken an order of a later holder.
+// superseded reports whether an engine has accepted an order of a later holder.
 func (c *Controller) superseded(states map[string]State) bool {
 	highest := c.current.fence()
 	for _, state := range states {
@@ -114,11 +115,11 @@
 	return false
 }
 
-// sendOne sends an engine its order; false ends this round.
+// sendOrder sends one engine its order; false ends this round.
 func (c *Controller) sendOrder(ctx context.Context, engine config.Upstream) bool {
 	permit := func() error { return c.permit(c.current.lease, engine.ChecksFencing) }
 	if err := permit(); err != nil {
-		// The weight store need not be asked. The check that counts is in Send.
+		// This only saves a weight store call. Send makes the authoritative check.
 		c.logHeld(engine, err)
 		return true
 	}
@@ -149,7 +150,7 @@
 	}
 }
 
-// stepDown gives up the lease that this loop worked under.
+// stepDown releases the lease that this loop used.
 func (c *Controller) stepDown(ctx context.Context) {
 	held := c.term.Load()
 	if held != nil && held.lease == c.current.lease {
@@ -157,7 +158,7 @@
 	}
 }
 
-// permit says whether an order may leave now under the lease.
+// permit returns an error unless an order may be sent now under the lease.
 func (c *Controller) permit(lease platform.LeaseID, checks bool) error {
 	held := c.term.Load()
 	if held == nil || held.lease != lease {
@@ -166,7 +167,7 @@
 	return held.permit(c.Clock.Now(), checks)
 }
 
-// reserve asks the weight store for a load; false when it is busy or silent.
+// reserve reserves a load in the weight store; false if it is busy or unreachable.
 func (c *Controller) reserve(ctx context.Context, engine config.Upstream) bool {
 	if c.Weights == nil {
 		return true
@@ -189,7 +190,7 @@
 	return true
 }
 
-// noteHeld logs why an engine's order is held back, when the reason is another than before.
+// logHeld logs why an engine's order is held back, if the reason has changed.
 func (c *Controller) logHeld(engine config.Upstream, reason error) {
 	text := reason.Error()
 	if c.current.heldReason == text {
--- a/pkg/order/term_state.go
+++ b/pkg/order/term_state.go
@@ -6,25 +6,26 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// doubtTime is how long an order without a clear answer, to an engine that can't
-// be read, counts as a load that goes on.
+// unverifiedTimeout is the time that an order without a clear reply, to an engine that
+// cannot be read, counts as a load in progress.
 const unverifiedTimeout = time.Minute
 
-// tally is what the loop of give remembers of one tenure.
+// termState is the state of the sendOrders loop in one term.
 type termState struct {
 	lease    platform.LeaseID
 	revision int64
-	// sent counts the orders.
+	// sent is the number of orders sent.
 	sent int64
-	// doubt holds when an engine was sent an order, until it is read again.
+	// unverified holds the time of an engine's last order, until it is read again.
 	unverified map[string]time.Time
-	// confirmed holds the versions that engines were read to have.
+	// confirmed holds the versions read from engines that load nothing.
 	confirmed map[string]string
-	// unread holds the engines whose state the last reading did not get.
+	// unread holds the engines that the last round failed to read.
 	unread map[string]bool
-	// held is why the last order was held back; empty when it was sent.
+	// heldReason is why the last order was held back; empty if it was sent.
 	heldReason string
-	// wait is until when the weight store is busy, or others go first.
+	// nextReserve is the time of the next reservation: the weight store is busy, or
+	// this domain yields to others, until then.
 	nextReserve     time.Time
 	reserveSchedule reserveSchedule
 }
@@ -42,7 +43,7 @@
 // fence returns the fencing number of the last order sent.
 func (t *termState) fence() int64 { return t.revision<<sequenceBits | t.sent }
 
-// recentDoubt returns the engines that may be loading without saying so.
+// possiblyLoading returns the engines that may be loading without having confirmed it.
 func (t *termState) possiblyLoading(now time.Time) map[string]bool {
 	recent := make(map[string]bool, len(t.unverified))
 	for name, sent := range t.unverified {
