--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -79,14 +79,14 @@
 	Status int
 	Header http.Header
 	// Length is the body's length; -1 when it is not stated.
-	Length int64
-	body   io.ReadCloser
-	conn   *conn
-	pool   *Pool
-	stop   func() bool
-	reuse  bool
-	whole  bool
-	closed bool
+	Length   int64
+	body     io.ReadCloser
+	conn     *conn
+	pool     *Pool
+	stop     func() bool
+	reuse    bool
+	complete bool
+	closed   bool
 }
 
 // earlyAnswerWait is how long an answer is awaited after the request could not be
@@ -101,36 +101,36 @@
 // the answer included; the error is an *Error.
 func (p *Pool) Do(ctx context.Context, target Target, request *Request) (*Answer, error) {
 	for stale := 0; ; stale++ {
-		c, kept, err := p.take(ctx, target)
+		c, reused, err := p.get(ctx, target)
 		if err != nil {
 			return nil, &Error{Stage: Unsent, Target: target, Err: err}
 		}
-		answer, err := p.on(ctx, c, target, request)
+		answer, err := p.roundTrip(ctx, c, target, request)
 		var failure *Error
 		unsent := errors.As(err, &failure) && failure.Stage == Unsent
-		if !unsent || !kept || stale == maxStale || ctx.Err() != nil {
+		if !unsent || !reused || stale == maxStale || ctx.Err() != nil {
 			return answer, err
 		}
 	}
 }
 
 // on sends the request on a connection.
-func (p *Pool) on(ctx context.Context, c *conn, target Target, request *Request) (*Answer, error) {
+func (p *Pool) roundTrip(ctx context.Context, c *conn, target Target, request *Request) (*Answer, error) {
 	stop := context.AfterFunc(ctx, c.abort)
 	written, err := c.send(request)
 	if err != nil && written == 0 {
 		stop()
-		p.drop(c)
+		p.discard(c)
 		return nil, &Error{Stage: Unsent, Target: target, Err: errors.Join(err, ctx.Err())}
 	}
-	whole := err == nil
-	if !whole {
-		c.limitWait(earlyAnswerWait)
+	complete := err == nil
+	if !complete {
+		c.setReadTimeout(earlyAnswerWait)
 	}
-	response, skipped, readErr := c.head(request)
+	response, skipped, readErr := c.readHead(request)
 	if readErr != nil {
 		stop()
-		p.drop(c)
+		p.discard(c)
 		return nil, &Error{Stage: Sent, Target: target, Err: errors.Join(err, readErr, ctx.Err())}
 	}
 	return &Answer{
@@ -141,7 +141,7 @@
 		conn:   c,
 		pool:   p,
 		stop:   stop,
-		reuse:  whole && skipped == 0 && !response.Close && framed(response),
+		reuse:  complete && skipped == 0 && !response.Close && framed(response),
 	}, nil
 }
 
@@ -154,13 +154,13 @@
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
 
 // Whole says whether the body was read to its end.
-func (a *Answer) Whole() bool { return a.whole }
+func (a *Answer) Whole() bool { return a.complete }
 
 // DisableReuse keeps the connection from being used again.
 func (a *Answer) DisableReuse() { a.reuse = false }
@@ -171,11 +171,11 @@
 		return
 	}
 	a.closed = true
-	if !a.stop() || !a.whole || !a.reuse || a.conn.reader.Buffered() > 0 {
-		a.pool.drop(a.conn)
+	if !a.stop() || !a.complete || !a.reuse || a.conn.reader.Buffered() > 0 {
+		a.pool.discard(a.conn)
 		return
 	}
-	a.pool.keep(a.conn, idleTime(a.Header))
+	a.pool.putIdle(a.conn, idleTimeoutOf(a.Header))
 }
 
 // send writes the request and tells how many of its bytes were handed over.
@@ -215,11 +215,11 @@
 const maxSkipped = 2
 
 // errForeign: the server answered other requests only.
-var errForeign = errors.New("answers to other requests only")
+var errMismatched = errors.New("answers to other requests only")
 
 // head reads the head of the request's final answer, and says how many answers to
 // other requests came before it: a server may send one late or twice.
-func (c *conn) head(request *Request) (response *http.Response, skipped int, err error) {
+func (c *conn) readHead(request *Request) (response *http.Response, skipped int, err error) {
 	asked := &http.Request{Method: request.Method}
 	for {
 		response, err = http.ReadResponse(c.reader, asked)
@@ -233,7 +233,7 @@
 			return response, skipped, nil
 		}
 		if skipped == maxSkipped || !framed(response) {
-			return nil, skipped, errForeign
+			return nil, skipped, errMismatched
 		}
 		skipped++
 		if _, err = io.Copy(io.Discard, response.Body); err != nil {
--- a/pkg/exchange/pool.go
+++ b/pkg/exchange/pool.go
@@ -53,7 +53,7 @@
 }
 
 // take returns a kept connection that is still sound, or a new one.
-func (p *Pool) take(ctx context.Context, target Target) (c *conn, kept bool, err error) {
+func (p *Pool) get(ctx context.Context, target Target) (c *conn, reused bool, err error) {
 	for {
 		c, fresh, err := p.reserve(target)
 		if err != nil {
@@ -63,10 +63,10 @@
 			c, err = p.connect(ctx, target)
 			return c, false, err
 		}
-		if p.now().Before(c.expires) && c.quiet() {
+		if p.now().Before(c.expires) && c.usable() {
 			return c, true, nil
 		}
-		p.drop(c)
+		p.discard(c)
 	}
 }
 
@@ -114,16 +114,16 @@
 }
 
 // drop closes a connection for good.
-func (p *Pool) drop(c *conn) {
+func (p *Pool) discard(c *conn) {
 	// A failed close leaves nothing to be done: the connection is not used again.
 	_ = c.Close()
 	p.release(c.target)
 }
 
 // keep puts a connection aside for later requests.
-func (p *Pool) keep(c *conn, idle time.Duration) {
+func (p *Pool) putIdle(c *conn, idle time.Duration) {
 	if idle <= 0 {
-		p.drop(c)
+		p.discard(c)
 		return
 	}
 	c.expires = p.now().Add(idle)
@@ -144,7 +144,7 @@
 // Sweep closes idle connections that have expired. Call it every second or so.
 func (p *Pool) Sweep() {
 	for _, c := range p.expired() {
-		p.drop(c)
+		p.discard(c)
 	}
 }
 
@@ -177,7 +177,7 @@
 	}
 	p.mu.Unlock()
 	for _, c := range all {
-		p.drop(c)
+		p.discard(c)
 	}
 }
 
@@ -185,14 +185,14 @@
 func (c *conn) abort() { _ = c.Close() }
 
 // limitWait bounds how long the next reads may wait.
-func (c *conn) limitWait(d time.Duration) {
+func (c *conn) setReadTimeout(d time.Duration) {
 	// Without the deadline the exchange's own context still ends the wait.
 	_ = c.SetReadDeadline(time.Now().Add(d))
 }
 
 // quiet says whether an idle connection is open and has nothing to read. One that
 // was closed, or on which bytes came that no request asked for, is not.
-func (c *conn) quiet() bool {
+func (c *conn) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -205,26 +205,26 @@
 		return false
 	}
 	var one [1]byte
-	quiet := false
+	usable := false
 	err = control.Read(func(fd uintptr) bool {
 		_, readErr := syscall.Read(int(fd), one[:])
-		quiet = readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK
+		usable = readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
 
 // Idle times of kept connections.
 const (
 	// defaultIdle is used where a server does not say how long it keeps a
 	// connection; short, so that one that was closed without notice is rarely met.
-	defaultIdle = 4 * time.Second
+	defaultIdleTimeout = 4 * time.Second
 	// idleMargin is taken off what a server says: the time of a request's way there.
 	idleMargin = time.Second
 )
 
 // idleTime is how long a connection may be kept after an answer with that header.
-func idleTime(header http.Header) time.Duration {
+func idleTimeoutOf(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
@@ -236,5 +236,5 @@
 		}
 		return time.Duration(seconds)*time.Second - idleMargin
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
