--- a/pkg/engineapi/engineapi.go
+++ b/pkg/engineapi/engineapi.go
@@ -1,6 +1,6 @@
-// Package engineapi holds the messages that model engines exchange with
-// lilacweir: the chat-completions API with streaming, and the small set of
-// control endpoints beside it. The headers are in package header.
+// Package engineapi defines the messages between model engines and lilacweir: the
+// chat-completions API with streaming, and the control endpoints. The headers are
+// in package header.
 package engineapi
 
 import "github.com/lilacweir/lilacweir/pkg/prefix"
@@ -14,7 +14,7 @@
 	PathOrders      = "/v1/orders"
 )
 
-// StreamDone is the data of the event that ends a whole stream.
+// StreamDone is the data of the event that ends a complete stream.
 const StreamDone = "[DONE]"
 
 // Priorities of a request.
@@ -60,7 +60,7 @@
 	Content string `json:"content"`
 }
 
-// ChatAnswer is the whole answer when no stream was asked for.
+// ChatAnswer is the answer to a request without streaming.
 type ChatAnswer struct {
 	ID      string         `json:"id"`
 	Object  string         `json:"object"`
@@ -69,7 +69,7 @@
 	Usage   Usage          `json:"usage"`
 }
 
-// AnswerChoice holds the whole text.
+// AnswerChoice holds the complete text.
 type AnswerChoice struct {
 	Index        int            `json:"index"`
 	Message      prefix.Message `json:"message"`
@@ -92,8 +92,8 @@
 	Running     int `json:"running"`
 	Queued      int `json:"queued"`
 	Concurrency int `json:"concurrency"`
-	// DecodeRate is tokens a second for one stream at the present batch,
-	// PrefillRate prompt tokens a second.
+	// DecodeRate is in tokens per second for one stream at the current batch size,
+	// PrefillRate in prompt tokens per second.
 	DecodeRate  float64 `json:"decode_rate"`
 	PrefillRate float64 `json:"prefill_rate"`
 	Version     string  `json:"version"`
@@ -116,8 +116,8 @@
 	Prefix   string `json:"prefix"`
 }
 
-// CacheEvents is the answer of GET PathCacheEvents?after=N. Events come late,
-// and some are missing.
+// CacheEvents is the answer of GET PathCacheEvents?after=N. Events may be late or
+// missing.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 }
@@ -129,17 +129,16 @@
 	OrderRole   = "role"
 )
 
-// Order is the body of POST PathOrders. An engine that checks fencing numbers
-// answers 412 to one below the highest that it has seen.
+// Order is the body of POST PathOrders. An engine that checks fencing numbers answers
+// 412 if the number is below the highest that it has seen.
 type Order struct {
-	// ID names the order.
 	ID    string `json:"id"`
 	Kind  string `json:"kind"`
 	Model string `json:"model"`
-	// Version is for OrderLoad, Role for OrderRole.
+	// Version is set for OrderLoad, Role for OrderRole.
 	Version string `json:"version,omitempty"`
 	Role    string `json:"role,omitempty"`
-	// Fence is the order-giver's fencing number.
+	// Fence is the fencing number of the order.
 	Fence int64 `json:"fence"`
 }
 
@@ -148,13 +147,13 @@
 
 // OrderState is the answer of GET PathOrders.
 type OrderState struct {
-	// Version is what is loaded; Loading is what is being loaded.
+	// Version is the loaded version; Loading the one being loaded.
 	Version string `json:"version"`
 	Loading string `json:"loading,omitempty"`
 	Role    string `json:"role,omitempty"`
 	// Fence is the highest fencing number seen.
 	Fence int64 `json:"fence"`
-	// LastOrder is the ID of the last order taken.
+	// LastOrder is the ID of the last accepted order.
 	LastOrder string `json:"last_order,omitempty"`
 }
 
--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -1,10 +1,10 @@
-// Package exchange sends one HTTP/1.1 request over one connection and reads its
-// answer, and keeps connections that showed nothing odd for later requests.
+// Package exchange sends one HTTP/1.1 request over one connection, reads its answer,
+// and pools connections for later requests.
 //
-// Guarantees: a request is written once, to one connection, and never again of the
-// package's own accord; the caller learns whether any byte of it may have left. A
-// connection is used again only after a whole, framed answer, a whole request and
-// not a byte beyond them. A cancelled exchange closes its connection at once.
+// Guarantees: a request is written once, to one connection, and never retried after a
+// byte of it was written; errors state whether any byte of it may have been sent. A
+// connection is reused only after a complete request and a complete, framed answer
+// without excess bytes. A cancelled exchange closes its connection at once.
 package exchange
 
 import (
@@ -20,38 +20,38 @@
 	"time"
 )
 
-// Target is where a request goes.
+// Target is the receiver of a request.
 type Target struct {
-	// ID tells apart the servers that use an address one after the other:
-	// connections are kept for an ID alone.
+	// ID distinguishes servers that successively use one address: connections are
+	// pooled by ID.
 	ID      string
 	Address string
-	// MaxConnections bounds the open connections to the target; zero: no bound.
+	// MaxConnections bounds the open connections to the target; zero means no bound.
 	MaxConnections int
 }
 
-// Request is what is sent. Its header holds end-to-end fields only.
+// Request is a request to send. Its header holds end-to-end fields only.
 type Request struct {
 	Method, URI, Host string
 	Header            http.Header
 	Body              []byte
-	// Matches says whether an answer belongs to this request; others are skipped. Nil:
-	// every answer does.
+	// Matches reports whether an answer belongs to this request; others are skipped.
+	// If nil, every answer does.
 	Matches func(status int, header http.Header) bool
 }
 
-// Stage is how far a failed exchange had come.
+// Stage is the progress of a failed exchange.
 type Stage int
 
 // Stages of an exchange.
 const (
-	// Unsent: not a byte of the request has left.
+	// Unsent means that no byte of the request was sent.
 	Unsent Stage = iota
-	// Sent: some or all of the request has left, and no answer came.
+	// Sent means that some or all of the request was sent and no answer was received.
 	Sent
 )
 
-// Error is an exchange that got no answer.
+// Error is the error of an exchange without an answer.
 type Error struct {
 	Stage  Stage
 	Target Target
@@ -70,7 +70,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// ErrFull: the target's connections are all in use.
+// ErrFull means that all of the target's connections are in use.
 var ErrFull = errors.New("all connections to the target are in use")
 
 // Answer is the head of an answer and its body, which must be read to its end or
@@ -78,7 +78,7 @@
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the body's length; -1 when it is not stated.
+	// Length is the body's length, or -1 if unknown.
 	Length   int64
 	body     io.ReadCloser
 	conn     *conn
@@ -89,16 +89,16 @@
 	closed   bool
 }
 
-// earlyAnswerWait is how long an answer is awaited after the request could not be
-// written to its end: a server that refuses a long request early has sent it by then.
+// earlyAnswerWait bounds the wait for an answer after an incomplete write: a server that
+// refuses a long request early has sent its answer by then.
 const earlyAnswerWait = 50 * time.Millisecond
 
-// maxStale bounds how many kept connections are given up, before a byte was written,
-// for the sake of one request.
+// maxStale bounds the pooled connections that one request may discard because they
+// failed before a byte was written.
 const maxStale = 3
 
-// Do sends the request. The context bounds the exchange as a whole, the body of
-// the answer included; the error is an *Error.
+// Do sends the request. The context bounds the whole exchange, including the body of the
+// answer; errors are *Error.
 func (p *Pool) Do(ctx context.Context, target Target, request *Request) (*Answer, error) {
 	for stale := 0; ; stale++ {
 		c, reused, err := p.get(ctx, target)
@@ -114,7 +114,7 @@
 	}
 }
 
-// on sends the request on a connection.
+// roundTrip sends the request on a connection and reads the answer's head.
 func (p *Pool) roundTrip(ctx context.Context, c *conn, target Target, request *Request) (*Answer, error) {
 	stop := context.AfterFunc(ctx, c.abort)
 	written, err := c.send(request)
@@ -145,12 +145,12 @@
 	}, nil
 }
 
-// framed says whether the answer tells where it ends other than by closing.
+// framed reports whether the answer's end is marked other than by closing.
 func framed(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
-// Read reads the body. io.EOF means that the answer is whole.
+// Read reads the body. io.EOF means that the answer is complete.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if errors.Is(err, io.EOF) {
@@ -159,13 +159,14 @@
 	return n, err
 }
 
-// Whole says whether the body was read to its end.
+// Whole reports whether the body was read to its end.
 func (a *Answer) Whole() bool { return a.complete }
 
-// DisableReuse keeps the connection from being used again.
+// DisableReuse prevents the reuse of the connection.
 func (a *Answer) DisableReuse() { a.reuse = false }
 
-// Close ends the exchange: the connection is kept if nothing was odd, else closed.
+// Close ends the exchange. It returns the connection to the pool if it is reusable, and
+// closes it otherwise.
 func (a *Answer) Close() {
 	if a.closed {
 		return
@@ -178,7 +179,7 @@
 	a.pool.putIdle(a.conn, idleTimeoutOf(a.Header))
 }
 
-// send writes the request and tells how many of its bytes were handed over.
+// send writes the request and returns the number of bytes written.
 func (c *conn) send(request *Request) (int, error) {
 	var head bytes.Buffer
 	head.Grow(headSize)
@@ -202,11 +203,11 @@
 	return int(n), err
 }
 
-// headSize is room for the head of a usual request, in bytes.
+// headSize is the initial buffer size for a request head, in bytes.
 const headSize = 1024
 
-// bodyExpected says whether a request of the method states the length of its body
-// also when that is empty.
+// bodyExpected reports whether a request of the method has a Content-Length even if its
+// body is empty.
 func bodyExpected(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
@@ -214,11 +215,11 @@
 // maxSkipped bounds the answers to other requests that are skipped.
 const maxSkipped = 2
 
-// errForeign: the server answered other requests only.
+// errMismatched means that the server answered other requests only.
 var errMismatched = errors.New("answers to other requests only")
 
-// head reads the head of the request's final answer, and says how many answers to
-// other requests came before it: a server may send one late or twice.
+// readHead reads the head of the request's final answer, and returns the number of skipped
+// answers to other requests: a server may send one late or twice.
 func (c *conn) readHead(request *Request) (response *http.Response, skipped int, err error) {
 	asked := &http.Request{Method: request.Method}
 	for {
@@ -245,6 +246,6 @@
 // newReader returns a buffered reader for a connection's answers.
 func newReader(c net.Conn) *bufio.Reader { return bufio.NewReaderSize(c, readSize) }
 
-// readSize is the buffer for answers, in bytes: a few events of a stream, or a
-// whole small answer.
+// readSize is the buffer size for answers, in bytes: a few events of a stream, or a
+// complete small answer.
 const readSize = 4096
--- a/pkg/exchange/pool.go
+++ b/pkg/exchange/pool.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// Dialer makes connections.
+// Dialer opens connections.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Pool keeps connections to targets. It is safe for concurrent use.
+// Pool holds connections to targets. It is safe for concurrent use.
 type Pool struct {
 	dial Dialer
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout bounds the opening of a connection.
 	dialTimeout time.Duration
 	now         func() time.Time
 	mu          sync.Mutex
@@ -26,13 +26,13 @@
 	dialed      int64
 }
 
-// connections are those to one target.
+// connections are the connections to one target.
 type connections struct {
 	open int
 	idle []*conn
 }
 
-// conn is one connection with what was read ahead of it.
+// conn is one connection with its read buffer.
 type conn struct {
 	net.Conn
 	target  string
@@ -45,14 +45,14 @@
 	return &Pool{dial: dial, dialTimeout: dialTimeout, now: now, targets: make(map[string]*connections)}
 }
 
-// Dialed returns how many connections were made so far.
+// Dialed returns the number of connections opened so far.
 func (p *Pool) Dialed() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dialed
 }
 
-// take returns a kept connection that is still sound, or a new one.
+// get returns a usable idle connection, or a new one.
 func (p *Pool) get(ctx context.Context, target Target) (c *conn, reused bool, err error) {
 	for {
 		c, fresh, err := p.reserve(target)
@@ -70,7 +70,7 @@
 	}
 }
 
-// reserve takes the most recently used idle connection, or counts a new one.
+// reserve takes the most recently used idle connection, or reserves a new one.
 func (p *Pool) reserve(target Target) (c *conn, fresh bool, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,14 +113,14 @@
 	}
 }
 
-// drop closes a connection for good.
+// discard closes a connection.
 func (p *Pool) discard(c *conn) {
-	// A failed close leaves nothing to be done: the connection is not used again.
+	// A failed close needs no handling: the connection is not used again.
 	_ = c.Close()
 	p.release(c.target)
 }
 
-// keep puts a connection aside for later requests.
+// putIdle returns a connection to the pool for later requests.
 func (p *Pool) putIdle(c *conn, idle time.Duration) {
 	if idle <= 0 {
 		p.discard(c)
@@ -132,8 +132,8 @@
 	p.targets[c.target].idle = append(p.targets[c.target].idle, c)
 }
 
-// Connected returns whether there is an idle connection to a target: a request to it saves
-// the round trip that making one takes.
+// Connected reports whether there is an idle connection to a target, which saves a request
+// the round trip of a new connection.
 func (p *Pool) Connected(target string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,17 +181,16 @@
 	}
 }
 
-// abort ends all waiting on the connection.
+// abort interrupts all reads and writes on the connection.
 func (c *conn) abort() { _ = c.Close() }
 
-// limitWait bounds how long the next reads may wait.
+// setReadTimeout sets a timeout for the following reads.
 func (c *conn) setReadTimeout(d time.Duration) {
-	// Without the deadline the exchange's own context still ends the wait.
+	// If this fails the exchange's context still ends the wait.
 	_ = c.SetReadDeadline(time.Now().Add(d))
 }
 
-// quiet says whether an idle connection is open and has nothing to read. One that
-// was closed, or on which bytes came that no request asked for, is not.
+// usable reports whether an idle connection is open and has no unsolicited data to read.
 func (c *conn) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -214,16 +213,17 @@
 	return err == nil && usable
 }
 
-// Idle times of kept connections.
+// Idle times of pooled connections.
 const (
-	// defaultIdle is used where a server does not say how long it keeps a
-	// connection; short, so that one that was closed without notice is rarely met.
+	// defaultIdleTimeout applies if a server does not state its keep-alive timeout. It is
+	// short so that few requests find a connection that the server has closed.
 	defaultIdleTimeout = 4 * time.Second
-	// idleMargin is taken off what a server says: the time of a request's way there.
+	// idleMargin is subtracted from the server's timeout, for the request's transit.
 	idleMargin = time.Second
 )
 
-// idleTime is how long a connection may be kept after an answer with that header.
+// idleTimeoutOf returns the time for which a connection may stay idle after an answer
+// with this header.
 func idleTimeoutOf(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -1,8 +1,8 @@
-// Package outcome holds the three answers that a request can end with, and the
-// typed refusal that carries every answer that is not complete.
+// Package outcome defines the three outcomes of a request, and the typed refusal for
+// every outcome that is not complete.
 //
-// Guarantee: NotRun is claimed only where no upstream was sent any byte of the
-// request, or the upstream itself said that it did not start.
+// Guarantee: NotRun is reported only if no byte of the request was sent to any
+// upstream, or the upstream itself reported that it did not start.
 package outcome
 
 import (
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// Outcome says what became of a request.
+// Outcome is the final result of a request.
 type Outcome string
 
 // The outcomes of a request, typed end to end.
 const (
-	// Complete: the caller received the whole answer.
+	// Complete means that the caller received the complete answer.
 	Complete Outcome = "complete"
-	// NotRun: no upstream started the request.
+	// NotRun means that no upstream started the request.
 	NotRun Outcome = "not-run"
-	// Unknown: the request may have run, in part or as a whole.
+	// Unknown means that the request may have run, partly or completely.
 	Unknown Outcome = "unknown"
 )
 
 // Reason is the machine-readable cause of a refusal.
 type Reason string
 
-// Reasons that callers see. Each is part of the public API.
+// Reasons that callers receive. Each is part of the public API.
 const (
 	ReasonNoConfiguration  Reason = "no-configuration"
 	ReasonUnauthenticated  Reason = "unauthenticated"
@@ -60,7 +60,7 @@
 	ReasonInternal         Reason = "internal"
 )
 
-// Refusal is the typed end of a request that was not answered completely.
+// Refusal is the typed result of a request that was not answered completely.
 type Refusal struct {
 	// Outcome is NotRun or Unknown.
 	Outcome Outcome
@@ -68,14 +68,14 @@
 	Reason Reason
 	// Status is the HTTP status that the caller receives.
 	Status int
-	// RequestID names the request; the API layer fills it in.
+	// RequestID identifies the request; the API layer fills it in.
 	RequestID string
-	// RetryAfter says when to come back; zero means that coming back with the
-	// same request does not help.
+	// RetryAfter is the delay before a retry; zero means that retrying the same
+	// request does not help.
 	RetryAfter time.Duration
-	// Detail is one sentence for a person. It holds no secrets.
+	// Detail is one human-readable sentence. It contains no secrets.
 	Detail string
-	// Err is the cause, if another error led here.
+	// Err is the underlying error, if any.
 	Err error
 }
 
@@ -95,13 +95,13 @@
 	return &Refusal{Outcome: NotRun, Reason: reason, Status: status, RetryAfter: retryAfter, Detail: detail}
 }
 
-// MayHaveRun returns an Unknown refusal: a repeat might run the request twice.
+// MayHaveRun returns an Unknown refusal: a retry might run the request twice.
 func MayHaveRun(status int, reason Reason, retryAfter time.Duration, detail string) *Refusal {
 	return &Refusal{Outcome: Unknown, Reason: reason, Status: status, RetryAfter: retryAfter, Detail: detail}
 }
 
-// Of returns what an error says about its request: Complete for nil, the
-// refusal's outcome where one is wrapped, and Unknown for anything else.
+// Of returns the outcome that an error implies: Complete for nil, the outcome of a
+// wrapped refusal, and Unknown for anything else.
 func Of(err error) Outcome {
 	if err == nil {
 		return Complete
