--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -116,7 +116,7 @@
 		{name: "closed after the body", kind: config.KindService, script: answer(""), want: outcome.Unknown, reason: outcome.ReasonUpstreamFailed},
 		{name: "did not start", kind: config.KindService, script: answer("HTTP/1.1 503 x\r\nX-Not-Started: true\r\nContent-Length: 0\r\n\r\n"), want: outcome.NotRun, reason: outcome.ReasonOverloaded},
 		{name: "not-started header is ignored on success", kind: config.KindService, script: answer("HTTP/1.1 200 OK\r\nX-Not-Started: true\r\nContent-Length: 2\r\n\r\nok"), want: outcome.Complete, headWritten: true},
-		{name: "complete", kind: config.KindService, script: answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), want: outcome.Complete, headWritten: true},
+		{name: "whole", kind: config.KindService, script: answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), want: outcome.Complete, headWritten: true},
 		{name: "shorter than its Content-Length", kind: config.KindService, script: answer("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok"), want: outcome.Unknown, reason: outcome.ReasonUpstreamFailed},
 		{name: "chunked and truncated", kind: config.KindService, script: answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"), want: outcome.Unknown, reason: outcome.ReasonUpstreamFailed},
 		{name: "length unknown", kind: config.KindService, script: answer("HTTP/1.1 200 OK\r\n\r\nok"), want: outcome.Unknown, reason: outcome.ReasonUpstreamFailed},
