--- a/pkg/claim/benchmark_test.go
+++ b/pkg/claim/benchmark_test.go
@@ -20,8 +20,8 @@
 	return Key{Origin: owner.self, Issued: owner.tables[owner.self].now(), Random: fmt.Sprintf("%016x", number)}
 }
 
-// filled returns an owner with complete records of short answers.
-func filled(records int) (*Owner, []Key) {
+// newFilledOwner returns an owner with complete records of short answers.
+func newFilledOwner(records int) (*Owner, []Key) {
 	owner := NewOwner(ownOrigin, clock.System{}, fixedTTL, Limits{})
 	keys := make([]Key, records)
 	for i := range keys {
@@ -37,7 +37,7 @@
 func BenchmarkRepeat(b *testing.B) {
 	for _, records := range benchmarkSizes {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
-			owner, keys := filled(records)
+			owner, keys := newFilledOwner(records)
 			asked := make([]Claim, records)
 			for i, key := range keys {
 				asked[i] = claimOf(key, "front-desk", "other")
@@ -55,7 +55,7 @@
 func BenchmarkBeginFinish(b *testing.B) {
 	for _, records := range benchmarkSizes {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
-			owner, _ := filled(records)
+			owner, _ := newFilledOwner(records)
 			key := benchmarkKey(owner, records)
 			attempts := [2]Claim{claimOf(key, "front-desk", "a"), claimOf(key, "front-desk", "b")}
 			b.ReportAllocs()
@@ -76,7 +76,7 @@
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
 			for b.Loop() {
 				before := heap()
-				owner, _ := filled(records)
+				owner, _ := newFilledOwner(records)
 				b.ReportMetric(float64(heap()-before)/float64(records), "B/record")
 				runtime.KeepAlive(owner)
 			}
@@ -97,7 +97,7 @@
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				owner, _ := filled(records)
+				owner, _ := newFilledOwner(records)
 				successor := NewOwner(Origin{Domain: "hn-a", Instance: "hn-2", Incarnation: 1}, clock.System{}, fixedTTL, Limits{})
 				b.StartTimer()
 				transfer, parts, err := owner.Export("t", asDecider(successor))
--- a/pkg/claim/experiment_test.go
+++ b/pkg/claim/experiment_test.go
@@ -66,7 +66,7 @@
 }
 
 // send begins a request through a random instance and runs it if granted.
-func (e *experiment) send(t *sample) (told string) {
+func (e *experiment) send(t *sample) (reply string) {
 	through := e.anyServing()
 	grant, recorded, refusal := through.coordinator.Begin(context.Background(), Claim{Key: t.key, Caller: propertyCaller})
 	switch {
--- a/pkg/claim/finish.go
+++ b/pkg/claim/finish.go
@@ -42,7 +42,7 @@
 // record stores the result of an attempt, either as the decider, which also
 // replicates it to a peer, or as a copy.
 func (c *Coordinator) record(key Key, claim Claim, result Result) (decided bool, successor *Decider) {
-	result = bounded(result, MaxStoredBody)
+	result = dropLongBody(result, MaxStoredBody)
 	ended := c.owner.Finish(key, claim, result)
 	if !ended.Decided {
 		c.storeCopy(claim, result)
--- a/pkg/claim/handover.go
+++ b/pkg/claim/handover.go
@@ -242,6 +242,6 @@
 	for i := range records {
 		record := records[i]
 		t.put(t.shard(record.identity()), &record)
-		t.account(&record)
+		t.accountBody(&record)
 	}
 }
--- a/pkg/claim/property_test.go
+++ b/pkg/claim/property_test.go
@@ -61,22 +61,22 @@
 	})
 }
 
-// able draws one of the processes that can act, or returns nil.
-func (m *machine) able(t *rapid.T) *process {
-	var able []*process
+// active draws one of the processes that can act, or returns nil.
+func (m *machine) active(t *rapid.T) *process {
+	var active []*process
 	for _, name := range instanceNames {
 		if p := m.simulation.processes[name]; !p.dead && !p.frozen {
-			able = append(able, p)
+			active = append(active, p)
 		}
 	}
-	if len(able) == 0 {
+	if len(active) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(able).Draw(t, "process")
+	return rapid.SampledFrom(active).Draw(t, "process")
 }
 
 func (m *machine) issue(t *rapid.T) {
-	p := m.able(t)
+	p := m.active(t)
 	if p == nil {
 		return
 	}
@@ -86,7 +86,7 @@
 }
 
 func (m *machine) request(t *rapid.T) {
-	p := m.able(t)
+	p := m.active(t)
 	if p == nil {
 		return
 	}
@@ -171,7 +171,7 @@
 }
 
 func (m *machine) leave(t *rapid.T) {
-	p := m.able(t)
+	p := m.active(t)
 	if p == nil {
 		return
 	}
@@ -191,7 +191,7 @@
 }
 
 func (m *machine) leaveInPause(t *rapid.T) {
-	p := m.able(t)
+	p := m.active(t)
 	if p == nil {
 		return
 	}
@@ -203,7 +203,7 @@
 }
 
 func (m *machine) freeze(t *rapid.T) {
-	if p := m.able(t); p != nil {
+	if p := m.active(t); p != nil {
 		p.frozen = true
 	}
 }
--- a/pkg/claim/record.go
+++ b/pkg/claim/record.go
@@ -95,7 +95,7 @@
 	switch result.Outcome {
 	case outcome.Complete:
 		r.State = StateComplete
-		r.Result = bounded(result, MaxStoredBody)
+		r.Result = dropLongBody(result, MaxStoredBody)
 	case outcome.NotRun:
 		r.State = StateFree
 	default:
@@ -103,8 +103,8 @@
 	}
 }
 
-// bounded drops a body that is longer than limit.
-func bounded(result Result, limit int) Result {
+// dropLongBody drops a body that is longer than limit.
+func dropLongBody(result Result, limit int) Result {
 	if len(result.Body) > limit {
 		result.Body, result.BodyDropped = nil, true
 	}
--- a/pkg/claim/store.go
+++ b/pkg/claim/store.go
@@ -105,7 +105,7 @@
 // Finish writes the result of the attempt. If the write is lost the claim stays
 // running, and repeats get unknown until it expires.
 func (s *Store) Finish(ctx context.Context, ticket *Ticket, result Result) {
-	ticket.record.finish(bounded(result, MaxStoredOpaqueBody))
+	ticket.record.finish(dropLongBody(result, MaxStoredOpaqueBody))
 	_, _ = s.write(ctx, ticket, ticket.revision)
 }
 
--- a/pkg/claim/table.go
+++ b/pkg/claim/table.go
@@ -120,7 +120,7 @@
 		return false
 	}
 	record.finish(result)
-	t.account(record)
+	t.accountBody(record)
 	return true
 }
 
@@ -138,9 +138,9 @@
 	t.count.Add(1)
 }
 
-// account adds a record's body to the stored total, or drops the body if the limit
+// accountBody adds a record's body to the stored total, or drops the body if the limit
 // is exceeded.
-func (t *table) account(record *Record) {
+func (t *table) accountBody(record *Record) {
 	size := int64(len(record.Result.Body))
 	if t.bodies.Add(size) <= int64(t.limits.MaxBodies) {
 		return
