--- a/pkg/admission/queue_test.go
+++ b/pkg/admission/queue_test.go
@@ -117,7 +117,7 @@
 	})
 }
 
-func TestCancelledRequestLeavesAtOnceAndItsPlaceIsUsed(t *testing.T) {
+func TestCancelledRequestLeavesTheQueueAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := newQueue(1)
--- a/pkg/claim/doc.go
+++ b/pkg/claim/doc.go
@@ -3,8 +3,8 @@
 //
 // A key issued by the system names the process incarnation of the gateway that
 // issued it. That incarnation is the sole decider of the key: it holds all of the
-// key's records in memory, so it alone can establish that there is none. If it
-// crashes, no other instance decides in its place: repeats get the recorded answer
+// key's records in memory, so it alone can establish that there is none. If it is
+// lost, no other instance decides in its place: repeats get the recorded answer
 // from a copy, or unknown. A leaving gateway transfers its authority to exactly
 // one successor. A key chosen by the caller (an opaque key) is claimed in the
 // platform's key-value service.
--- a/pkg/dispatch/dispatch_test.go
+++ b/pkg/dispatch/dispatch_test.go
@@ -96,7 +96,7 @@
 
 // For any upstream behaviour, a request that may not be repeated runs at most once,
 // not-run is reported only if nothing ran, and retries stay within their bounds.
-func TestOutcomesAreTrue(t *testing.T) {
+func TestReportedOutcomesMatchTheRuns(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
