--- a/pkg/admission/entry.go
+++ b/pkg/admission/entry.go
@@ -13,7 +13,7 @@
 	pool     *pool
 	flow     *flow
 	ticket   Ticket
-	order    time.Time
+	orderKey time.Time
 	sequence uint64
 	ready    chan struct{}
 	// The rest is guarded by Queue.mu.
@@ -32,7 +32,7 @@
 	finished
 )
 
-// Ready is closed once the request has been granted or refused.
+// Ready returns a channel that is closed once the request is granted or refused.
 func (e *Entry) Ready() <-chan struct{} { return e.ready }
 
 // Refusal returns why the request was refused, or nil. Call it after Ready.
@@ -42,8 +42,8 @@
 	return e.refusal
 }
 
-// Release gives the place back, or leaves the queue when none was granted yet.
-// Only the first call counts.
+// Release returns the slot, or removes the entry from the queue if it has none
+// yet. Later calls do nothing.
 func (e *Entry) Release() {
 	e.queue.mu.Lock()
 	defer e.queue.mu.Unlock()
@@ -51,7 +51,7 @@
 	switch e.state {
 	case waiting:
 		e.pool.remove(e)
-		e.pool.forget(e.flow)
+		e.pool.dropIfIdle(e.flow)
 		e.state = finished
 	case granted:
 		e.pool.finish(e, now)
@@ -62,7 +62,7 @@
 	e.queue.advance(e.pool, now)
 }
 
-// refuse ends a waiting entry, which must be out of its flow already.
+// refuse ends a waiting entry that was already removed from its flow.
 func (e *Entry) refuse(refusal *outcome.Refusal) {
 	e.state = refused
 	e.refusal = refusal
@@ -70,7 +70,7 @@
 }
 
 func compareEntries(a, b *Entry) int {
-	return cmp.Or(a.order.Compare(b.order), cmp.Compare(a.sequence, b.sequence))
+	return cmp.Or(a.orderKey.Compare(b.orderKey), cmp.Compare(a.sequence, b.sequence))
 }
 
 // entryHeap implements heap.Interface.
--- a/pkg/admission/pool.go
+++ b/pkg/admission/pool.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// pool is the queue before one set of upstreams that stand in for each other. It
-// is start-time fair queueing: virtual advances by cost over weight.
+// pool is the queue of one set of interchangeable upstreams. It implements
+// start-time fair queueing: virtual time advances by cost over weight.
 type pool struct {
 	capacity, running int
 	virtual           float64
 	flows             map[string]*flow
-	// waiting counts the queued requests, queued adds up their cost, and active
-	// the weights of the callers that they belong to.
+	// waiting counts the queued requests, queued sums their cost, and active sums
+	// the weights of their callers.
 	waiting, queued int
 	active          float64
-	// perCost is the mean time for which a place is held, in seconds for each
-	// unit of cost; holding that for each request.
-	perCost, holding mean
-	swept            time.Time
+	// timePerCost is the mean time a slot is held for each unit of cost, and
+	// holdTime for each request, both in seconds.
+	timePerCost, holdTime mean
+	lastSweep             time.Time
 }
 
-// First guesses until something has been measured.
+// Estimates until a request has finished, in seconds.
 const (
-	firstPerCost = 1.0 / 30
-	firstHolding = 2.0
+	initialTimePerCost = 1.0 / 30
+	initialHoldTime    = 2.0
 )
 
 func newPool() *pool {
 	return &pool{
-		flows:   map[string]*flow{},
-		perCost: mean{value: firstPerCost},
-		holding: mean{value: firstHolding},
+		flows:       map[string]*flow{},
+		timePerCost: mean{value: initialTimePerCost},
+		holdTime:    mean{value: initialHoldTime},
 	}
 }
 
-// mean is exponentially weighted.
+// mean is an exponentially weighted moving average.
 type mean struct {
 	value    float64
 	measured bool
@@ -61,7 +61,6 @@
 	return f
 }
 
-// add puts an entry into its flow.
 func (p *pool) add(e *Entry) {
 	if e.flow.waiting == 0 {
 		p.active += e.flow.weight
@@ -71,7 +70,6 @@
 	p.waiting++
 }
 
-// remove takes a waiting entry out of its flow.
 func (p *pool) remove(e *Entry) {
 	e.flow.remove(e)
 	p.queued -= e.ticket.cost()
@@ -81,19 +79,19 @@
 	}
 }
 
-// forget drops a flow that has nothing waiting and nothing to pay off.
-func (p *pool) forget(f *flow) {
+// dropIfIdle deletes a flow that has no waiting requests and no outstanding charge.
+func (p *pool) dropIfIdle(f *flow) {
 	if f.waiting == 0 && f.finish <= p.virtual {
 		delete(p.flows, f.caller)
 	}
 }
 
-// next returns the flow whose turn it is, or nil.
+// next returns the flow to serve next, or nil if nothing waits.
 func (p *pool) next() *flow {
 	var best *flow
 	for _, f := range p.flows {
 		if f.waiting == 0 {
-			p.forget(f)
+			p.dropIfIdle(f)
 			continue
 		}
 		if best == nil || p.precedes(f, best) {
@@ -111,7 +109,7 @@
 	return compareEntries(a.head(), b.head()) < 0
 }
 
-// charge gives a place to a request.
+// charge grants a slot to a request.
 func (p *pool) charge(e *Entry) {
 	f := e.flow
 	start := max(f.finish, p.virtual)
@@ -124,18 +122,18 @@
 func (p *pool) finish(e *Entry, now time.Time) {
 	held := now.Sub(e.granted).Seconds()
 	p.running--
-	p.holding.add(held)
-	p.perCost.add(held / float64(e.ticket.cost()))
+	p.holdTime.add(held)
+	p.timePerCost.add(held / float64(e.ticket.cost()))
 }
 
-// rate is how much cost the pool works off in a second.
+// rate returns the cost that the pool completes per second.
 func (p *pool) rate() float64 {
-	return float64(max(1, p.capacity)) / max(p.perCost.value, 1e-6)
+	return float64(max(1, p.capacity)) / max(p.timePerCost.value, 1e-6)
 }
 
-// predict is how long a request of a size would wait that comes behind the cost
-// before, of its own caller's requests of that size.
-func (p *pool) predict(f *flow, size sizeClass, before int) time.Duration {
+// predict returns the expected wait of a request of a size class behind costBefore
+// of its own caller's requests of that class.
+func (p *pool) predict(f *flow, size sizeClass, costBefore int) time.Duration {
 	if p.running < p.capacity && p.waiting == 0 {
 		return 0
 	}
@@ -143,29 +141,29 @@
 	if f.waiting == 0 {
 		active += f.weight
 	}
-	ahead := f.ahead(size, before)
-	virtual := max(0, f.finish-p.virtual) + ahead/f.weight
+	workAhead := f.workAhead(size, costBefore)
+	virtual := max(0, f.finish-p.virtual) + workAhead/f.weight
 	others := float64(p.queued - f.cost())
-	work := min(virtual*active, others+ahead)
-	next := p.holding.value / float64(max(1, p.capacity))
+	work := min(virtual*active, others+workAhead)
+	next := p.holdTime.value / float64(max(1, p.capacity))
 	return time.Duration((work/p.rate() + next) * float64(time.Second))
 }
 
-// greediest is the flow with the most waiting work for its weight.
-func (p *pool) greediest() *flow {
+// mostBacklogged returns the flow with the most waiting work for its weight.
+func (p *pool) mostBacklogged() *flow {
 	var worst *flow
 	for _, f := range p.flows {
 		if f.waiting == 0 {
 			continue
 		}
-		if worst == nil || heavier(f, worst) {
+		if worst == nil || moreBacklogged(f, worst) {
 			worst = f
 		}
 	}
 	return worst
 }
 
-func heavier(a, b *flow) bool {
+func moreBacklogged(a, b *flow) bool {
 	loadA, loadB := float64(a.cost())/a.weight, float64(b.cost())/b.weight
 	if loadA != loadB {
 		return loadA > loadB
--- a/pkg/admission/queue.go
+++ b/pkg/admission/queue.go
@@ -12,17 +12,17 @@
 
 // Bounds of a queue.
 const (
-	// longestWait is how long a request without a deadline may have to wait.
-	longestWait = 30 * time.Second
-	// queuePerSlot bounds a queue's length, for each place, and leastQueue is the
-	// bound for a pool with few places.
-	queuePerSlot = 16
-	leastQueue   = 64
-	// sweepInterval is how often the queued requests' deadlines are looked at.
+	// maxWait is the longest wait of any request, also without a deadline.
+	maxWait = 30 * time.Second
+	// queuePerSlot bounds a queue's length for each slot, and minQueueLimit is the
+	// bound for a pool with few slots.
+	queuePerSlot  = 16
+	minQueueLimit = 64
+	// sweepInterval is the time between checks of the queued requests' deadlines.
 	sweepInterval = 100 * time.Millisecond
-	// patience is by how much a queued request's prediction may be worse than its
-	// deadline permits, since predictions waver.
-	patience = 1.25
+	// deadlineTolerance is the factor by which a queued request's predicted wait
+	// may exceed its deadline, since predictions fluctuate.
+	deadlineTolerance = 1.25
 )
 
 // Queue admits requests to the pools of one gateway. It is safe for concurrent use.
@@ -47,10 +47,10 @@
 	q.advance(p, q.clock.Now())
 }
 
-// Acquire waits until the request may run. Release must then be called once it has
-// ended; later calls do nothing. It returns a refusal, and no release, at once
-// when the deadline cannot be met or the queue is full, and later when that
-// becomes clear or ctx ends.
+// Acquire waits until the request may run. The caller must call release when the
+// request has ended; later calls do nothing. Acquire returns a refusal and no
+// release: at once if the deadline cannot be met or the queue is full, later if
+// that is predicted while the request waits or if ctx ends.
 func (q *Queue) Acquire(ctx context.Context, t Ticket) (release func(), refusal *outcome.Refusal) {
 	e, refusal := q.Submit(t)
 	if refusal != nil {
@@ -71,8 +71,8 @@
 	return e.Release, nil
 }
 
-// Submit is Acquire without the waiting: it returns an Entry that becomes ready,
-// or refuses at once.
+// Submit queues a request without waiting. It returns an Entry that becomes ready,
+// or a refusal.
 func (q *Queue) Submit(t Ticket) (*Entry, *outcome.Refusal) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -82,18 +82,18 @@
 		return nil, refuseNoCapacity()
 	}
 	f := p.flowOf(&t)
-	order := t.order(now)
-	wait := p.predict(f, t.class(), f.before(t.class(), order))
+	orderKey := t.orderKey(now)
+	wait := p.predict(f, t.class(), f.costBefore(t.class(), orderKey))
 	if refusal := refuseLate(wait, t.allowed(now), &t); refusal != nil {
-		p.forget(f)
+		p.dropIfIdle(f)
 		return nil, refusal
 	}
-	if refusal := p.makeRoom(f, wait); refusal != nil {
+	if refusal := p.enforceQueueLimit(f, wait); refusal != nil {
 		return nil, refusal
 	}
 	q.sequence++
 	e := &Entry{
-		queue: q, pool: p, flow: f, ticket: t, order: order,
+		queue: q, pool: p, flow: f, ticket: t, orderKey: orderKey,
 		sequence: q.sequence, ready: make(chan struct{}),
 	}
 	p.add(e)
@@ -101,19 +101,19 @@
 	return e, nil
 }
 
-// Predict returns how long a request would wait in the queue now.
+// Predict returns the expected queueing time of a request submitted now.
 func (q *Queue) Predict(t Ticket) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	p := q.pools[t.Serves]
 	if p == nil || p.capacity <= 0 {
-		return longestWait
+		return maxWait
 	}
 	f := p.flows[t.Caller.Name]
 	if f == nil {
 		f = &flow{weight: t.weight(), finish: p.virtual}
 	}
-	return p.predict(f, t.class(), f.before(t.class(), t.order(q.clock.Now())))
+	return p.predict(f, t.class(), f.costBefore(t.class(), t.orderKey(q.clock.Now())))
 }
 
 // Waiting counts queued requests by pool, without pools that have none.
@@ -129,9 +129,8 @@
 	return counts
 }
 
-// Sweep refuses queued requests whose deadline has become unreachable. It also
-// happens as requests come and end; call it from time to time for queues that have
-// come to a stop.
+// Sweep refuses queued requests whose deadline has become unreachable. This also
+// happens as requests arrive and end; call Sweep periodically for stalled queues.
 func (q *Queue) Sweep() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -150,7 +149,7 @@
 	return p
 }
 
-// advance grants free places, then refuses what can no longer succeed.
+// advance grants free slots, then refuses requests that can no longer succeed.
 func (q *Queue) advance(p *pool, now time.Time) {
 	for p.running < p.capacity {
 		f := p.next()
@@ -159,13 +158,14 @@
 		}
 		p.grant(f.head(), now)
 	}
-	if now.Sub(p.swept) >= sweepInterval {
-		p.swept = now
+	if now.Sub(p.lastSweep) >= sweepInterval {
+		p.lastSweep = now
 		p.sweep(now)
 	}
 }
 
-// grant gives a place to a waiting entry, unless it is too late for it.
+// grant gives a slot to a waiting entry, or refuses it if its deadline is
+// unreachable.
 func (p *pool) grant(e *Entry, now time.Time) {
 	p.remove(e)
 	if e.ticket.allowed(now) < 0 {
@@ -178,21 +178,21 @@
 	close(e.ready)
 }
 
-// sweep refuses the entries whose predicted wait is more than they can bear.
+// sweep refuses the entries that can no longer meet their deadline.
 func (p *pool) sweep(now time.Time) {
 	for _, f := range p.flows {
 		p.sweepClass(f, short, now)
 		p.sweepClass(f, long, now)
-		p.forget(f)
+		p.dropIfIdle(f)
 	}
 }
 
 func (p *pool) sweepClass(f *flow, size sizeClass, now time.Time) {
-	before := 0
+	costBefore := 0
 	for _, e := range f.inOrder(size) {
-		wait := p.predict(f, size, before)
-		if e.bearable(wait, now) {
-			before += e.ticket.cost()
+		wait := p.predict(f, size, costBefore)
+		if e.canMeetDeadline(wait, now) {
+			costBefore += e.ticket.cost()
 			continue
 		}
 		p.remove(e)
@@ -200,19 +200,19 @@
 	}
 }
 
-// bearable says whether an entry can still meet its deadline after wait.
-func (e *Entry) bearable(wait time.Duration, now time.Time) bool {
+// canMeetDeadline reports whether an entry can still meet its deadline after wait.
+func (e *Entry) canMeetDeadline(wait time.Duration, now time.Time) bool {
 	allowed := e.ticket.allowed(now)
-	return allowed >= 0 && wait.Seconds() <= patience*allowed.Seconds()
+	return allowed >= 0 && wait.Seconds() <= deadlineTolerance*allowed.Seconds()
 }
 
-// makeRoom keeps the queue's length bounded: it refuses the newcomer, or the last
-// request of a caller that has more waiting for its share.
-func (p *pool) makeRoom(f *flow, wait time.Duration) *outcome.Refusal {
-	if p.waiting < max(leastQueue, queuePerSlot*p.capacity) {
+// enforceQueueLimit refuses the new request of a full queue, or the last request
+// of a caller that has more waiting for its share.
+func (p *pool) enforceQueueLimit(f *flow, wait time.Duration) *outcome.Refusal {
+	if p.waiting < max(minQueueLimit, queuePerSlot*p.capacity) {
 		return nil
 	}
-	worst := p.greediest()
+	worst := p.mostBacklogged()
 	if worst == f {
 		return refuseFull(wait)
 	}
--- a/pkg/claim/benchmark_test.go
+++ b/pkg/claim/benchmark_test.go
@@ -13,15 +13,15 @@
 	"github.com/lilacweir/lilacweir/pkg/settings"
 )
 
-// benchmarkSizes are numbers of records held.
+// benchmarkSizes are the numbers of stored records.
 var benchmarkSizes = []int{1_000, 10_000, 100_000}
 
 func benchmarkKey(owner *Owner, number int) Key {
 	return Key{Origin: owner.self, Issued: owner.tables[owner.self].now(), Random: fmt.Sprintf("%016x", number)}
 }
 
-// filled returns an owner that holds complete records with short answers.
-func filled(records int) (*Owner, []Key) {
+// newFilledOwner returns an owner with complete records of short answers.
+func newFilledOwner(records int) (*Owner, []Key) {
 	owner := NewOwner(ownOrigin, clock.System{}, fixedTTL, Limits{})
 	keys := make([]Key, records)
 	for i := range keys {
@@ -37,7 +37,7 @@
 func BenchmarkRepeat(b *testing.B) {
 	for _, records := range benchmarkSizes {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
-			owner, keys := filled(records)
+			owner, keys := newFilledOwner(records)
 			asked := make([]Claim, records)
 			for i, key := range keys {
 				asked[i] = claimOf(key, "front-desk", "other")
@@ -50,12 +50,12 @@
 	}
 }
 
-// BenchmarkBeginFinish grants and ends attempts on keys that hold records,
-// so that their number stays the same.
+// BenchmarkBeginFinish grants and ends attempts on a key that has a record, so that
+// the number of records stays the same.
 func BenchmarkBeginFinish(b *testing.B) {
 	for _, records := range benchmarkSizes {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
-			owner, _ := filled(records)
+			owner, _ := newFilledOwner(records)
 			key := benchmarkKey(owner, records)
 			attempts := [2]Claim{claimOf(key, "front-desk", "a"), claimOf(key, "front-desk", "b")}
 			b.ReportAllocs()
@@ -69,14 +69,14 @@
 	}
 }
 
-// BenchmarkRecordMemory reports the heap that a complete record takes, with a
-// body of 6 bytes.
+// BenchmarkRecordMemory reports the heap size of a complete record with a body of 6
+// bytes.
 func BenchmarkRecordMemory(b *testing.B) {
 	for _, records := range benchmarkSizes {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
 			for b.Loop() {
 				before := heap()
-				owner, _ := filled(records)
+				owner, _ := newFilledOwner(records)
 				b.ReportMetric(float64(heap()-before)/float64(records), "B/record")
 				runtime.KeepAlive(owner)
 			}
@@ -97,7 +97,7 @@
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				owner, _ := filled(records)
+				owner, _ := newFilledOwner(records)
 				successor := NewOwner(Origin{Domain: "hn-a", Instance: "hn-2", Incarnation: 1}, clock.System{}, fixedTTL, Limits{})
 				b.StartTimer()
 				transfer, parts, err := owner.Export("t", asDecider(successor))
@@ -116,9 +116,9 @@
 	}
 }
 
-// BenchmarkCoordinator runs one claim from Begin to Finish on the machine's
-// loopback: decided by the asked gateway itself, and by a peer over net/rpc.
-// Each end is copied to a peer.
+// BenchmarkCoordinator runs one claim from Begin to Finish over loopback, decided by
+// the receiving gateway itself or by a peer over net/rpc. Each result is replicated
+// to a peer.
 func BenchmarkCoordinator(b *testing.B) {
 	pair := newLoopbackPair(b)
 	for asked, name := range []string{"decided=here", "decided=peer"} {
--- a/pkg/claim/copies.go
+++ b/pkg/claim/copies.go
@@ -8,15 +8,15 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// DefaultMaxCopies bounds the copies that one gateway keeps for others.
+// DefaultMaxCopies bounds the copies that one gateway keeps for other deciders.
 const DefaultMaxCopies = 50_000
 
-// copyLifetimes is how many key lifetimes a copy is kept.
+// copyLifetimes is the retention of a copy, in key lifetimes.
 const copyLifetimes = 2
 
-// Copies holds ended attempts that other gateways decided. A copy lets a repeat
-// be answered when the decider is gone; that there is none means nothing.
-// Oldest copies go first when there are too many. It is safe for concurrent use.
+// Copies stores ended attempts of keys that other gateways decide. A copy answers
+// repeats if the decider is lost; the absence of a copy proves nothing. The oldest
+// copies are evicted first. It is safe for concurrent use.
 type Copies struct {
 	clock clock.Clock
 	ttl   func() time.Duration
@@ -27,9 +27,9 @@
 	oldest *list.List
 }
 
-type heldCopy struct {
-	record Record
-	until  time.Time
+type copyEntry struct {
+	record  Record
+	expires time.Time
 }
 
 // NewCopies returns an empty set; max zero means DefaultMaxCopies.
@@ -40,20 +40,20 @@
 	return &Copies{clock: now, ttl: ttl, max: max, byKey: make(map[identity]*list.Element), oldest: list.New()}
 }
 
-// Put keeps how an attempt ended. A complete one is never replaced.
+// Put stores the result of an attempt. A complete result is never replaced.
 func (c *Copies) Put(claim Claim, result Result) {
 	record := Record{Claim: claim}
 	record.finish(result)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if held := c.byKey[claim.identity()]; held != nil {
-		if held.Value.(*heldCopy).record.State == StateComplete {
+		if held.Value.(*copyEntry).record.State == StateComplete {
 			return
 		}
 		c.remove(held)
 	}
-	until := c.clock.Now().Add(copyLifetimes * c.ttl())
-	c.byKey[claim.identity()] = c.oldest.PushBack(&heldCopy{record: record, until: until})
+	expires := c.clock.Now().Add(copyLifetimes * c.ttl())
+	c.byKey[claim.identity()] = c.oldest.PushBack(&copyEntry{record: record, expires: expires})
 	c.trim()
 }
 
@@ -66,14 +66,14 @@
 	if held == nil {
 		return nil
 	}
-	record := held.Value.(*heldCopy).record
+	record := held.Value.(*copyEntry).record
 	return &record
 }
 
 func (c *Copies) trim() {
 	now := c.clock.Now()
 	for first := c.oldest.Front(); first != nil; first = c.oldest.Front() {
-		if c.oldest.Len() <= c.max && now.Before(first.Value.(*heldCopy).until) {
+		if c.oldest.Len() <= c.max && now.Before(first.Value.(*copyEntry).expires) {
 			return
 		}
 		c.remove(first)
@@ -81,6 +81,6 @@
 }
 
 func (c *Copies) remove(held *list.Element) {
-	delete(c.byKey, held.Value.(*heldCopy).record.identity())
+	delete(c.byKey, held.Value.(*copyEntry).record.identity())
 	c.oldest.Remove(held)
 }
--- a/pkg/claim/experiment_test.go
+++ b/pkg/claim/experiment_test.go
@@ -11,26 +11,25 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// experimentKeys is how many requests each experiment sends, once and again.
+// experimentKeys is the number of requests of an experiment, each sent twice.
 const experimentKeys = 1000
 
-// experiment sends requests around an event and then repeats each through
-// another instance. By chance six of ten requests end before the event, two are
-// running when it comes, and two come after it, half of these with a key from
-// before.
+// experiment sends requests around an event and then repeats each through a random
+// instance. On average six of ten requests end before the event, two are running
+// during it, and two are sent after it, half of these with a key issued before it.
 type experiment struct {
-	world  *world
-	dice   *rand.Rand
-	opaque bool
-	trials []*trial
-	// unknownFirst counts first tries that were told unknown, unknownRepeat
-	// repeats; falseAnswers is what must not be: a second run, a not-run after a
-	// run, a recorded answer without one.
+	simulation *simulation
+	random     *rand.Rand
+	opaque     bool
+	samples    []*sample
+	// unknownFirst and unknownRepeat count unknown replies to first attempts and to
+	// repeats. falseAnswers counts violations: a second run, a not-run after a run,
+	// a recorded answer without a run.
 	unknownFirst, unknownRepeat, recorded, granted, falseAnswers int
 }
 
-// trial is one request that may not be repeated.
-type trial struct {
+// sample is one request that must not run twice.
+type sample struct {
 	phase  int
 	key    string
 	holder *process
@@ -39,7 +38,7 @@
 	first  string
 }
 
-// The phases of a trial, of ten parts.
+// The phases of a sample, in tenths.
 const (
 	phases         = 10
 	phaseRunning   = 6
@@ -47,28 +46,28 @@
 	phaseUnstarted = 9
 )
 
-// any draws an instance that serves callers.
-func (e *experiment) any() *process {
+// anyServing draws an instance that serves callers.
+func (e *experiment) anyServing() *process {
 	for {
-		p := e.world.processes[instanceNames[e.dice.IntN(len(instanceNames))]]
+		p := e.simulation.processes[instanceNames[e.random.IntN(len(instanceNames))]]
 		if !p.dead && !p.frozen && !p.leaving {
 			return p
 		}
 	}
 }
 
-func (e *experiment) issue(t *trial, number int) {
+func (e *experiment) issue(t *sample, number int) {
 	t.key = fmt.Sprintf("order-%d", number)
 	if e.opaque {
 		return
 	}
-	prefix, _ := e.any().coordinator.Prefix()
+	prefix, _ := e.anyServing().coordinator.Prefix()
 	t.key = fmt.Sprintf("%s.%016x", prefix, number)
 }
 
-// send begins a request through an instance and runs it when that is granted.
-func (e *experiment) send(t *trial) (told string) {
-	through := e.any()
+// send begins a request through a random instance and runs it if granted.
+func (e *experiment) send(t *sample) (reply string) {
+	through := e.anyServing()
 	grant, recorded, refusal := through.coordinator.Begin(context.Background(), Claim{Key: t.key, Caller: propertyCaller})
 	switch {
 	case grant != nil:
@@ -82,8 +81,8 @@
 	}
 }
 
-// end finishes a running request, unless its gateway is gone.
-func (t *trial) end() {
+// end finishes a running request, unless its gateway is dead or frozen.
+func (t *sample) end() {
 	if t.grant != nil && !t.holder.dead && !t.holder.frozen {
 		t.grant.Finish(context.Background(), answered)
 	}
@@ -91,8 +90,8 @@
 
 func (e *experiment) run(event func(e *experiment)) {
 	for i := range experimentKeys {
-		t := &trial{phase: e.dice.IntN(phases)}
-		e.trials = append(e.trials, t)
+		t := &sample{phase: e.random.IntN(phases)}
+		e.samples = append(e.samples, t)
 		if t.phase < phaseUnstarted {
 			e.issue(t, i)
 		}
@@ -104,7 +103,7 @@
 		}
 	}
 	event(e)
-	for i, t := range e.trials {
+	for i, t := range e.samples {
 		if t.phase == phaseUnstarted {
 			e.issue(t, i)
 		}
@@ -113,12 +112,12 @@
 		}
 		t.end()
 	}
-	for _, t := range e.trials {
+	for _, t := range e.samples {
 		e.count(t, e.send(t))
 	}
 }
 
-func (e *experiment) count(t *trial, repeat string) {
+func (e *experiment) count(t *sample, repeat string) {
 	if t.first == string(outcome.Unknown) {
 		e.unknownFirst++
 	}
@@ -136,42 +135,42 @@
 	}
 }
 
-// rollingReplacement ends each instance gracefully: its running requests end,
-// its keys are handed over, and a new process takes its place.
+// rollingReplacement restarts each instance gracefully: its running requests end,
+// its keys are handed over, and a new process replaces it.
 func rollingReplacement(e *experiment) {
 	for _, name := range instanceNames {
-		leaving := e.world.processes[name]
-		for _, t := range e.trials {
+		leaving := e.simulation.processes[name]
+		for _, t := range e.samples {
 			if t.holder == leaving {
 				t.end()
 			}
 		}
-		e.world.leave(name)
-		e.world.crash(name)
+		e.simulation.leave(name)
+		e.simulation.crash(name)
 	}
 }
 
 func crashEach(e *experiment) {
 	for _, name := range instanceNames {
-		e.world.crash(name)
+		e.simulation.crash(name)
 	}
 }
 
-func outage(e *experiment) { e.world.keyValue.SetDown(true) }
+func outage(e *experiment) { e.simulation.keyValue.SetDown(true) }
 
-func crashOne(e *experiment) { e.world.crash("a1") }
+func crashOne(e *experiment) { e.simulation.crash("a1") }
 
 func freezeOne(e *experiment) {
-	e.world.processes["a1"].frozen = true
-	e.world.refreshAll()
+	e.simulation.processes["a1"].frozen = true
+	e.simulation.refreshAll()
 }
 
 func both(one, other func(*experiment)) func(*experiment) {
 	return func(e *experiment) { one(e); other(e) }
 }
 
-// TestUnknownAnswers counts what callers are told under designs (a), a claim in
-// the key-value service, and (d), the issuing incarnation as the only decider.
+// TestUnknownAnswers counts the replies to callers under design (a), a claim in the
+// key-value service, and design (d), the issuing incarnation as the only decider.
 // docs/design/idempotency.md holds the table.
 func TestUnknownAnswers(t *testing.T) {
 	events := []struct {
@@ -192,10 +191,10 @@
 		for _, event := range events {
 			t.Run(design+" "+event.name, func(t *testing.T) {
 				is := is.New(t)
-				e := &experiment{world: newWorld(1), opaque: opaque, dice: rand.New(rand.NewPCG(1, 1))}
+				e := &experiment{simulation: newSimulation(1), opaque: opaque, random: rand.New(rand.NewPCG(1, 1))}
 				e.run(event.during)
 				t.Logf("| %s | %s | %d | %d | %d | %d | %d |", design, event.name,
-					e.unknownFirst, e.unknownRepeat, e.recorded, e.granted, e.world.keyValue.Counts().Writes)
+					e.unknownFirst, e.unknownRepeat, e.recorded, e.granted, e.simulation.keyValue.Counts().Writes)
 				is.Equal(e.falseAnswers, 0)
 			})
 		}
--- a/pkg/claim/finish.go
+++ b/pkg/claim/finish.go
@@ -21,30 +21,31 @@
 	return DefaultCallTimeout
 }
 
-// finish tells how an attempt ended to the decider that granted it (nil: this
-// gateway, or not known), or else to all that may decide or answer for it.
+// finish reports the result of an attempt to the decider that granted it, which is
+// nil if it is this gateway or unknown. If that fails it reports to all gateways
+// that may decide the key or answer for it.
 func (c *Coordinator) finish(ctx context.Context, key Key, claim Claim, result Result, granted *Decider) {
 	if decided, _ := c.record(key, claim, result); decided {
 		return
 	}
-	abroad := key.Domain != c.options.Self.Domain
-	if granted != nil && c.tell(ctx, *granted, claim, result, abroad) {
+	remote := key.Domain != c.options.Self.Domain
+	if granted != nil && c.reportTo(ctx, *granted, claim, result, remote) {
 		return
 	}
-	if abroad {
-		c.tellRelays(ctx, key, claim, result)
+	if remote {
+		c.reportToRelays(ctx, key, claim, result)
 		return
 	}
-	c.tellDomain(ctx, key, claim, result)
+	c.reportToDomain(ctx, key, claim, result)
 }
 
-// record takes in how an attempt ended: as the decider, then with a copy to a
-// peer, or as a copy.
+// record stores the result of an attempt, either as the decider, which also
+// replicates it to a peer, or as a copy.
 func (c *Coordinator) record(key Key, claim Claim, result Result) (decided bool, successor *Decider) {
-	result = bounded(result, MaxStoredBody)
+	result = dropLongBody(result, MaxStoredBody)
 	ended := c.owner.Finish(key, claim, result)
 	if !ended.Decided {
-		c.keepCopy(claim, result)
+		c.storeCopy(claim, result)
 		return false, ended.Successor
 	}
 	if ended.Changed && result.Outcome != outcome.NotRun {
@@ -53,18 +54,18 @@
 	return true, nil
 }
 
-func (c *Coordinator) keepCopy(claim Claim, result Result) {
+func (c *Coordinator) storeCopy(claim Claim, result Result) {
 	if result.Outcome != outcome.NotRun {
 		c.copies.Put(claim, result)
 	}
 }
 
-// tell asks one gateway, and the successors that are named, to record how an
-// attempt ended; false when no decider is known to have done so.
-func (c *Coordinator) tell(ctx context.Context, decider Decider, claim Claim, result Result, relay bool) bool {
-	asked := make(map[string]bool)
-	for next := &decider; next != nil && !asked[next.Control]; {
-		asked[next.Control] = true
+// reportTo asks one gateway, and the successors that the replies name, to record
+// the result of an attempt. It returns false unless a decider confirmed it.
+func (c *Coordinator) reportTo(ctx context.Context, decider Decider, claim Claim, result Result, relay bool) bool {
+	queried := make(map[string]bool)
+	for next := &decider; next != nil && !queried[next.Control]; {
+		queried[next.Control] = true
 		reply, err := c.callFinish(ctx, *next, claim, result, relay)
 		if err != nil {
 			return false
@@ -86,40 +87,40 @@
 	return reply, err
 }
 
-// tellDomain tells every gateway of the own domain at once: a decider records
-// it, all others keep a copy.
-func (c *Coordinator) tellDomain(ctx context.Context, key Key, claim Claim, result Result) bool {
-	first, others := c.here(key)
+// reportToDomain reports to all gateways of the own domain concurrently: a decider
+// records the result, all others store a copy.
+func (c *Coordinator) reportToDomain(ctx context.Context, key Key, claim Claim, result Result) bool {
+	first, others := c.localDeciders(key)
 	results := make([]bool, len(first)+len(others))
 	var group sync.WaitGroup
 	for i, decider := range append(first, others...) {
-		group.Go(func() { results[i] = c.tell(ctx, decider, claim, result, false) })
+		group.Go(func() { results[i] = c.reportTo(ctx, decider, claim, result, false) })
 	}
 	group.Wait()
 	return slices.Contains(results, true)
 }
 
-func (c *Coordinator) tellRelays(ctx context.Context, key Key, claim Claim, result Result) {
+func (c *Coordinator) reportToRelays(ctx context.Context, key Key, claim Claim, result Result) {
 	for _, relay := range c.relays(key) {
-		if c.tell(ctx, relay, claim, result, true) {
+		if c.reportTo(ctx, relay, claim, result, true) {
 			return
 		}
 	}
 }
 
 // replicate copies an ended attempt to one peer of the domain, chosen by
-// rendezvous hashing, to answer repeats should this gateway be lost.
+// rendezvous hashing, so that repeats can be answered if this gateway crashes.
 func (c *Coordinator) replicate(key Key, claim Claim, result Result) {
-	_, others := c.here(key)
+	_, others := c.localDeciders(key)
 	if len(others) == 0 {
 		return
 	}
-	peer := rank(claim.Key, others)[0]
+	peer := rendezvousOrder(claim.Key, others)[0]
 	_, _ = c.callFinish(context.Background(), peer, claim, result, false)
 }
 
-// rank orders deciders by rendezvous hash for a text, first choice first.
-func rank(text string, deciders []Decider) []Decider {
+// rendezvousOrder sorts deciders by rendezvous hash for a text, first choice first.
+func rendezvousOrder(text string, deciders []Decider) []Decider {
 	ranked := slices.Clone(deciders)
 	weight := func(d Decider) uint64 { return xxhash.Sum64String(text + "/" + d.Instance) }
 	slices.SortFunc(ranked, func(a, b Decider) int { return cmp.Compare(weight(b), weight(a)) })
--- a/pkg/claim/handover_test.go
+++ b/pkg/claim/handover_test.go
@@ -28,7 +28,8 @@
 
 func asDecider(o *Owner) Decider { return Decider{Origin: o.self, Control: o.self.Instance} }
 
-// handoverPair is a leaving owner with a running and a complete key, and a peer.
+// handoverPair is a leaving owner with one running and one complete key, and its
+// successor.
 type handoverPair struct {
 	clock              *fakeClock
 	old, next          *Owner
@@ -56,7 +57,7 @@
 	is.Equal(moved.Verdict, VerdictNotMine)
 	is.Equal(moved.Successor.Origin, p.next.self)
 	_, issuing := p.old.Prefix()
-	is.True(!issuing) // no new keys for an origin that decides no more
+	is.True(!issuing) // no new keys from an origin that has stopped deciding
 	is.Equal(p.next.Begin(p.complete, claimOf(p.complete, "desk", "c")).Verdict, VerdictNotMine)
 	is.Equal(p.next.adoptAll(transfer, parts), FaultNone)
 	is.Equal(verdictOf(p.next.Begin(p.complete, claimOf(p.complete, "desk", "c"))), "recorded")
@@ -69,14 +70,14 @@
 	is.Equal(verdictOf(p.next.Begin(p.complete, claimOf(p.complete, "desk", "f"))), "unknown idempotency-key-expired")
 }
 
-// A successor that adopted, ran keys and was restarted at the same address must
-// not be taken for one that never adopted.
-func TestRestartedSuccessorProvesNothing(t *testing.T) {
+// A successor that adopted keys and was restarted at the same address must not be
+// mistaken for one that never adopted.
+func TestRefusalOfARestartedSuccessorIsNotProof(t *testing.T) {
 	is := is.New(t)
 	p := newHandoverPair()
 	transfer, parts, err := p.old.Export("t", asDecider(p.next))
 	is.NoErr(err)
-	is.Equal(p.next.adoptAll(transfer, parts), FaultNone) // the answer is lost
+	is.Equal(p.next.adoptAll(transfer, parts), FaultNone) // the reply is lost
 	restarted, third := ownerAt(p.clock, "hn-2", 4), ownerAt(p.clock, "hn-3", 1)
 	reply := restarted.Adopt(transfer)
 	is.Equal(reply.Fault, FaultAddressee)
@@ -85,9 +86,9 @@
 	is.True(errors.Is(err, ErrHandedOver))
 }
 
-// A successor that adopted and left in its turn answers a repeated transfer as
-// it did the first time.
-func TestRepeatedTransferIsAnsweredAlike(t *testing.T) {
+// A successor that adopted and has itself handed over replies to a repeated
+// transfer as it did the first time.
+func TestRepeatedTransferGetsTheSameReply(t *testing.T) {
 	is := is.New(t)
 	p := newHandoverPair()
 	transfer, parts, err := p.old.Export("t", asDecider(p.next))
@@ -124,25 +125,25 @@
 			is.Equal(p.next.adoptAll(transfer, parts), c.want)
 			reply := p.next.Adopt(transfer)
 			is.Equal(p.next.Begin(p.complete, p.finalAs).Verdict, VerdictNotMine)
-			is.True(p.old.Refused(transfer, reply)) // the successor itself refused for good
+			is.True(p.old.Refused(transfer, reply)) // the successor's own refusal is final
 			is.Equal(p.old.Begin(p.complete, p.finalAs).Verdict, VerdictNotMine)
 			third := ownerAt(p.clock, "hn-3", 1)
 			again, parts, err := p.old.Export("u", asDecider(third))
 			is.NoErr(err)
 			is.Equal(third.adoptAll(again, parts), FaultNone)
-			is.Equal(p.next.Adopt(transfer).Fault, c.want) // a late duplicate changes nothing
+			is.Equal(p.next.Adopt(transfer).Fault, c.want) // a late duplicate has no effect
 			is.Equal(verdictOf(third.Begin(p.complete, claimOf(p.complete, "desk", "c"))), "recorded")
 		})
 	}
 }
 
-// A successor that does not answer while the records are sent cannot have got
-// the authority: the next one is asked.
-func TestSilentPeerIsPassedOver(t *testing.T) {
+// A successor that does not reply while the records are sent cannot have received
+// the authority, so the next candidate is tried.
+func TestUnresponsivePeerIsSkipped(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1)
+	w := newSimulation(1)
 	first := w.processes["a1"].coordinator.candidates()[0].Instance
-	w.fates["a1>"+first] = []fault{faultReplyLost}
+	w.nextFaults["a1>"+first] = []fault{faultReplyLost}
 	successor, err := w.processes["a1"].coordinator.Handover(context.Background())
 	is.NoErr(err)
 	is.True(successor.Instance != first)
@@ -150,8 +151,8 @@
 	is.Equal(verdictOf(w.processes[successor.Instance].coordinator.owner.Begin(key, claimOf(key, "desk", "a"))), "granted")
 }
 
-// Records beyond one message go in parts.
-func TestManyRecordsGoInParts(t *testing.T) {
+// Records that exceed one message are split into parts.
+func TestManyRecordsAreSplitIntoParts(t *testing.T) {
 	is := is.New(t)
 	p := newHandoverPair()
 	const records = 100
@@ -178,9 +179,9 @@
 	return buffer.Len()
 }
 
-func TestNoPeerNoHandover(t *testing.T) {
+func TestNoHandoverWithoutAPeer(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1)
+	w := newSimulation(1)
 	for _, name := range []string{"a2", "a3"} {
 		w.processes[name].dead = true
 	}
@@ -188,10 +189,10 @@
 	_, err := w.processes["a1"].coordinator.Handover(context.Background())
 	is.True(errors.Is(err, ErrNoSuccessor))
 	_, issuing := w.processes["a1"].coordinator.Prefix()
-	is.True(issuing) // with no one to hand over to it goes on deciding
+	is.True(issuing) // without a successor it continues to decide
 }
 
-func TestSuccessorForgetsExpiredOrigin(t *testing.T) {
+func TestSuccessorDropsExpiredOrigin(t *testing.T) {
 	is := is.New(t)
 	p := newHandoverPair()
 	transfer, parts, err := p.old.Export("t", asDecider(p.next))
--- a/pkg/claim/property_test.go
+++ b/pkg/claim/property_test.go
@@ -13,7 +13,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-// running is a grant that is in the hands of a gateway.
+// running is a grant that a gateway holds.
 type running struct {
 	holder *process
 	grant  *Grant
@@ -21,12 +21,12 @@
 	ran    bool
 }
 
-// machine drives a world at random and checks what callers are told.
+// machine drives a simulation at random and checks the replies to callers.
 type machine struct {
-	world  *world
-	keys   []string
-	grants []*running
-	// runs holds the answers of the runs of each key.
+	simulation *simulation
+	keys       []string
+	grants     []*running
+	// runs holds the answers of each key's runs.
 	runs map[string][]string
 }
 
@@ -37,7 +37,7 @@
 // runs at most once, a not-run is true, and a recorded answer is the run's.
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{world: newWorld(rapid.Byte().Draw(t, "seed")), runs: make(map[string][]string)}
+		m := &machine{simulation: newSimulation(rapid.Byte().Draw(t, "seed")), runs: make(map[string][]string)}
 		m.keys = []string{"opaque-1", "opaque-2"}
 		t.Repeat(map[string]func(*rapid.T){
 			"issue":    m.issue,
@@ -61,22 +61,22 @@
 	})
 }
 
-// able draws one of the processes that can act, nil when there is none.
-func (m *machine) able(t *rapid.T) *process {
-	var able []*process
+// active draws one of the processes that can act, or returns nil.
+func (m *machine) active(t *rapid.T) *process {
+	var active []*process
 	for _, name := range instanceNames {
-		if p := m.world.processes[name]; !p.dead && !p.frozen {
-			able = append(able, p)
+		if p := m.simulation.processes[name]; !p.dead && !p.frozen {
+			active = append(active, p)
 		}
 	}
-	if len(able) == 0 {
+	if len(active) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(able).Draw(t, "process")
+	return rapid.SampledFrom(active).Draw(t, "process")
 }
 
 func (m *machine) issue(t *rapid.T) {
-	p := m.able(t)
+	p := m.active(t)
 	if p == nil {
 		return
 	}
@@ -86,11 +86,11 @@
 }
 
 func (m *machine) request(t *rapid.T) {
-	p := m.able(t)
+	p := m.active(t)
 	if p == nil {
 		return
 	}
-	// Later keys are drawn more often: old ones have mostly run.
+	// Only recent keys are drawn, since old ones have mostly run.
 	back := rapid.IntRange(0, min(len(m.keys)-1, 5)).Draw(t, "key")
 	key := m.keys[len(m.keys)-1-back]
 	grant, recorded, refusal := p.coordinator.Begin(context.Background(), Claim{Key: key, Caller: propertyCaller})
@@ -102,12 +102,12 @@
 			t.Fatalf("%s: recorded %q, ran %q", key, recorded.Body, m.runs[key])
 		}
 	case refusal.Outcome == outcome.NotRun && len(m.runs[key]) > 0:
-		t.Fatalf("%s: told not-run (%s) after it ran", key, refusal.Reason)
+		t.Fatalf("%s: reported not-run (%s) after it ran", key, refusal.Reason)
 	}
 }
 
-// held draws a grant whose holder can act, with the given progress; nil when
-// there is none.
+// held draws a grant of the given progress with a holder that can act, or returns
+// nil.
 func (m *machine) held(t *rapid.T, ran bool) *running {
 	var held []*running
 	for _, r := range m.grants {
@@ -154,24 +154,24 @@
 	}
 	m.drop(r)
 	if len(m.runs[r.key]) > 0 {
-		t.Fatalf("%s: the holder would tell not-run after it ran", r.key)
+		t.Fatalf("%s: the holder would report not-run after it ran", r.key)
 	}
 	r.grant.Abandon(context.Background())
 }
 
 func (m *machine) instance(t *rapid.T) *process {
-	return m.world.processes[rapid.SampledFrom(instanceNames).Draw(t, "instance")]
+	return m.simulation.processes[rapid.SampledFrom(instanceNames).Draw(t, "instance")]
 }
 
-// crash ends a process and starts its successor, which remembers nothing.
+// crash terminates a process and starts a new incarnation without its state.
 func (m *machine) crash(t *rapid.T) {
 	p := m.instance(t)
 	p.dead = true
-	m.world.start(p.self.Instance)
+	m.simulation.start(p.self.Instance)
 }
 
 func (m *machine) leave(t *rapid.T) {
-	p := m.able(t)
+	p := m.active(t)
 	if p == nil {
 		return
 	}
@@ -180,10 +180,10 @@
 	_, _ = p.coordinator.Handover(context.Background())
 }
 
-// pauses lets other things happen while a handover waits to try again.
+// pauses runs other actions while a handover waits for its retry.
 func (m *machine) pauses(t *rapid.T) {
 	actions := []func(*rapid.T){m.request, m.run, m.crash, m.deliver, m.refresh, m.network, m.thaw, m.leaveInPause}
-	m.world.pause = func() {
+	m.simulation.pause = func() {
 		for range rapid.IntRange(0, 4).Draw(t, "meanwhile") {
 			actions[rapid.IntRange(0, len(actions)-1).Draw(t, "action")](t)
 		}
@@ -191,45 +191,45 @@
 }
 
 func (m *machine) leaveInPause(t *rapid.T) {
-	p := m.able(t)
+	p := m.active(t)
 	if p == nil {
 		return
 	}
-	before := m.world.pause
-	m.world.pause = func() {}
+	before := m.simulation.pause
+	m.simulation.pause = func() {}
 	p.leaving = true
 	_, _ = p.coordinator.Handover(context.Background())
-	m.world.pause = before
+	m.simulation.pause = before
 }
 
 func (m *machine) freeze(t *rapid.T) {
-	if p := m.able(t); p != nil {
+	if p := m.active(t); p != nil {
 		p.frozen = true
 	}
 }
 
 func (m *machine) thaw(t *rapid.T) { m.instance(t).thaw() }
 
-// deliver lets one delayed call arrive.
+// deliver delivers one delayed call.
 func (m *machine) deliver(t *rapid.T) {
-	if len(m.world.delayed) == 0 {
+	if len(m.simulation.delayed) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.world.delayed)-1).Draw(t, "message")
-	message := m.world.delayed[i]
-	m.world.delayed = slices.Delete(m.world.delayed, i, i+1)
+	i := rapid.IntRange(0, len(m.simulation.delayed)-1).Draw(t, "message")
+	message := m.simulation.delayed[i]
+	m.simulation.delayed = slices.Delete(m.simulation.delayed, i, i+1)
 	message()
 }
 
 func (m *machine) refresh(t *rapid.T) { m.instance(t).refresh() }
 
 func (m *machine) network(t *rapid.T) {
-	m.world.faulty = rapid.Bool().Draw(t, "faulty")
-	m.world.seed = rapid.Uint64().Draw(t, "faults")
+	m.simulation.faulty = rapid.Bool().Draw(t, "faulty")
+	m.simulation.seed = rapid.Uint64().Draw(t, "faults")
 }
 
 func (m *machine) outage(t *rapid.T) {
-	kv := m.world.keyValue
+	kv := m.simulation.keyValue
 	kv.Mend()
 	kv.SetDown(rapid.IntRange(0, 3).Draw(t, "down") == 0)
 	answers := rapid.IntRange(0, 2).Draw(t, "answers")
@@ -240,7 +240,7 @@
 }
 
 func (m *machine) time(t *rapid.T) {
-	m.world.clock.advance(time.Duration(rapid.IntRange(1, 6).Draw(t, "minutes")) * time.Minute)
+	m.simulation.clock.advance(time.Duration(rapid.IntRange(1, 6).Draw(t, "minutes")) * time.Minute)
 }
 
 func (m *machine) check(t *rapid.T) {
--- a/pkg/claim/refusal.go
+++ b/pkg/claim/refusal.go
@@ -7,13 +7,13 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// RetryInProgress is when a repeat of a running request should come back.
+// RetryInProgress is the Retry-After for a repeat of a running request.
 const RetryInProgress = 2 * time.Second
 
-// RetryOwnerLost is when to ask again about a key whose decider did not answer.
+// RetryOwnerLost is the Retry-After for a key with an unreachable decider.
 const RetryOwnerLost = 5 * time.Second
 
-// RetryFull is when to come back after the table of records was full.
+// RetryFull is the Retry-After if the record table is full.
 const RetryFull = 30 * time.Second
 
 func refuseInvalid(err error) *outcome.Refusal {
@@ -22,7 +22,7 @@
 	return refusal
 }
 
-// refuseFuture is true as not-run: the decider's clock never steps back, so it
+// refuseFuture may claim not-run: the decider's clock never steps back, so it
 // cannot have granted the key before.
 func refuseFuture() *outcome.Refusal {
 	return outcome.Refuse(http.StatusBadRequest, outcome.ReasonKeyInvalid, 0,
@@ -34,32 +34,32 @@
 		"The instance that decides this key can keep no more keys for now.")
 }
 
-func doubtExpired() *outcome.Refusal {
+func unknownExpired() *outcome.Refusal {
 	return outcome.MayHaveRun(http.StatusGone, outcome.ReasonKeyExpired, 0,
 		"The idempotency key is too old: whether its request ran is no longer kept.")
 }
 
-func doubtReused() *outcome.Refusal {
+func unknownReused() *outcome.Refusal {
 	return outcome.MayHaveRun(http.StatusUnprocessableEntity, outcome.ReasonKeyReused, 0,
 		"The idempotency key was used before with another request, which may have run.")
 }
 
-func doubtInProgress() *outcome.Refusal {
+func unknownInProgress() *outcome.Refusal {
 	return outcome.MayHaveRun(http.StatusConflict, outcome.ReasonKeyInProgress, RetryInProgress,
 		"A request with this idempotency key is running.")
 }
 
-func doubtUnresolved() *outcome.Refusal {
+func unknownUnresolved() *outcome.Refusal {
 	return outcome.MayHaveRun(http.StatusConflict, outcome.ReasonKeyUnresolved, 0,
 		"A request with this idempotency key started, and how it ended is not known.")
 }
 
-func doubtOwnerLost(retryAfter time.Duration) *outcome.Refusal {
+func unknownOwnerLost(retryAfter time.Duration) *outcome.Refusal {
 	return outcome.MayHaveRun(http.StatusServiceUnavailable, outcome.ReasonKeyOwnerLost, retryAfter,
 		"The instance that decides this idempotency key does not answer: the request may have run before.")
 }
 
-func doubtStoreDown() *outcome.Refusal {
+func unknownStoreDown() *outcome.Refusal {
 	return outcome.MayHaveRun(http.StatusServiceUnavailable, outcome.ReasonKeyStoreDown, RetryOwnerLost,
 		"Idempotency keys not given out by the system need the key-value service, which does not answer.")
 }
--- a/pkg/claim/world_test.go
+++ b/pkg/claim/simulation_test.go
@@ -17,7 +17,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-// fault is what the network does to a call.
+// fault is the fault that the simulated network injects into a call.
 type fault uint64
 
 const (
@@ -30,30 +30,30 @@
 
 var errNetwork = errors.New("no answer")
 
-// world is a handful of gateways on a network that loses and delays calls.
-type world struct {
+// simulation is a set of gateways on a network that loses and delays calls.
+type simulation struct {
 	clock    fakeClock
 	random   *rand.ChaCha8
 	keyValue *platformtest.Service
 
-	mu        sync.Mutex
-	processes map[string]*process // by instance name, the present incarnation
-	births    uint64
-	// faulty makes calls fail as chosen by seed, the link and a counter.
+	mu           sync.Mutex
+	processes    map[string]*process // by instance name, the current incarnation
+	incarnations uint64
+	// faulty makes calls fail as determined by the seed, the link and a counter.
 	faulty bool
-	// fates are those of the next calls on a link, before chance decides.
-	fates   map[string][]fault
-	seed    uint64
-	counter map[string]uint64
-	delayed []func()
-	// pause is what happens between two tries of a handover.
-	pause func()
-	wires map[reflect.Type]*wire
+	// nextFaults are scripted for the next calls on a link, before random ones.
+	nextFaults map[string][]fault
+	seed       uint64
+	counter    map[string]uint64
+	delayed    []func()
+	// pause is called between two attempts of a handover.
+	pause  func()
+	codecs map[reflect.Type]*codec
 }
 
 // process is one incarnation of a gateway.
 type process struct {
-	world        *world
+	simulation   *simulation
 	self         Origin
 	coordinator  *Coordinator
 	frozen, dead bool
@@ -67,10 +67,10 @@
 
 var instanceNames = []string{"a1", "a2", "a3", "b1", "b2"}
 
-func newWorld(seed byte) *world {
-	w := &world{processes: make(map[string]*process), wires: make(map[reflect.Type]*wire), counter: make(map[string]uint64), fates: make(map[string][]fault), pause: func() {}}
+func newSimulation(seed byte) *simulation {
+	w := &simulation{processes: make(map[string]*process), codecs: make(map[reflect.Type]*codec), counter: make(map[string]uint64), nextFaults: make(map[string][]fault), pause: func() {}}
 	w.random = rand.NewChaCha8([32]byte{seed})
-	w.keyValue = platformtest.New(new(fakeClock)) // stands still: no claim is forgotten
+	w.keyValue = platformtest.New(new(fakeClock)) // a stopped clock, so no claim expires
 	for _, name := range instanceNames {
 		w.start(name)
 	}
@@ -78,9 +78,9 @@
 	return w
 }
 
-func (w *world) start(name string) *process {
-	w.births++
-	p := &process{world: w, self: Origin{Domain: deployment[name], Instance: name, Incarnation: w.births}}
+func (w *simulation) start(name string) *process {
+	w.incarnations++
+	p := &process{simulation: w, self: Origin{Domain: deployment[name], Instance: name, Incarnation: w.incarnations}}
 	p.coordinator = New(Options{
 		Self: p.self, Clock: &w.clock, Random: w.random, Peers: p, KeyValue: w.keyValue, TTL: fixedTTL,
 		Members:    func() *board.Members { return p.members },
@@ -93,12 +93,12 @@
 	return p
 }
 
-// sleepOnce lets each handover try twice and then give up. What happens during
-// the pause is up to the world.
+// sleepOnce lets each handover try twice and then fail. The simulation's pause runs
+// in between.
 func (p *process) sleepOnce() func(context.Context, time.Duration) error {
 	slept := 0
 	return func(context.Context, time.Duration) error {
-		p.world.pause()
+		p.simulation.pause()
 		slept++
 		if slept%2 == 0 || p.dead {
 			return context.DeadlineExceeded
@@ -107,17 +107,18 @@
 	}
 }
 
-func (w *world) refreshAll() {
+func (w *simulation) refreshAll() {
 	for _, name := range instanceNames {
 		w.processes[name].refresh()
 	}
 }
 
-// refresh shows a process the present membership; until the next it is stale.
+// refresh gives a process the current membership, which then becomes stale until
+// the next refresh.
 func (p *process) refresh() {
 	members, digest := &board.Members{Self: p.self.Instance}, board.DomainDigest{}
 	for _, name := range instanceNames {
-		other := p.world.processes[name]
+		other := p.simulation.processes[name]
 		if other == nil {
 			continue
 		}
@@ -148,7 +149,7 @@
 
 // Call implements Peers. Arguments and replies pass through gob, as in net/rpc.
 func (p *process) Call(_ context.Context, address, method string, args, reply any) error {
-	w := p.world
+	w := p.simulation
 	w.mu.Lock()
 	target := w.processes[address]
 	chosen := w.choose(p.self.Instance + ">" + address)
@@ -177,11 +178,12 @@
 	return nil
 }
 
-// choose draws the fate of the next call on a link; about half go wrong.
-func (w *world) choose(link string) fault {
-	if fates := w.fates[link]; len(fates) > 0 {
-		w.fates[link] = fates[1:]
-		return fates[0]
+// choose returns the fault of the next call on a link; when faulty, about three in
+// eight calls fail.
+func (w *simulation) choose(link string) fault {
+	if nextFaults := w.nextFaults[link]; len(nextFaults) > 0 {
+		w.nextFaults[link] = nextFaults[1:]
+		return nextFaults[0]
 	}
 	if !w.faulty {
 		return faultNone
@@ -194,8 +196,8 @@
 	return fault(drawn / 2 % uint64(faultKinds))
 }
 
-// prepare returns the serving of a message by this process, which gives the
-// reply to take, or false when the process is gone.
+// prepare returns a function that serves a message by this process and fills in the
+// reply, or returns false if the process is dead.
 func (p *process) prepare(method string, args any) func(reply any) bool {
 	service := p.coordinator.Service()
 	switch method {
@@ -216,40 +218,40 @@
 
 func serveAs[A, R any](p *process, handle func(A, *R) error, message any) func(reply any) bool {
 	var args A
-	p.world.carry(message, &args)
+	p.simulation.roundTrip(message, &args)
 	return func(reply any) bool {
 		var answer R
 		if p.dead || handle(args, &answer) != nil {
 			return false
 		}
-		p.world.carry(answer, reply)
+		p.simulation.roundTrip(answer, reply)
 		return true
 	}
 }
 
-// wire carries values of one type as net/rpc does: by gob.
-type wire struct {
+// codec encodes values of one type with gob, as net/rpc does.
+type codec struct {
 	buffer  bytes.Buffer
 	encoder *gob.Encoder
 	decoder *gob.Decoder
 }
 
-func (w *world) carry(value, to any) {
+func (w *simulation) roundTrip(value, to any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	kind := reflect.TypeOf(to)
-	line := w.wires[kind]
+	line := w.codecs[kind]
 	if line == nil {
-		line = &wire{}
+		line = &codec{}
 		line.encoder, line.decoder = gob.NewEncoder(&line.buffer), gob.NewDecoder(&line.buffer)
-		w.wires[kind] = line
+		w.codecs[kind] = line
 	}
 	if err := errors.Join(line.encoder.Encode(value), line.decoder.Decode(to)); err != nil {
 		panic(err)
 	}
 }
 
-// thaw lets a frozen process handle what has reached it in the meantime.
+// thaw unfreezes a process and delivers the calls received in the meantime.
 func (p *process) thaw() {
 	p.frozen = false
 	inbox := p.inbox
--- a/pkg/claim/table.go
+++ b/pkg/claim/table.go
@@ -10,22 +10,22 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// shardCount spreads the records of one origin over as many locks.
+// shardCount is the number of locks that the records of one origin are split over.
 const shardCount = 16
 
-// sweepParts is how many sweeps fall into one lifetime of a key.
-const sweepParts = 16
+// sweepsPerTTL is the number of sweeps in one key lifetime.
+const sweepsPerTTL = 16
 
-// table holds the records of one origin, and judges their age by the origin's
+// table holds the records of one origin. It determines their age by the origin's
 // clock alone.
 type table struct {
 	clock  clock.Clock
 	limits Limits
-	// base and baseMillis tie the local monotonic clock to the origin's clock.
+	// base and baseMillis map the local monotonic clock to the origin's clock.
 	base       time.Time
 	baseMillis int64
-	// floor is the latest issue time whose records may have been dropped. Keys
-	// issued then or before are expired for ever, whatever the lifetime becomes.
+	// floor is the latest issue time with records that may have been dropped. Keys
+	// issued up to then stay expired, even if operators lengthen the lifetime.
 	floor  atomic.Int64
 	swept  atomic.Int64
 	count  atomic.Int64
@@ -48,7 +48,7 @@
 	return t
 }
 
-// now is the origin's clock in Unix milliseconds. It never steps back.
+// now returns the origin's clock in Unix milliseconds. It never steps back.
 func (t *table) now() int64 {
 	return t.baseMillis + t.clock.Now().Sub(t.base).Milliseconds()
 }
@@ -60,14 +60,14 @@
 func (t *table) begin(key Key, claim Claim, ttl time.Duration) Decision {
 	now := t.now()
 	t.sweep(now, ttl)
-	part := t.shard(claim.identity())
-	part.mu.Lock()
-	defer part.mu.Unlock()
-	if record := part.records[claim.identity()]; record != nil && key.Issued > t.floor.Load() {
+	s := t.shard(claim.identity())
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if record := s.records[claim.identity()]; record != nil && key.Issued > t.floor.Load() {
 		return record.decide(claim, now)
 	}
 	if key.Issued <= max(t.floor.Load(), now-ttl.Milliseconds()) {
-		return Decision{Verdict: VerdictRefused, Refusal: doubtExpired()}
+		return Decision{Verdict: VerdictRefused, Refusal: unknownExpired()}
 	}
 	if key.Issued > now {
 		return Decision{Verdict: VerdictRefused, Refusal: refuseFuture()}
@@ -75,29 +75,29 @@
 	if t.count.Load() >= int64(t.limits.MaxRecords) {
 		return Decision{Verdict: VerdictRefused, Refusal: refuseFull()}
 	}
-	t.put(part, &Record{Claim: claim, State: StateGranted, Issued: key.Issued, Granted: now})
+	t.put(s, &Record{Claim: claim, State: StateGranted, Issued: key.Issued, Granted: now})
 	return Decision{Verdict: VerdictGranted}
 }
 
-// decide answers a claim on a key that has a record.
+// decide returns the decision for a claim on a key that has a record.
 func (r *Record) decide(claim Claim, now int64) Decision {
 	if r.State == StateFree && r.Attempt != claim.Attempt {
 		r.Claim, r.State, r.Granted = claim, StateGranted, now
 		return Decision{Verdict: VerdictGranted}
 	}
 	if r.Fingerprint != claim.Fingerprint {
-		return Decision{Verdict: VerdictRefused, Refusal: doubtReused()}
+		return Decision{Verdict: VerdictRefused, Refusal: unknownReused()}
 	}
 	switch r.State {
 	case StateGranted:
 		if r.Attempt == claim.Attempt {
 			return Decision{Verdict: VerdictGranted}
 		}
-		return Decision{Verdict: VerdictRefused, Refusal: doubtInProgress(), Holder: r.Holder}
+		return Decision{Verdict: VerdictRefused, Refusal: unknownInProgress(), Holder: r.Holder}
 	case StateComplete:
 		return Decision{Verdict: VerdictRecorded, Recorded: r.recorded()}
 	default:
-		return Decision{Verdict: VerdictRefused, Refusal: doubtUnresolved()}
+		return Decision{Verdict: VerdictRefused, Refusal: unknownUnresolved()}
 	}
 }
 
@@ -105,40 +105,42 @@
 	return &Recorded{Result: r.Result}
 }
 
-// finish records an attempt's end. For an attempt that was never granted here a
-// free record stays behind, which turns down a delayed Begin of that attempt.
+// finish records the result of an attempt. For an attempt that was never granted
+// here it leaves a tombstone, which refuses a delayed Begin of that attempt.
 func (t *table) finish(key Key, claim Claim, result Result) (changed bool) {
-	part := t.shard(claim.identity())
-	part.mu.Lock()
-	defer part.mu.Unlock()
-	record := part.records[claim.identity()]
+	s := t.shard(claim.identity())
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	record := s.records[claim.identity()]
 	if record == nil {
-		t.tombstone(part, key, claim)
+		t.tombstone(s, key, claim)
 		return false
 	}
 	if record.Attempt != claim.Attempt || record.State != StateGranted {
 		return false
 	}
 	record.finish(result)
-	t.account(record)
+	t.accountBody(record)
 	return true
 }
 
-// tombstone keeps a delayed Begin of an ended attempt from being granted.
-func (t *table) tombstone(part *shard, key Key, claim Claim) {
+// tombstone adds a free record, so that a delayed Begin of an ended attempt is not
+// granted.
+func (t *table) tombstone(s *shard, key Key, claim Claim) {
 	if key.Issued <= t.floor.Load() || t.count.Load() >= int64(t.limits.MaxRecords) {
 		return
 	}
-	t.put(part, &Record{Claim: claim, State: StateFree, Issued: key.Issued, Granted: t.now()})
+	t.put(s, &Record{Claim: claim, State: StateFree, Issued: key.Issued, Granted: t.now()})
 }
 
-func (t *table) put(part *shard, record *Record) {
-	part.records[record.identity()] = record
+func (t *table) put(s *shard, record *Record) {
+	s.records[record.identity()] = record
 	t.count.Add(1)
 }
 
-// account counts a record's stored body, or drops it when there is no room.
-func (t *table) account(record *Record) {
+// accountBody adds a record's body to the stored total, or drops the body if the limit
+// is exceeded.
+func (t *table) accountBody(record *Record) {
 	size := int64(len(record.Result.Body))
 	if t.bodies.Add(size) <= int64(t.limits.MaxBodies) {
 		return
@@ -147,11 +149,11 @@
 	record.Result.Body, record.Result.BodyDropped = nil, true
 }
 
-// sweep drops expired records from time to time. It raises the floor first, so
-// that no key whose record is dropped can be granted again.
+// sweep periodically drops expired records. It raises the floor first, so that a
+// key with a dropped record cannot be granted again.
 func (t *table) sweep(now int64, ttl time.Duration) {
 	last := t.swept.Load()
-	if now-last < ttl.Milliseconds()/sweepParts || !t.swept.CompareAndSwap(last, now) {
+	if now-last < ttl.Milliseconds()/sweepsPerTTL || !t.swept.CompareAndSwap(last, now) {
 		return
 	}
 	floor := t.raiseFloor(now - ttl.Milliseconds())
@@ -162,24 +164,24 @@
 
 func (t *table) raiseFloor(floor int64) int64 {
 	for {
-		present := t.floor.Load()
-		if floor <= present {
-			return present
+		current := t.floor.Load()
+		if floor <= current {
+			return current
 		}
-		if t.floor.CompareAndSwap(present, floor) {
+		if t.floor.CompareAndSwap(current, floor) {
 			return floor
 		}
 	}
 }
 
-func (t *table) sweepShard(part *shard, floor int64) {
-	part.mu.Lock()
-	defer part.mu.Unlock()
-	for id, record := range part.records {
+func (t *table) sweepShard(s *shard, floor int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for id, record := range s.records {
 		if record.Issued > floor {
 			continue
 		}
-		delete(part.records, id)
+		delete(s.records, id)
 		t.count.Add(-1)
 		t.bodies.Add(-int64(len(record.Result.Body)))
 	}
--- a/pkg/dispatch/claim_test.go
+++ b/pkg/dispatch/claim_test.go
@@ -20,12 +20,12 @@
 	"github.com/lilacweir/lilacweir/pkg/trace"
 )
 
-// slowClaims grants every claim; the end of a run is taken in only after the
-// caller has been answered, or when the time for it is over.
+// slowClaims grants every claim. Recording a result blocks until the caller has been
+// answered or the context ends.
 type slowClaims struct {
 	answered chan struct{}
 	ended    chan claim.Result
-	late     bool
+	timedOut bool
 }
 
 func (s *slowClaims) Begin(context.Context, claim.Claim) (*claim.Grant, *claim.Recorded, *outcome.Refusal) {
@@ -33,30 +33,30 @@
 		select {
 		case <-s.answered:
 		case <-ctx.Done():
-			s.late = true
+			s.timedOut = true
 		}
 		s.ended <- result
 	}), nil, nil
 }
 
-// localClaims grants every claim and decides it here; it notes whether the answer
-// had left before the end of the run was recorded.
+// localClaims grants every claim locally. It observes whether the answer was flushed
+// before the result was recorded.
 type localClaims struct {
-	recorder *httptest.ResponseRecorder
-	left     bool
-	recorded int
+	recorder      *httptest.ResponseRecorder
+	answerFlushed bool
+	recorded      int
 }
 
 func (l *localClaims) Begin(context.Context, claim.Claim) (*claim.Grant, *claim.Recorded, *outcome.Refusal) {
 	return claim.NewGrant(true, func(context.Context, claim.Result) {
-		l.left = l.left || l.recorder.Flushed
+		l.answerFlushed = l.answerFlushed || l.recorder.Flushed
 		l.recorded++
 	}), nil, nil
 }
 
-// A gateway that decides the key itself records the run before its answer leaves,
-// so that a repeat through it is never told that the run goes on.
-func TestLocalRecordComesBeforeTheAnswer(t *testing.T) {
+// A gateway that decides the key itself records the result before it sends the
+// answer, so that a repeat through it never gets in-progress.
+func TestLocalResultIsRecordedBeforeTheAnswer(t *testing.T) {
 	is := is.New(t)
 	upstream := &script{steps: []string{answers}}
 	claims := &localClaims{recorder: httptest.NewRecorder()}
@@ -64,7 +64,7 @@
 	d.Serve(context.Background(), keyedRequest(), relay.NewSink(claims.recorder, time.Now))
 	is.Equal(claims.recorder.Code, http.StatusOK)
 	is.Equal(claims.recorded, 1)
-	is.True(!claims.left)
+	is.True(!claims.answerFlushed)
 }
 
 func newClaimDispatcher(t *testing.T, upstream *script, claims dispatch.Claims) *dispatch.Dispatcher {
@@ -89,10 +89,10 @@
 	}
 }
 
-// The answer to a caller does not wait for the decider of its key, which may be
-// frozen, and the gateway does not end before the decider was told.
-func TestAnswerDoesNotWaitForTheRecord(t *testing.T) {
-	for step, want := range map[string]outcome.Outcome{answers: outcome.Complete, refuses: outcome.NotRun, dies: outcome.Unknown} {
+// The answer to a caller does not wait for the remote decider of its key, which may
+// be frozen, and the gateway's shutdown waits for the report to the decider.
+func TestAnswerDoesNotWaitForARemoteRecord(t *testing.T) {
+	for step, want := range map[string]outcome.Outcome{answers: outcome.Complete, refuses: outcome.NotRun, crashes: outcome.Unknown} {
 		t.Run(step, func(t *testing.T) {
 			is := is.New(t)
 			upstream := &script{steps: []string{step}}
@@ -102,14 +102,14 @@
 			is.Equal(d.Metrics.Active.Count(), int64(1)) // a shutdown waits for the record
 			close(claims.answered)
 			is.Equal((<-claims.ended).Outcome, want)
-			is.True(!claims.late)
+			is.True(!claims.timedOut)
 		})
 	}
 }
 
-// Where the own domain refuses for overload and neither the free attempt nor a
-// retry is left, another domain is tried once; a forwarded request is not sent on.
-func TestOverloadAtHomeIsTriedElsewhereOnce(t *testing.T) {
+// If the own domain refuses for overload, and the unbudgeted attempts and the retry
+// budget are used up, another domain is tried once, except for a forwarded request.
+func TestLocalOverloadIsRetriedInAnotherDomainOnce(t *testing.T) {
 	cases := []struct {
 		name, origin string
 		own          []string
@@ -117,10 +117,10 @@
 		attempts     int
 		want         int
 	}{
-		{"elsewhere answers", "", []string{refuses}, []string{refuses, refuses, answers}, 3, http.StatusOK},
-		{"elsewhere refuses", "", []string{refuses}, []string{refuses, refuses, refuses, answers}, 3, http.StatusServiceUnavailable},
+		{"other domain answers", "", []string{refuses}, []string{refuses, refuses, answers}, 3, http.StatusOK},
+		{"other domain refuses", "", []string{refuses}, []string{refuses, refuses, refuses, answers}, 3, http.StatusServiceUnavailable},
 		{"forwarded", "there", []string{refuses}, []string{refuses, refuses, answers}, 2, http.StatusServiceUnavailable},
-		{"nothing of its own", "", nil, []string{refuses, refuses, answers}, 2, http.StatusServiceUnavailable},
+		{"no local upstreams", "", nil, []string{refuses, refuses, answers}, 2, http.StatusServiceUnavailable},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/pkg/dispatch/dispatch_test.go
+++ b/pkg/dispatch/dispatch_test.go
@@ -21,18 +21,18 @@
 	"github.com/lilacweir/lilacweir/pkg/trace"
 )
 
-// What an upstream does with one attempt.
+// The behaviour of an upstream in one attempt.
 const (
-	refuses  = "refuses"  // says that it did not start
-	closed   = "closed"   // cannot be reached
-	dies     = "dies"     // runs, then breaks off
-	fails    = "fails"    // runs, answers 500
-	crosses  = "crosses"  // runs, answers as if to another request
-	answers  = "answers"  // runs
-	withdraw = "withdraw" // is no longer permitted when it is to be sent to
+	refuses    = "refuses"  // reports that it did not start
+	closed     = "closed"   // cannot be reached
+	crashes    = "dies"     // runs, then aborts the connection
+	fails      = "fails"    // runs, answers 500
+	mismatches = "crosses"  // runs, answers as if to another request
+	answers    = "answers"  // runs
+	withdraw   = "withdraw" // is no longer permitted when the attempt is made
 )
 
-// script is a Router whose targets behave as scripted, one attempt after another.
+// script is a Router with targets that behave as scripted for each attempt.
 type script struct {
 	steps    []string
 	next     int
@@ -45,7 +45,7 @@
 	ran      atomic.Int32
 }
 
-func (s *script) Own() []string                          { return s.own }
+func (s *script) LocalUpstreams() []string               { return s.own }
 func (s *script) Route(*dispatch.Request) dispatch.Route { return s }
 func (s *script) End()                                   {}
 
@@ -85,18 +85,18 @@
 	}
 	s.ran.Add(1)
 	switch step {
-	case dies:
+	case crashes:
 		panic(http.ErrAbortHandler)
 	case fails:
 		w.WriteHeader(http.StatusInternalServerError)
-	case crosses:
+	case mismatches:
 		w.Header().Set(header.RequestID, "another")
 	}
 }
 
-// Whatever the upstreams do: a request that may not be repeated runs at most once,
-// "not run" is said only when nothing ran, and retries stay within their bounds.
-func TestOutcomesAreTrue(t *testing.T) {
+// For any upstream behaviour, a request that may not be repeated runs at most once,
+// not-run is reported only if nothing ran, and retries stay within their bounds.
+func TestReportedOutcomesMatchTheRuns(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 		return new(net.Dialer).DialContext(ctx, network, address)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		step := rapid.SampledFrom([]string{refuses, closed, dies, fails, crosses, answers, withdraw})
+		step := rapid.SampledFrom([]string{refuses, closed, crashes, fails, mismatches, answers, withdraw})
 		s := &script{steps: rapid.SliceOfN(step, 0, 6).Draw(t, "steps"), dead: dead, budget: rapid.IntRange(0, 3).Draw(t, "budget")}
 		budget := s.budget
 		server := httptest.NewServer(s)
@@ -126,16 +126,16 @@
 			Method: http.MethodPost, URI: "/", Header: http.Header{}, Body: []byte("x"), Repeatable: repeatable,
 		}
 		d.Serve(context.Background(), request, relay.NewSink(recorder, time.Now))
-		told, ran := recorder.Header().Get(header.Outcome), int(s.ran.Load())
+		reported, ran := recorder.Header().Get(header.Outcome), int(s.ran.Load())
 		switch {
 		case !repeatable && ran > 1:
 			t.Fatalf("ran %d times", ran)
-		case told == string(outcome.NotRun) && ran > 0:
-			t.Fatalf("told not-run, ran %d times", ran)
-		case told == string(outcome.Complete) && ran == 0:
-			t.Fatal("told complete, never ran")
-		case told == "":
-			t.Fatal("told nothing")
+		case reported == string(outcome.NotRun) && ran > 0:
+			t.Fatalf("reported not-run, but ran %d times", ran)
+		case reported == string(outcome.Complete) && ran == 0:
+			t.Fatal("reported complete, but never ran")
+		case reported == "":
+			t.Fatal("reported no outcome")
 		case s.attempts > 4:
 			t.Fatalf("%d attempts", s.attempts)
 		case repeatable && ran > budget+1:
--- a/pkg/dispatch/metrics.go
+++ b/pkg/dispatch/metrics.go
@@ -8,33 +8,33 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// Metrics counts what becomes of requests.
+// Metrics counts requests and attempts by result.
 type Metrics struct {
 	registry metrics.Registry
-	// Requests counts accepted requests, Active those in hand, accepted or not.
+	// Requests counts accepted requests, Active those in progress, accepted or not.
 	Requests, Active metrics.Counter
-	// Refused counts requests that did not end in a whole answer.
+	// Refused counts requests that ended without a complete answer.
 	Refused metrics.Counter
-	// Forwarded counts attempts that went to another failure domain, Retried
-	// attempts after a failed one, Resumed those within a stream, Crossed the
-	// answers that were dropped because they belong to another request.
-	Forwarded, Retried, Resumed, Crossed metrics.Counter
-	latency                              metrics.Timer
+	// Forwarded counts attempts at another failure domain, Retried attempts after a
+	// failed one, Resumed attempts that continue a stream, and Mismatched answers
+	// dropped because they belong to another request.
+	Forwarded, Retried, Resumed, Mismatched metrics.Counter
+	latency                                 metrics.Timer
 }
 
 // NewMetrics registers the metrics.
 func NewMetrics(registry metrics.Registry) *Metrics {
 	counter := func(name string) metrics.Counter { return metrics.NewRegisteredCounter(name, registry) }
 	return &Metrics{
-		registry:  registry,
-		Requests:  counter("requests.all"),
-		Active:    counter("requests.active"),
-		Refused:   counter("requests.refused"),
-		Forwarded: counter("requests.forwarded"),
-		Retried:   counter("attempts.retried"),
-		Resumed:   counter("attempts.resumed"),
-		Crossed:   counter("answers.crossed"),
-		latency:   metrics.NewRegisteredTimer("requests.duration-ns", registry),
+		registry:   registry,
+		Requests:   counter("requests.all"),
+		Active:     counter("requests.active"),
+		Refused:    counter("requests.refused"),
+		Forwarded:  counter("requests.forwarded"),
+		Retried:    counter("attempts.retried"),
+		Resumed:    counter("attempts.resumed"),
+		Mismatched: counter("answers.crossed"),
+		latency:    metrics.NewRegisteredTimer("requests.duration-ns", registry),
 	}
 }
 
--- a/pkg/edge/call.go
+++ b/pkg/edge/call.go
@@ -62,12 +62,12 @@
 		fields.Set(header.Attempts, strconv.Itoa(c.attempts))
 	}
 	answer, err := c.pool.Do(ctx, c.target, &exchange.Request{
-		Method: c.request.Method,
-		URI:    c.request.RequestURI,
-		Host:   c.request.Host,
-		Header: fields,
-		Body:   c.body,
-		Ours:   c.ours,
+		Method:  c.request.Method,
+		URI:     c.request.RequestURI,
+		Host:    c.request.Host,
+		Header:  fields,
+		Body:    c.body,
+		Matches: c.ours,
 	})
 	if err != nil {
 		return c.failed(ctx, err)
@@ -120,7 +120,7 @@
 		return notRun
 	}
 	if !reading.Proven && answer.Status < http.StatusMultipleChoices {
-		answer.Spoil()
+		answer.DisableReuse()
 		return c.odd("answer without the server's signature")
 	}
 	if c.route.Kind == httproute.Streaming && answer.Status == http.StatusOK {
--- a/pkg/gateway/router.go
+++ b/pkg/gateway/router.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Own implements dispatch.Route.
-func (w *way) Own() []string {
+// LocalUpstreams implements dispatch.Route.
+func (w *way) LocalUpstreams() []string {
 	var names []string
 	for _, upstream := range w.config.Load().Pool(w.request.Serves) {
 		if upstream.Domain == w.settings.Domain {
@@ -160,7 +160,7 @@
 		flight, ok := w.tracker.Start(decision.Upstream.Name, w.request.PromptTokens, decision.FirstToken)
 		if ok {
 			choice := w.local(&decision)
-			choice.Begun = flight.FirstByte
+			choice.OnFirstByte = flight.FirstByte
 			return choice, w.finish(&decision, flight), nil
 		}
 	}
@@ -265,7 +265,7 @@
 	}
 	done := func(report relay.Report) {
 		if unanswered(&report) {
-			w.suspects.failed(choice.Target.Name, digest, report.Silent)
+			w.suspects.failed(choice.Target.Name, digest, report.TimedOut)
 		}
 	}
 	return choice, done, nil
@@ -278,7 +278,7 @@
 	if failure == nil || failure.Unsent || failure.CallerGone {
 		return false
 	}
-	return report.Silent || report.Status == 0
+	return report.TimedOut || report.Status == 0
 }
 
 // nameSeparator stands between a failure domain and its instance in the names of
--- a/pkg/order/orderhttp/client.go
+++ b/pkg/order/orderhttp/client.go
@@ -1,8 +1,8 @@
 // Package orderhttp sends orders to model engines over HTTP.
 //
-// Guarantees: the permit is asked for after the connection stands, as the last
-// thing before the order's bytes are written; a call that ends early resets its
-// connection, so that the machine does not go on sending the order.
+// Guarantees: permit is called after the connection is established, immediately before
+// the order is written; a call that ends early resets its connection, so that the
+// kernel does not send the rest of the order.
 package orderhttp
 
 import (
@@ -21,21 +21,21 @@
 )
 
 const (
-	// callTimeout bounds each call; it is within order.FlightMargin.
+	// callTimeout bounds each call, within order.FlightMargin.
 	callTimeout = order.FlightMargin * 3 / 4
-	// maxAnswer bounds an answer that is read, in bytes.
+	// maxAnswer bounds the size of an answer, in bytes.
 	maxAnswer = 1 << 20
 )
 
-// Dial connects to an engine.
+// Dial opens a connection to an engine.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Client is an order.Engines.
+// Client implements order.Engines over HTTP.
 type Client struct{ http *http.Client }
 
 var _ order.Engines = (*Client)(nil)
 
-// New returns a client that makes its connections with dial.
+// New returns a client that opens its connections with dial.
 func New(dial Dial) *Client {
 	transport := &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -47,11 +47,11 @@
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// abortive is a connection whose closing can be made to discard unsent data.
+// abortive is a connection that can discard unsent data when closed.
 type abortive interface{ SetLinger(seconds int) error }
 
-// ErrNotAbortive: dial returned a connection that can't be made to discard
-// unsent data when it is closed.
+// ErrNotAbortive means that dial returned a connection that cannot discard unsent data
+// when closed.
 var ErrNotAbortive = errors.New("connection can't be reset")
 
 func dialAbortive(ctx context.Context, dial Dial, network, address string) (net.Conn, error) {
@@ -82,7 +82,7 @@
 func (c *Client) State(ctx context.Context, engine config.Upstream) (order.State, error) {
 	var state engineapi.OrderState
 	if err := c.call(ctx, http.MethodGet, engine.Address, http.NoBody, 0, &state); err != nil {
-		return order.State{}, fmt.Errorf("state of %s: %w", engine.Name, err)
+		return order.State{}, fmt.Errorf("read state of %s: %w", engine.Name, err)
 	}
 	return order.State{Version: state.Version, Loading: state.Loading, Fence: state.Fence}, nil
 }
@@ -94,11 +94,11 @@
 	}
 	body, err := json.Marshal(message)
 	if err != nil {
-		return fmt.Errorf("order: %w", err)
+		return fmt.Errorf("encode order: %w", err)
 	}
 	guarded := &guardedBody{permit: permit, rest: bytes.NewReader(body)}
 	if err := c.call(ctx, http.MethodPost, load.Upstream.Address, guarded, int64(len(body)), nil); err != nil {
-		return fmt.Errorf("order to %s: %w", load.Upstream.Name, err)
+		return fmt.Errorf("send order to %s: %w", load.Upstream.Name, err)
 	}
 	return nil
 }
@@ -108,13 +108,13 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+engineapi.PathOrders, body)
 	if err != nil {
-		return fmt.Errorf("request: %w", err)
+		return fmt.Errorf("create request: %w", err)
 	}
 	request.ContentLength = length
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
 	if err != nil {
-		return fmt.Errorf("exchange: %w", err)
+		return fmt.Errorf("call engine: %w", err)
 	}
 	defer response.Body.Close()
 	switch {
@@ -126,13 +126,13 @@
 		return nil
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxAnswer)).Decode(answer); err != nil {
-		return fmt.Errorf("answer: %w", err)
+		return fmt.Errorf("decode answer: %w", err)
 	}
 	return nil
 }
 
-// guardedBody asks for the permit at each read. The transport reads a body once
-// its connection stands, and writes what it read at once.
+// guardedBody calls permit before each read. The transport reads a body once its
+// connection is established, and writes what it read immediately.
 type guardedBody struct {
 	permit func() error
 	rest   *bytes.Reader
--- a/pkg/relay/answer.go
+++ b/pkg/relay/answer.go
@@ -13,47 +13,48 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// bufferSize bounds an event, and an answer that is held until it is whole.
+// bufferSize bounds an event, and an answer that is buffered until it is complete,
+// in bytes.
 const bufferSize = 64 << 10
 
 var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
-// Faults of a whole engine answer.
+// Faults of a complete engine answer.
 var (
 	errNoID    = errors.New("answer lacks the request's ID")
-	errNotJSON = errors.New("answer is not whole JSON")
+	errNotJSON = errors.New("answer is not complete JSON")
 )
 
-// answer passes the body on.
+// answer relays the body.
 func (a *attempt) answer(response *http.Response) *Failure {
 	buffer := buffers.Get().(*[bufferSize]byte)
 	defer buffers.Put(buffer)
-	if a.checked(response) && isStream(response) {
-		a.heard(a.patience)
+	if a.mustHoldID(response) && isStream(response) {
+		a.resetTimer(a.idleLimit)
 		return a.stream(response, buffer[:])
 	}
 	return a.whole(response, buffer[:])
 }
 
-// stream passes whole events on: one write for all that one read completed.
+// stream relays complete events, with one write for all events that a read completed.
 func (a *attempt) stream(response *http.Response, buffer []byte) *Failure {
 	id := []byte(a.call.RequestID)
 	fill := 0
-	begun := false
+	gotFirstByte := false
 	for {
 		n, err := response.Body.Read(buffer[fill:])
-		a.heard(min(a.patience, streamSilence))
-		if n > 0 && !begun {
-			begun = true
-			a.begun()
+		a.resetTimer(min(a.idleLimit, streamIdleTimeout))
+		if n > 0 && !gotFirstByte {
+			gotFirstByte = true
+			a.gotFirstByte()
 		}
 		fill += n
 		length, chunks, next := scan(buffer[:fill], id)
 		if failure := a.deliver(response, buffer[:length], chunks); failure != nil {
 			return failure
 		}
-		if next != verdictMore {
-			return a.ended(next, response)
+		if next != scanMore {
+			return a.endStream(next, response)
 		}
 		fill = copy(buffer, buffer[length:fill])
 		if err != nil {
@@ -65,12 +66,12 @@
 	}
 }
 
-// deliver writes events to the caller, and the head before the first.
+// deliver writes events to the caller, preceded by the head if it was not written.
 func (a *attempt) deliver(response *http.Response, events []byte, chunks int) *Failure {
 	if len(events) == 0 {
 		return nil
 	}
-	if !a.sink.Begun {
+	if !a.sink.HeadWritten {
 		a.sink.Head(func(fields http.Header) { a.head(fields, response) })
 		a.sink.Stream = true
 		a.sink.begin(response.StatusCode)
@@ -82,70 +83,72 @@
 	return nil
 }
 
-// ended turns the verdict on a stream into its end.
-func (a *attempt) ended(end verdict, response *http.Response) *Failure {
+// endStream returns the result of a stream that a scan found to have ended.
+func (a *attempt) endStream(end scanResult, response *http.Response) *Failure {
 	switch end {
-	case verdictDone:
-		a.exhaust(response)
+	case scanDone:
+		a.drain(response)
 		return nil
-	case verdictCrossed:
+	case scanMismatch:
 		failure := a.fail(outcome.Unknown, outcome.ReasonUpstreamMismatch, "the upstream sent a part of another answer", nil)
-		failure.Crossed = true
+		failure.Mismatched = true
 		return failure
 	default:
 		return a.fail(outcome.Unknown, outcome.ReasonUpstreamFailed, "another gateway could not finish the answer", nil)
 	}
 }
 
-// exhaust reads the end of a finished stream, so that its connection is kept.
-func (a *attempt) exhaust(response *http.Response) {
+// drain reads the end of a finished stream, so that its connection can be reused.
+func (a *attempt) drain(response *http.Response) {
 	var rest [1]byte
 	_, _ = response.Body.Read(rest[:])
 }
 
-// whole holds an answer until it is whole; a longer one is passed on as it comes.
+// whole buffers an answer until it is complete; one that exceeds the buffer is
+// relayed as it arrives.
 func (a *attempt) whole(response *http.Response, buffer []byte) *Failure {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return a.fail(outcome.Unknown, outcome.ReasonUpstreamFailed, "the upstream does not say where its answer ends", nil)
 	}
-	a.begun()
-	fill, err := a.hold(response.Body, buffer)
+	a.gotFirstByte()
+	fill, err := a.readUntilFull(response.Body, buffer)
 	if err != nil && !errors.Is(err, io.EOF) {
-		return a.broken(err)
+		return a.brokenOff(err)
 	}
 	whole := err != nil
-	if a.checked(response) && whole && !json.Valid(buffer[:fill]) {
-		return a.broken(errNotJSON)
+	if a.mustHoldID(response) && whole && !json.Valid(buffer[:fill]) {
+		return a.brokenOff(errNotJSON)
 	}
-	if a.checked(response) && !belongs(buffer[:fill], []byte(a.call.RequestID)) {
+	if a.mustHoldID(response) && !hasRequestID(buffer[:fill], []byte(a.call.RequestID)) {
 		failure := a.fail(outcome.Unknown, outcome.ReasonUpstreamMismatch, "the upstream answered another request", errNoID)
-		failure.Crossed = true
+		failure.Mismatched = true
 		return failure
 	}
 	if whole {
-		return a.short(response, buffer[:fill])
+		return a.sendWhole(response, buffer[:fill])
 	}
-	return a.long(response, buffer)
+	return a.sendUnbuffered(response, buffer)
 }
 
-// hold reads until the buffer is full (nil), the body ends (io.EOF) or breaks.
-func (a *attempt) hold(body io.Reader, buffer []byte) (fill int, err error) {
+// readUntilFull reads until the buffer is full, which returns nil, or the body ends
+// (io.EOF) or fails.
+func (a *attempt) readUntilFull(body io.Reader, buffer []byte) (fill int, err error) {
 	for err == nil && fill < len(buffer) {
 		var n int
 		n, err = body.Read(buffer[fill:])
 		fill += n
-		a.heard(a.client.idle)
+		a.resetTimer(a.client.idle)
 	}
 	return fill, err
 }
 
-// checked says whether the answer is one whose content must hold the request's ID.
-func (a *attempt) checked(response *http.Response) bool {
+// mustHoldID reports whether the answer's body must contain the request ID.
+func (a *attempt) mustHoldID(response *http.Response) bool {
 	return a.target.Kind == config.KindEngine && response.StatusCode == http.StatusOK
 }
 
-// short passes on an answer that was held until it was whole.
-func (a *attempt) short(response *http.Response, data []byte) *Failure {
+// sendWhole sends an answer that was buffered completely.
+func (a *attempt) sendWhole(response *http.Response, data []byte) *Failure {
 	length := int64(len(data))
 	if response.Request.Method == http.MethodHead {
 		length = response.ContentLength
@@ -156,12 +159,12 @@
 		setLength(fields, length)
 	})
 	a.sink.begin(response.StatusCode)
-	a.sink.Whole = true
-	// Flushed here, the answer does not wait for the request's log line. One that
-	// is kept for repeats does: its run is recorded before it leaves.
+	a.sink.Received = true
+	// Flushing here avoids waiting for the request's log line. An answer that is
+	// stored for repeats is not flushed: its result is recorded before it is sent.
 	pass := a.sink.write
 	if a.sink.Copy != nil {
-		pass = a.sink.put
+		pass = a.sink.writeUnflushed
 	}
 	if err := pass(data); err != nil {
 		return a.callerFailed(err)
@@ -169,9 +172,9 @@
 	return nil
 }
 
-// long passes on an answer that is longer than the buffer. Its first bytes are
-// in the buffer.
-func (a *attempt) long(response *http.Response, buffer []byte) *Failure {
+// sendUnbuffered relays an answer that is longer than the buffer, which holds its
+// first bytes.
+func (a *attempt) sendUnbuffered(response *http.Response, buffer []byte) *Failure {
 	a.sink.Head(func(fields http.Header) {
 		a.head(fields, response)
 		setLength(fields, response.ContentLength)
@@ -186,14 +189,14 @@
 			return nil
 		}
 		if err != nil {
-			return a.broken(err)
+			return a.brokenOff(err)
 		}
 		n, err = response.Body.Read(buffer)
-		a.heard(a.client.idle)
+		a.resetTimer(a.client.idle)
 	}
 }
 
-func (a *attempt) broken(err error) *Failure {
+func (a *attempt) brokenOff(err error) *Failure {
 	return a.fail(outcome.Unknown, outcome.ReasonUpstreamFailed, "the answer broke off", err)
 }
 
@@ -212,7 +215,7 @@
 	}
 }
 
-// setLength states the body's length where it is known.
+// setLength sets Content-Length if the length is known.
 func setLength(fields http.Header, length int64) {
 	if length >= 0 {
 		fields.Set("Content-Length", strconv.FormatInt(length, 10))
--- a/pkg/relay/attempt.go
+++ b/pkg/relay/attempt.go
@@ -15,63 +15,63 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// Waiting times that refusals of a broken path suggest.
+// Values of RetryAfter for failed attempts.
 const (
 	retrySoon  = time.Second
 	retryLater = 3 * time.Second
-	// longestRetry bounds, in seconds, what a target may ask callers to wait.
-	longestRetry = 3600
+	// maxRetrySeconds bounds a target's Retry-After.
+	maxRetrySeconds = 3600
 )
 
-// attempt is one try at one target.
+// attempt is one attempt at one target.
 type attempt struct {
-	client *Client
-	target Target
-	call   *Call
-	sink   *Sink
-	ctx    context.Context
-	flight flight
-	timer  *time.Timer
-	// patience is how long the target may be silent when it would give signs of
-	// life: until the head of its answer, and inside a stream.
-	patience time.Duration
-	report   Report
+	client      *Client
+	target      Target
+	call        *Call
+	sink        *Sink
+	ctx         context.Context
+	connTracker connTracker
+	timer       *time.Timer
+	// idleLimit bounds the time without data from a target that sends keep-alives:
+	// until the head of its answer, and inside a stream.
+	idleLimit time.Duration
+	report    Report
 }
 
-// begun tells that the answer's first part has come.
-func (a *attempt) begun() {
-	if a.call.Begun != nil {
-		a.call.Begun()
+// gotFirstByte reports that the answer has begun.
+func (a *attempt) gotFirstByte() {
+	if a.call.OnFirstByte != nil {
+		a.call.OnFirstByte()
 	}
 }
 
-// errIdle is the cancel cause of an attempt whose target fell silent.
+// errIdle is the cancel cause of an attempt that reached its idle timeout.
 type errIdle struct{}
 
 // Error implements error.
-func (errIdle) Error() string { return "upstream fell silent" }
+func (errIdle) Error() string { return "no data from the target within the idle timeout" }
 
-// Do sends the call to the target and passes the answer to the sink. When the
-// sink has chunks of an earlier attempt, the target is asked to go on after them.
-// The context ends when the caller goes away or the deadline passes.
+// Do sends the call to the target and relays the answer to the sink. If the sink has
+// chunks of an earlier attempt, the target is asked to resume after them. The context
+// must end when the caller disconnects or the deadline passes.
 func (c *Client) Do(ctx context.Context, target Target, call *Call, sink *Sink) Report {
 	work, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	a := &attempt{client: c, target: target, call: call, sink: sink, ctx: ctx, patience: c.idle}
+	a := &attempt{client: c, target: target, call: call, sink: sink, ctx: ctx, idleLimit: c.idle}
 	if target.Peer {
-		a.patience = c.silence
+		a.idleLimit = c.peerIdle
 	}
 	a.timer = time.AfterFunc(c.idle, func() { cancel(errIdle{}) })
 	defer a.timer.Stop()
 	a.report.Failure = a.run(work)
-	a.report.Silent = context.Cause(work) == errIdle{}
+	a.report.TimedOut = context.Cause(work) == errIdle{}
 	if failure := a.report.Failure; failure != nil {
 		a.afterFailure(failure)
 	}
 	return a.report
 }
 
-// afterFailure stops the engine's work on a request that was given up.
+// afterFailure cancels the engine's work on a failed request that may have run.
 func (a *attempt) afterFailure(failure *Failure) {
 	ran := failure.Refusal.Outcome != outcome.NotRun
 	if ran && a.target.Kind == config.KindEngine && !a.target.Peer {
@@ -81,8 +81,8 @@
 
 func (a *attempt) run(ctx context.Context) *Failure {
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn:        a.flight.gotConn,
-		WroteRequest:   func(httptrace.WroteRequestInfo) { a.heard(a.patience) },
+		GotConn:        a.connTracker.gotConn,
+		WroteRequest:   func(httptrace.WroteRequestInfo) { a.resetTimer(a.idleLimit) },
 		Got1xxResponse: a.gotInterim,
 	})
 	request := a.client.request(traced, a.target, a.call, a.call.Offset+a.sink.Chunks)
@@ -90,7 +90,7 @@
 		return a.fail(outcome.NotRun, outcome.ReasonBadRequest, "the request cannot be sent on", nil)
 	}
 	started := a.sink.now()
-	response, err := a.client.transport(a.target, a.call.Once).RoundTrip(request)
+	response, err := a.client.transport(a.target, a.call.AtMostOnce).RoundTrip(request)
 	if err != nil {
 		return a.noAnswer(err)
 	}
@@ -98,30 +98,30 @@
 	a.report.Status = response.StatusCode
 	a.report.FirstByte = a.sink.now().Sub(started)
 	a.report.Leaving = response.Header.Get(header.Leaving) == header.True
-	a.heard(a.client.idle)
-	if failure := a.judge(response); failure != nil {
+	a.resetTimer(a.client.idle)
+	if failure := a.checkHead(response); failure != nil {
 		return failure
 	}
 	return a.answer(response)
 }
 
-// heard puts off the end of the attempt.
-func (a *attempt) heard(patience time.Duration) { a.timer.Reset(patience) }
+// resetTimer restarts the idle timeout.
+func (a *attempt) resetTimer(idleLimit time.Duration) { a.timer.Reset(idleLimit) }
 
 func (a *attempt) gotInterim(int, textproto.MIMEHeader) error {
-	a.heard(a.patience)
+	a.resetTimer(a.idleLimit)
 	return nil
 }
 
-// noAnswer classifies an attempt that got no head of an answer.
+// noAnswer classifies an attempt that received no answer head.
 func (a *attempt) noAnswer(err error) *Failure {
-	if a.flight.settle() {
+	if a.connTracker.seal() {
 		return a.fail(outcome.Unknown, outcome.ReasonUpstreamFailed, "the upstream broke off after the request was sent", err)
 	}
 	return a.fail(outcome.NotRun, outcome.ReasonNoUpstream, "the upstream could not be reached", err)
 }
 
-// fail builds a failure. When the caller's context has ended, that is the cause.
+// fail returns a failure, attributed to the caller if the caller's context has ended.
 func (a *attempt) fail(out outcome.Outcome, reason outcome.Reason, detail string, err error) *Failure {
 	failure := &Failure{Refusal: &outcome.Refusal{
 		Outcome:    out,
@@ -131,11 +131,11 @@
 		Detail:     detail,
 		Err:        err,
 	}}
-	a.blameCaller(failure)
+	a.attributeToCaller(failure)
 	return failure
 }
 
-func (a *attempt) blameCaller(failure *Failure) {
+func (a *attempt) attributeToCaller(failure *Failure) {
 	refusal := failure.Refusal
 	switch context.Cause(a.ctx) {
 	case nil:
@@ -151,26 +151,26 @@
 	}
 }
 
-// judge decides from the head whether the answer may be passed on.
-func (a *attempt) judge(response *http.Response) *Failure {
+// checkHead decides from the answer's head whether the answer may be relayed.
+func (a *attempt) checkHead(response *http.Response) *Failure {
 	if refused := a.refused(response); refused != nil {
 		return refused
 	}
 	if !a.echoed(response) {
 		failure := a.fail(outcome.Unknown, outcome.ReasonUpstreamMismatch, "the upstream answered another request", nil)
-		failure.Crossed = true
+		failure.Mismatched = true
 		return failure
 	}
-	if a.sink.Begun && !(response.StatusCode == http.StatusOK && isStream(response)) {
+	if a.sink.HeadWritten && !(response.StatusCode == http.StatusOK && isStream(response)) {
 		return a.fail(outcome.Unknown, outcome.ReasonUpstreamFailed, "the upstream cannot resume the answer", nil)
 	}
-	if response.StatusCode >= http.StatusInternalServerError && !a.call.Once {
+	if response.StatusCode >= http.StatusInternalServerError && !a.call.AtMostOnce {
 		return a.fail(outcome.Unknown, outcome.ReasonUpstreamFailed, "the upstream answered "+response.Status, nil)
 	}
 	return nil
 }
 
-// refused returns the failure of a target that says that it did not start, or of
+// refused returns the failure of a target that reports that it did not start, or of
 // a peer that refuses.
 func (a *attempt) refused(response *http.Response) *Failure {
 	if a.target.Peer && response.Header.Get(header.Outcome) != "" && response.StatusCode >= http.StatusBadRequest {
@@ -182,19 +182,19 @@
 	}
 	failure := a.fail(outcome.NotRun, outcome.ReasonOverloaded, "the upstream did not start the request", nil)
 	failure.Refusal.Status = http.StatusServiceUnavailable
-	failure.Refusal.RetryAfter = max(retrySoon, retryAfter(response))
+	failure.Refusal.RetryAfter = max(retrySoon, retryAfterOf(response))
 	failure.Overload = true
 	return failure
 }
 
-// retryAfter is when the target asks to come back; zero when it does not say so in
+// retryAfterOf returns the answer's Retry-After, or zero if it is not given in
 // seconds.
-func retryAfter(response *http.Response) time.Duration {
+func retryAfterOf(response *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(response.Header.Get(header.RetryAfter))
 	if err != nil || seconds < 0 {
 		return 0
 	}
-	return min(time.Duration(seconds), longestRetry) * time.Second
+	return min(time.Duration(seconds), maxRetrySeconds) * time.Second
 }
 
 func (a *attempt) peerRefused(response *http.Response) *Failure {
@@ -205,12 +205,12 @@
 	}
 	overload := refusal.Reason == outcome.ReasonOverloaded || refusal.Reason == outcome.ReasonDeadline
 	failure := &Failure{Refusal: refusal, Overload: overload}
-	a.blameCaller(failure)
+	a.attributeToCaller(failure)
 	return failure
 }
 
-// echoed checks the request ID in the head. Plain services need not echo it, nor
-// need an engine that refuses a request as malformed.
+// echoed checks the request ID in the head. Plain services need not echo it, nor does
+// an engine that answers with an error status, such as for a malformed request.
 func (a *attempt) echoed(response *http.Response) bool {
 	echo := response.Header.Get(header.RequestID)
 	strict := a.target.Kind == config.KindEngine || a.target.Peer
--- a/pkg/relay/conn.go
+++ b/pkg/relay/conn.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 )
 
-// errSealed: the attempt was settled before its first byte was written.
-var errSealed = errors.New("attempt settled before the first byte")
+// errSealed means that the attempt was sealed before its first byte was written.
+var errSealed = errors.New("attempt sealed before its first byte was written")
 
 // States of a trackedConn within one attempt.
 const (
@@ -19,8 +19,8 @@
 	connSealed
 )
 
-// trackedConn knows exactly whether a byte of the present attempt was handed to
-// the kernel, and can forbid the first one.
+// trackedConn records whether a byte of the current attempt was passed to the kernel,
+// and can be sealed against the first one.
 type trackedConn struct {
 	net.Conn
 	state atomic.Int32
@@ -34,10 +34,10 @@
 	return c.Conn.Write(p)
 }
 
-// Dialer makes connections: a method of control.Network in production.
+// Dialer opens connections: a method of control.Network in production.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// tracked wraps each connection that dial makes.
+// tracked wraps each connection that dial opens.
 func tracked(dial Dialer) Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -48,42 +48,42 @@
 	}
 }
 
-// flight follows the connections of one attempt.
-type flight struct {
-	mu   sync.Mutex
-	conn *trackedConn
-	left bool
+// connTracker tracks the connections of one attempt.
+type connTracker struct {
+	mu      sync.Mutex
+	conn    *trackedConn
+	written bool
 }
 
 // gotConn is called by the transport before the request is written.
-func (f *flight) gotConn(info httptrace.GotConnInfo) {
+func (f *connTracker) gotConn(info httptrace.GotConnInfo) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.absorb()
+	f.sealCurrent()
 	conn, ok := info.Conn.(*trackedConn)
 	if !ok {
-		f.left = true
+		f.written = true
 		return
 	}
 	conn.state.Store(connUntouched)
 	f.conn = conn
 }
 
-// settle says whether a byte of the request left. When it did not, none will.
-func (f *flight) settle() bool {
+// seal reports whether a byte of the request was written. If not, none can be later.
+func (f *connTracker) seal() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.absorb()
-	return f.left
+	f.sealCurrent()
+	return f.written
 }
 
-// absorb seals the connection at hand and notes whether it was written to.
-func (f *flight) absorb() {
+// sealCurrent seals the current connection and records whether it was written to.
+func (f *connTracker) sealCurrent() {
 	if f.conn == nil {
 		return
 	}
 	if !f.conn.state.CompareAndSwap(connUntouched, connSealed) {
-		f.left = f.left || f.conn.state.Load() == connWritten
+		f.written = f.written || f.conn.state.Load() == connWritten
 	}
 	f.conn = nil
 }
--- a/pkg/relay/events.go
+++ b/pkg/relay/events.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// Parts of a stream of server-sent events, as engines and gateways write them.
+// Syntax elements of server-sent events, as engines and gateways write them.
 var (
 	eventEnd    = []byte("\n\n")
 	dataField   = []byte("data:")
@@ -12,23 +12,23 @@
 	commentLine = byte(':')
 )
 
-// verdict is what a scan found after the events that may be passed on.
-type verdict int
+// scanResult is what a scan found after the events that may be relayed.
+type scanResult int
 
 const (
-	verdictMore    verdict = iota // the stream goes on
-	verdictDone                   // the end marker was read
-	verdictCrossed                // the next event belongs to another request
-	verdictError                  // the sender reports that the answer is broken
+	scanMore     scanResult = iota // the stream continues
+	scanDone                       // the end marker was read
+	scanMismatch                   // the next event belongs to another request
+	scanError                      // the sender reports that the answer is broken
 )
 
-// scan returns the length of the leading whole events that belong to the
-// request, the number of chunks in them, and what follows.
-func scan(data, requestID []byte) (whole, chunks int, next verdict) {
+// scan returns the length of the leading complete events that belong to the request,
+// the number of chunks in them, and what follows.
+func scan(data, requestID []byte) (whole, chunks int, next scanResult) {
 	for {
 		end := bytes.Index(data[whole:], eventEnd)
 		if end < 0 {
-			return whole, chunks, verdictMore
+			return whole, chunks, scanMore
 		}
 		event := data[whole : whole+end]
 		switch classify(event, requestID) {
@@ -36,11 +36,11 @@
 		case eventChunk:
 			chunks++
 		case eventDone:
-			return whole + end + len(eventEnd), chunks, verdictDone
+			return whole + end + len(eventEnd), chunks, scanDone
 		case eventError:
-			return whole, chunks, verdictError
-		case eventForeign:
-			return whole, chunks, verdictCrossed
+			return whole, chunks, scanError
+		case eventMismatch:
+			return whole, chunks, scanMismatch
 		}
 		whole += end + len(eventEnd)
 	}
@@ -54,7 +54,7 @@
 	eventChunk
 	eventDone
 	eventError
-	eventForeign
+	eventMismatch
 )
 
 func classify(event, requestID []byte) eventClass {
@@ -65,21 +65,22 @@
 		return eventError
 	}
 	if !bytes.HasPrefix(event, dataField) {
-		return eventForeign
+		return eventMismatch
 	}
 	data := bytes.TrimLeft(event[len(dataField):], " ")
 	if bytes.Equal(data, doneData) {
 		return eventDone
 	}
-	if belongs(data, requestID) {
+	if hasRequestID(data, requestID) {
 		return eventChunk
 	}
-	return eventForeign
+	return eventMismatch
 }
 
-// belongs says whether the first "id" member of the JSON data is requestID. Inside
-// a JSON string the quotes are escaped, so content cannot pass for the member.
-func belongs(data, requestID []byte) bool {
+// hasRequestID reports whether the first "id" member of the JSON data is requestID.
+// Quotes inside a JSON string are escaped, so content cannot be mistaken for the
+// member.
+func hasRequestID(data, requestID []byte) bool {
 	at := bytes.Index(data, idField)
 	if at < 0 {
 		return false
--- a/pkg/relay/events_fuzz_test.go
+++ b/pkg/relay/events_fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzScan: whatever an upstream sends, only whole events are passed on, they all
-// belong to the request, and where a read ends makes no difference.
+// FuzzScan checks that for any input only complete events of the request are relayed,
+// independently of read boundaries.
 func FuzzScan(f *testing.F) {
 	const id = "kal-1-x"
 	f.Add([]byte("data: {\"id\":\"kal-1-x\"}\n\ndata: [DONE]\n\n"), 7)
@@ -16,22 +16,22 @@
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
 		whole, chunks, next := scan(data, []byte(id))
 		if whole < 0 || whole > len(data) || (whole > 0 && !bytes.HasSuffix(data[:whole], eventEnd)) {
-			t.Fatalf("passes on %d of %d bytes", whole, len(data))
+			t.Fatalf("relays %d of %d bytes", whole, len(data))
 		}
 		if bytes.Count(data[:whole], []byte(id)) < chunks {
 			t.Fatalf("%d chunks in %q", chunks, data[:whole])
 		}
-		if next == verdictMore && bytes.Contains(data[whole:], eventEnd) {
+		if next == scanMore && bytes.Contains(data[whole:], eventEnd) {
 			t.Fatalf("stopped at %d in %q", whole, data)
 		}
 		cut = min(max(cut, 0), len(data))
-		length, count, verdict := scan(data[:cut], []byte(id))
-		if verdict == verdictMore {
+		length, count, result := scan(data[:cut], []byte(id))
+		if result == scanMore {
 			rest, more, last := scan(data[length:], []byte(id))
-			length, count, verdict = length+rest, count+more, last
+			length, count, result = length+rest, count+more, last
 		}
-		if length != whole || count != chunks || verdict != next {
-			t.Fatalf("cut at %d: %d %d %d, in one piece %d %d %d", cut, length, count, verdict, whole, chunks, next)
+		if length != whole || count != chunks || result != next {
+			t.Fatalf("cut at %d: %d %d %d, in one piece %d %d %d", cut, length, count, result, whole, chunks, next)
 		}
 	})
 }
