--- a/pkg/agent/serve_command.go
+++ b/pkg/agent/serve_command.go
@@ -102,7 +102,7 @@
 	if !ok || name == "" {
 		return "", false
 	}
-	return name, a.executor.Judge(name, key, file)
+	return name, a.executor.VerifyKey(name, key, file)
 }
 
 // unauthenticated says why no key can be right here, or that this one is not.
--- a/pkg/command/apply.go
+++ b/pkg/command/apply.go
@@ -98,10 +98,10 @@
 	return Reply{Verdict: OK, Text: strings.Join(lines, "\n")}
 }
 
-// Judge tells whether the key is the operator's, in constant time: by the
+// VerifyKey tells whether the key is the operator's, in constant time: by the
 // configuration in force here, and by the file itself when there is none and
 // the file is to make revision 1.
-func (e *Executor) Judge(operator, key string, file []byte) bool {
+func (e *Executor) VerifyKey(operator, key string, file []byte) bool {
 	head := e.Board.Config.Load()
 	if head != nil && head.Revision > 0 {
 		return config.Authenticate(head.Declaration, operator, key)
--- a/pkg/command/apply_test.go
+++ b/pkg/command/apply_test.go
@@ -83,12 +83,12 @@
 		r.kv.Remove(config.HeadKey)
 		r.board.Config.Store(nil)
 		data := file(t, func(*config.Declaration) {})
-		is.True(r.executor.Judge("eleni", "key-eleni", data))
-		is.True(!r.executor.Judge("eleni", "key-linh", data))
-		is.True(!r.executor.Judge("linh", "key-linh", data))
+		is.True(r.executor.VerifyKey("eleni", "key-eleni", data))
+		is.True(!r.executor.VerifyKey("eleni", "key-linh", data))
+		is.True(!r.executor.VerifyKey("linh", "key-linh", data))
 		first := r.executor.Apply(t.Context(), command.Application{Operator: "eleni", File: "d.yaml", Data: data})
 		is.Equal(first.Text, "1 in force 7/7")
-		is.True(!r.executor.Judge("eleni", "key-linh", data)) // from now on the configuration decides
+		is.True(!r.executor.VerifyKey("eleni", "key-linh", data)) // from now on the configuration decides
 
 		// Another operator, who had also seen that there was none, comes too late.
 		late := r.executor.Apply(t.Context(), command.Application{Operator: "eleni", File: "e.yaml", First: true, Data: file(t, func(d *config.Declaration) {
