--- a/pkg/agent/serve_command.go
+++ b/pkg/agent/serve_command.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return refuse(c, http.StatusBadRequest, "seen: expected a revision number")
 	}
-	difference := a.executor.Apply(c.Request().Context(), command.Application{
+	difference := a.executor.Apply(c.Request().Context(), command.ApplyRequest{
 		Operator: operator, File: fileName(c.QueryParam("file")), Data: body, Seen: seen,
 		First: c.QueryParam("seen") == "0",
 		ID:    c.QueryParam("id"), DryRun: c.QueryParam("dry") == "1", Force: c.QueryParam("force") == "1",
--- a/pkg/command/apply.go
+++ b/pkg/command/apply.go
@@ -9,8 +9,8 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// Application is a declaration file that an operator applies.
-type Application struct {
+// ApplyRequest is a declaration file that an operator applies.
+type ApplyRequest struct {
 	Operator string
 	// File is the file's name, for the audit trail and for faults.
 	File string
@@ -43,7 +43,7 @@
 //
 // On a deployment without configuration it makes revision 1. Who asks must then
 // be an operator of the file itself; the caller of Apply checks keys, see Judge.
-func (e *Executor) Apply(ctx context.Context, application Application) Difference {
+func (e *Executor) Apply(ctx context.Context, application ApplyRequest) Difference {
 	target, err := config.Load(application.File, application.Data)
 	if err != nil {
 		return Difference{Reply: Reply{Verdict: Refused, Text: err.Error()}}
@@ -73,7 +73,7 @@
 
 // seen returns the declaration that the operator saw; the empty one when there is no
 // configuration yet.
-func (e *Executor) seen(application Application) (*config.Declaration, config.Revision, error) {
+func (e *Executor) seen(application ApplyRequest) (*config.Declaration, config.Revision, error) {
 	head := e.Board.Config.Load()
 	if head == nil || head.Revision == 0 {
 		return new(config.Declaration), 0, nil
--- a/pkg/command/apply_test.go
+++ b/pkg/command/apply_test.go
@@ -27,7 +27,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(t)
-		application := command.Application{Operator: "eleni", File: "deploy/d.yaml", DryRun: true, Data: file(t, func(d *config.Declaration) {
+		application := command.ApplyRequest{Operator: "eleni", File: "deploy/d.yaml", DryRun: true, Data: file(t, func(d *config.Declaration) {
 			d.Upstreams[1].Concurrency = 16
 			d.Callers[1].Share = 2
 			d.Policy.CostWeight = 0.5
@@ -60,7 +60,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newRig(t)
-		application := command.Application{Operator: "eleni", File: "d.yaml", DryRun: true, Data: file(t, func(d *config.Declaration) {
+		application := command.ApplyRequest{Operator: "eleni", File: "d.yaml", DryRun: true, Data: file(t, func(d *config.Declaration) {
 			d.Upstreams = d.Upstreams[:3]
 		})}
 		is.Equal(r.executor.Apply(t.Context(), application).Text, "difference to 117:\n- upstream nurse-3\n! leaves larisa-hall no lilac-nurse")
@@ -86,12 +86,12 @@
 		is.True(r.executor.VerifyKey("eleni", "key-eleni", data))
 		is.True(!r.executor.VerifyKey("eleni", "key-linh", data))
 		is.True(!r.executor.VerifyKey("linh", "key-linh", data))
-		first := r.executor.Apply(t.Context(), command.Application{Operator: "eleni", File: "d.yaml", Data: data})
+		first := r.executor.Apply(t.Context(), command.ApplyRequest{Operator: "eleni", File: "d.yaml", Data: data})
 		is.Equal(first.Text, "1 in force 7/7")
 		is.True(!r.executor.VerifyKey("eleni", "key-linh", data)) // from now on the configuration decides
 
 		// Another operator, who had also seen that there was none, comes too late.
-		late := r.executor.Apply(t.Context(), command.Application{Operator: "eleni", File: "e.yaml", First: true, Data: file(t, func(d *config.Declaration) {
+		late := r.executor.Apply(t.Context(), command.ApplyRequest{Operator: "eleni", File: "e.yaml", First: true, Data: file(t, func(d *config.Declaration) {
 			d.Policy.CostWeight = 1
 		})})
 		is.Equal(late.Text, "0 is too old to compare, now 1")
