--- a/pkg/command/change.go
+++ b/pkg/command/change.go
@@ -54,7 +54,7 @@
 func (e *IDError) Error() string { return clip(e.Given) + " is not a change's ID" }
 
 // word makes the reply of a verdict.
-func (e *Executor) word(ctx context.Context, proposal config.Proposal, verdict config.Verdict) Reply {
+func (e *Executor) word(ctx context.Context, proposal config.Proposal, verdict config.Decision) Reply {
 	switch verdict.State {
 	case config.Accepted:
 		if verdict.Head != nil && e.Accepted != nil {
--- a/pkg/command/executor.go
+++ b/pkg/command/executor.go
@@ -12,9 +12,9 @@
 // Changer accepts changes and keeps the audit trail; config.Store is one.
 type Changer interface {
 	// Change proposes a change and says what became of it.
-	Change(ctx context.Context, proposal config.Proposal) config.Verdict
+	Change(ctx context.Context, proposal config.Proposal) config.Decision
 	// Lookup says what became of a change by its ID.
-	Lookup(ctx context.Context, id string) (config.Verdict, error)
+	Lookup(ctx context.Context, id string) (config.Decision, error)
 	// Revision returns an accepted change by its number.
 	Revision(ctx context.Context, revision config.Revision) (*config.Change, error)
 	// Log returns accepted changes, newest first.
--- a/pkg/config/audit.go
+++ b/pkg/config/audit.go
@@ -108,26 +108,26 @@
 // Lookup says what became of a change by its ID. An ID that is found nowhere is
 // declared not accepted: a write that voids it settles every write of it that
 // may still be on its way. Errors: the platform's, or *HistoryError.
-func (s *Store) Lookup(ctx context.Context, id string) (Verdict, error) {
+func (s *Store) Lookup(ctx context.Context, id string) (Decision, error) {
 	ctx, cancel := context.WithTimeout(ctx, ChangeBound)
 	defer cancel()
 	for round := 0; ; round++ {
 		if round > 0 {
 			if err := s.pause(ctx, firstPause); err != nil {
-				return Verdict{State: Unknown, ID: id}, fmt.Errorf("settle %s: %w", id, err)
+				return Decision{State: Unknown, ID: id}, fmt.Errorf("settle %s: %w", id, err)
 			}
 		}
 		stored, err := s.Read(ctx)
 		if err != nil {
-			return Verdict{State: Unknown, ID: id}, err
+			return Decision{State: Unknown, ID: id}, err
 		}
-		verdict, done, err := s.history(ctx, stored.Head, id)
+		decision, done, err := s.history(ctx, stored.Head, id)
 		if done || err != nil {
-			return verdict, err
+			return decision, err
 		}
 		err = s.void(ctx, stored, id)
 		if err != nil && !errors.Is(err, platform.ErrConflict) {
-			return Verdict{State: Unknown, ID: id}, err
+			return Decision{State: Unknown, ID: id}, err
 		}
 	}
 }
@@ -155,27 +155,27 @@
 
 // history looks for an ID among the voided, the recent and the archived changes;
 // done is false when it is nowhere.
-func (s *Store) history(ctx context.Context, head *Head, id string) (verdict Verdict, done bool, err error) {
+func (s *Store) history(ctx context.Context, head *Head, id string) (decision Decision, done bool, err error) {
 	if head.isVoided(id) {
-		return Verdict{State: Refused, ID: id, Reason: &VoidedError{ID: id}}, true, nil
+		return Decision{State: Refused, ID: id, Reason: &VoidedError{ID: id}}, true, nil
 	}
 	change := head.change(id)
-	born, _ := ParseID(id)
-	if change == nil && born < head.Archived {
-		change, err = s.archived(ctx, head, id, born)
+	seen, _ := ParseID(id)
+	if change == nil && seen < head.Archived {
+		change, err = s.archived(ctx, head, id, seen)
 	}
 	if err != nil {
-		return Verdict{State: Unknown, ID: id}, false, err
+		return Decision{State: Unknown, ID: id}, false, err
 	}
 	if change == nil {
-		return Verdict{}, false, nil
+		return Decision{}, false, nil
 	}
-	return Verdict{State: Accepted, ID: id, Revision: change.Revision, Change: change}, true, nil
+	return Decision{State: Accepted, ID: id, Revision: change.Revision, Change: change}, true, nil
 }
 
-func (s *Store) archived(ctx context.Context, head *Head, id string, born Revision) (*Change, error) {
+func (s *Store) archived(ctx context.Context, head *Head, id string, seen Revision) (*Change, error) {
 	var found *Change
-	err := s.backward(ctx, head, born+1, func(change *Change) bool {
+	err := s.backward(ctx, head, seen+1, func(change *Change) bool {
 		if change.ID == id {
 			found = change
 		}
--- a/pkg/config/danger.go
+++ b/pkg/config/danger.go
@@ -47,8 +47,8 @@
 // declaration's lists.
 func Dangers(before, after *Declaration) []Danger {
 	dangers := emptiedPools(before, after)
-	dangers = append(dangers, strandedCallers(before, after)...)
-	return append(dangers, strandedVersions(before, after)...)
+	dangers = append(dangers, callersWithoutRegion(before, after)...)
+	return append(dangers, unservedVersions(before, after)...)
 }
 
 // poolKey names the upstreams of one model or service in one domain.
@@ -63,20 +63,20 @@
 		}
 	}
 	var dangers []Danger
-	told := map[poolKey]bool{}
+	reported := map[poolKey]bool{}
 	for i := range before.Upstreams {
 		upstream := &before.Upstreams[i]
 		pool := poolKey{upstream.Serves, upstream.Domain}
-		if upstream.Drained || left[pool] > 0 || told[pool] {
+		if upstream.Drained || left[pool] > 0 || reported[pool] {
 			continue
 		}
-		told[pool] = true
+		reported[pool] = true
 		dangers = append(dangers, Danger{Pool: pool.serves, Domain: pool.domain})
 	}
 	return dangers
 }
 
-func strandedCallers(before, after *Declaration) []Danger {
+func callersWithoutRegion(before, after *Declaration) []Danger {
 	var dangers []Danger
 	for i := range after.Callers {
 		caller := &after.Callers[i]
@@ -91,10 +91,10 @@
 // versionKey names a version of a model.
 type versionKey struct{ model, version string }
 
-func strandedVersions(before, after *Declaration) []Danger {
-	had := strandedSet(before)
+func unservedVersions(before, after *Declaration) []Danger {
+	had := unservedVersionSet(before)
 	var dangers []Danger
-	for _, version := range strandedList(after) {
+	for _, version := range unservedVersionList(after) {
 		if !had[version] {
 			dangers = append(dangers, Danger{Model: version.model, Version: version.version})
 		}
@@ -102,16 +102,16 @@
 	return dangers
 }
 
-func strandedSet(decl *Declaration) map[versionKey]bool {
+func unservedVersionSet(decl *Declaration) map[versionKey]bool {
 	set := map[versionKey]bool{}
-	for _, version := range strandedList(decl) {
+	for _, version := range unservedVersionList(decl) {
 		set[version] = true
 	}
 	return set
 }
 
-// strandedList returns the versions that get requests and have no upstream.
-func strandedList(decl *Declaration) []versionKey {
+// unservedVersionList returns the versions that get requests and have no upstream.
+func unservedVersionList(decl *Declaration) []versionKey {
 	served := map[versionKey]bool{}
 	for i := range decl.Upstreams {
 		upstream := &decl.Upstreams[i]
--- a/pkg/config/evaluate.go
+++ b/pkg/config/evaluate.go
@@ -11,28 +11,28 @@
 
 // evaluate decides whether the proposal can be accepted on the head. Errors:
 // *ConflictError when a change that the operator had not seen stands in the way,
-// *StaleError when that cannot be told, else those of judge.
+// *StaleError when that cannot be told, else those of evaluateOn.
 func evaluate(head *Head, proposal *Proposal) (*effect, error) {
 	unseen, err := unseenChanges(head, proposal)
 	if err != nil {
 		return nil, err
 	}
-	result, err := judge(head.Declaration, proposal)
+	result, err := evaluateOn(head.Declaration, proposal)
 	for _, change := range slices.Backward(unseen) {
 		if collide(change.Ops, result.ops) {
 			return nil, &ConflictError{Obstacle: change, Err: err}
 		}
 	}
 	if err != nil {
-		return nil, blame(head, proposal, unseen, err)
+		return nil, attributeConflict(head, proposal, unseen, err)
 	}
 	return result, nil
 }
 
-// judge returns what the proposal does to a declaration; with an error, what it
+// evaluateOn returns what the proposal does to a declaration; with an error, what it
 // would have done as far as that is known. Errors: *DangerError, *InvalidError,
 // and those of Build and Apply.
-func judge(decl *Declaration, proposal *Proposal) (*effect, error) {
+func evaluateOn(decl *Declaration, proposal *Proposal) (*effect, error) {
 	result := new(effect)
 	var err error
 	if result.ops, err = proposal.Build(decl); err != nil {
@@ -71,9 +71,9 @@
 	return changes, nil
 }
 
-// blame wraps the error in a *ConflictError when the proposal could have been
+// attributeConflict wraps the error in a *ConflictError when the proposal could have been
 // accepted before one of the unseen changes: the first after which it fails.
-func blame(head *Head, proposal *Proposal, unseen []Change, cause error) error {
+func attributeConflict(head *Head, proposal *Proposal, unseen []Change, cause error) error {
 	if len(unseen) == 0 {
 		return cause
 	}
@@ -81,7 +81,7 @@
 	if !ok {
 		return cause
 	}
-	if _, err := judge(decl, proposal); err != nil {
+	if _, err := evaluateOn(decl, proposal); err != nil {
 		return cause
 	}
 	for _, change := range unseen {
@@ -90,7 +90,7 @@
 			return cause
 		}
 		decl = after
-		if _, err := judge(decl, proposal); err != nil {
+		if _, err := evaluateOn(decl, proposal); err != nil {
 			return &ConflictError{Obstacle: change, Err: cause}
 		}
 	}
--- a/pkg/config/fake_test.go
+++ b/pkg/config/fake_test.go
@@ -99,12 +99,12 @@
 func bootstrap(t *testing.T, store *config.Store) {
 	t.Helper()
 	is := is.New(t)
-	verdict := store.Change(t.Context(), config.Proposal{
+	decision := store.Change(t.Context(), config.Proposal{
 		ID: "c0-00000000", Operator: "eleni", Line: "apply sample.yaml",
 		Build: config.Fixed(config.Diff(&config.Declaration{}, sample())),
 	})
-	is.Equal(verdict.State, config.Accepted)
-	is.Equal(verdict.Revision, config.Revision(1))
+	is.Equal(decision.State, config.Accepted)
+	is.Equal(decision.Revision, config.Revision(1))
 }
 
 // testID makes a well-formed ID from a number.
--- a/pkg/config/property_test.go
+++ b/pkg/config/property_test.go
@@ -133,7 +133,7 @@
 		if !ok {
 			t.Fatal("no delta")
 		}
-		reached, err := first.Head.Advance(overGob(t, delta))
+		reached, err := first.Head.Advance(gobRoundTrip(t, delta))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -146,7 +146,7 @@
 	})
 }
 
-func overGob(t *rapid.T, delta *config.Delta) *config.Delta {
+func gobRoundTrip(t *rapid.T, delta *config.Delta) *config.Delta {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(delta); err != nil {
 		t.Fatal(err)
@@ -169,13 +169,13 @@
 		store.Change(context.Background(), config.Proposal{ID: "c0-00000000", Operator: "eleni", Line: "apply", Build: config.Fixed(config.Diff(&config.Declaration{}, sample()))})
 		kv.FailWrites(rapid.SliceOfN(rapid.SampledFrom([]platformtest.Fault{platformtest.Works, platformtest.Works, platformtest.LoseWrite, platformtest.LoseAnswer, platformtest.DelayWrite}), 0, 30).Draw(t, "faults")...)
 		operators := rapid.IntRange(2, 5).Draw(t, "operators")
-		verdicts := make([]config.Verdict, operators)
-		bubble(outer, operators, func(i int, group *sync.WaitGroup) {
+		decisions := make([]config.Decision, operators)
+		runConcurrently(outer, operators, func(i int, group *sync.WaitGroup) {
 			group.Go(func() {
 				caller := config.Caller{Name: fmt.Sprintf("caller-%d", i), KeyHash: config.HashKey(fmt.Sprint(i)), Home: "makedonia", Regions: []string{"makedonia"}}
 				proposal := propose(testID(1, i+1), "eleni", 1, config.Op{SetCaller: &caller})
 				own := config.NewStore(kv, clock.Func(func() time.Time { return testTime }), func(context.Context, time.Duration) error { return nil }, func() float64 { return 1 })
-				verdicts[i] = own.Change(context.Background(), proposal)
+				decisions[i] = own.Change(context.Background(), proposal)
 			})
 		})
 		kv.Release()
@@ -183,10 +183,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for i, verdict := range verdicts {
+		for i, decision := range decisions {
 			_, there := stored.Head.Declaration.Caller(fmt.Sprintf("caller-%d", i))
-			if verdict.State != config.Accepted || !there || count(stored.Head.Recent, testID(1, i+1)) != 1 {
-				t.Fatalf("change %d: %s, there %v", i, verdict.State, there)
+			if decision.State != config.Accepted || !there || count(stored.Head.Recent, testID(1, i+1)) != 1 {
+				t.Fatalf("change %d: %s, there %v", i, decision.State, there)
 			}
 		}
 		if int(stored.Head.Revision) != operators+1 {
@@ -195,9 +195,9 @@
 	})
 }
 
-// bubble starts count jobs at once on a clock that stands still while any of them
+// runConcurrently starts count jobs at once on a clock that stands still while any of them
 // runs, so that the bounds of changes do not depend on the machine's load.
-func bubble(t *testing.T, count int, start func(i int, group *sync.WaitGroup)) {
+func runConcurrently(t *testing.T, count int, start func(i int, group *sync.WaitGroup)) {
 	synctest.Test(t, func(*testing.T) {
 		var group sync.WaitGroup
 		for i := range count {
@@ -220,30 +220,30 @@
 }
 
 // While proposers give up at any point and delayed writes arrive at any point,
-// what Lookup has once said of a change stays true, and a proposer's own verdict
+// what Lookup has once said of a change stays true, and a proposer's own decision
 // never says otherwise.
-func TestVerdictsNeverContradict(t *testing.T) {
+func TestDecisionsNeverContradict(t *testing.T) {
 	outer := t
 	rapid.Check(t, func(t *rapid.T) {
 		kv := newService()
 		store := newStore(kv)
 		store.Change(context.Background(), config.Proposal{ID: "c0-00000000", Operator: "eleni", Line: "apply", Build: config.Fixed(config.Diff(&config.Declaration{}, sample()))})
 		kv.FailWrites(rapid.SliceOfN(rapid.SampledFrom([]platformtest.Fault{platformtest.Works, platformtest.LoseWrite, platformtest.LoseAnswer, platformtest.DelayWrite, platformtest.DelayWrite}), 4, 12).Draw(t, "faults")...)
-		patience := rapid.SliceOfN(rapid.IntRange(0, 3), 3, 3).Draw(t, "patience")
-		proposed := make([]config.Verdict, len(patience))
-		asked := make([]config.Verdict, len(patience))
-		bubble(outer, len(patience), func(i int, group *sync.WaitGroup) {
+		maxPauses := rapid.SliceOfN(rapid.IntRange(0, 3), 3, 3).Draw(t, "patience")
+		proposed := make([]config.Decision, len(maxPauses))
+		lookedUp := make([]config.Decision, len(maxPauses))
+		runConcurrently(outer, len(maxPauses), func(i int, group *sync.WaitGroup) {
 			id := testID(1, i+1)
 			group.Go(func() {
 				caller := config.Caller{Name: fmt.Sprintf("caller-%d", i), KeyHash: config.HashKey(fmt.Sprint(i)), Home: "makedonia", Regions: []string{"makedonia"}}
-				proposed[i] = limitedStore(kv, patience[i]).Change(context.Background(), propose(id, "eleni", 1, config.Op{SetCaller: &caller}))
+				proposed[i] = limitedStore(kv, maxPauses[i]).Change(context.Background(), propose(id, "eleni", 1, config.Op{SetCaller: &caller}))
 			})
-			group.Go(func() { asked[i], _ = newStore(kv).Lookup(context.Background(), id) })
+			group.Go(func() { lookedUp[i], _ = newStore(kv).Lookup(context.Background(), id) })
 			group.Go(kv.Release)
 		})
 		kv.Release()
 		kv.Mend()
-		for i := range patience {
+		for i := range maxPauses {
 			final, err := newStore(kv).Lookup(context.Background(), testID(1, i+1))
 			if err != nil {
 				t.Fatal(err)
@@ -256,7 +256,7 @@
 			if there != (final.State == config.Accepted) || count(stored.Head.Recent, testID(1, i+1)) > 1 {
 				t.Fatalf("change %d is %s, there %v", i, final.State, there)
 			}
-			for _, earlier := range []config.Verdict{proposed[i], asked[i]} {
+			for _, earlier := range []config.Decision{proposed[i], lookedUp[i]} {
 				if earlier.State != config.Unknown && (earlier.State != final.State || earlier.Revision != final.Revision) {
 					t.Fatalf("change %d: said %s %d, then %s %d", i, earlier.State, earlier.Revision, final.State, final.Revision)
 				}
--- a/pkg/config/proposal.go
+++ b/pkg/config/proposal.go
@@ -44,20 +44,20 @@
 	Unknown State = "unknown"
 )
 
-// Verdict is the answer to a proposal.
-type Verdict struct {
+// Decision is the answer to a proposal.
+type Decision struct {
 	State State
 	// ID is the proposal's.
 	ID string
 	// Revision is the revision that the change made, when accepted.
 	Revision Revision
-	// Head is the accepted head right after the change; nil when the verdict was
+	// Head is the accepted head right after the change; nil when the decision was
 	// found in the history, or not accepted.
 	Head *Head
 	// Change is the accepted change.
 	Change *Change
 	// Dangers is what the change takes away wholly, as its operator insisted;
-	// empty when the verdict was found in the history.
+	// empty when the decision was found in the history.
 	Dangers []Danger
 	// Reason says why the change was refused or is unknown.
 	Reason error
--- a/pkg/config/store.go
+++ b/pkg/config/store.go
@@ -42,13 +42,13 @@
 	clock  clock.Clock
 	pause  Pause
 	jitter func() float64
-	// turn lets one change of this process at a time compete for the head.
-	turn chan struct{}
+	// semaphore lets one change of this process at a time compete for the head.
+	semaphore chan struct{}
 }
 
 // NewStore returns a store. The jitter function returns numbers in [0,1).
 func NewStore(kv platform.KeyValue, clk clock.Clock, pause Pause, jitter func() float64) *Store {
-	return &Store{kv: kv, clock: clk, pause: pause, jitter: jitter, turn: make(chan struct{}, 1)}
+	return &Store{kv: kv, clock: clk, pause: pause, jitter: jitter, semaphore: make(chan struct{}, 1)}
 }
 
 // Stored is the head as it stands in the service.
@@ -83,12 +83,12 @@
 }
 
 // Change proposes a change and returns what became of it, within ChangeBound.
-func (s *Store) Change(ctx context.Context, proposal Proposal) Verdict {
+func (s *Store) Change(ctx context.Context, proposal Proposal) Decision {
 	ctx, cancel := context.WithTimeout(ctx, ChangeBound)
 	defer cancel()
 	select {
-	case s.turn <- struct{}{}:
-		defer func() { <-s.turn }()
+	case s.semaphore <- struct{}{}:
+		defer func() { <-s.semaphore }()
 	case <-ctx.Done():
 		return unreachable(&proposal, false, ctx.Err())
 	}
@@ -102,16 +102,16 @@
 	proposal *Proposal
 	// pending is true while a write that was sent may still take effect; it can
 	// do so only over the head of modification revision over.
-	pending bool
-	over    int64
+	pending         bool
+	pendingRevision int64
 	// last is the last failure of the service.
 	last error
 }
 
-// run repeats read, decide, write until one of them gives the verdict. Writing
+// run repeats read, decide, write until one of them gives the decision. Writing
 // again over the same head is harmless after a lost answer: both writes expect
 // the same modification revision, so one of them at most takes effect.
-func (a *attempt) run(ctx context.Context) Verdict {
+func (a *attempt) run(ctx context.Context) Decision {
 	for round := 0; ; round++ {
 		if err := a.wait(ctx, round); err != nil {
 			return unreachable(a.proposal, a.pending, errors.Join(a.last, err))
@@ -119,15 +119,15 @@
 		stored, err := a.store.Read(ctx)
 		var unreadable *EncodingError
 		if errors.As(err, &unreadable) && !a.pending {
-			return Verdict{State: Refused, ID: a.proposal.ID, Reason: err}
+			return Decision{State: Refused, ID: a.proposal.ID, Reason: err}
 		}
 		if err != nil {
 			a.last = err
 			continue
 		}
-		verdict, done := a.decide(ctx, stored)
+		decision, done := a.decide(ctx, stored)
 		if done {
-			return verdict
+			return decision
 		}
 	}
 }
@@ -141,40 +141,40 @@
 }
 
 // decide looks at the head as it stands, and proposes the next one.
-func (a *attempt) decide(ctx context.Context, stored Stored) (Verdict, bool) {
-	if a.pending && stored.ModRevision != a.over {
+func (a *attempt) decide(ctx context.Context, stored Stored) (Decision, bool) {
+	if a.pending && stored.ModRevision != a.pendingRevision {
 		a.pending = false
 	}
-	verdict, done, err := a.store.history(ctx, stored.Head, a.proposal.ID)
-	var tooFar *HistoryError
-	if errors.As(err, &tooFar) {
-		return Verdict{State: Refused, ID: a.proposal.ID, Reason: err}, !a.pending
+	decision, done, err := a.store.history(ctx, stored.Head, a.proposal.ID)
+	var incomplete *HistoryError
+	if errors.As(err, &incomplete) {
+		return Decision{State: Refused, ID: a.proposal.ID, Reason: err}, !a.pending
 	}
 	if err != nil {
 		a.last = err
-		return Verdict{}, false
+		return Decision{}, false
 	}
 	if done {
-		return verdict, true
+		return decision, true
 	}
 	next, err := a.store.prepare(stored, a.proposal)
 	if err != nil {
-		return Verdict{State: Refused, ID: a.proposal.ID, Reason: err}, !a.pending
+		return Decision{State: Refused, ID: a.proposal.ID, Reason: err}, !a.pending
 	}
 	return a.write(ctx, stored, next)
 }
 
-func (a *attempt) write(ctx context.Context, stored Stored, next *prepared) (Verdict, bool) {
+func (a *attempt) write(ctx context.Context, stored Stored, next *prepared) (Decision, bool) {
 	a.pending = true
-	a.over = stored.ModRevision
+	a.pendingRevision = stored.ModRevision
 	ctx, cancel := context.WithTimeout(ctx, callBound)
 	defer cancel()
 	_, err := a.store.kv.Swap(ctx, next.expect, next.puts)
 	if err != nil {
 		a.last = err
-		return Verdict{}, false
+		return Decision{}, false
 	}
-	return Verdict{
+	return Decision{
 		State:    Accepted,
 		ID:       a.proposal.ID,
 		Revision: next.head.Revision,
@@ -184,12 +184,12 @@
 	}, true
 }
 
-// unreachable is the verdict when the service gave no answer in time: refused
+// unreachable is the decision when the service gave no answer in time: refused
 // when nothing of the ID was ever sent, else unknown.
-func unreachable(proposal *Proposal, sent bool, err error) Verdict {
+func unreachable(proposal *Proposal, sent bool, err error) Decision {
 	state := Refused
 	if sent || proposal.Repeated {
 		state = Unknown
 	}
-	return Verdict{State: state, ID: proposal.ID, Reason: &UnreachableError{Sent: sent, Err: err}}
+	return Decision{State: state, ID: proposal.ID, Reason: &UnreachableError{Sent: sent, Err: err}}
 }
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -15,7 +15,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-func TestRaces(t *testing.T) {
+func TestConcurrentChangesToOneEntryConflict(t *testing.T) {
 	tests := []struct {
 		name          string
 		first, second config.Op
@@ -37,21 +37,21 @@
 			bootstrap(t, ours)
 			// The other operator's change lands between our read and our write.
 			kv.BeforeNextWrite(func() {
-				verdict := theirs.Change(t.Context(), propose(testID(1, 1), "linh", 1, test.first))
-				is.Equal(verdict.State, config.Accepted)
+				decision := theirs.Change(t.Context(), propose(testID(1, 1), "linh", 1, test.first))
+				is.Equal(decision.State, config.Accepted)
 			})
-			verdict := ours.Change(t.Context(), propose(testID(1, 2), "eleni", 1, test.second))
-			is.Equal(verdict.State, test.want)
+			decision := ours.Change(t.Context(), propose(testID(1, 2), "eleni", 1, test.second))
+			is.Equal(decision.State, test.want)
 			stored, err := ours.Read(t.Context())
 			is.NoErr(err)
 			if test.want == config.Accepted {
-				is.Equal(verdict.Revision, config.Revision(3))
+				is.Equal(decision.Revision, config.Revision(3))
 				is.Equal(len(stored.Head.Recent), 3) // neither change is lost
 				return
 			}
 			is.Equal(stored.Head.Revision, config.Revision(2))
 			var conflict *config.ConflictError
-			is.True(errors.As(verdict.Reason, &conflict)) // names the change in the way
+			is.True(errors.As(decision.Reason, &conflict)) // names the change in the way
 			is.Equal(conflict.Obstacle.Operator, "linh")
 			is.Equal(conflict.Obstacle.Revision, config.Revision(2))
 		})
@@ -63,16 +63,16 @@
 	store := newStore(newService())
 	bootstrap(t, store)
 	is.Equal(store.Change(t.Context(), propose(testID(1, 1), "linh", 1, drainOp("nurse-1", true))).State, config.Accepted)
-	verdict := store.Change(t.Context(), propose(testID(1, 2), "eleni", 1, drainOp("nurse-2", true)))
+	decision := store.Change(t.Context(), propose(testID(1, 2), "eleni", 1, drainOp("nurse-2", true)))
 	var danger *config.DangerError
-	is.True(errors.As(verdict.Reason, &danger))
+	is.True(errors.As(decision.Reason, &danger))
 	is.Equal(danger.Dangers[0].Pool, "lilac-nurse")
 
 	// What fails without the other change as well is not blamed on it.
-	verdict = store.Change(t.Context(), propose(testID(1, 3), "eleni", 1, drainOp("nurse-3", true)))
+	decision = store.Change(t.Context(), propose(testID(1, 3), "eleni", 1, drainOp("nurse-3", true)))
 	var conflict *config.ConflictError
-	is.True(!errors.As(verdict.Reason, &conflict))
-	is.True(errors.As(verdict.Reason, &danger))
+	is.True(!errors.As(decision.Reason, &conflict))
+	is.True(errors.As(decision.Reason, &danger))
 }
 
 // setUpstream adds an upstream, always at the same address.
@@ -84,10 +84,10 @@
 	tests := []struct {
 		name   string
 		faults []platformtest.Fault
-		// deaf is how many reads fail after the first write.
-		deaf   int
-		pauses int
-		want   config.State
+		// failedReads is how many reads fail after the first write.
+		failedReads int
+		pauses      int
+		want        config.State
 		// later is what Lookup says afterwards.
 		later config.State
 	}{
@@ -106,10 +106,10 @@
 			kv := newService()
 			bootstrap(t, newStore(kv))
 			kv.FailWrites(test.faults...)
-			kv.BeforeNextWrite(func() { kv.FailReads(test.deaf) })
+			kv.BeforeNextWrite(func() { kv.FailReads(test.failedReads) })
 			id := testID(1, 7)
-			verdict := limitedStore(kv, test.pauses).Change(t.Context(), propose(id, "eleni", 1, drainOp("nurse-1", true)))
-			is.Equal(verdict.State, test.want)
+			decision := limitedStore(kv, test.pauses).Change(t.Context(), propose(id, "eleni", 1, drainOp("nurse-1", true)))
+			is.Equal(decision.State, test.want)
 
 			kv.Mend()
 			found, err := newStore(kv).Lookup(t.Context(), id)
@@ -144,11 +144,11 @@
 	bootstrap(t, newStore(kv))
 	kv.FailReads(99)
 	writes := kv.Counts().Writes
-	verdict := limitedStore(kv, 3).Change(t.Context(), propose(testID(1, 1), "eleni", 1, drainOp("nurse-1", true)))
-	is.Equal(verdict.State, config.Refused)
+	decision := limitedStore(kv, 3).Change(t.Context(), propose(testID(1, 1), "eleni", 1, drainOp("nurse-1", true)))
+	is.Equal(decision.State, config.Refused)
 	is.Equal(kv.Counts().Writes, writes)
 	var unreachable *config.UnreachableError
-	is.True(errors.As(verdict.Reason, &unreachable))
+	is.True(errors.As(decision.Reason, &unreachable))
 	is.True(!unreachable.Sent)
 
 	// Of an ID that was proposed before, nobody can say that it did nothing.
@@ -164,8 +164,8 @@
 	bootstrap(t, store)
 	const last = 250
 	for revision := config.Revision(2); revision <= last; revision++ {
-		verdict := store.Change(t.Context(), propose(testID(revision-1, 0), "eleni", revision-1, drainOp("nurse-1", revision%2 == 0)))
-		is.Equal(verdict.State, config.Accepted)
+		decision := store.Change(t.Context(), propose(testID(revision-1, 0), "eleni", revision-1, drainOp("nurse-1", revision%2 == 0)))
+		is.Equal(decision.State, config.Accepted)
 	}
 	fresh := newStore(kv)
 	stored, err := fresh.Read(t.Context())
@@ -201,10 +201,10 @@
 	for revision := config.Revision(2); revision <= 80; revision++ {
 		store.Change(t.Context(), propose(testID(revision-1, 0), "eleni", revision-1, drainOp("nurse-1", revision%2 == 0)))
 	}
-	verdict := store.Change(t.Context(), propose(testID(80, 1), "linh", 3, drainOp("nurse-3", false)))
-	is.Equal(verdict.State, config.Refused)
+	decision := store.Change(t.Context(), propose(testID(80, 1), "linh", 3, drainOp("nurse-3", false)))
+	is.Equal(decision.State, config.Refused)
 	var stale *config.StaleError
-	is.True(errors.As(verdict.Reason, &stale))
+	is.True(errors.As(decision.Reason, &stale))
 }
 
 // An instance of an older version must not drop what a newer one has stored: it
@@ -228,10 +228,10 @@
 	is.NoErr(err)
 	is.Equal(stored.Head.Revision, config.Revision(5))
 	writes := kv.Counts().Writes
-	verdict := store.Change(t.Context(), propose(testID(5, 1), "eleni", 5, drainOp("nurse-1", true)))
-	is.Equal(verdict.State, config.Refused)
+	decision := store.Change(t.Context(), propose(testID(5, 1), "eleni", 5, drainOp("nurse-1", true)))
+	is.Equal(decision.State, config.Refused)
 	var encoding *config.EncodingError
-	is.True(errors.As(verdict.Reason, &encoding))
+	is.True(errors.As(decision.Reason, &encoding))
 	_, err = store.Lookup(t.Context(), testID(5, 1))
 	is.True(errors.As(err, &encoding)) // to void it would drop the field as well
 	is.Equal(kv.Counts().Writes, writes)
@@ -246,8 +246,8 @@
 	bootstrap(t, store)
 	stranger := config.Operator{Name: "mallory", KeyHash: config.HashKey("mine")}
 	proposal := propose(testID(0, 1), "mallory", 0, config.Op{SetOperator: &stranger})
-	verdict := store.Change(t.Context(), proposal)
-	is.Equal(verdict.State, config.Refused)
+	decision := store.Change(t.Context(), proposal)
+	is.Equal(decision.State, config.Refused)
 	var stale *config.StaleError
-	is.True(errors.As(verdict.Reason, &stale))
+	is.True(errors.As(decision.Reason, &stale))
 }
