--- a/pkg/config/apply.go
+++ b/pkg/config/apply.go
@@ -6,9 +6,9 @@
 )
 
 // Apply returns the declaration after the operations, and the operations that
-// undo them. The given declaration is not modified; entries that stay the same
-// are shared. The result is the same on every node. Errors: *MissingError,
-// *OpError, *SplitError. The result is not validated as a whole; see Validate.
+// undo them. The given declaration is not modified, and unchanged entries are
+// shared. The result is the same on every node, and is not validated (see
+// Validate). The error is a *MissingError, *OpError or *SplitError.
 func Apply(decl *Declaration, ops []Op) (*Declaration, []Op, error) {
 	after := *decl
 	editor := &editor{decl: &after}
@@ -53,7 +53,7 @@
 	}
 }
 
-// set puts one entry in place of the old one of that name.
+// set replaces the entry of the same name, or adds it.
 func (e *editor) set(op *Op) {
 	switch {
 	case op.SetRegion != nil:
@@ -141,9 +141,9 @@
 	return nil
 }
 
-// splitVersions gives one version its percent; the others share the rest in
-// their present proportions, and evenly when all have none. What whole numbers
-// leave over goes to the largest remainders, first names first.
+// splitVersions gives one version its percent and divides the rest among the
+// others in their present proportions, or evenly when all of them are at zero.
+// Percents lost to rounding go to the largest remainders, in the order of names.
 func splitVersions(versions []ModelVersion, op *SplitVersion) ([]ModelVersion, error) {
 	at := slices.IndexFunc(versions, func(v ModelVersion) bool { return v.Name == op.Version })
 	if at < 0 {
@@ -176,7 +176,7 @@
 	return result, nil
 }
 
-// shareWeights returns the weights of all versions but one, and their sum.
+// shareWeights returns the weights of all versions except one, and their sum.
 func shareWeights(versions []ModelVersion, except int) (weights []int, total int) {
 	weights = make([]int, len(versions))
 	for i, version := range versions {
--- a/pkg/config/audit.go
+++ b/pkg/config/audit.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// auditDigits is how many digits a segment key's revision has.
+	// auditDigits is the number of digits of the revision in a segment key.
 	auditDigits = 12
-	// auditBlock is how many revisions share a key prefix, which one Range reads.
+	// auditBlock is the number of revisions per key prefix, which one Range reads.
 	auditBlock = 100
-	// auditBlocks bounds how far one search goes back, in blocks.
+	// auditBlocks is the largest number of blocks that one search reads.
 	auditBlocks = 40
 )
 
-// HistoryError reports a search that had to end before it found an answer.
+// HistoryError reports a search that reached its bound without an answer.
 type HistoryError struct {
 	// Back is the oldest revision that was searched.
 	Back Revision
@@ -40,14 +40,13 @@
 	return fmt.Sprintf("%s%0*d", AuditPrefix, auditDigits, from)
 }
 
-// blockPrefix is the key prefix of the segments that begin in a block.
+// blockPrefix returns the key prefix of the segments that begin in a block.
 func blockPrefix(block Revision) string {
 	return segmentKey(block * auditBlock)[:len(AuditPrefix)+auditDigits-2]
 }
 
-// Log returns the last accepted changes, newest first, at most n, of those that
-// keep holds. The platform's error, or *HistoryError when it looked back far
-// without finding n.
+// Log returns the last n accepted changes that keep selects, newest first. The
+// error is the platform's, or a *HistoryError when the search reached its bound.
 func (s *Store) Log(ctx context.Context, n int, keep func(*Change) bool) ([]Change, error) {
 	stored, err := s.Read(ctx)
 	if err != nil {
@@ -63,8 +62,8 @@
 	return found, err
 }
 
-// Revision returns an accepted change by its number. Errors: *AbsentError, the
-// platform's.
+// Revision returns an accepted change by its number. The error is an
+// *AbsentError or the platform's.
 func (s *Store) Revision(ctx context.Context, revision Revision) (*Change, error) {
 	stored, err := s.Read(ctx)
 	if err != nil {
@@ -105,9 +104,9 @@
 	return nil, nil
 }
 
-// Lookup says what became of a change by its ID. An ID that is found nowhere is
-// declared not accepted: a write that voids it settles every write of it that
-// may still be on its way. Errors: the platform's, or *HistoryError.
+// Lookup returns the decision on a change by its ID. An ID that is not found is
+// marked as not accepted: the write of that makes every write of the change that
+// is still in flight fail. The error is the platform's or a *HistoryError.
 func (s *Store) Lookup(ctx context.Context, id string) (Decision, error) {
 	ctx, cancel := context.WithTimeout(ctx, ChangeBound)
 	defer cancel()
@@ -132,7 +131,8 @@
 	}
 }
 
-// void rewrites the head with the ID declared not accepted; the revision stays.
+// void rewrites the head with the ID marked as not accepted. The revision does
+// not change.
 func (s *Store) void(ctx context.Context, stored Stored, id string) error {
 	if stored.newer != nil {
 		return stored.newer
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// history looks for an ID among the voided, the recent and the archived changes;
-// done is false when it is nowhere.
+// history searches the voided, recent and archived changes for an ID; done is
+// false when it is not found.
 func (s *Store) history(ctx context.Context, head *Head, id string) (decision Decision, done bool, err error) {
 	if head.isVoided(id) {
 		return Decision{State: Refused, ID: id, Reason: &VoidedError{ID: id}}, true, nil
@@ -184,8 +184,8 @@
 	return found, err
 }
 
-// backward visits accepted changes from the newest down to the given revision,
-// until visit returns false.
+// backward calls visit for accepted changes from the newest down to the given
+// revision, until visit returns false.
 func (s *Store) backward(ctx context.Context, head *Head, down Revision, visit func(*Change) bool) error {
 	for i := range slices.Backward(head.Recent) {
 		if head.Recent[i].Revision < down || !visit(&head.Recent[i]) {
@@ -236,8 +236,8 @@
 	return changes, nil
 }
 
-// Mentions returns a filter for Log: changes whose line, operator or operations
-// contain the word, in any case. An empty word holds for all.
+// Mentions returns a filter for Log that selects changes with the word in their
+// line, operator, ID or operations, in any case. An empty word selects all.
 func Mentions(word string) func(*Change) bool {
 	lowered := strings.ToLower(word)
 	return func(change *Change) bool {
--- a/pkg/config/bench_test.go
+++ b/pkg/config/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// sized returns a declaration with so many upstreams and callers, spread over
-// three regions with a failure domain each.
+// sized returns a declaration with the given numbers of upstreams and callers,
+// in three regions with one failure domain each.
 func sized(upstreams, callers int) *config.Declaration {
 	decl := &config.Declaration{
 		Models:    []config.Model{{Name: "lilac-nurse", Versions: []config.ModelVersion{{Name: "v1", Percent: 100}}}},
@@ -34,7 +34,7 @@
 	return decl
 }
 
-// sizedHead is a head with a full list of recent changes.
+// sizedHead returns a head with a full list of recent changes.
 func sizedHead(b *testing.B, upstreams, callers int) *config.Head {
 	b.Helper()
 	head := &config.Head{Revision: 1, Declaration: sized(upstreams, callers)}
@@ -113,12 +113,12 @@
 	})
 }
 
-// BenchmarkAdvance is what a follower pays for one change that came as a delta.
+// BenchmarkAdvance measures the cost of one change received as a delta.
 func BenchmarkAdvance(b *testing.B) {
 	forSizes(b, func(b *testing.B, head *config.Head) {
 		before, ok := head.At(head.Revision - 1)
 		if !ok {
-			b.Fatal("no way back")
+			b.Fatal("no earlier declaration")
 		}
 		follower := &config.Head{Revision: head.Revision - 1, Declaration: before}
 		delta, ok := head.Delta(head.Revision - 1)
--- a/pkg/config/danger.go
+++ b/pkg/config/danger.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Danger is an effect of a change that takes all of something away.
+// Danger is an effect of a change that removes the last of something.
 type Danger struct {
 	// Pool and Domain are set when a failure domain loses the last upstream of a
 	// model or service.
@@ -17,7 +17,7 @@
 	Model, Version string
 }
 
-// String says what would happen, for a phone.
+// String describes the effect, briefly enough for a phone.
 func (d Danger) String() string {
 	switch {
 	case d.Pool != "":
@@ -29,7 +29,7 @@
 	}
 }
 
-// DangerError refuses a change until the operator asks for it with emphasis.
+// DangerError refuses a dangerous change that the operator did not force.
 type DangerError struct {
 	Dangers []Danger
 }
@@ -43,7 +43,7 @@
 	return strings.Join(texts, "\n")
 }
 
-// Dangers returns what a change takes away wholly, in the order of the
+// Dangers returns the dangerous effects of a change, in the order of the
 // declaration's lists.
 func Dangers(before, after *Declaration) []Danger {
 	dangers := emptiedPools(before, after)
@@ -51,7 +51,7 @@
 	return append(dangers, unservedVersions(before, after)...)
 }
 
-// poolKey names the upstreams of one model or service in one domain.
+// poolKey identifies the upstreams of one model or service in one domain.
 type poolKey struct{ serves, domain string }
 
 func emptiedPools(before, after *Declaration) []Danger {
@@ -88,7 +88,7 @@
 	return dangers
 }
 
-// versionKey names a version of a model.
+// versionKey identifies a version of a model.
 type versionKey struct{ model, version string }
 
 func unservedVersions(before, after *Declaration) []Danger {
@@ -110,7 +110,8 @@
 	return set
 }
 
-// unservedVersionList returns the versions that get requests and have no upstream.
+// unservedVersionList returns the versions with a share of requests but no
+// upstream in service.
 func unservedVersionList(decl *Declaration) []versionKey {
 	served := map[versionKey]bool{}
 	for i := range decl.Upstreams {
--- a/pkg/config/delta.go
+++ b/pkg/config/delta.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Delta carries one head to a later one: the changes alone, for links that
-// should not carry a whole declaration for each change.
+// Delta holds the changes between one head and a later one, so that links do not
+// carry a whole declaration for each change.
 type Delta struct {
 	// From is the revision that the receiver must hold.
 	From Revision
 	// Changes are the accepted changes after From, oldest first.
 	Changes []Change
-	// Archived and Voided are the later head's.
+	// Archived and Voided are those of the later head.
 	Archived Revision
 	Voided   []VoidedChange
-	// Sum identifies the declaration that must result.
+	// Sum is the checksum of the declaration that must result.
 	Sum string
 }
 
-// DeltaError reports a delta that does not lead to the head that it was made
-// from. The receiver asks for the whole head instead.
+// DeltaError reports a delta that does not lead to the head from which it was
+// made. The receiver requests the whole head instead.
 type DeltaError struct {
-	// Have is the receiver's revision; From the delta's.
+	// Have is the receiver's revision, From the delta's.
 	Have, From Revision
 	Problem    string
 }
@@ -32,8 +32,8 @@
 	return fmt.Sprintf("delta from %d on %d: %s", e.From, e.Have, e.Problem)
 }
 
-// Since returns the accepted changes after a revision, oldest first; false when
-// the head no longer holds all of them.
+// Since returns the accepted changes after a revision, oldest first, or false
+// when the head no longer holds all of them.
 func (h *Head) Since(revision Revision) ([]Change, bool) {
 	if revision > h.Revision {
 		return nil, false
@@ -45,8 +45,8 @@
 	return slices.Clone(h.Recent[len(h.Recent)-count:]), true
 }
 
-// Delta returns what a holder of the given revision needs to follow; false when
-// it needs the whole head.
+// Delta returns the delta from the given revision to the head, or false when the
+// receiver needs the whole head.
 func (h *Head) Delta(from Revision) (*Delta, bool) {
 	changes, ok := h.Since(from)
 	if !ok || from == 0 {
@@ -66,7 +66,7 @@
 }
 
 // Advance returns the head after a delta, without modifying this one. The error
-// is a *DeltaError, after which the whole head has to be fetched.
+// is a *DeltaError, after which the whole head must be fetched.
 func (h *Head) Advance(delta *Delta) (*Head, error) {
 	if delta.From != h.Revision {
 		return nil, &DeltaError{Have: h.Revision, From: delta.From, Problem: "other revision"}
@@ -89,8 +89,8 @@
 	return next, nil
 }
 
-// At returns the declaration at an earlier revision, by undoing the changes
-// since; false when the head no longer holds all of them.
+// At returns the declaration at an earlier revision by undoing the later changes,
+// or false when the head no longer holds all of them.
 func (h *Head) At(revision Revision) (*Declaration, bool) {
 	changes, ok := h.Since(revision)
 	if !ok {
@@ -107,7 +107,7 @@
 	return decl, true
 }
 
-// change returns the recent change of an ID, or nil.
+// change returns the recent change with the ID, or nil.
 func (h *Head) change(id string) *Change {
 	for i := range h.Recent {
 		if h.Recent[i].ID == id {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// isVoided tells whether the ID was declared not accepted.
+// isVoided reports whether the ID was marked as not accepted.
 func (h *Head) isVoided(id string) bool {
 	return slices.ContainsFunc(h.Voided, func(v VoidedChange) bool { return v.ID == id })
 }
--- a/pkg/config/describe.go
+++ b/pkg/config/describe.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Describe says what the operations change, one fact a line: "+" for an entry
-// that is new, "-" for one that goes, "~" for a key with its old and new value.
+// Describe lists the effects of the operations, one a line: "+" for a new entry,
+// "-" for a removed one, "~" for a key with its old and new value.
 func Describe(before *Declaration, ops []Op) []string {
 	var lines []string
 	for i := range ops {
@@ -75,7 +75,7 @@
 	return keys
 }
 
-// maxShown bounds a value in a difference, in bytes.
+// maxShown is the length limit, in bytes, of a value in a difference.
 const maxShown = 60
 
 func shortJSON(value any) string {
--- a/pkg/config/diff.go
+++ b/pkg/config/diff.go
@@ -3,8 +3,8 @@
 import "reflect"
 
 // Diff returns the operations that turn one declaration into the other, in an
-// order that does not depend on how the files were written. Equal declarations
-// give none.
+// order that does not depend on the order in the files. Equal declarations give
+// no operations.
 func Diff(from, to *Declaration) []Op {
 	var ops []Op
 	ops = diffKind(ops, regionKind, from, to)
--- a/pkg/config/encode.go
+++ b/pkg/config/encode.go
@@ -10,18 +10,18 @@
 	"sync"
 )
 
-// MaxEncoded bounds an encoded value, in bytes: the platform's key-value service
-// holds values up to a megabyte.
+// MaxEncoded is the size limit of an encoded value, in bytes. The platform's
+// key-value service accepts values of up to a megabyte.
 const MaxEncoded = 1_000_000
 
-// maxDecoded bounds what an encoded value may unpack to, in bytes.
+// maxDecoded is the size limit of a decompressed value, in bytes.
 const maxDecoded = 32 << 20
 
-// EncodeHead returns the head as compressed JSON. Errors: *SizeError when it is
-// too large for the platform's service, *EncodingError.
+// EncodeHead returns the head as compressed JSON. The error is an *EncodingError,
+// or a *SizeError when it is too large for the platform's service.
 func EncodeHead(head *Head) ([]byte, error) { return encode(head) }
 
-// DecodeHead reads what EncodeHead wrote, and passes over fields that a newer
+// DecodeHead reads the output of EncodeHead and ignores fields that a newer
 // version added. The error is an *EncodingError.
 func DecodeHead(data []byte) (*Head, error) { return decodeHead(data, lenient) }
 
@@ -36,7 +36,7 @@
 	return head, nil
 }
 
-// strictness says what decode does with fields that it does not know.
+// strictness selects whether decode rejects unknown fields.
 type strictness bool
 
 const (
@@ -44,7 +44,7 @@
 	strict  strictness = true
 )
 
-// writers holds compressors for reuse, since each takes most of a megabyte.
+// writers pools compressors, since each takes most of a megabyte.
 var writers = sync.Pool{New: func() any { return gzip.NewWriter(io.Discard) }}
 
 func encode(value any) ([]byte, error) {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// Sum identifies a declaration: equal declarations have equal sums.
+// Sum returns a checksum of a declaration. Equal declarations have equal sums.
 func Sum(decl *Declaration) (string, error) {
 	data, err := json.Marshal(decl)
 	if err != nil {
--- a/pkg/config/errors.go
+++ b/pkg/config/errors.go
@@ -11,7 +11,8 @@
 // Error implements error.
 func (e *MissingError) Error() string { return fmt.Sprintf("no %s %s", e.Kind, e.Name) }
 
-// OpError reports an operation that sets not exactly one field, or an unknown kind.
+// OpError reports an operation with an unknown kind, or without exactly one field
+// set.
 type OpError struct {
 	Problem string
 }
@@ -19,7 +20,7 @@
 // Error implements error.
 func (e *OpError) Error() string { return "bad operation: " + e.Problem }
 
-// SplitError reports a version split that cannot add up.
+// SplitError reports a version split that cannot add up to 100%.
 type SplitError struct {
 	Model, Version string
 	Percent        int
@@ -32,7 +33,7 @@
 
 // SizeError reports a configuration that is too large for the platform's service.
 type SizeError struct {
-	// Bytes is the encoded size, Limit the most that is allowed.
+	// Bytes is the encoded size, Limit the largest that is allowed.
 	Bytes, Limit int
 }
 
--- a/pkg/config/evaluate.go
+++ b/pkg/config/evaluate.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// effect is what a proposal does to one declaration.
+// effect is the effect of a proposal on one declaration.
 type effect struct {
 	ops, inverse []Op
 	after        *Declaration
 	dangers      []Danger
 }
 
-// evaluate decides whether the proposal can be accepted on the head. Errors:
-// *ConflictError when a change that the operator had not seen stands in the way,
-// *StaleError when that cannot be told, else those of evaluateOn.
+// evaluate decides whether the proposal can be accepted on the head. The error is
+// a *ConflictError when a change that the operator had not seen conflicts with
+// it, a *StaleError when that cannot be determined, or one of evaluateOn.
 func evaluate(head *Head, proposal *Proposal) (*effect, error) {
 	unseen, err := unseenChanges(head, proposal)
 	if err != nil {
@@ -29,9 +29,9 @@
 	return result, nil
 }
 
-// evaluateOn returns what the proposal does to a declaration; with an error, what it
-// would have done as far as that is known. Errors: *DangerError, *InvalidError,
-// and those of Build and Apply.
+// evaluateOn returns the effect of the proposal on a declaration; with an error,
+// the part that is known. The error is a *DangerError, an *InvalidError, or one
+// of Build and Apply.
 func evaluateOn(decl *Declaration, proposal *Proposal) (*effect, error) {
 	result := new(effect)
 	var err error
@@ -51,8 +51,8 @@
 	return result, nil
 }
 
-// unseenChanges returns what was accepted since the operator looked, oldest
-// first. The error is a *StaleError.
+// unseenChanges returns the changes accepted after the revision that the operator
+// saw, oldest first. The error is a *StaleError.
 func unseenChanges(head *Head, proposal *Proposal) ([]Change, error) {
 	if proposal.Seen == 0 && head.Revision > 0 {
 		return nil, &StaleError{Seen: 0, Now: head.Revision}
@@ -71,8 +71,8 @@
 	return changes, nil
 }
 
-// attributeConflict wraps the error in a *ConflictError when the proposal could have been
-// accepted before one of the unseen changes: the first after which it fails.
+// attributeConflict wraps the error in a *ConflictError with the first unseen
+// change after which the proposal fails, if it could have been accepted before.
 func attributeConflict(head *Head, proposal *Proposal, unseen []Change, cause error) error {
 	if len(unseen) == 0 {
 		return cause
--- a/pkg/config/fake_test.go
+++ b/pkg/config/fake_test.go
@@ -17,12 +17,12 @@
 
 var testTime = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// newService is a key-value service at testTime.
+// newService returns a key-value service with its clock at testTime.
 func newService() *platformtest.Service {
 	return platformtest.New(clock.Func(func() time.Time { return testTime }))
 }
 
-// newStore returns a store whose pauses take no time, but end when used up.
+// newStore returns a store without pauses that fails after 1000 attempts.
 func newStore(kv platform.KeyValue) *config.Store {
 	pauses := 0
 	var mu sync.Mutex
@@ -38,7 +38,7 @@
 	return config.NewStore(kv, clock.Func(func() time.Time { return testTime }), pause, func() float64 { return 1 })
 }
 
-// limitedStore gives up after that many pauses.
+// limitedStore returns a store that fails after so many pauses.
 func limitedStore(kv platform.KeyValue, pauses int) *config.Store {
 	pause := func(ctx context.Context, _ time.Duration) error {
 		pauses--
@@ -50,7 +50,7 @@
 	return config.NewStore(kv, clock.Func(func() time.Time { return testTime }), pause, func() float64 { return 1 })
 }
 
-// sample is a valid declaration with two regions and three upstreams.
+// sample returns a valid declaration with two regions and four upstreams.
 func sample() *config.Declaration {
 	hash := func(name string) string { return config.HashKey("key-" + name) }
 	return &config.Declaration{
@@ -84,7 +84,7 @@
 	}
 }
 
-// propose makes a proposal of one operation.
+// propose returns a proposal of one operation.
 func propose(id, operator string, seen config.Revision, op config.Op) config.Proposal {
 	return config.Proposal{
 		ID: id, Operator: operator, Line: op.String(), Seen: seen, Build: config.Fixed([]config.Op{op}),
@@ -95,7 +95,7 @@
 	return config.Op{Drain: &config.DrainOp{Upstream: upstream, Drained: drained}}
 }
 
-// bootstrap makes revision 1 of the sample.
+// bootstrap applies the sample as revision 1.
 func bootstrap(t *testing.T, store *config.Store) {
 	t.Helper()
 	is := is.New(t)
@@ -107,5 +107,5 @@
 	is.Equal(decision.Revision, config.Revision(1))
 }
 
-// testID makes a well-formed ID from a number.
+// testID returns a well-formed ID with a number.
 func testID(seen config.Revision, number int) string { return fmt.Sprintf("c%d-%08d", seen, number) }
--- a/pkg/config/head.go
+++ b/pkg/config/head.go
@@ -2,58 +2,57 @@
 
 import "time"
 
-// Revision numbers the accepted configurations, counting from 1; 0 means that
-// none is known.
+// Revision is the number of an accepted configuration, counted from 1; 0 means
+// that none is known.
 type Revision uint64
 
-// Head is the accepted configuration, the value of the one key that all changes
-// compare-and-swap.
+// Head is the accepted configuration, the value of the key on which all changes
+// do a compare-and-swap.
 type Head struct {
 	// Revision is the number of the last accepted change.
 	Revision Revision `json:"revision"`
 	// Declaration is the state after that change. It is immutable once accepted.
 	Declaration *Declaration `json:"declaration"`
-	// Recent holds the last accepted changes, oldest first, RecentLimit at most.
+	// Recent holds the last accepted changes, oldest first, at most RecentLimit.
 	Recent []Change `json:"recent"`
-	// Archived is the revision up to which the audit trail is in segment keys.
+	// Archived is the last revision in the segment keys of the audit trail.
 	Archived Revision `json:"archived"`
-	// Voided holds the IDs of changes that were asked about and declared not
-	// accepted, oldest first, VoidedLimit at most: they never can be any more.
+	// Voided holds the IDs of changes that Lookup marked as not accepted, oldest
+	// first, at most VoidedLimit. They can never be accepted afterwards.
 	Voided []VoidedChange `json:"voided,omitempty"`
 }
 
-// VoidedChange records that a change was declared not accepted.
+// VoidedChange records that a change was marked as not accepted.
 type VoidedChange struct {
 	// ID is the change's identity.
 	ID string `json:"id"`
-	// At is when, by the declaring instance's clock.
+	// At is the time of that, by the marking instance's clock.
 	At time.Time `json:"at"`
 }
 
-// VoidedLimit is how many voided IDs a head keeps. A proposer gives up within
-// seconds, so the oldest is of no use long before it is dropped.
+// VoidedLimit is the number of voided IDs that a head retains. A proposer aborts
+// within seconds, so the oldest is obsolete long before it is dropped.
 const VoidedLimit = 64
 
-// RecentLimit is how many changes a head keeps for duplicate detection, for
-// undo, and until they are archived.
+// RecentLimit is the number of changes that a head retains for duplicate
+// detection and undo, until they are archived.
 const RecentLimit = 64
 
-// Change is one accepted change: what an operator asked for, and what it did.
+// Change is one accepted change, with its request and effect.
 type Change struct {
-	// ID is the random identity that survives lost answers.
+	// ID is random; the change is found by it after a lost answer.
 	ID string `json:"id"`
 	// Revision is the revision that the change made.
 	Revision Revision `json:"revision"`
 	// Seen is the revision that the operator saw when asking.
 	Seen Revision `json:"seen"`
-	// Operator is who asked.
+	// Operator is the operator who proposed the change.
 	Operator string `json:"operator"`
-	// At is when it was accepted, by the accepting instance's clock.
+	// At is the time of acceptance, by the accepting instance's clock.
 	At time.Time `json:"at"`
-	// Line is what the operator typed, with shortened names written out, or
-	// "apply FILE".
+	// Line is the operator's line with abbreviated names expanded, or "apply FILE".
 	Line string `json:"line"`
-	// Ops is what the change does to the declaration.
+	// Ops are the operations of the change on the declaration.
 	Ops []Op `json:"ops"`
 	// Inverse undoes Ops.
 	Inverse []Op `json:"inverse"`
@@ -83,21 +82,21 @@
 	Name string `json:"name"`
 }
 
-// DrainOp takes an upstream out of service or puts it back.
+// DrainOp takes an upstream out of service or returns it to service.
 type DrainOp struct {
 	Upstream string `json:"upstream"`
 	Drained  bool   `json:"drained"`
 }
 
-// PermitOp gives a caller a region or takes it away.
+// PermitOp permits or forbids a region to a caller.
 type PermitOp struct {
 	Caller  string `json:"caller"`
 	Region  string `json:"region"`
 	Allowed bool   `json:"allowed"`
 }
 
-// SplitVersion sets one version's share of a model's requests; the others keep
-// their proportions in what is left.
+// SplitVersion sets one version's share of a model's requests. The others divide
+// the rest in their present proportions.
 type SplitVersion struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
--- a/pkg/config/identity.go
+++ b/pkg/config/identity.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// identityBytes is how much randomness a change's ID holds; two IDs of one
-// revision meet once in 2^40.
+// identityBytes is the number of random bytes in a change's ID. Two IDs of one
+// revision collide once in 2^40.
 const identityBytes = 5
 
 var (
@@ -18,9 +18,9 @@
 	identityPattern  = regexp.MustCompile(`^c(\d{1,19})-[0-9a-v]{8}$`)
 )
 
-// NewID makes a change's ID, like "c117-3kq09v2d". It holds the revision that
-// its maker saw, which bounds the search for it in the audit trail. The error is
-// the random source's.
+// NewID returns a change ID like "c117-3kq09v2d". It contains the revision that
+// the proposer saw, which bounds the search for it in the audit trail. The error
+// is the random source's.
 func NewID(seen Revision, random io.Reader) (string, error) {
 	bytes := make([]byte, identityBytes)
 	if _, err := io.ReadFull(random, bytes); err != nil {
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("c%d-%s", seen, strings.ToLower(identityEncoding.EncodeToString(bytes))), nil
 }
 
-// ParseID returns the revision that the ID's maker saw; false when the text is
+// ParseID returns the revision that the proposer saw, or false when the text is
 // not a change's ID.
 func ParseID(id string) (Revision, bool) {
 	match := identityPattern.FindStringSubmatch(id)
--- a/pkg/config/index.go
+++ b/pkg/config/index.go
@@ -10,16 +10,16 @@
 	"strings"
 )
 
-// hashPrefix starts every stored key hash.
+// hashPrefix is the prefix of every stored key hash.
 const hashPrefix = "sha256:"
 
-// HashKey returns how a key is stored: "sha256:" and the hexadecimal hash.
+// HashKey returns the stored form of a key, "sha256:" and the hexadecimal hash.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hashPrefix + hex.EncodeToString(sum[:])
 }
 
-// Index holds the lookups of one declaration. It is immutable and safe for
+// Index holds lookup tables of one declaration. It is immutable and safe for
 // concurrent use; its entries must not be modified.
 type Index struct {
 	callersByHash map[string]*Caller
@@ -34,7 +34,7 @@
 	regions  map[string]string
 }
 
-// NewIndex compiles the lookups.
+// NewIndex returns the lookup tables of a declaration.
 func NewIndex(decl *Declaration) *Index {
 	x := &Index{
 		callersByHash: map[string]*Caller{},
@@ -87,8 +87,8 @@
 	})
 }
 
-// sortedRoutes orders routes from the most to the least specific, so that the
-// order in the file decides nothing.
+// sortedRoutes orders routes from the most to the least specific, so that their
+// order in the file does not matter.
 func sortedRoutes(routes []Route) []*Route {
 	sorted := make([]*Route, 0, len(routes))
 	for i := range routes {
@@ -100,7 +100,8 @@
 	return sorted
 }
 
-// specificity is twice the length of what must match, plus one for whole paths.
+// specificity returns twice the length of the fixed part, plus one without a
+// wildcard.
 func specificity(route *Route) int {
 	fixed, wild := strings.CutSuffix(route.Path, "*")
 	if wild {
@@ -109,8 +110,8 @@
 	return 2*len(fixed) + 1
 }
 
-// CallerByKey returns the caller whose key this is. The key is hashed first, so
-// that neither the lookup nor the constant-time comparison tells anything of it.
+// CallerByKey returns the caller with the key. The key is hashed first, so that
+// neither the lookup nor the constant-time comparison reveals anything about it.
 func (x *Index) CallerByKey(key string) (*Caller, bool) {
 	hash := HashKey(key)
 	caller, ok := x.callersByHash[hash]
@@ -132,7 +133,7 @@
 	return upstream, ok
 }
 
-// Pool returns the upstreams of a model or service in all domains, by name.
+// Pool returns the upstreams of a model or service in all domains.
 func (x *Index) Pool(serves string) []*Upstream { return x.pools[serves] }
 
 // Model returns a model by name.
@@ -147,11 +148,11 @@
 	return service, ok
 }
 
-// Region returns the region of a failure domain; "" when there is none.
+// Region returns the region of a failure domain, or "" when it is unknown.
 func (x *Index) Region(domain string) string { return x.regions[domain] }
 
-// Match returns the service of a path and its route; the route is nil when the
-// service declares no such call, both are nil when no prefix matches. A path
+// Match returns the service of a path and its route. The route is nil when the
+// service declares no such call, and both are nil when no prefix matches. A path
 // that is not in its shortest form (.. or //) matches nothing.
 func (x *Index) Match(method, urlPath string) (*Service, *Route) {
 	if !isClean(urlPath) {
@@ -191,11 +192,11 @@
 	return rest == fixed
 }
 
-// unknownOperator is compared against when there is no such operator, so that
-// an unknown name takes as long as a wrong key.
+// unknownOperator is compared when there is no such operator, so that an unknown
+// name takes as long as a wrong key.
 var unknownOperator = HashKey("")
 
-// Authenticate tells whether the key is the named operator's, in constant time.
+// Authenticate reports whether the key is the named operator's, in constant time.
 func Authenticate(decl *Declaration, operator, key string) bool {
 	found, ok := find(decl, operatorKind, operator)
 	stored := unknownOperator
--- a/pkg/config/index_test.go
+++ b/pkg/config/index_test.go
@@ -81,9 +81,9 @@
 	huge := &config.Head{Declaration: sample()}
 	huge.Declaration.Services[0].Routes = []config.Route{{Path: strings.Repeat("a", 40<<20)}}
 	encoded, err := config.EncodeHead(huge)
-	is.NoErr(err) // it packs well
+	is.NoErr(err) // compresses to little
 	_, err = config.DecodeHead(encoded)
-	is.True(err != nil) // but unpacks to more than is allowed
+	is.True(err != nil) // exceeds the limit when decompressed
 	_, err = config.DecodeHead([]byte("not gzip"))
 	is.True(err != nil)
 }
--- a/pkg/config/kind.go
+++ b/pkg/config/kind.go
@@ -11,9 +11,9 @@
 	name string
 	// list returns the declaration's list.
 	list func(*Declaration) *[]T
-	// key names an entry.
+	// key returns the name of an entry.
 	key func(*T) string
-	// set makes the operation that sets an entry.
+	// set returns the operation that sets an entry.
 	set func(*T) Op
 }
 
@@ -63,7 +63,7 @@
 	}
 )
 
-// search returns the place of a name in the sorted list.
+// search returns the index of a name in the sorted list.
 func search[T any](list []T, of kind[T], name string) (int, bool) {
 	return slices.BinarySearchFunc(list, name, func(entry T, name string) int {
 		return cmp.Compare(of.key(&entry), name)
@@ -81,8 +81,8 @@
 	return list[place], true
 }
 
-// replace puts an entry into a copy of the list, in place of the one of its
-// name or at its sorted place.
+// replace puts an entry into a copy of the list, where it replaces the one of the
+// same name or is inserted in order.
 func replace[T any](decl *Declaration, of kind[T], entry T) {
 	list := of.list(decl)
 	place, ok := search(*list, of, of.key(&entry))
@@ -95,7 +95,7 @@
 	*list = copied
 }
 
-// put sets an entry and notes how to undo that.
+// put sets an entry and records the inverse operation.
 func put[T any](e *editor, of kind[T], entry T) {
 	name := of.key(&entry)
 	old, had := find(e.decl, of, name)
@@ -107,7 +107,7 @@
 	e.undo(Op{Remove: &Remove{Kind: of.name, Name: name}})
 }
 
-// drop removes an entry and notes how to undo that.
+// drop removes an entry and records the inverse operation.
 func drop[T any](e *editor, of kind[T], op *Remove) error {
 	list := of.list(e.decl)
 	place, ok := search(*list, of, op.Name)
--- a/pkg/config/load.go
+++ b/pkg/config/load.go
@@ -8,8 +8,8 @@
 	"github.com/lilacweir/lilacweir/pkg/yamlfile"
 )
 
-// Load reads a declaration from YAML and checks it whole. The file's name is
-// used in faults alone. The error is a *yamlfile.Error with all faults.
+// Load reads and checks a declaration from YAML. The file's name is only used in
+// faults. The error is a *yamlfile.Error with all faults.
 func Load(file string, data []byte) (*Declaration, error) {
 	decl := new(Declaration)
 	doc := yamlfile.Read(file, data, decl)
@@ -26,8 +26,8 @@
 	return decl, nil
 }
 
-// requireRegions makes a file say where a caller's data may be processed: an
-// empty list is a decision, a missing one may be a slip.
+// requireRegions requires a file to state where a caller's data may be processed.
+// An empty list is intentional, but a missing one may be an oversight.
 func requireRegions(doc *yamlfile.Document, key string) {
 	if !doc.Has(key) {
 		doc.Add(key, "missing", "a list of regions; [] for none")
@@ -82,5 +82,5 @@
 	return list
 }
 
-// Name is how operations and operators name the rule: "FROM>TO".
+// Name returns the name of the rule in operations and commands, "FROM>TO".
 func (s Spill) Name() string { return s.From + ">" + s.To }
--- a/pkg/config/load_test.go
+++ b/pkg/config/load_test.go
@@ -15,7 +15,7 @@
 	"github.com/lilacweir/lilacweir/pkg/yamlfile"
 )
 
-// sampleYAML is the sample as a file.
+// sampleYAML returns the sample as YAML.
 func sampleYAML(t testing.TB) string {
 	data, err := yaml.Marshal(sample())
 	if err != nil {
@@ -69,15 +69,15 @@
 			_, err := config.Load("d.yaml", []byte(text))
 			var faults *yamlfile.Error
 			is.True(errors.As(err, &faults))
-			is.True(strings.Contains(err.Error(), test.want)) // says what was expected
+			is.True(strings.Contains(err.Error(), test.want)) // names what was expected
 			line := 1 + strings.Count(whole[:strings.Index(whole, test.old)], "\n")
 			is.True(faults.Faults[0].Line > 0 && faults.Faults[0].Line <= line) // at the key or above it
 		})
 	}
 }
 
-// FuzzLoad checks that any bytes give a declaration that applies and encodes, or
-// a typed error.
+// FuzzLoad checks that any input gives a declaration that can be applied and
+// encoded, or a typed error.
 func FuzzLoad(f *testing.F) {
 	f.Add([]byte(sampleYAML(f)))
 	f.Add([]byte("regions: []\n"))
--- a/pkg/config/op.go
+++ b/pkg/config/op.go
@@ -21,7 +21,7 @@
 	return count
 }
 
-// String says in a few words what the operation does, for a phone.
+// String describes the operation, briefly enough for a phone.
 func (op Op) String() string {
 	switch {
 	case op.Remove != nil:
@@ -44,8 +44,8 @@
 	}
 }
 
-// Touches names what the operation changes, as a path: two operations stand in
-// each other's way when one path is the other or lies below it.
+// Touches returns the path of what the operation changes. Two operations conflict
+// when their paths are equal or one lies below the other.
 func (op Op) Touches() string {
 	switch {
 	case op.SetRegion != nil:
@@ -77,7 +77,7 @@
 	}
 }
 
-// collide tells whether two operations touch the same thing.
+// collide reports whether an operation of a conflicts with one of b.
 func collide(a, b []Op) bool {
 	for _, first := range a {
 		for _, second := range b {
--- a/pkg/config/prepare.go
+++ b/pkg/config/prepare.go
@@ -7,18 +7,18 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// prepared is the next head, ready to be written.
+// prepared is the next head, with the write that stores it.
 type prepared struct {
 	head   *Head
 	change Change
-	// dangers is what the change takes away, as its operator insisted.
+	// dangers are the dangerous effects that the operator forced.
 	dangers []Danger
 	expect  map[string]int64
 	puts    []platform.Put
 }
 
-// prepare decides whether the proposal can be accepted on the head as it stands
-// and builds the write. The error is why it is refused.
+// prepare decides whether the proposal can be accepted on the current head and
+// builds the write. The error is the reason for a refusal.
 func (s *Store) prepare(stored Stored, proposal *Proposal) (*prepared, error) {
 	if stored.newer != nil {
 		return nil, stored.newer
@@ -56,11 +56,12 @@
 	return ready, nil
 }
 
-// recentKept is how many changes stay in the head when older ones are archived.
+// recentKept is the number of changes that stay in the head when older ones are
+// archived.
 const recentKept = RecentLimit / 2
 
-// encode builds the write. It archives the older changes when the head holds
-// too many, and all but the last when the head would be too large.
+// encode builds the write. It archives the older changes when the head holds too
+// many, and all except the last when the head would otherwise be too large.
 func (p *prepared) encode() error {
 	if len(p.head.Recent) > RecentLimit {
 		if err := p.archive(recentKept); err != nil {
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// archive moves all but the newest changes into a segment of the audit trail,
+// archive moves all except the newest changes into a segment of the audit trail,
 // which is written together with the head.
 func (p *prepared) archive(keep int) error {
 	cut := len(p.head.Recent) - keep
--- a/pkg/config/property_test.go
+++ b/pkg/config/property_test.go
@@ -19,7 +19,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-// drawOp draws an operation that the declaration can take.
+// drawOp draws an operation that can be applied to the declaration.
 func drawOp(t *rapid.T, decl *config.Declaration) config.Op {
 	pick := func(label string, names []string) string { return rapid.SampledFrom(names).Draw(t, label) }
 	regions := []string{"makedonia", "thessalia"}
@@ -110,7 +110,8 @@
 	})
 }
 
-// A follower that gets changes alone, over gob, ends with the same declaration.
+// A follower that receives only the changes, encoded with gob, reaches the same
+// declaration.
 func TestDeltaFollows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := newStore(newService())
@@ -141,7 +142,7 @@
 			t.Fatalf("reached %+v, want %+v", reached, last.Head)
 		}
 		if back, ok := last.Head.At(first.Head.Revision); !ok || !reflect.DeepEqual(back, first.Head.Declaration) {
-			t.Fatalf("going back gives %+v", back)
+			t.Fatalf("undoing the changes gives %+v", back)
 		}
 	})
 }
@@ -158,9 +159,8 @@
 	return received
 }
 
-// Operators on several instances change different things while writes and
-// answers are lost: every change that was accepted is there once, in one order,
-// and nothing that was refused is there.
+// Operators on several instances change different entries while writes and
+// answers are lost. Every change must be accepted and applied exactly once.
 func TestConcurrentChangesAreNeverLost(t *testing.T) {
 	outer := t
 	rapid.Check(t, func(t *rapid.T) {
@@ -195,8 +195,8 @@
 	})
 }
 
-// runConcurrently starts count jobs at once on a clock that stands still while any of them
-// runs, so that the bounds of changes do not depend on the machine's load.
+// runConcurrently starts count jobs at once on a clock that stands still while any
+// of them runs, so that the bounds of changes do not depend on the machine's load.
 func runConcurrently(t *testing.T, count int, start func(i int, group *sync.WaitGroup)) {
 	synctest.Test(t, func(*testing.T) {
 		var group sync.WaitGroup
@@ -219,9 +219,8 @@
 	is.Equal(after.Models[0].Versions, []config.ModelVersion{{Name: "v1", Percent: 1}, {Name: "v2", Percent: 50}, {Name: "v3", Percent: 49}})
 }
 
-// While proposers give up at any point and delayed writes arrive at any point,
-// what Lookup has once said of a change stays true, and a proposer's own decision
-// never says otherwise.
+// Proposers abort and delayed writes arrive at any point. The decision that Lookup
+// returns for a change must never change or contradict the proposer's own.
 func TestDecisionsNeverContradict(t *testing.T) {
 	outer := t
 	rapid.Check(t, func(t *rapid.T) {
@@ -258,7 +257,7 @@
 			}
 			for _, earlier := range []config.Decision{proposed[i], lookedUp[i]} {
 				if earlier.State != config.Unknown && (earlier.State != final.State || earlier.Revision != final.Revision) {
-					t.Fatalf("change %d: said %s %d, then %s %d", i, earlier.State, earlier.Revision, final.State, final.Revision)
+					t.Fatalf("change %d: was %s %d, then %s %d", i, earlier.State, earlier.Revision, final.State, final.Revision)
 				}
 			}
 		}
--- a/pkg/config/store.go
+++ b/pkg/config/store.go
@@ -14,14 +14,14 @@
 const HeadKey = "config/head"
 
 // AuditPrefix starts the keys of the audit trail's segments; the rest is the
-// first revision of the segment in auditDigits digits.
+// segment's first revision in auditDigits digits.
 const AuditPrefix = "config/audit/"
 
 // Bounds of a change.
 const (
-	// ChangeBound is how long a change may take before it is called unknown.
+	// ChangeBound is the time after which an undecided change is unknown.
 	ChangeBound = 5 * time.Second
-	// callBound is how long one call of the platform's service may take.
+	// callBound is the timeout of one call of the platform's service.
 	callBound = time.Second
 	// firstPause and maxPause bound the pause between two attempts.
 	firstPause = 5 * time.Millisecond
@@ -31,12 +31,12 @@
 // Pause waits, or returns the context's error when that ends first.
 type Pause func(ctx context.Context, wait time.Duration) error
 
-// Store accepts changes and keeps the audit trail in the platform's key-value
+// Store accepts changes and stores the audit trail in the platform's key-value
 // service. It is safe for concurrent use, by any number of processes.
 //
-// The service's reads must not go back in time for one key: a read that shows a
-// modification revision proves that no write which expected an earlier one can
-// take effect any more.
+// The service's reads of one key must be monotonic. A read that returns a
+// modification revision then proves that no write which expected an earlier one
+// can still take effect.
 type Store struct {
 	kv     platform.KeyValue
 	clock  clock.Clock
@@ -51,17 +51,17 @@
 	return &Store{kv: kv, clock: clk, pause: pause, jitter: jitter, semaphore: make(chan struct{}, 1)}
 }
 
-// Stored is the head as it stands in the service.
+// Stored is the head as stored in the service.
 type Stored struct {
 	Head *Head
-	// ModRevision is the service's revision of the head key; 0 when it is absent.
+	// ModRevision is the modification revision of the head key, 0 when it is absent.
 	ModRevision int64
-	// newer says why this version must not write the head back; nil when it may.
+	// newer is the reason why this version must not write the head back, or nil.
 	newer error
 }
 
-// Read returns the head; one of revision 0 when there is none yet. Errors: the
-// platform's, or *EncodingError.
+// Read returns the head, or one of revision 0 when there is none yet. The error is
+// the platform's or an *EncodingError.
 func (s *Store) Read(ctx context.Context) (Stored, error) {
 	ctx, cancel := context.WithTimeout(ctx, callBound)
 	defer cancel()
@@ -82,7 +82,7 @@
 	return Stored{Head: head, ModRevision: entry.ModRevision, newer: newer}, nil
 }
 
-// Change proposes a change and returns what became of it, within ChangeBound.
+// Change proposes a change and returns the decision, within ChangeBound.
 func (s *Store) Change(ctx context.Context, proposal Proposal) Decision {
 	ctx, cancel := context.WithTimeout(ctx, ChangeBound)
 	defer cancel()
@@ -100,17 +100,17 @@
 type attempt struct {
 	store    *Store
 	proposal *Proposal
-	// pending is true while a write that was sent may still take effect; it can
-	// do so only over the head of modification revision over.
+	// pending is true while a write that was sent may still take effect, which it
+	// can only over the head of modification revision pendingRevision.
 	pending         bool
 	pendingRevision int64
-	// last is the last failure of the service.
+	// last is the last error of the service.
 	last error
 }
 
-// run repeats read, decide, write until one of them gives the decision. Writing
-// again over the same head is harmless after a lost answer: both writes expect
-// the same modification revision, so one of them at most takes effect.
+// run repeats read, decide and write until there is a decision. Repeating a write
+// over the same head after a lost answer is safe: both writes expect the same
+// modification revision, so at most one of them takes effect.
 func (a *attempt) run(ctx context.Context) Decision {
 	for round := 0; ; round++ {
 		if err := a.wait(ctx, round); err != nil {
@@ -140,7 +140,7 @@
 	return a.store.pause(ctx, time.Duration(float64(wait)*a.store.jitter()))
 }
 
-// decide looks at the head as it stands, and proposes the next one.
+// decide returns the decision found in the head, or else writes the next head.
 func (a *attempt) decide(ctx context.Context, stored Stored) (Decision, bool) {
 	if a.pending && stored.ModRevision != a.pendingRevision {
 		a.pending = false
@@ -184,8 +184,8 @@
 	}, true
 }
 
-// unreachable is the decision when the service gave no answer in time: refused
-// when nothing of the ID was ever sent, else unknown.
+// unreachable returns the decision when the service did not answer in time. It is
+// refused when no write of the ID was ever sent, and otherwise unknown.
 func unreachable(proposal *Proposal, sent bool, err error) Decision {
 	state := Refused
 	if sent || proposal.Repeated {
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -35,7 +35,7 @@
 			kv := newService()
 			ours, theirs := newStore(kv), newStore(kv)
 			bootstrap(t, ours)
-			// The other operator's change lands between our read and our write.
+			// The other operator's change is accepted between this store's read and write.
 			kv.BeforeNextWrite(func() {
 				decision := theirs.Change(t.Context(), propose(testID(1, 1), "linh", 1, test.first))
 				is.Equal(decision.State, config.Accepted)
@@ -51,7 +51,7 @@
 			}
 			is.Equal(stored.Head.Revision, config.Revision(2))
 			var conflict *config.ConflictError
-			is.True(errors.As(decision.Reason, &conflict)) // names the change in the way
+			is.True(errors.As(decision.Reason, &conflict)) // names the conflicting change
 			is.Equal(conflict.Obstacle.Operator, "linh")
 			is.Equal(conflict.Obstacle.Revision, config.Revision(2))
 		})
@@ -68,14 +68,15 @@
 	is.True(errors.As(decision.Reason, &danger))
 	is.Equal(danger.Dangers[0].Pool, "lilac-nurse")
 
-	// What fails without the other change as well is not blamed on it.
+	// A change that fails without the other one as well is no conflict.
 	decision = store.Change(t.Context(), propose(testID(1, 3), "eleni", 1, drainOp("nurse-3", true)))
 	var conflict *config.ConflictError
 	is.True(!errors.As(decision.Reason, &conflict))
 	is.True(errors.As(decision.Reason, &danger))
 }
 
-// setUpstream adds an upstream, always at the same address.
+// setUpstream returns an operation that adds an upstream, always at the same
+// address.
 func setUpstream(name string) config.Op {
 	return config.Op{SetUpstream: &config.Upstream{Name: name, Kind: "engine", Serves: "lilac-nurse", Version: "v1", Domain: "larisa-hall", Address: "127.0.0.77:9000", Concurrency: 1}}
 }
@@ -84,11 +85,11 @@
 	tests := []struct {
 		name   string
 		faults []platformtest.Fault
-		// failedReads is how many reads fail after the first write.
+		// failedReads is the number of reads that fail after the first write.
 		failedReads int
 		pauses      int
 		want        config.State
-		// later is what Lookup says afterwards.
+		// later is the state that Lookup returns afterwards.
 		later config.State
 	}{
 		{"write lost once", []platformtest.Fault{platformtest.LoseWrite}, 0, 9, config.Accepted, config.Accepted},
@@ -118,9 +119,9 @@
 			kv.Release() // a write that was delayed arrives now
 			again, err := newStore(kv).Lookup(t.Context(), id)
 			is.NoErr(err)
-			is.Equal(again.State, test.later) // the answer never changes
+			is.Equal(again.State, test.later) // the decision never changes
 			repeated := newStore(kv).Change(t.Context(), propose(id, "eleni", 1, drainOp("nurse-1", true)))
-			is.Equal(repeated.State, test.later) // nor does asking for the change again
+			is.Equal(repeated.State, test.later) // also when the change is proposed again
 			stored, err := newStore(kv).Read(t.Context())
 			is.NoErr(err)
 			is.Equal(count(stored.Head.Recent, id), map[config.State]int{config.Accepted: 1}[test.later])
@@ -151,7 +152,7 @@
 	is.True(errors.As(decision.Reason, &unreachable))
 	is.True(!unreachable.Sent)
 
-	// Of an ID that was proposed before, nobody can say that it did nothing.
+	// An ID that was proposed before may have been accepted.
 	repeated := propose(testID(1, 1), "eleni", 1, drainOp("nurse-1", true))
 	repeated.Repeated = true
 	is.Equal(limitedStore(kv, 3).Change(t.Context(), repeated).State, config.Unknown)
@@ -207,8 +208,8 @@
 	is.True(errors.As(decision.Reason, &stale))
 }
 
-// An instance of an older version must not drop what a newer one has stored: it
-// follows the configuration, but changes nothing.
+// An instance of an older version must not drop fields that a newer one stored. It
+// follows the configuration, but refuses to change it.
 func TestNewerFieldsAreNotDropped(t *testing.T) {
 	is := is.New(t)
 	kv := newService()
@@ -233,12 +234,12 @@
 	var encoding *config.EncodingError
 	is.True(errors.As(decision.Reason, &encoding))
 	_, err = store.Lookup(t.Context(), testID(5, 1))
-	is.True(errors.As(err, &encoding)) // to void it would drop the field as well
+	is.True(errors.As(err, &encoding)) // voiding the ID would drop the field as well
 	is.Equal(kv.Counts().Writes, writes)
 }
 
-// A file that is applied to a deployment without configuration proves its
-// operator by itself, so it must not reach one that has a configuration.
+// The first apply authenticates its operator by the file itself, so it must not be
+// accepted once there is a configuration.
 func TestFirstApplyOnlyOnEmptyStore(t *testing.T) {
 	is := is.New(t)
 	kv := newService()
--- a/pkg/config/validate.go
+++ b/pkg/config/validate.go
@@ -8,7 +8,7 @@
 	"github.com/lilacweir/lilacweir/pkg/yamlfile"
 )
 
-// InvalidError reports a declaration that breaks the rules.
+// InvalidError reports a declaration that violates validation rules.
 type InvalidError struct {
 	Problems []yamlfile.Problem
 }
@@ -36,7 +36,7 @@
 	return &InvalidError{Problems: problems}
 }
 
-// checker collects what is wrong with the references of a declaration.
+// checker collects the invalid references of a declaration.
 type checker struct {
 	problems []yamlfile.Problem
 	regions  map[string]bool
@@ -45,8 +45,8 @@
 	services map[string]bool
 }
 
-// references checks what tags cannot: unique names, and that each name that is
-// referred to exists.
+// references checks what tags cannot express: that names are unique, and that each
+// referenced name exists.
 func references(decl *Declaration) []yamlfile.Problem {
 	c := &checker{
 		regions:  map[string]bool{},
@@ -68,7 +68,7 @@
 	c.problems = append(c.problems, yamlfile.Problem{Key: key, Found: found, Expected: expected})
 }
 
-// unique records a name, or adds a problem when it stands twice.
+// unique records a name, and adds a problem when it is a duplicate.
 func (c *checker) unique(seen map[string]bool, key, name string) {
 	if name != "" && seen[name] {
 		c.add(key, quote(name)+" stands twice", "each name once")
@@ -103,7 +103,7 @@
 	}
 }
 
-// wholePercent is what the shares of a model's versions add up to.
+// wholePercent is the sum of the shares of a model's versions.
 const wholePercent = 100
 
 func (c *checker) checkModels(models []Model) {
@@ -157,7 +157,7 @@
 	}
 }
 
-// reserved tells whether the gateway answers paths below the prefix itself.
+// reserved reports whether the gateway itself serves paths below the prefix.
 func reserved(prefix string) bool {
 	if prefix == "/" {
 		return true
