--- a/pkg/credential/credential_test.go
+++ b/pkg/credential/credential_test.go
@@ -22,8 +22,8 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/certificate"
 )
 
-// door is a listener with mutual TLS that echoes lines.
-type door struct {
+// echoServer is a listener with mutual TLS that echoes lines.
+type echoServer struct {
 	t        *testing.T
 	store    *credential.Store
 	out      bytes.Buffer
@@ -58,15 +58,15 @@
 	return pair, authority
 }
 
-func newDoor(t *testing.T, directory string, c clock.Clock) *door {
-	d := &door{t: t, store: credential.NewStore(c), security: issue(t, directory)}
-	d.log = zerolog.New(&d.out)
-	listener, err := tls.Listen("tcp", "127.0.0.1:0", credential.ServerConfig(material(t, d.store, d.security)))
+func newEchoServer(t *testing.T, directory string, c clock.Clock) *echoServer {
+	server := &echoServer{t: t, store: credential.NewStore(c), security: issue(t, directory)}
+	server.log = zerolog.New(&server.out)
+	listener, err := tls.Listen("tcp", "127.0.0.1:0", credential.ServerConfig(material(t, server.store, server.security)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	d.address = listener.Addr().String()
+	server.address = listener.Addr().String()
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -80,16 +80,16 @@
 			}()
 		}
 	}()
-	return d
+	return server
 }
 
 // open connects with the security of a client; errors come at open or at echo.
-func (d *door) open(security settings.Security) (*tls.Conn, error) {
-	pair, authority := material(d.t, credential.NewStore(clock.System{}), security)
+func (s *echoServer) open(security settings.Security) (*tls.Conn, error) {
+	pair, authority := material(s.t, credential.NewStore(clock.System{}), security)
 	secure := &credential.Client{Authority: authority, Pair: pair}
-	ctx, cancel := context.WithTimeout(d.t.Context(), time.Minute)
+	ctx, cancel := context.WithTimeout(s.t.Context(), time.Minute)
 	defer cancel()
-	conn, err := secure.Secure((&net.Dialer{}).DialContext)(ctx, "tcp", d.address)
+	conn, err := secure.Secure((&net.Dialer{}).DialContext)(ctx, "tcp", s.address)
 	if err != nil {
 		return nil, err
 	}
@@ -109,39 +109,41 @@
 	return conn.ConnectionState().PeerCertificates[0].SerialNumber.String()
 }
 
-func (d *door) events(name string) int { return strings.Count(d.out.String(), `"`+name+`"`) }
+func (s *echoServer) events(name string) int {
+	return strings.Count(s.out.String(), `"`+name+`"`)
+}
 
 func TestCertificateIsRenewedWithoutRestart(t *testing.T) {
 	is := is.New(t)
 	directory := t.TempDir()
-	d := newDoor(t, directory, clock.System{})
-	first, err := d.open(d.security)
+	server := newEchoServer(t, directory, clock.System{})
+	first, err := server.open(server.security)
 	is.NoErr(err)
 	before := serial(first)
 
 	issue(t, directory)
-	d.store.Poll(d.log)
-	second, err := d.open(d.security)
+	server.store.Poll(server.log)
+	second, err := server.open(server.security)
 	is.NoErr(err)
 	renewed := serial(second)
 	is.True(renewed != before)
 	is.NoErr(echo(second))
-	is.Equal(d.events("credential-renewed"), 1)
+	is.Equal(server.events("credential-renewed"), 1)
 
-	client := d.security
+	client := server.security
 	client.Certificate, client.Key = copyOf(t, client.Certificate), copyOf(t, client.Key)
-	is.NoErr(os.WriteFile(d.security.Certificate, []byte("broken"), 0o600))
+	is.NoErr(os.WriteFile(server.security.Certificate, []byte("broken"), 0o600))
 	for range 3 {
-		d.store.Poll(d.log)
+		server.store.Poll(server.log)
 	}
-	is.Equal(d.events("credential-refused"), 1) // told once
-	third, err := d.open(client)
+	is.Equal(server.events("credential-refused"), 1) // told once
+	third, err := server.open(client)
 	is.NoErr(err)
 	is.Equal(serial(third), renewed) // the old one stays in use
 	is.NoErr(echo(third))
 	is.NoErr(echo(first)) // running connections go on
 	registry := metrics.NewRegistry()
-	d.store.Register(registry)
+	server.store.Register(registry)
 	is.Equal(registry.Get("credentials.refused").(metrics.Gauge).Value(), int64(1))
 }
 
@@ -159,38 +161,38 @@
 
 func TestAuthorityIsRenewedWithoutRestart(t *testing.T) {
 	is := is.New(t)
-	d := newDoor(t, t.TempDir(), clock.System{})
+	server := newEchoServer(t, t.TempDir(), clock.System{})
 	theirs := issue(t, t.TempDir())
-	visitor := settings.Security{Certificate: theirs.Certificate, Key: theirs.Key, Authority: d.security.Authority}
+	client := settings.Security{Certificate: theirs.Certificate, Key: theirs.Key, Authority: server.security.Authority}
 	try := func() error {
-		conn, err := d.open(visitor)
+		conn, err := server.open(client)
 		if err != nil {
 			return err
 		}
 		return echo(conn)
 	}
 	is.True(try() != nil) // a foreign authority
-	ours, err := os.ReadFile(d.security.Authority)
+	ours, err := os.ReadFile(server.security.Authority)
 	is.NoErr(err)
 	added, err := os.ReadFile(theirs.Authority)
 	is.NoErr(err)
-	is.NoErr(os.WriteFile(d.security.Authority, append(bytes.Clone(ours), added...), 0o600))
-	d.store.Poll(d.log)
+	is.NoErr(os.WriteFile(server.security.Authority, append(bytes.Clone(ours), added...), 0o600))
+	server.store.Poll(server.log)
 	is.NoErr(try())
-	is.NoErr(os.WriteFile(d.security.Authority, ours, 0o600))
-	d.store.Poll(d.log)
+	is.NoErr(os.WriteFile(server.security.Authority, ours, 0o600))
+	server.store.Poll(server.log)
 	is.True(try() != nil) // withdrawn
 }
 
-func TestExpiryIsToldOnceAtEachStep(t *testing.T) {
+func TestExpiryWarningsAreLoggedOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	d := newDoor(t, t.TempDir(), clock.Func(func() time.Time { return now }))
-	leaf, err := d.store.Pair(d.security.Certificate, d.security.Key)
+	server := newEchoServer(t, t.TempDir(), clock.Func(func() time.Time { return now }))
+	leaf, err := server.store.Pair(server.security.Certificate, server.security.Key)
 	is.NoErr(err)
 	end := leaf.Certificate().Leaf.NotAfter
 	registry := metrics.NewRegistry()
-	d.store.Register(registry)
+	server.store.Register(registry)
 	for _, step := range []struct {
 		left          time.Duration
 		soon, expired int
@@ -202,14 +204,14 @@
 		{-time.Hour, 4, 2},
 	} {
 		now = end.Add(-step.left)
-		d.store.Poll(d.log)
-		d.store.Poll(d.log)
-		is.Equal(d.events("certificate-expires-soon"), step.soon)
-		is.Equal(d.events("certificate-expired"), step.expired)
+		server.store.Poll(server.log)
+		server.store.Poll(server.log)
+		is.Equal(server.events("certificate-expires-soon"), step.soon)
+		is.Equal(server.events("certificate-expired"), step.expired)
 		left := registry.Get("credentials.expiry_seconds").(metrics.Gauge).Value()
 		is.True((time.Duration(left)*time.Second - step.left).Abs() <= 2*time.Second)
 	}
 	var expired *credential.ExpiryError
-	_, err = credential.LoadPair(d.security.Certificate, d.security.Key, now)
+	_, err = credential.LoadPair(server.security.Certificate, server.security.Key, now)
 	is.True(errors.As(err, &expired))
 }
--- a/pkg/credential/store.go
+++ b/pkg/credential/store.go
@@ -49,9 +49,9 @@
 
 // item is one thing that is read from files.
 type item struct {
-	holds any
+	value any
 	files []string
-	seen  []stamp
+	seen  []fileVersion
 	// load reads the files and puts what they hold in use; the time is when that
 	// expires, zero for never.
 	load    func(now time.Time) (time.Time, error)
@@ -61,8 +61,8 @@
 	warning *warning
 }
 
-// stamp tells one content of a file from another; the zero stamp is an absent file.
-type stamp struct {
+// fileVersion tells one content of a file from another; the zero fileVersion is an absent file.
+type fileVersion struct {
 	modified time.Time
 	size     int64
 }
@@ -73,7 +73,7 @@
 // Pair reads a certificate and its key. The error is a *FileError.
 func (s *Store) Pair(certificate, key string) (*Pair, error) {
 	pair := new(Pair)
-	held, err := s.add("pair", pair, []string{certificate, key}, func(now time.Time) (time.Time, error) {
+	stored, err := s.add("pair", pair, []string{certificate, key}, func(now time.Time) (time.Time, error) {
 		loaded, err := LoadPair(certificate, key, now)
 		if err != nil {
 			return time.Time{}, err
@@ -84,13 +84,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return held.(*Pair), nil
+	return stored.(*Pair), nil
 }
 
 // Authority reads a set of certificates. The error is a *FileError.
 func (s *Store) Authority(file string) (*Authority, error) {
 	authority := new(Authority)
-	held, err := s.add("authority", authority, []string{file}, func(now time.Time) (time.Time, error) {
+	stored, err := s.add("authority", authority, []string{file}, func(now time.Time) (time.Time, error) {
 		pool, until, err := LoadAuthority(file, now)
 		if err != nil {
 			return time.Time{}, err
@@ -101,13 +101,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return held.(*Authority), nil
+	return stored.(*Authority), nil
 }
 
 // Secret reads a password or token. The error is a *FileError.
 func (s *Store) Secret(file string) (*Secret, error) {
 	secret := new(Secret)
-	held, err := s.add("secret", secret, []string{file}, func(time.Time) (time.Time, error) {
+	stored, err := s.add("secret", secret, []string{file}, func(time.Time) (time.Time, error) {
 		value, err := LoadSecret(file)
 		if err != nil {
 			return time.Time{}, err
@@ -118,26 +118,26 @@
 	if err != nil {
 		return nil, err
 	}
-	return held.(*Secret), nil
+	return stored.(*Secret), nil
 }
 
 // add reads the files for the first time. Files that were added before are not
 // read twice: what they hold is returned.
-func (s *Store) add(kind string, holds any, files []string, load func(time.Time) (time.Time, error)) (any, error) {
+func (s *Store) add(kind string, value any, files []string, load func(time.Time) (time.Time, error)) (any, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	name := kind + "\x00" + strings.Join(files, "\x00")
 	if earlier, ok := s.items[name]; ok {
-		return earlier.holds, nil
+		return earlier.value, nil
 	}
-	added := &item{holds: holds, files: files, seen: stamps(files), load: load}
+	added := &item{value: value, files: files, seen: fileVersions(files), load: load}
 	expires, err := load(s.clock.Now())
 	if err != nil {
 		return nil, err
 	}
 	added.expires = expires
 	s.items[name] = added
-	return holds, nil
+	return value, nil
 }
 
 // Run looks at the files on PollInterval until ctx ends.
@@ -167,8 +167,8 @@
 }
 
 func (i *item) poll(now time.Time, log zerolog.Logger) {
-	found := stamps(i.files)
-	if same(found, i.seen) {
+	found := fileVersions(i.files)
+	if sameVersions(found, i.seen) {
 		return
 	}
 	i.seen = found
@@ -183,19 +183,19 @@
 	log.Info().Strs("files", i.files).Msg("credential-renewed")
 }
 
-// stamps looks at the files before they are read, so that a change in between is
+// fileVersions looks at the files before they are read, so that a change in between is
 // seen the next time.
-func stamps(files []string) []stamp {
-	found := make([]stamp, len(files))
+func fileVersions(files []string) []fileVersion {
+	found := make([]fileVersion, len(files))
 	for i, file := range files {
 		if info, err := os.Stat(file); err == nil {
-			found[i] = stamp{modified: info.ModTime(), size: info.Size()}
+			found[i] = fileVersion{modified: info.ModTime(), size: info.Size()}
 		}
 	}
 	return found
 }
 
-func same(a, b []stamp) bool {
+func sameVersions(a, b []fileVersion) bool {
 	for i := range a {
 		if !a[i].modified.Equal(b[i].modified) || a[i].size != b[i].size {
 			return false
--- a/pkg/settings/security.go
+++ b/pkg/settings/security.go
@@ -11,14 +11,14 @@
 )
 
 // checkSecurity requires loopback addresses where plain text is permitted, and
-// certificates everywhere else; and that what belongs together is there together.
+// certificates everywhere else; and that what belongs requireAll is there requireAll.
 func (s *Instance) checkSecurity(doc *yamlfile.Document) {
 	if s.Security.PlaintextLoopback {
 		s.checkLoopback(doc)
 	}
 	secure := !s.Security.PlaintextLoopback
 	links := s.Security
-	together(doc, "security", secure, named{"certificate", links.Certificate}, named{"key", links.Key}, named{"authority", links.Authority})
+	requireAll(doc, "security", secure, setting{"certificate", links.Certificate}, setting{"key", links.Key}, setting{"authority", links.Authority})
 	checkPair(doc, "gateway.callers_tls", secure, s.Gateway.CallersTLS)
 	checkPair(doc, "agent.operators_tls", secure, s.Agent.OperatorsTLS)
 	for _, service := range s.Platform.services() {
@@ -33,11 +33,11 @@
 	}
 }
 
-// named is the value of a key of a block.
-type named struct{ key, value string }
+// setting is the value of a key of a block.
+type setting struct{ key, value string }
 
-// together requires all values when required is true or one of them is set.
-func together(doc *yamlfile.Document, block string, required bool, values ...named) {
+// requireAll requires all values when required is true or one of them is set.
+func requireAll(doc *yamlfile.Document, block string, required bool, values ...setting) {
 	expected := expectSecure
 	if !required {
 		expected = expectTogether
@@ -53,7 +53,7 @@
 }
 
 func checkPair(doc *yamlfile.Document, block string, required bool, pair Pair) {
-	together(doc, block, required, named{"certificate", pair.Certificate}, named{"key", pair.Key})
+	requireAll(doc, block, required, setting{"certificate", pair.Certificate}, setting{"key", pair.Key})
 }
 
 // serviceAccess is how one service of the platform is spoken to.
--- a/pkg/yamlfile/validate.go
+++ b/pkg/yamlfile/validate.go
@@ -38,8 +38,8 @@
 	return rules
 })
 
-func register(rules *validator.Validate, tag string, holds func(string) bool) {
-	check := func(field validator.FieldLevel) bool { return holds(field.Field().String()) }
+func register(rules *validator.Validate, tag string, valid func(string) bool) {
+	check := func(field validator.FieldLevel) bool { return valid(field.Field().String()) }
 	if err := rules.RegisterValidation(tag, check); err != nil {
 		panic(err)
 	}
@@ -76,14 +76,14 @@
 // have a fault.
 func (d *Document) validate(into any) {
 	for _, problem := range Check(into) {
-		if !d.faulty(problem.Key) {
+		if !d.hasFault(problem.Key) {
 			d.Add(problem.Key, problem.Found, problem.Expected)
 		}
 	}
 }
 
-// faulty tells whether the key, one above it or the whole file has a fault.
-func (d *Document) faulty(key string) bool {
+// hasFault tells whether the key, one above it or the whole file has a fault.
+func (d *Document) hasFault(key string) bool {
 	for _, fault := range d.faults {
 		if fault.Key == "" || fault.Key == key || within(key, fault.Key) {
 			return true
