--- a/pkg/credential/credential_test.go
+++ b/pkg/credential/credential_test.go
@@ -83,7 +83,7 @@
 	return server
 }
 
-// open connects with the security of a client; errors come at open or at echo.
+// open connects with a client's credentials. A rejection may only be seen by echo.
 func (s *echoServer) open(security settings.Security) (*tls.Conn, error) {
 	pair, authority := material(s.t, credential.NewStore(clock.System{}), security)
 	secure := &credential.Client{Authority: authority, Pair: pair}
@@ -136,12 +136,12 @@
 	for range 3 {
 		server.store.Poll(server.log)
 	}
-	is.Equal(server.events("credential-refused"), 1) // told once
+	is.Equal(server.events("credential-refused"), 1) // logged once
 	third, err := server.open(client)
 	is.NoErr(err)
 	is.Equal(serial(third), renewed) // the old one stays in use
 	is.NoErr(echo(third))
-	is.NoErr(echo(first)) // running connections go on
+	is.NoErr(echo(first)) // open connections continue
 	registry := metrics.NewRegistry()
 	server.store.Register(registry)
 	is.Equal(registry.Get("credentials.refused").(metrics.Gauge).Value(), int64(1))
@@ -171,7 +171,7 @@
 		}
 		return echo(conn)
 	}
-	is.True(try() != nil) // a foreign authority
+	is.True(try() != nil) // another authority
 	ours, err := os.ReadFile(server.security.Authority)
 	is.NoErr(err)
 	added, err := os.ReadFile(theirs.Authority)
--- a/pkg/credential/expiry.go
+++ b/pkg/credential/expiry.go
@@ -8,20 +8,20 @@
 
 const day = 24 * time.Hour
 
-// warning is a time left at which an event is logged once.
+// warning is a remaining validity at which an event is logged once.
 type warning struct {
 	left  time.Duration
 	event string
 }
 
-// warnings are in the order in which they come to count.
+// warnings are ordered from the longest remaining validity to the shortest.
 var warnings = []*warning{
 	{left: 30 * day, event: "certificate-expires-soon"},
 	{left: 7 * day, event: "certificate-expires-soon"},
 	{left: 0, event: "certificate-expired"},
 }
 
-// warn logs each warning once, and the last alone when several are due.
+// warn logs each warning once, and only the last when several are due.
 func (i *item) warn(now time.Time, log zerolog.Logger) {
 	if i.expires.IsZero() {
 		return
--- a/pkg/credential/load.go
+++ b/pkg/credential/load.go
@@ -1,8 +1,8 @@
 // Package credential holds the certificates, authorities and passwords that a
-// process reads from files, and reads them anew when the files change.
+// process reads from files, and reloads them when the files change.
 //
-// Guarantees: a file that cannot be used never replaces what is in use; no error
-// or log line holds a key, password or token.
+// An invalid file never replaces the credential in use. No error or log line
+// contains a key, password or token.
 package credential
 
 import (
@@ -17,10 +17,11 @@
 	"time"
 )
 
-// maxFile bounds a file, in bytes: far more than a chain of certificates takes.
+// maxFile is the size limit of a file, in bytes, well above that of a chain of
+// certificates.
 const maxFile = 1 << 20
 
-// What can be wrong with a file that can be read.
+// Causes of a FileError for a file that could be read.
 var (
 	ErrNoCertificate = errors.New("holds no certificate")
 	ErrNoSecret      = errors.New("is empty")
@@ -28,9 +29,9 @@
 	ErrTooLarge      = errors.New("is larger than a megabyte")
 )
 
-// FileError is a file that cannot be used.
+// FileError reports a file that cannot be used.
 type FileError struct {
-	// File is the file at fault.
+	// File is the invalid file.
 	File string
 	// Err is the cause.
 	Err error
@@ -42,11 +43,11 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// ExpiryError is a certificate outside its time.
+// ExpiryError reports a certificate outside its validity period.
 type ExpiryError struct {
-	// NotBefore and NotAfter bound the certificate's time.
+	// NotBefore and NotAfter bound the validity period.
 	NotBefore, NotAfter time.Time
-	// Now is when it was looked at.
+	// Now is the time of the check.
 	Now time.Time
 }
 
@@ -58,11 +59,11 @@
 	return "expired " + e.NotAfter.UTC().Format(time.RFC3339)
 }
 
-// KeyError is a private key that cannot be used with its certificate.
+// KeyError reports a private key that cannot be used with its certificate.
 type KeyError struct {
 	// Certificate is the certificate's file.
 	Certificate string
-	// Err is the cause; it holds nothing of the key.
+	// Err is the cause; it contains nothing of the key.
 	Err error
 }
 
@@ -72,7 +73,7 @@
 // Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// LoadPair reads a certificate, with its chain, and the key. The error is a
+// LoadPair reads a certificate, with its chain, and its key. The error is a
 // *FileError; its cause may be an *ExpiryError or a *KeyError.
 func LoadPair(certificate, key string, now time.Time) (*tls.Certificate, error) {
 	public, err := read(certificate)
@@ -98,8 +99,8 @@
 	return &pair, nil
 }
 
-// LoadAuthority reads the certificates that others' certificates are checked
-// against. One of them at least must be valid now. until is when the last ends.
+// LoadAuthority reads the certificates that verify the certificates of others. At
+// least one of them must be valid now. The last one expires at until.
 func LoadAuthority(file string, now time.Time) (pool *x509.CertPool, until time.Time, err error) {
 	data, err := read(file)
 	if err != nil {
@@ -127,8 +128,8 @@
 	return pool, until, nil
 }
 
-// LoadSecret reads a password or token: one line, white space around it not
-// counted. The error is a *FileError.
+// LoadSecret reads a password or token from a file of one line, without the white
+// space around it. The error is a *FileError.
 func LoadSecret(file string) (string, error) {
 	data, err := read(file)
 	if err != nil {
@@ -160,7 +161,7 @@
 	return data, nil
 }
 
-// parse returns the certificates of a PEM file; other blocks are passed over.
+// parse returns the certificates of a PEM file and skips other blocks.
 func parse(file string, data []byte) ([]*x509.Certificate, error) {
 	var found []*x509.Certificate
 	for block, rest := pem.Decode(data); block != nil; block, rest = pem.Decode(rest) {
--- a/pkg/credential/store.go
+++ b/pkg/credential/store.go
@@ -16,7 +16,7 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// PollInterval is how often the files are looked at.
+// PollInterval is the interval at which the files are checked.
 const PollInterval = 10 * time.Second
 
 // Pair is a certificate with its key.
@@ -24,22 +24,23 @@
 	current atomic.Pointer[tls.Certificate]
 }
 
-// Certificate returns the one in use.
+// Certificate returns the current certificate.
 func (p *Pair) Certificate() *tls.Certificate { return p.current.Load() }
 
-// Authority is a set of certificates that others' are checked against.
+// Authority is a set of certificates that verify those of others.
 type Authority struct{ current atomic.Pointer[x509.CertPool] }
 
-// Pool returns the set in use.
+// Pool returns the current set.
 func (a *Authority) Pool() *x509.CertPool { return a.current.Load() }
 
 // Secret is a password or token.
 type Secret struct{ current atomic.Pointer[string] }
 
-// Value returns the one in use.
+// Value returns the current value.
 func (s *Secret) Value() string { return *s.current.Load() }
 
-// Store holds what a process reads from files. It is safe for concurrent use.
+// Store holds the credentials that a process reads from files. It is safe for
+// concurrent use.
 type Store struct {
 	clock clock.Clock
 
@@ -47,21 +48,21 @@
 	items map[string]*item
 }
 
-// item is one thing that is read from files.
+// item is one credential that is read from files.
 type item struct {
 	value any
 	files []string
 	seen  []fileVersion
-	// load reads the files and puts what they hold in use; the time is when that
-	// expires, zero for never.
+	// load reads the files, replaces the current value and returns its expiry time,
+	// which is zero if it never expires.
 	load    func(now time.Time) (time.Time, error)
 	expires time.Time
-	// refused is true while the files hold what cannot be used.
+	// refused is true while the files are invalid.
 	refused bool
 	warning *warning
 }
 
-// fileVersion tells one content of a file from another; the zero fileVersion is an absent file.
+// fileVersion identifies a version of a file; it is zero for an absent file.
 type fileVersion struct {
 	modified time.Time
 	size     int64
@@ -121,8 +122,8 @@
 	return stored.(*Secret), nil
 }
 
-// add reads the files for the first time. Files that were added before are not
-// read twice: what they hold is returned.
+// add reads the files and adds their value. For files that were added before, it
+// returns the existing value and does not read them.
 func (s *Store) add(kind string, value any, files []string, load func(time.Time) (time.Time, error)) (any, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +141,7 @@
 	return value, nil
 }
 
-// Run looks at the files on PollInterval until ctx ends.
+// Run checks the files at PollInterval until ctx is done.
 func (s *Store) Run(ctx context.Context, log zerolog.Logger) {
 	ticker := time.NewTicker(PollInterval)
 	defer ticker.Stop()
@@ -154,8 +155,8 @@
 	}
 }
 
-// Poll looks at all files once: those that changed are read anew, and what cannot
-// be used is logged once and leaves the old in use.
+// Poll checks all files once and reloads those that changed. An invalid file is
+// logged once and leaves the old value in use.
 func (s *Store) Poll(log zerolog.Logger) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,8 +184,8 @@
 	log.Info().Strs("files", i.files).Msg("credential-renewed")
 }
 
-// fileVersions looks at the files before they are read, so that a change in between is
-// seen the next time.
+// fileVersions must be called before the files are read, so that a change in between
+// is detected by the next check.
 func fileVersions(files []string) []fileVersion {
 	found := make([]fileVersion, len(files))
 	for i, file := range files {
@@ -204,8 +205,8 @@
 	return true
 }
 
-// Register exposes the store: the seconds until the first certificate expires
-// (zero when there is none), and how many credentials' files are refused.
+// Register adds gauges to the registry: the seconds until the first certificate
+// expires (zero when there is none) and the number of refused credentials.
 func (s *Store) Register(registry metrics.Registry) {
 	metrics.NewRegisteredFunctionalGauge("credentials.expiry_seconds", registry, s.untilExpiry)
 	metrics.NewRegisteredFunctionalGauge("credentials.refused", registry, s.refused)
--- a/pkg/credential/tls.go
+++ b/pkg/credential/tls.go
@@ -14,18 +14,19 @@
 // Dial makes a connection.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Client is what a client's side of TLS is made from.
+// Client holds the TLS parameters of a client.
 type Client struct {
-	// Authority checks the server's certificate.
+	// Authority verifies the server's certificate.
 	Authority *Authority
-	// Pair is the own certificate; nil when the server asks for none.
+	// Pair is the client's certificate, nil when the server requires none.
 	Pair *Pair
-	// ServerName is whom the server's certificate must name; empty means the host
-	// that is dialed.
+	// ServerName is the name that the server's certificate must hold; empty means the
+	// dialed host.
 	ServerName string
 }
 
-// config returns the settings for one connection to host, from what is in use now.
+// config returns the TLS configuration of one connection to host, with the current
+// credentials.
 func (c *Client) config(host string) *tls.Config {
 	config := &tls.Config{RootCAs: c.Authority.Pool(), ServerName: c.ServerName, MinVersion: tls.VersionTLS13}
 	if config.ServerName == "" {
@@ -37,8 +38,8 @@
 	return config
 }
 
-// Secure returns a Dial that makes TLS connections. A handshake that fails is a
-// *net.OpError of "dial": nothing of a request was sent.
+// Secure returns a Dial that makes TLS connections. A failed handshake is a
+// *net.OpError with Op "dial", since nothing of a request was sent.
 func (c *Client) Secure(dial Dial) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -60,8 +61,8 @@
 	}
 }
 
-// ServerConfig returns a server's side of TLS. With an authority every client
-// must have a certificate from it; nil asks for none.
+// ServerConfig returns the TLS configuration of a server. Every client must have a
+// certificate of the authority, unless it is nil.
 func ServerConfig(pair *Pair, authority *Authority) *tls.Config {
 	config := &tls.Config{
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return pair.Certificate(), nil },
--- a/pkg/settings/access.go
+++ b/pkg/settings/access.go
@@ -1,6 +1,6 @@
 package settings
 
-// Access says how the platform's services are spoken to.
+// Access holds the TLS settings and credentials for the platform's services.
 type Access struct {
 	KeyValue     KeyValueAccess `yaml:"key_value,omitempty"`
 	Directory    TokenAccess    `yaml:"directory,omitempty"`
@@ -8,32 +8,32 @@
 	WeightStore  TokenAccess    `yaml:"weight_store,omitempty"`
 }
 
-// KeyValueAccess is how the key-value service is spoken to.
+// KeyValueAccess holds the TLS settings and credentials for the key-value service.
 type KeyValueAccess struct {
 	TLS ClientTLS `yaml:"tls,omitempty"`
-	// User and the password in PasswordFile are exchanged for tokens; empty means
-	// that the service asks for none.
+	// User and the password in PasswordFile are exchanged for tokens. They are empty
+	// when the service requires none.
 	User         string `yaml:"user,omitempty"`
 	PasswordFile string `yaml:"password_file,omitempty"`
 }
 
-// TokenAccess is how a service with bearer tokens is spoken to.
+// TokenAccess holds the TLS settings and credentials for a service with bearer tokens.
 type TokenAccess struct {
 	TLS ClientTLS `yaml:"tls,omitempty"`
-	// TokenFile holds the bearer token; empty means that the service asks for none.
+	// TokenFile holds the bearer token; empty when the service requires none.
 	TokenFile string `yaml:"token_file,omitempty"`
 }
 
-// ClientTLS is a client's side of TLS.
+// ClientTLS holds the TLS settings of a client.
 type ClientTLS struct {
 	// Authority is the PEM file that the service's certificate is checked against;
 	// empty means plain text.
 	Authority string `yaml:"authority,omitempty"`
-	// Certificate and Key are the own ones, for a service that asks for them.
+	// Certificate and Key are the client's, for a service that requires them.
 	Certificate string `yaml:"certificate,omitempty"`
 	Key         string `yaml:"key,omitempty"`
-	// ServerName is whom the service's certificate must name; empty means the host
-	// of its address.
+	// ServerName is the name that the service's certificate must hold; empty means
+	// the host of its address.
 	ServerName string `yaml:"server_name,omitempty"`
 }
 
--- a/pkg/settings/command.go
+++ b/pkg/settings/command.go
@@ -10,8 +10,8 @@
 	Settings string `arg:"" help:"Settings file of the instance (YAML)."`
 }
 
-// CheckCommand is the subcommand of the instance's programs that reads the settings and
-// reports all their faults without starting anything.
+// CheckCommand is the subcommand of the instance's programs that reports all faults
+// of the settings without starting anything.
 type CheckCommand struct{ File }
 
 // Run implements the command.
--- a/pkg/settings/docs_test.go
+++ b/pkg/settings/docs_test.go
@@ -14,8 +14,8 @@
 
 const settingsPage = "../../docs/SETTINGS.md"
 
-// TestSettingsPage checks that the page's examples load, and that it names every
-// key of the settings and of the declaration.
+// TestSettingsPage checks that the examples of the page load, and that it names
+// every key of the settings and of the declaration.
 func TestSettingsPage(t *testing.T) {
 	is := is.New(t)
 	data, err := os.ReadFile(settingsPage)
--- a/pkg/settings/files.go
+++ b/pkg/settings/files.go
@@ -10,8 +10,8 @@
 	"github.com/lilacweir/lilacweir/pkg/yamlfile"
 )
 
-// Check reads settings like Load, and opens every file that they name as it would
-// be opened at now.
+// Check reads settings like Load, and also loads every file that they name, with
+// validity checked at now.
 func Check(file string, now time.Time) (*Instance, error) {
 	data, err := yamlfile.ReadFile(file)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return CheckData(file, data, now)
 }
 
-// CheckData is Check for settings that have been read.
+// CheckData is Check for settings that were read already.
 func CheckData(file string, data []byte, now time.Time) (*Instance, error) {
 	instance, doc := parse(file, data)
 	opener := opener{doc: doc, now: now}
@@ -39,7 +39,7 @@
 	return instance, nil
 }
 
-// CheckClient checks the settings of the command line, and the files they name.
+// CheckClient checks the settings of the command line and the files they name.
 func CheckClient(file string, data []byte, now time.Time) error {
 	client := new(Client)
 	doc := yamlfile.Read(file, data, client)
@@ -49,8 +49,7 @@
 	return doc.Err()
 }
 
-// opener opens files and adds what is wrong with them to a document. Files that
-// are not named are passed over.
+// opener loads files and adds their faults to a document. Empty names are skipped.
 type opener struct {
 	doc *yamlfile.Document
 	now time.Time
@@ -93,7 +92,7 @@
 	cause := fault.Err
 	var path *fs.PathError
 	if errors.As(cause, &path) {
-		cause = path.Err // the file is named already
+		cause = path.Err // the fault names the file already
 	}
 	o.doc.Add(key, fmt.Sprintf("%s: %v", fault.File, cause), "")
 }
--- a/pkg/settings/files_test.go
+++ b/pkg/settings/files_test.go
@@ -15,7 +15,7 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/certificate"
 )
 
-// TestCheckOpensEveryFile puts each fault at each kind of key.
+// TestCheckOpensEveryFile checks faulty files at each kind of key.
 func TestCheckOpensEveryFile(t *testing.T) {
 	directory := t.TempDir()
 	good := issue(t, directory, "kal-1")
@@ -66,7 +66,7 @@
 			is.True(err != nil)
 			line := fmt.Sprintf("s.yaml:%d: ", lineOf(data, test.file))
 			is.True(strings.HasPrefix(err.Error(), line+strings.Replace(test.want, "F:", test.file+":", 1)))
-			is.Equal(strings.Count(err.Error(), "\n"), 0) // this fault alone
+			is.Equal(strings.Count(err.Error(), "\n"), 0) // no other fault
 			is.True(!strings.Contains(err.Error(), "secret words"))
 		})
 	}
@@ -76,7 +76,7 @@
 	}
 }
 
-// with puts a block's keys, written on one line, into the block of valid settings.
+// with inserts keys, written on one line, into their block of the settings.
 func with(base, block string) string {
 	name, keys, _ := strings.Cut(block, ": ")
 	keys = strings.TrimSuffix(strings.TrimPrefix(keys, "{"), "}")
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -17,8 +17,8 @@
 	return Parse(file, data)
 }
 
-// Parse checks settings that have been read; file is used in faults alone. The
-// files that the settings name are not opened; see Check.
+// Parse checks settings that were read already; file is only used in faults. It
+// does not open the files that the settings name (see Check).
 func Parse(file string, data []byte) (*Instance, error) {
 	instance, doc := parse(file, data)
 	if err := doc.Err(); err != nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// checkLoopback adds a fault for an address that is not loopback. Text that is
-// no address has its own fault already.
+// checkLoopback adds a fault for an address that is not loopback. An invalid
+// address has a fault already.
 func checkLoopback(doc *yamlfile.Document, key, address string) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Addr().IsLoopback() {
--- a/pkg/settings/operator.go
+++ b/pkg/settings/operator.go
@@ -2,9 +2,10 @@
 
 // Client is the settings file of the operators' command line.
 type Client struct {
-	// Servers lists operators' addresses of agents; the first that answers is used.
+	// Servers lists the agents' addresses for operators; the first that answers is
+	// used.
 	Servers []string `yaml:"servers" validate:"required,min=1,dive,hostport"`
-	// Gateways lists callers' addresses, for the commands ask and call.
+	// Gateways lists gateways' addresses for callers, for the commands ask and call.
 	Gateways []string `yaml:"gateways,omitempty" validate:"dive,hostport"`
 	// Authority is the PEM file that the servers' and gateways' certificates are
 	// checked against; empty means plain HTTP.
--- a/pkg/settings/security.go
+++ b/pkg/settings/security.go
@@ -2,7 +2,7 @@
 
 import "github.com/lilacweir/lilacweir/pkg/yamlfile"
 
-// What a certificate's, key's or authority's file is expected for.
+// Expected values in faults, with the reason why they are required.
 const (
 	expectSecure   = "a PEM file, since plaintext_loopback is not set"
 	expectTogether = "a PEM file, since another key of this block is set"
@@ -10,8 +10,8 @@
 	expectUser     = "a name, since password_file is set"
 )
 
-// checkSecurity requires loopback addresses where plain text is permitted, and
-// certificates everywhere else; and that what belongs requireAll is there requireAll.
+// checkSecurity requires loopback addresses where plain text is permitted,
+// certificates everywhere else, and complete groups of related keys.
 func (s *Instance) checkSecurity(doc *yamlfile.Document) {
 	if s.Security.PlaintextLoopback {
 		s.checkLoopback(doc)
@@ -33,7 +33,7 @@
 	}
 }
 
-// setting is the value of a key of a block.
+// setting is a key of a block with its value.
 type setting struct{ key, value string }
 
 // requireAll requires all values when required is true or one of them is set.
@@ -56,7 +56,7 @@
 	requireAll(doc, block, required, setting{"certificate", pair.Certificate}, setting{"key", pair.Key})
 }
 
-// serviceAccess is how one service of the platform is spoken to.
+// serviceAccess holds the TLS settings and credentials for one service of the platform.
 type serviceAccess struct {
 	// block is the path of the service's keys.
 	block string
@@ -78,7 +78,7 @@
 }
 
 // check requires an authority where plain text is not permitted, or where another
-// key of the block would be in vain without one.
+// key of the block has no effect without one.
 func (a serviceAccess) check(doc *yamlfile.Document, required bool) {
 	block := a.block + ".tls"
 	checkPair(doc, block, false, Pair{Certificate: a.tls.Certificate, Key: a.tls.Key})
--- a/pkg/yamlfile/decode.go
+++ b/pkg/yamlfile/decode.go
@@ -16,8 +16,8 @@
 	textType     = reflect.TypeFor[encoding.TextUnmarshaler]()
 )
 
-// decode walks the nodes and the target type side by side, sets what fits and
-// records a fault for everything that does not.
+// decode walks the nodes and the target type in parallel, sets the values that
+// match and records a fault for each that does not.
 func (d *Document) decode(root *yaml.Node, into any) {
 	d.lines[""] = root.Line
 	d.value(root, "", reflect.ValueOf(into).Elem())
@@ -142,7 +142,8 @@
 	}
 }
 
-// setScalar sets the target, or returns false and what was expected.
+// setScalar sets the target, or returns false and a description of the expected
+// value.
 func setScalar(node *yaml.Node, target reflect.Value) (expected string, ok bool) {
 	if node.Kind != yaml.ScalarNode || isNull(node) {
 		return kindName(target), false
--- a/pkg/yamlfile/document.go
+++ b/pkg/yamlfile/document.go
@@ -1,6 +1,6 @@
 // Package yamlfile reads YAML files strictly. Unknown keys, wrong types and
-// values that break a validation rule are faults; all faults of a file come back
-// in one error, each with file, line, key and what was expected.
+// values that violate a validation rule are faults. All faults of a file are
+// returned in one error, each with file, line, key and the expected value.
 package yamlfile
 
 import (
@@ -16,12 +16,12 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// MaxSize bounds a file, in bytes. It is the most that one value of the
-// platform's key-value service holds.
+// MaxSize is the size limit of a file, in bytes, equal to that of a value in the
+// platform's key-value service.
 const MaxSize = 1 << 20
 
-// Document is a file that has been read, with the lines of its keys, so that
-// checks which go beyond one key can add faults that name their place.
+// Document is a file that was read, with the lines of its keys, so that checks
+// across several keys can add faults with a line.
 type Document struct {
 	file   string
 	lines  map[string]int
@@ -38,8 +38,8 @@
 	return Decode(file, data, into)
 }
 
-// ReadFile reads at most MaxSize bytes; one byte more is returned when there
-// are more, so that Read reports it. The error is a *ReadError.
+// ReadFile reads a file. It returns at most MaxSize+1 bytes, so that Read can
+// report a file that is too large. The error is a *ReadError.
 func ReadFile(file string) ([]byte, error) {
 	opened, err := os.Open(file)
 	if err != nil {
@@ -53,14 +53,14 @@
 	return data, nil
 }
 
-// Decode decodes data into the struct that into points to. The file's name is
-// used in faults alone. The error is an *Error with all faults.
+// Decode decodes data into the struct that into points to. The file's name is only
+// used in faults. The error is an *Error with all faults.
 func Decode(file string, data []byte, into any) error {
 	return Read(file, data, into).Err()
 }
 
 // Read decodes data like Decode, and returns the document so that further
-// faults can be added before asking for Err.
+// faults can be added before Err is called.
 func Read(file string, data []byte, into any) *Document {
 	doc := &Document{file: file, lines: map[string]int{}}
 	if len(data) > MaxSize {
@@ -87,7 +87,7 @@
 	})
 }
 
-// Has tells whether the file holds the key.
+// Has reports whether the file has the key.
 func (d *Document) Has(key string) bool {
 	_, ok := d.lines[key]
 	return ok
@@ -103,7 +103,7 @@
 	return &Error{Faults: faults}
 }
 
-// parse returns the root mapping; false when there is none.
+// parse returns the root node, or false when there is none.
 func (d *Document) parse(data []byte) (*yaml.Node, bool) {
 	decoder := yaml.NewDecoder(strings.NewReader(string(data)))
 	var top yaml.Node
@@ -165,7 +165,7 @@
 	}
 }
 
-// parent cuts the last step off a key path.
+// parent returns the key path without its last element.
 func parent(key string) string {
 	if strings.HasSuffix(key, "]") {
 		return key[:max(0, strings.LastIndex(key, "["))]
--- a/pkg/yamlfile/fault.go
+++ b/pkg/yamlfile/fault.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
 	File string
-	// Line counts from 1; 0 means that the place is not known.
+	// Line counts from 1; 0 means that the line is not known.
 	Line int
 	// Key is the path of the key, for example "upstreams[3].domain".
 	Key string
-	// Problem says what was found.
+	// Problem describes what was found.
 	Problem string
-	// Expected says what should stand there; empty when Problem says it all.
+	// Expected describes the expected value; empty when Problem suffices.
 	Expected string
 	// Nearest is the known key that an unknown one resembles; empty for none.
 	Nearest string
--- a/pkg/yamlfile/nearest.go
+++ b/pkg/yamlfile/nearest.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// Nearest returns the candidate that is most like word, or "" when none is
-// within a third of the word's length (two edits at least).
+// Nearest returns the candidate with the least edit distance to word, or "" when
+// none is within a third of the word's length (but at least two edits).
 func Nearest(word string, candidates []string) string {
 	bound := max(2, len(word)/3)
 	best := ""
@@ -18,8 +18,8 @@
 	return best
 }
 
-// editDistance is the Levenshtein distance in bytes, where a swap of two
-// neighbouring bytes counts as one edit.
+// editDistance returns the Levenshtein distance in bytes, with a swap of two
+// neighbouring bytes counted as one edit.
 func editDistance(a, b string) int {
 	beforeLast := make([]int, len(b)+1)
 	last := make([]int, len(b)+1)
--- a/pkg/yamlfile/types.go
+++ b/pkg/yamlfile/types.go
@@ -9,7 +9,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// fieldsOf maps the YAML keys of a struct type to its field numbers.
+// fieldsOf maps the YAML keys of a struct type to its field indices.
 func fieldsOf(of reflect.Type) map[string]int {
 	fields := make(map[string]int, of.NumField())
 	for i := range of.NumField() {
@@ -48,10 +48,10 @@
 	return node.Kind == yaml.ScalarNode && node.Tag == "!!null"
 }
 
-// maxQuoted bounds how much of a wrong value a fault repeats, in bytes.
+// maxQuoted is the length limit, in bytes, of a value that a fault quotes.
 const maxQuoted = 40
 
-// describe says what a node holds, for a person.
+// describe returns a readable description of a node's value.
 func describe(node *yaml.Node) string {
 	switch {
 	case node.Kind == yaml.MappingNode:
@@ -72,7 +72,7 @@
 	return `"` + value + `"`
 }
 
-// kindName says which value a target takes, for a person.
+// kindName returns a readable name of the values that a target accepts.
 func kindName(target reflect.Value) string {
 	switch target.Kind() {
 	case reflect.String:
--- a/pkg/yamlfile/validate.go
+++ b/pkg/yamlfile/validate.go
@@ -12,15 +12,16 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// Problem is a value that breaks a validation rule.
+// Problem is a value that violates a validation rule.
 type Problem struct {
 	// Key is the path of the key, for example "upstreams[3].domain".
 	Key string
-	// Found says what stands there; Expected what should.
+	// Found describes the value, Expected the value that the rule requires.
 	Found, Expected string
 }
 
-// MaxName bounds names, in bytes, so that one fits a line of a phone.
+// MaxName is the length limit of names, in bytes, so that one fits a line of a
+// phone.
 const MaxName = 40
 
 var (
@@ -28,7 +29,7 @@
 	keyHashPattern = regexp.MustCompile(`^sha256:[0-9a-f]{64}$`)
 )
 
-// rules builds the validator with this project's tags: name, hostport, keyhash.
+// rules returns the validator with the additional tags name, hostport and keyhash.
 var rules = sync.OnceValue(func() *validator.Validate {
 	rules := validator.New(validator.WithRequiredStructEnabled())
 	rules.RegisterTagNameFunc(yamlName)
@@ -45,13 +46,14 @@
 	}
 }
 
-// IsName tells whether text is a name: lower-case letters, digits, "-" and ".",
-// starting and ending with a letter or digit, at most MaxName bytes.
+// IsName reports whether text is a name. Names consist of lower-case letters,
+// digits, "-" and ".", start and end with a letter or digit, and have at most
+// MaxName bytes.
 func IsName(text string) bool {
 	return len(text) <= MaxName && namePattern.MatchString(text)
 }
 
-// IsHostPort tells whether text is an IP number and a port.
+// IsHostPort reports whether text is an IP address and a port.
 func IsHostPort(text string) bool {
 	address, err := netip.ParseAddrPort(text)
 	return err == nil && address.Port() != 0
@@ -72,8 +74,8 @@
 	return problems
 }
 
-// validate adds a fault for each rule that is broken, but for keys that already
-// have a fault.
+// validate adds a fault for each violated rule, except for keys that already have
+// a fault.
 func (d *Document) validate(into any) {
 	for _, problem := range Check(into) {
 		if !d.hasFault(problem.Key) {
@@ -82,7 +84,7 @@
 	}
 }
 
-// hasFault tells whether the key, one above it or the whole file has a fault.
+// hasFault reports whether the key, one above it or the whole file has a fault.
 func (d *Document) hasFault(key string) bool {
 	for _, fault := range d.faults {
 		if fault.Key == "" || fault.Key == key || within(key, fault.Key) {
@@ -103,7 +105,7 @@
 	case field.Tag() == "required":
 		return "missing"
 	case field.Tag() == "keyhash":
-		return "not a hash" // what stands there may be the key itself
+		return "not a hash" // not quoted, since the value may be the key itself
 	case value.Kind() == reflect.String:
 		return "got " + quote(value.String())
 	case value.Kind() == reflect.Slice:
@@ -113,7 +115,7 @@
 	}
 }
 
-// expectation says what a broken rule asks for, for a person.
+// expectation returns a readable description of a rule's requirement.
 func expectation(field validator.FieldError) string {
 	switch field.Tag() {
 	case "required":
