--- a/pkg/command/apply_test.go
+++ b/pkg/command/apply_test.go
@@ -26,32 +26,32 @@
 func TestApplyShowsThenChangesOnlyTheDifference(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t)
+		h := newHarness(t)
 		application := command.ApplyRequest{Operator: "eleni", File: "deploy/d.yaml", DryRun: true, Data: file(t, func(d *config.Declaration) {
 			d.Upstreams[1].Concurrency = 16
 			d.Callers[1].Share = 2
 			d.Policy.CostWeight = 0.5
 		})}
-		shown := r.executor.Apply(t.Context(), application)
+		shown := h.executor.Apply(t.Context(), application)
 		is.Equal(shown.Text, "difference to 117:\n~ upstream nurse-1 concurrency: 8 -> 16\n~ caller residents-app share: none -> 2\n~ policy cost_weight: 0 -> 0.5")
 		is.Equal(shown.Revision, config.Revision(117))
 
 		// Another operator drains nurse-2 before the file is applied: that stays.
-		exchange{"drain nurse-2", command.Accepted, []string{"118 in force 7/7"}}.run(t, r)
+		exchange{"drain nurse-2", command.Accepted, []string{"118 in force 7/7"}}.run(t, h)
 		application.DryRun, application.Seen = false, shown.Revision
-		is.Equal(r.executor.Apply(t.Context(), application).Text, "119 in force 7/7")
-		now := r.board.Config.Load().Declaration
+		is.Equal(h.executor.Apply(t.Context(), application).Text, "119 in force 7/7")
+		now := h.board.Config.Load().Declaration
 		is.True(now.Upstreams[2].Drained)
 		is.Equal(now.Upstreams[1].Concurrency, 16)
-		exchange{"log 1", command.OK, []string{"119 eleni apply d.yaml"}}.run(t, r)
+		exchange{"log 1", command.OK, []string{"119 eleni apply d.yaml"}}.run(t, h)
 
 		// The same file once more, seen at 117, is in its own way.
-		repeated := r.executor.Apply(t.Context(), application)
+		repeated := h.executor.Apply(t.Context(), application)
 		is.Equal(repeated.Text, "refused, nothing changed\nin the way: 119 by eleni\napply d.yaml")
 
 		application.Seen = 0
 		application.DryRun = true
-		again := r.executor.Apply(t.Context(), application)
+		again := h.executor.Apply(t.Context(), application)
 		is.Equal(again.Text, "difference to 119:\n~ upstream nurse-2 drained: true -> none")
 	})
 }
@@ -59,42 +59,42 @@
 func TestApplyRefusesDangerAndFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t)
+		h := newHarness(t)
 		application := command.ApplyRequest{Operator: "eleni", File: "d.yaml", DryRun: true, Data: file(t, func(d *config.Declaration) {
 			d.Upstreams = d.Upstreams[:3]
 		})}
-		is.Equal(r.executor.Apply(t.Context(), application).Text, "difference to 117:\n- upstream nurse-3\n! leaves larisa-hall no lilac-nurse")
+		is.Equal(h.executor.Apply(t.Context(), application).Text, "difference to 117:\n- upstream nurse-3\n! leaves larisa-hall no lilac-nurse")
 		application.DryRun = false
-		is.Equal(r.executor.Apply(t.Context(), application).Verdict, command.Refused)
+		is.Equal(h.executor.Apply(t.Context(), application).Verdict, command.Refused)
 		application.Force = true
-		is.Equal(r.executor.Apply(t.Context(), application).Text, "118 in force 7/7\nit leaves larisa-hall no lilac-nurse")
+		is.Equal(h.executor.Apply(t.Context(), application).Text, "118 in force 7/7\nit leaves larisa-hall no lilac-nurse")
 
 		application.Data = []byte("regions: 5\n")
-		faults := r.executor.Apply(t.Context(), application)
+		faults := h.executor.Apply(t.Context(), application)
 		is.Equal(faults.Verdict, command.Refused)
 		is.Equal(faults.Text, "d.yaml:1: regions: got \"5\", expected a list\nd.yaml:1: operators: missing, expected at least one operator")
 	})
 }
 
-func TestFirstApply(t *testing.T) {
+func TestFirstApplyAuthenticatesByTheFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t)
-		r.kv.Remove(config.HeadKey)
-		r.board.Config.Store(nil)
+		h := newHarness(t)
+		h.kv.Remove(config.HeadKey)
+		h.board.Config.Store(nil)
 		data := file(t, func(*config.Declaration) {})
-		is.True(r.executor.VerifyKey("eleni", "key-eleni", data))
-		is.True(!r.executor.VerifyKey("eleni", "key-linh", data))
-		is.True(!r.executor.VerifyKey("linh", "key-linh", data))
-		first := r.executor.Apply(t.Context(), command.ApplyRequest{Operator: "eleni", File: "d.yaml", Data: data})
+		is.True(h.executor.VerifyKey("eleni", "key-eleni", data))
+		is.True(!h.executor.VerifyKey("eleni", "key-linh", data))
+		is.True(!h.executor.VerifyKey("linh", "key-linh", data))
+		first := h.executor.Apply(t.Context(), command.ApplyRequest{Operator: "eleni", File: "d.yaml", Data: data})
 		is.Equal(first.Text, "1 in force 7/7")
-		is.True(!r.executor.VerifyKey("eleni", "key-linh", data)) // from now on the configuration decides
+		is.True(!h.executor.VerifyKey("eleni", "key-linh", data)) // from now on the configuration decides
 
 		// Another operator, who had also seen that there was none, comes too late.
-		late := r.executor.Apply(t.Context(), command.ApplyRequest{Operator: "eleni", File: "e.yaml", First: true, Data: file(t, func(d *config.Declaration) {
+		late := h.executor.Apply(t.Context(), command.ApplyRequest{Operator: "eleni", File: "e.yaml", First: true, Data: file(t, func(d *config.Declaration) {
 			d.Policy.CostWeight = 1
 		})})
 		is.Equal(late.Text, "0 is too old to compare, now 1")
-		exchange{"undo 1", command.Refused, []string{"1 is the first and cannot be undone"}}.run(t, r)
+		exchange{"undo 1", command.Refused, []string{"1 is the first and cannot be undone"}}.run(t, h)
 	})
 }
--- a/pkg/command/change.go
+++ b/pkg/command/change.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// propose gives the proposal an ID when it has none, and words the verdict.
+// propose gives the proposal an ID when it has none, and words the decision.
 func (e *Executor) propose(ctx context.Context, proposal config.Proposal) Reply {
 	if proposal.ID == "" {
 		id, err := config.NewID(proposal.Seen, e.Random)
@@ -41,8 +41,8 @@
 	if _, ok := config.ParseID(proposal.ID); !ok {
 		return refuse(&IDError{Given: proposal.ID})
 	}
-	verdict := e.Changes.Change(ctx, proposal)
-	return e.word(ctx, proposal, verdict)
+	decision := e.Changes.Change(ctx, proposal)
+	return e.changeReply(ctx, proposal, decision)
 }
 
 // IDError reports a change identity that is not well formed.
@@ -53,23 +53,23 @@
 // Error implements error.
 func (e *IDError) Error() string { return clip(e.Given) + " is not a change's ID" }
 
-// word makes the reply of a verdict.
-func (e *Executor) word(ctx context.Context, proposal config.Proposal, verdict config.Decision) Reply {
-	switch verdict.State {
+// changeReply makes the reply of a decision.
+func (e *Executor) changeReply(ctx context.Context, proposal config.Proposal, decision config.Decision) Reply {
+	switch decision.State {
 	case config.Accepted:
-		if verdict.Head != nil && e.Accepted != nil {
-			e.Accepted(verdict.Head)
+		if decision.Head != nil && e.Accepted != nil {
+			e.Accepted(decision.Head)
 		}
-		s := e.waitInForce(ctx, verdict.Revision)
+		s := e.waitInForce(ctx, decision.Revision)
 		lines := s.lines()
-		for _, danger := range verdict.Dangers {
+		for _, danger := range decision.Dangers {
 			lines = append(lines, "it "+danger.String())
 		}
 		return reply(Accepted, lines...)
 	case config.Unknown:
-		return reply(Unknown, "unknown: the platform gave no answer", "ask later:", "why "+verdict.ID)
+		return reply(Unknown, "unknown: the platform gave no answer", "ask later:", "why "+decision.ID)
 	default:
-		return refusal(proposal, verdict.Reason)
+		return refusal(proposal, decision.Reason)
 	}
 }
 
--- a/pkg/command/docs_test.go
+++ b/pkg/command/docs_test.go
@@ -15,7 +15,7 @@
 
 // TestOperatorsPage runs every line of the operators' page that begins with "> "
 // against the wellness deployment's declaration, one after the other, and
-// compares the lines that follow it with the reply. Comments set the scene.
+// compares the lines that follow it with the reply. Comments set the setup.
 func TestOperatorsPage(t *testing.T) {
 	page, err := os.ReadFile(operatorsPage)
 	if err != nil {
@@ -30,10 +30,10 @@
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		r := rigOf(t, decl)
+		h := newHarnessWith(t, decl)
 		for _, step := range readSteps(string(page)) {
-			r.scene(step.scene)
-			got := r.executor.Execute(t.Context(), "eleni", step.line).Text
+			h.setup(step.setup)
+			got := h.executor.Execute(t.Context(), "eleni", step.line).Text
 			if got != step.want {
 				t.Errorf("> %s\ngot:\n%s\nwant:\n%s", step.line, got, step.want)
 			}
@@ -42,22 +42,22 @@
 }
 
 // step is a line of the page with its reply, and what happened before it.
-type step struct{ scene, line, want string }
+type step struct{ setup, line, want string }
 
 func readSteps(page string) []step {
 	var steps []step
-	scene, inside := "", false
+	setup, inside := "", false
 	for _, text := range strings.Split(page, "\n") {
 		comment, isComment := strings.CutPrefix(text, "<!-- ")
 		line, isLine := strings.CutPrefix(text, "> ")
 		switch {
 		case isComment:
-			scene = strings.TrimSuffix(comment, " -->")
+			setup = strings.TrimSuffix(comment, " -->")
 		case strings.HasPrefix(text, "```"):
 			inside = false
 		case isLine:
-			steps = append(steps, step{scene: scene, line: line})
-			scene, inside = "", true
+			steps = append(steps, step{setup: setup, line: line})
+			setup, inside = "", true
 		case inside:
 			last := &steps[len(steps)-1]
 			last.want = strings.TrimPrefix(last.want+"\n"+text, "\n")
@@ -66,34 +66,34 @@
 	return steps
 }
 
-// scene brings about what a comment of the page says.
-func (r *rig) scene(name string) {
-	revision := r.board.Config.Load().Revision
+// setup brings about what a comment of the page says.
+func (h *harness) setup(name string) {
+	revision := h.board.Config.Load().Revision
 	switch name {
 	case "platform down":
-		r.kv.SetDown(true)
-		r.board.Platform.Store(platformSilent(40 * time.Second))
+		h.kv.SetDown(true)
+		h.board.Platform.Store(platformSilent(40 * time.Second))
 	case "answer lost":
-		r.kv.SetDown(false)
-		r.kv.FailWrites(platformtest.StopAfterWrite)
+		h.kv.SetDown(false)
+		h.kv.FailWrites(platformtest.StopAfterWrite)
 	case "platform up":
-		r.kv.SetDown(false)
-		r.spread(r.stored())
-		r.board.Platform.Store(platformSilent(0))
+		h.kv.SetDown(false)
+		h.publish(h.stored())
+		h.board.Platform.Store(platformSilent(0))
 	case "larisa silent":
-		r.remote.down, r.cut = true, true
-		r.domains(revision, 2, 40*time.Second)
-		r.executor.Accepted = func(head *config.Head) {
-			r.board.Config.Store(head)
-			r.members(head.Revision)
-			r.domains(head.Revision, 0, 40*time.Second)
+		h.remote.down, h.partitioned = true, true
+		h.domains(revision, 2, 40*time.Second)
+		h.executor.Accepted = func(head *config.Head) {
+			h.board.Config.Store(head)
+			h.members(head.Revision)
+			h.domains(head.Revision, 0, 40*time.Second)
 		}
 	case "":
-		if !r.cut {
-			r.members(revision) // everyone was heard just now
-			r.domains(revision, 2, 0)
+		if !h.partitioned {
+			h.members(revision) // everyone was heard just now
+			h.domains(revision, 2, 0)
 		}
 	default:
-		panic("no scene " + name)
+		panic("no setup " + name)
 	}
 }
--- a/pkg/command/executor.go
+++ b/pkg/command/executor.go
@@ -21,7 +21,7 @@
 	Log(ctx context.Context, n int, keep func(*config.Change) bool) ([]config.Change, error)
 }
 
-// Remote asks other instances.
+// Remote isQuery other instances.
 type Remote interface {
 	// Ask passes a line to an instance of another failure domain.
 	Ask(ctx context.Context, domain, operator, line string) (Reply, error)
@@ -82,7 +82,7 @@
 	if head := e.Board.Config.Load(); head == nil || head.Revision == 0 {
 		return reply(Refused, "no configuration here", "first: lilacweir apply FILE")
 	}
-	if line.asks() {
+	if line.isQuery() {
 		return e.answer(ctx, request, line)
 	}
 	if request.PassedOn {
@@ -98,13 +98,13 @@
 // Error implements error.
 func (*PassedOnError) Error() string { return "only questions are passed on" }
 
-// asks tells questions from changes.
-func (l *Line) asks() bool {
+// isQuery tells questions from changes.
+func (l *Line) isQuery() bool {
 	return l.Status != nil || l.Pools != nil || l.Who != nil || l.Log != nil || l.Why != nil || l.Help != nil
 }
 
 // Changes tells changes from questions.
-func (l *Line) Changes() bool { return !l.asks() }
+func (l *Line) Changes() bool { return !l.isQuery() }
 
 func (e *Executor) answer(ctx context.Context, request Request, line *Line) Reply {
 	switch {
@@ -132,7 +132,7 @@
 	lines := make([]string, 0, len(usage))
 	for _, entry := range usage {
 		if entry.purpose != "" {
-			lines = append(lines, form(entry.word)+": "+entry.purpose)
+			lines = append(lines, usageOf(entry.word)+": "+entry.purpose)
 		}
 	}
 	return lines
--- a/pkg/command/executor_test.go
+++ b/pkg/command/executor_test.go
@@ -23,15 +23,15 @@
 	want    []string
 }
 
-func (e exchange) run(t *testing.T, r *rig) {
+func (e exchange) run(t *testing.T, h *harness) {
 	t.Helper()
 	is := is.New(t)
-	reply := r.executor.Execute(t.Context(), "eleni", e.line)
+	reply := h.executor.Execute(t.Context(), "eleni", e.line)
 	is.Equal(reply.Text, strings.Join(e.want, "\n"))
 	is.Equal(reply.Verdict, e.verdict)
 }
 
-func TestQuestions(t *testing.T) {
+func TestQueryReplies(t *testing.T) {
 	tests := []exchange{
 		{"st", command.OK, []string{"117 in force 7/7", "lilac-nurse 8/48 busy, 3 wait", "sleeplog-api 0/8 busy, 0 wait"}},
 		{"ST lar", command.OK, []string{"larisa-hall in thessalia", "2 instances, 0 silent", "117 in force 2/2", "lilac-nurse 2/16 busy, 1 wait"}},
@@ -58,12 +58,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.line, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { test.run(t, newRig(t)) })
+			synctest.Test(t, func(t *testing.T) { test.run(t, newHarness(t)) })
 		})
 	}
 }
 
-func TestChanges(t *testing.T) {
+func TestChangeReplies(t *testing.T) {
 	tests := []struct {
 		name      string
 		exchanges []exchange
@@ -108,9 +108,9 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t)
+				h := newHarness(t)
 				for _, exchange := range test.exchanges {
-					exchange.run(t, r)
+					exchange.run(t, h)
 				}
 			})
 		})
@@ -119,122 +119,122 @@
 
 // Another operator's change was accepted through another instance, and this one
 // has not heard of it yet.
-func TestUnseenChangeInTheWay(t *testing.T) {
+func TestUnseenChangeConflicts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t)
+		h := newHarness(t)
 		op := config.Op{Drain: &config.DrainOp{Upstream: "nurse-1", Drained: true}}
-		is.Equal(r.store.Change(t.Context(), config.Proposal{
+		is.Equal(h.store.Change(t.Context(), config.Proposal{
 			ID: "c117-00000001", Operator: "linh", Line: op.String(), Seen: 117, Build: config.Fixed([]config.Op{op}),
 		}).State, config.Accepted)
-		exchange{"undrain nurse-1", command.Refused, []string{"refused, nothing changed", "in the way: 118 by linh", "drain nurse-1"}}.run(t, r)
-		exchange{"drain nurse-2", command.Refused, []string{"refused, nothing changed", "in the way: 118 by linh", "drain nurse-1", "together it leaves kalamaria-hall no", "lilac-nurse", "to do it:", "drain nurse-2 !"}}.run(t, r)
-		exchange{"spill lar>att 5%", command.Accepted, []string{"119 in force 7/7"}}.run(t, r)
+		exchange{"undrain nurse-1", command.Refused, []string{"refused, nothing changed", "in the way: 118 by linh", "drain nurse-1"}}.run(t, h)
+		exchange{"drain nurse-2", command.Refused, []string{"refused, nothing changed", "in the way: 118 by linh", "drain nurse-1", "together it leaves kalamaria-hall no", "lilac-nurse", "to do it:", "drain nurse-2 !"}}.run(t, h)
+		exchange{"spill lar>att 5%", command.Accepted, []string{"119 in force 7/7"}}.run(t, h)
 	})
 }
 
-func TestInForceSaysWhatIsMissing(t *testing.T) {
+func TestInForceReplyNamesWhatIsMissing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t)
-		r.executor.Accepted = func(head *config.Head) {
-			r.board.Config.Store(head)
-			r.members(head.Revision)
-			r.domains(head.Revision, 0, 40*time.Second)
+		h := newHarness(t)
+		h.executor.Accepted = func(head *config.Head) {
+			h.board.Config.Store(head)
+			h.members(head.Revision)
+			h.domains(head.Revision, 0, 40*time.Second)
 		}
 		start := time.Now()
-		exchange{"drain nurse-1", command.Accepted, []string{"118 in force 5/7", "larisa-hall silent 43 s"}}.run(t, r)
+		exchange{"drain nurse-1", command.Accepted, []string{"118 in force 5/7", "larisa-hall silent 43 s"}}.run(t, h)
 		is.Equal(time.Since(start), command.InForceBound) // it waited, but no longer
 
-		r.domains(118, 1, 0)
-		exchange{"st", command.OK, []string{"118 in force 6/7", "larisa-hall 1/2", "lilac-nurse 5/40 busy, 2 wait", "sleeplog-api 0/8 busy, 0 wait"}}.run(t, r)
+		h.domains(118, 1, 0)
+		exchange{"st", command.OK, []string{"118 in force 6/7", "larisa-hall 1/2", "lilac-nurse 5/40 busy, 2 wait", "sleeplog-api 0/8 busy, 0 wait"}}.run(t, h)
 		go func() {
 			time.Sleep(time.Second) // synctest's clock
-			r.domains(119, 2, 0)
+			h.domains(119, 2, 0)
 		}()
 		start = time.Now()
-		exchange{"undrain nurse-1", command.Accepted, []string{"119 in force 7/7"}}.run(t, r)
+		exchange{"undrain nurse-1", command.Accepted, []string{"119 in force 7/7"}}.run(t, h)
 		is.Equal(time.Since(start), time.Second) // it answered as soon as it was so
 	})
 }
 
 func TestPlatformDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.remote.down = true
-		r.kv.SetDown(true)
-		exchange{"drain nurse-1", command.Refused, []string{"refused, nothing changed", "the platform gives no answer"}}.run(t, r)
-		exchange{"log", command.Refused, []string{"the platform gives no answer", "log needs it; st does not"}}.run(t, r)
-		exchange{"up nurse-3", command.OK, []string{"nurse-3 at larisa-hall", "serves lilac-nurse v1", "larisa-hall gives no answer now"}}.run(t, r)
-
-		r.kv.SetDown(false)
-		r.kv.FailWrites(platformtest.StopAfterWrite)
-		exchange{"drain nurse-1", command.Unknown, []string{"unknown: the platform gave no answer", "ask later:", "why c117-1040g208"}}.run(t, r)
-		exchange{"why c117-1040g208", command.Unknown, []string{"still unknown, ask again:", "why c117-1040g208"}}.run(t, r)
-		r.kv.SetDown(false)
-		r.domains(117, 2, 0)
-		exchange{"why c117-1040g208", command.Accepted, []string{"accepted as 118", "118 in force 0/7", "kal-1 has 117", "kal-2 has 117", "kal-3 has 117", "larisa-hall 0/2", "peristeri-hall 0/2"}}.run(t, r)
+		h := newHarness(t)
+		h.remote.down = true
+		h.kv.SetDown(true)
+		exchange{"drain nurse-1", command.Refused, []string{"refused, nothing changed", "the platform gives no answer"}}.run(t, h)
+		exchange{"log", command.Refused, []string{"the platform gives no answer", "log needs it; st does not"}}.run(t, h)
+		exchange{"up nurse-3", command.OK, []string{"nurse-3 at larisa-hall", "serves lilac-nurse v1", "larisa-hall gives no answer now"}}.run(t, h)
+
+		h.kv.SetDown(false)
+		h.kv.FailWrites(platformtest.StopAfterWrite)
+		exchange{"drain nurse-1", command.Unknown, []string{"unknown: the platform gave no answer", "ask later:", "why c117-1040g208"}}.run(t, h)
+		exchange{"why c117-1040g208", command.Unknown, []string{"still unknown, ask again:", "why c117-1040g208"}}.run(t, h)
+		h.kv.SetDown(false)
+		h.domains(117, 2, 0)
+		exchange{"why c117-1040g208", command.Accepted, []string{"accepted as 118", "118 in force 0/7", "kal-1 has 117", "kal-2 has 117", "kal-3 has 117", "larisa-hall 0/2", "peristeri-hall 0/2"}}.run(t, h)
 	})
 }
 
 // A domain that was never heard has at least one instance, so the count must not
 // look complete.
-func TestUnheardDomainIsMissing(t *testing.T) {
+func TestDomainWithoutReportIsMissing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.board.Domains.Store(nil)
-		exchange{"st", command.OK, []string{"117 in force 3/5", "larisa-hall not heard yet", "peristeri-hall not heard yet", "lilac-nurse 4/16 busy, 1 wait", "sleeplog-api 0/8 busy, 0 wait"}}.run(t, r)
+		h := newHarness(t)
+		h.board.Domains.Store(nil)
+		exchange{"st", command.OK, []string{"117 in force 3/5", "larisa-hall not heard yet", "peristeri-hall not heard yet", "lilac-nurse 4/16 busy, 1 wait", "sleeplog-api 0/8 busy, 0 wait"}}.run(t, h)
 	})
 }
 
 // Many missing domains leave room for the pools.
 func TestManyMissingDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
+		h := newHarness(t)
 		decl := declaration()
 		for i := range 30 {
 			decl.Regions[1].Domains = append(decl.Regions[1].Domains, fmt.Sprintf("makedonia-%02d", i))
 		}
-		r.board.Config.Store(&config.Head{Revision: 117, Declaration: decl})
-		exchange{"st", command.OK, []string{"117 in force 7/37", "makedonia-00 not heard yet", "makedonia-01 not heard yet", "makedonia-02 not heard yet", "makedonia-03 not heard yet", "makedonia-04 not heard yet", "and 25 more", "lilac-nurse 8/48 busy, 3 wait", "sleeplog-api 0/8 busy, 0 wait"}}.run(t, r)
+		h.board.Config.Store(&config.Head{Revision: 117, Declaration: decl})
+		exchange{"st", command.OK, []string{"117 in force 7/37", "makedonia-00 not heard yet", "makedonia-01 not heard yet", "makedonia-02 not heard yet", "makedonia-03 not heard yet", "makedonia-04 not heard yet", "and 25 more", "lilac-nurse 8/48 busy, 3 wait", "sleeplog-api 0/8 busy, 0 wait"}}.run(t, h)
 	})
 }
 
-func TestPassedOnLinesEndHere(t *testing.T) {
+func TestPassedOnLinesAreNotPassedOnAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t)
+		h := newHarness(t)
 		passedOn := command.Request{Operator: "eleni", Line: "up nurse-3", PassedOn: true}
-		is.Equal(r.executor.ExecuteRequest(t.Context(), passedOn).Text, "nurse-3 at larisa-hall\nserves lilac-nurse v1\nbut its domain passed this on")
+		is.Equal(h.executor.ExecuteRequest(t.Context(), passedOn).Text, "nurse-3 at larisa-hall\nserves lilac-nurse v1\nbut its domain passed this on")
 		passedOn.Line = "drain nurse-1"
-		is.Equal(r.executor.ExecuteRequest(t.Context(), passedOn).Verdict, command.Refused)
-		is.Equal(r.board.Config.Load().Revision, config.Revision(117))
+		is.Equal(h.executor.ExecuteRequest(t.Context(), passedOn).Verdict, command.Refused)
+		is.Equal(h.board.Config.Load().Revision, config.Revision(117))
 	})
 }
 
 func TestNoConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.board.Config.Store(&config.Head{})
-		exchange{"st", command.Refused, []string{"no configuration here", "first: lilacweir apply FILE"}}.run(t, r)
+		h := newHarness(t)
+		h.board.Config.Store(&config.Head{})
+		exchange{"st", command.Refused, []string{"no configuration here", "first: lilacweir apply FILE"}}.run(t, h)
 	})
 }
 
 // Whatever is typed, and whatever the names are, a reply fits the screen.
 func TestRepliesFitTheScreen(t *testing.T) {
-	r := newRig(t)
+	h := newHarness(t)
 	decl := declaration()
 	for i := range decl.Callers {
 		decl.Callers[i].Name = strings.Repeat("c", 39) + string(rune('a'+i))
 	}
-	r.board.Config.Store(&config.Head{Revision: 117, Declaration: decl})
+	h.board.Config.Store(&config.Head{Revision: 117, Declaration: decl})
 	words := rapid.SampledFrom([]string{"st", "up", "who", "log", "why", "help", "drain", "undrain", "spill", "permit", "forbid", "ver", "undo", "nurse-1", "c", "larisa", "thessalia", "20%", ">", "!", "v2", "118", "kal-1-77", strings.Repeat("x", 90)})
 	rapid.Check(t, func(rt *rapid.T) {
 		line := strings.Join(rapid.SliceOfN(words, 0, 5).Draw(rt, "words"), " ")
 		if rapid.Bool().Draw(rt, "free") {
 			line += rapid.String().Draw(rt, "text")
 		}
-		text := r.executor.Execute(t.Context(), "eleni", line).Text
+		text := h.executor.Execute(t.Context(), "eleni", line).Text
 		rows := strings.Split(text, "\n")
 		if text == "" || len(rows) > command.Rows {
 			rt.Fatalf("%q: %d rows", line, len(rows))
--- a/pkg/command/rig_test.go
+++ b/pkg/command/harness_test.go
@@ -15,10 +15,10 @@
 
 var errDown = &platform.Error{Service: "key-value", Call: "any", Err: platform.ErrUnavailable}
 
-// counter is a random source that gives 7s first, then 8s, and so on.
-type counter struct{ next byte }
+// countingRandom is a random source that gives 7s first, then 8s, and so on.
+type countingRandom struct{ next byte }
 
-func (c *counter) Read(p []byte) (int, error) {
+func (c *countingRandom) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = 7 + c.next
 	}
@@ -26,45 +26,45 @@
 	return len(p), nil
 }
 
-// otherDomains answers for the other instances.
-type otherDomains struct{ down bool }
+// fakeRemote answers for the other instances.
+type fakeRemote struct{ down bool }
 
-func (o *otherDomains) Ask(_ context.Context, domain, operator, line string) (command.Reply, error) {
-	if o.down {
+func (f *fakeRemote) Ask(_ context.Context, domain, operator, line string) (command.Reply, error) {
+	if f.down {
 		return command.Reply{}, errDown
 	}
 	return command.Reply{Verdict: command.OK, Text: domain + " answers " + operator + ": " + line}, nil
 }
 
-func (o *otherDomains) Why(_ context.Context, id string) ([]string, int, error) {
+func (f *fakeRemote) Why(_ context.Context, id string) ([]string, int, error) {
 	if id == "kal-1-77" {
 		return []string{"residents-app lilac-nurse", "at nurse-1, complete in 812 ms"}, 1, nil
 	}
 	return nil, 2, nil
 }
 
-// rig is one instance of three domains with its platform.
-type rig struct {
+// harness is one instance of three domains with its platform.
+type harness struct {
 	kv     *platformtest.Service
 	store  *config.Store
 	board  *board.Board
-	remote *otherDomains
-	// cut is true while larisa-hall cannot be heard.
-	cut      bool
-	executor *command.Executor
+	remote *fakeRemote
+	// partitioned is true while larisa-hall cannot be heard.
+	partitioned bool
+	executor    *command.Executor
 }
 
-// newRig starts with revision 117 in force on all seven instances, by the
+// newHarness starts with revision 117 in force on all seven instances, by the
 // synctest clock.
-func newRig(t testing.TB) *rig {
+func newHarness(t testing.TB) *harness {
 	t.Helper()
-	return rigOf(t, declaration())
+	return newHarnessWith(t, declaration())
 }
 
-// rigOf starts with revision 117 of a declaration.
-func rigOf(t testing.TB, decl *config.Declaration) *rig {
+// newHarnessWith starts with revision 117 of a declaration.
+func newHarnessWith(t testing.TB, decl *config.Declaration) *harness {
 	t.Helper()
-	r := &rig{kv: platformtest.New(clock.System{}), board: new(board.Board), remote: new(otherDomains)}
+	h := &harness{kv: platformtest.New(clock.System{}), board: new(board.Board), remote: new(fakeRemote)}
 	pause := func(ctx context.Context, wait time.Duration) error {
 		select {
 		case <-time.After(wait):
@@ -73,57 +73,57 @@
 			return ctx.Err()
 		}
 	}
-	r.store = config.NewStore(r.kv, clock.System{}, pause, func() float64 { return 1 })
-	r.executor = &command.Executor{
+	h.store = config.NewStore(h.kv, clock.System{}, pause, func() float64 { return 1 })
+	h.executor = &command.Executor{
 		Self:     command.Self{Instance: "kal-1", Domain: "kalamaria-hall", Region: "makedonia"},
-		Board:    r.board,
-		Changes:  r.store,
-		Remote:   r.remote,
+		Board:    h.board,
+		Changes:  h.store,
+		Remote:   h.remote,
 		Clock:    clock.System{},
-		Random:   new(counter),
-		Accepted: r.spread,
+		Random:   new(countingRandom),
+		Accepted: h.publish,
 	}
-	r.seed(t, decl)
-	return r
+	h.seed(t, decl)
+	return h
 }
 
 // seed stores the first head and fills the board.
-func (r *rig) seed(t testing.TB, decl *config.Declaration) {
+func (h *harness) seed(t testing.TB, decl *config.Declaration) {
 	t.Helper()
 	head := &config.Head{Revision: 117, Declaration: decl, Archived: 117}
 	encoded, err := config.EncodeHead(head)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.kv.Set(config.HeadKey, encoded)
-	r.board.Upstreams.Store(&board.Upstreams{ByName: map[string]board.UpstreamLoad{
+	h.kv.Set(config.HeadKey, encoded)
+	h.board.Upstreams.Store(&board.Upstreams{ByName: map[string]board.UpstreamLoad{
 		"nurse-1": {Name: "nurse-1", State: board.UpstreamLive, Running: 3, Queued: 1, DecodeRate: 41, Version: "v1", ReportedAt: time.Now().Add(-2 * time.Second)},
 		"nurse-2": {Name: "nurse-2", State: board.UpstreamLive, Running: 1},
 	}})
-	r.board.Platform.Store(platformSilent(0))
-	r.spread(head)
+	h.board.Platform.Store(platformSilent(0))
+	h.publish(head)
 }
 
-// spread puts a head in force on every instance.
-func (r *rig) spread(head *config.Head) {
-	r.board.Config.Store(head)
-	r.members(head.Revision)
-	r.domains(head.Revision, 2, 0)
+// publish puts a head in force on every instance.
+func (h *harness) publish(head *config.Head) {
+	h.board.Config.Store(head)
+	h.members(head.Revision)
+	h.domains(head.Revision, 2, 0)
 }
 
-func (r *rig) members(revision config.Revision) {
+func (h *harness) members(revision config.Revision) {
 	var instances []board.Instance
 	for _, name := range []string{"kal-1", "kal-2", "kal-3"} {
 		instances = append(instances, board.Instance{Name: name, Domain: "kalamaria-hall", State: board.InstanceLive, Revision: revision, LastHeard: time.Now()})
 	}
-	r.board.Members.Store(&board.Members{Self: "kal-1", Instances: instances})
+	h.board.Members.Store(&board.Members{Self: "kal-1", Instances: instances})
 }
 
 // domains sets what the other domains told: larisa-hall has so many of its two
 // instances at the revision, and was heard that long ago.
-func (r *rig) domains(revision config.Revision, larisa int, silence time.Duration) {
+func (h *harness) domains(revision config.Revision, larisa int, silence time.Duration) {
 	pool := []board.PoolDigest{{Serves: "lilac-nurse", Version: "v1", Slots: 16, Busy: 2, Waiting: 1}}
-	r.board.Domains.Store(&board.Domains{Remote: []board.DomainDigest{
+	h.board.Domains.Store(&board.Domains{Remote: []board.DomainDigest{
 		{Domain: "larisa-hall", Region: "thessalia", HeardAt: time.Now().Add(-silence), Nodes: 2, Platform: true, Pools: pool,
 			Revisions: []board.RevisionCount{{Revision: revision, Nodes: larisa}, {Revision: revision - 1, Nodes: 2 - larisa}}},
 		{Domain: "peristeri-hall", Region: "attiki", HeardAt: time.Now(), Nodes: 2, Platform: true, Pools: pool,
@@ -169,8 +169,8 @@
 }
 
 // stored is the head in the key-value service.
-func (r *rig) stored() *config.Head {
-	head, err := config.DecodeHead(r.kv.Value(config.HeadKey))
+func (h *harness) stored() *config.Head {
+	head, err := config.DecodeHead(h.kv.Value(config.HeadKey))
 	if err != nil {
 		panic(err)
 	}
--- a/pkg/command/history.go
+++ b/pkg/command/history.go
@@ -22,16 +22,16 @@
 func (e *Executor) log(ctx context.Context, line *Log) Reply {
 	count, word := logArguments(line)
 	changes, err := e.Changes.Log(ctx, count, config.Mentions(word))
-	var tooFar *config.HistoryError
-	if err != nil && !errors.As(err, &tooFar) {
+	var incomplete *config.HistoryError
+	if err != nil && !errors.As(err, &incomplete) {
 		return reply(Refused, "the platform gives no answer", "log needs it; st does not")
 	}
 	var lines []string
 	for _, change := range changes {
 		lines = append(lines, logLine(&change))
 	}
-	if tooFar != nil {
-		lines = append(lines, tooFar.Error())
+	if incomplete != nil {
+		lines = append(lines, incomplete.Error())
 	}
 	if len(lines) == 0 {
 		lines = append(lines, "no such change")
@@ -78,15 +78,15 @@
 }
 
 func (e *Executor) whyChange(ctx context.Context, id string) Reply {
-	verdict, err := e.Changes.Lookup(ctx, id)
+	decision, err := e.Changes.Lookup(ctx, id)
 	switch {
-	case err != nil || verdict.State == config.Unknown:
+	case err != nil || decision.State == config.Unknown:
 		return reply(Unknown, "still unknown, ask again:", "why "+id)
-	case verdict.State == config.Refused:
+	case decision.State == config.Refused:
 		return reply(Refused, "not accepted, and never will be")
 	default:
-		s := e.spread(verdict.Revision)
-		lines := append([]string{fmt.Sprintf("accepted as %d", verdict.Revision)}, s.lines()...)
+		s := e.rollout(decision.Revision)
+		lines := append([]string{fmt.Sprintf("accepted as %d", decision.Revision)}, s.lines()...)
 		return reply(Accepted, lines...)
 	}
 }
--- a/pkg/command/inforce.go
+++ b/pkg/command/inforce.go
@@ -14,8 +14,8 @@
 // InForceBound is how long a change's answer waits for every instance.
 const InForceBound = 3 * time.Second
 
-// spread says how far a revision is in force, as far as instances reported.
-type spread struct {
+// rollout says how far a revision is in force, as far as instances reported.
+type rollout struct {
 	revision    config.Revision
 	have, total int
 	// notes name what is missing, one fact a line.
@@ -23,22 +23,22 @@
 }
 
 // complete tells whether every instance reported the revision.
-func (s *spread) complete() bool { return s.have == s.total && len(s.notes) == 0 }
+func (s *rollout) complete() bool { return s.have == s.total && len(s.notes) == 0 }
 
 // line is the first line of an answer: "118 in force 5/7".
-func (s *spread) line() string {
+func (s *rollout) line() string {
 	return fmt.Sprintf("%d in force %d/%d", s.revision, s.have, s.total)
 }
 
-// spread counts the instances that have the revision or a newer one.
-func (e *Executor) spread(revision config.Revision) *spread {
-	s := &spread{revision: revision}
+// rollout counts the instances that have the revision or a newer one.
+func (e *Executor) rollout(revision config.Revision) *rollout {
+	s := &rollout{revision: revision}
 	now := e.Clock.Now()
 	s.countOwn(e.Board.Members.Load(), now)
-	heard := s.countRemote(e.Board.Domains.Load(), now)
+	reported := s.countRemote(e.Board.Domains.Load(), now)
 	head := e.Board.Config.Load()
 	for _, domain := range slices.Sorted(maps.Keys(domains(head.Declaration))) {
-		if domain != e.Self.Domain && !heard[domain] {
+		if domain != e.Self.Domain && !reported[domain] {
 			s.total++ // it has one instance at least
 			s.notes = append(s.notes, domain+" not heard yet")
 		}
@@ -50,7 +50,7 @@
 const maxNotes = 6
 
 // lines is the answer: the count, and what is missing.
-func (s *spread) lines() []string {
+func (s *rollout) lines() []string {
 	lines := append([]string{s.line()}, s.notes...)
 	if len(s.notes) <= maxNotes {
 		return lines
@@ -59,7 +59,7 @@
 	return append(lines[:maxNotes], fmt.Sprintf("and %d more", over))
 }
 
-func (s *spread) countOwn(members *board.Members, now time.Time) {
+func (s *rollout) countOwn(members *board.Members, now time.Time) {
 	if members == nil {
 		return
 	}
@@ -79,14 +79,14 @@
 	}
 }
 
-// countRemote adds the other domains' digests and returns which were heard.
-func (s *spread) countRemote(remote *board.Domains, now time.Time) map[string]bool {
-	heard := map[string]bool{}
+// countRemote adds the other domains' digests and returns which were reported.
+func (s *rollout) countRemote(remote *board.Domains, now time.Time) map[string]bool {
+	reported := map[string]bool{}
 	if remote == nil {
-		return heard
+		return reported
 	}
 	for _, digest := range remote.Remote {
-		heard[digest.Domain] = true
+		reported[digest.Domain] = true
 		have := 0
 		for _, count := range digest.Revisions {
 			if count.Revision >= s.revision {
@@ -103,19 +103,19 @@
 			s.notes = append(s.notes, fmt.Sprintf("%s %d/%d", digest.Domain, have, digest.Nodes))
 		}
 	}
-	return heard
+	return reported
 }
 
 // waitInForce waits until the revision is in force everywhere, or for
 // InForceBound, and returns what was true at the end.
-func (e *Executor) waitInForce(ctx context.Context, revision config.Revision) *spread {
+func (e *Executor) waitInForce(ctx context.Context, revision config.Revision) *rollout {
 	ctx, cancel := context.WithTimeout(ctx, InForceBound)
 	defer cancel()
 	for {
 		members := e.Board.Members.Changed()
 		remote := e.Board.Domains.Changed()
 		own := e.Board.Config.Changed()
-		s := e.spread(revision)
+		s := e.rollout(revision)
 		if s.complete() {
 			return s
 		}
@@ -124,7 +124,7 @@
 		case <-remote:
 		case <-own:
 		case <-ctx.Done():
-			return e.spread(revision)
+			return e.rollout(revision)
 		}
 	}
 }
--- a/pkg/command/intent.go
+++ b/pkg/command/intent.go
@@ -100,11 +100,11 @@
 }
 
 func spill(names names, line *Spill) (intent, error) {
-	from, err := names.side(line.From)
+	from, err := names.spillRegion(line.From)
 	if err != nil {
 		return intent{}, err
 	}
-	to, err := names.side(line.To)
+	to, err := names.spillRegion(line.To)
 	if err != nil {
 		return intent{}, err
 	}
--- a/pkg/command/name.go
+++ b/pkg/command/name.go
@@ -105,9 +105,9 @@
 	return resolve("version", name, candidates)
 }
 
-// side resolves an end of a spill rule: a region, or a failure domain that
+// spillRegion resolves an end of a spill rule: a region, or a failure domain that
 // stands for its region.
-func (n names) side(name Name) (string, error) {
+func (n names) spillRegion(name Name) (string, error) {
 	regionOf := domains(n.decl)
 	for _, region := range n.decl.Regions {
 		regionOf[region.Name] = region.Name
--- a/pkg/command/parse.go
+++ b/pkg/command/parse.go
@@ -154,7 +154,7 @@
 
 // syntaxError translates the parser's error.
 func syntaxError(err error, text, word string) error {
-	failure := &SyntaxError{Column: columnOf(text, len(text)), Problem: "not understood", Usage: form(word)}
+	failure := &SyntaxError{Column: columnOf(text, len(text)), Problem: "not understood", Usage: usageOf(word)}
 	var parse participle.Error
 	if !errors.As(err, &parse) {
 		return failure
@@ -171,8 +171,8 @@
 	return failure
 }
 
-// form returns how a command is written.
-func form(word string) string {
+// usageOf returns how a command is written.
+func usageOf(word string) string {
 	for _, entry := range usage {
 		if entry.word == word {
 			return strings.TrimSpace(entry.word + " " + entry.arguments)
--- a/pkg/command/status.go
+++ b/pkg/command/status.go
@@ -21,7 +21,7 @@
 		}
 		return e.domainStatus(domain)
 	}
-	s := e.spread(e.Board.Config.Load().Revision)
+	s := e.rollout(e.Board.Config.Load().Revision)
 	lines := append(s.lines(), e.platformNotes()...)
 	totals := e.totals()
 	for _, pool := range slices.Sorted(maps.Keys(totals)) {
