--- a/pkg/command/apply.go
+++ b/pkg/command/apply.go
@@ -9,40 +9,40 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// ApplyRequest is a declaration file that an operator applies.
+// ApplyRequest is a declaration file to apply.
 type ApplyRequest struct {
 	Operator string
-	// File is the file's name, for the audit trail and for faults.
+	// File is the file's name, for the audit trail and faults.
 	File string
 	Data []byte
-	// Seen is the revision whose difference the operator saw; 0 means this
-	// instance's now.
+	// Seen is the revision of the difference that the operator saw; 0 means the
+	// present one of this instance.
 	Seen config.Revision
-	// First says that the operator saw that there was no configuration.
+	// First is true when the operator saw that there was no configuration.
 	First bool
-	// ID is the change's identity when the operator's program made one.
+	// ID is the change's identity if the operator's program generated one.
 	ID string
-	// DryRun shows the difference and changes nothing.
+	// DryRun returns the difference and changes nothing.
 	DryRun bool
 	// Force accepts a dangerous change.
 	Force bool
 }
 
-// Difference answers a dry run.
+// Difference is the result of an apply or its dry run.
 type Difference struct {
 	Reply
-	// Revision is what the difference was made against: the Seen of the
-	// application that follows.
+	// Revision is the one with which the file was compared. The apply after a dry
+	// run passes it as Seen.
 	Revision config.Revision
 }
 
-// Apply changes the configuration to what a file declares, and changes only what
-// differs between the file and the revision that the operator saw. A dry run's
-// text has a line for each fact, as files are applied at a computer; every other
-// reply fits a phone's screen.
+// Apply changes the configuration by the differences between the file and the
+// revision that the operator saw. The text of a dry run has a line for each
+// difference, since files are applied at a computer; every other reply fits a
+// phone's screen.
 //
-// On a deployment without configuration it makes revision 1. Who asks must then
-// be an operator of the file itself; the caller of Apply checks keys, see Judge.
+// On a deployment without configuration it makes revision 1, and the operator must
+// be one of the file itself. The caller of Apply checks keys (see VerifyKey).
 func (e *Executor) Apply(ctx context.Context, application ApplyRequest) Difference {
 	target, err := config.Load(application.File, application.Data)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return Difference{Reply: e.propose(ctx, proposal), Revision: seen}
 }
 
-// seen returns the declaration that the operator saw; the empty one when there is no
-// configuration yet.
+// seen returns the declaration that the operator saw, or an empty one when there is
+// no configuration yet.
 func (e *Executor) seen(application ApplyRequest) (*config.Declaration, config.Revision, error) {
 	head := e.Board.Config.Load()
 	if head == nil || head.Revision == 0 {
@@ -88,7 +88,7 @@
 	return decl, application.Seen, nil
 }
 
-// difference words what applying would do.
+// difference formats the effect of applying.
 func difference(before, target *config.Declaration, ops []config.Op, seen config.Revision) Reply {
 	lines := []string{fmt.Sprintf("difference to %d:", seen)}
 	lines = append(lines, config.Describe(before, ops)...)
@@ -98,9 +98,9 @@
 	return Reply{Verdict: OK, Text: strings.Join(lines, "\n")}
 }
 
-// VerifyKey tells whether the key is the operator's, in constant time: by the
-// configuration in force here, and by the file itself when there is none and
-// the file is to make revision 1.
+// VerifyKey reports whether the key is the operator's, in constant time. It uses
+// the configuration in force here, or the file itself when there is none and the
+// file makes revision 1.
 func (e *Executor) VerifyKey(operator, key string, file []byte) bool {
 	head := e.Board.Config.Load()
 	if head != nil && head.Revision > 0 {
--- a/pkg/command/apply_test.go
+++ b/pkg/command/apply_test.go
@@ -11,7 +11,7 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// file writes a declaration as YAML after a change to it.
+// file returns the declaration as YAML, after an edit.
 func file(t *testing.T, edit func(*config.Declaration)) []byte {
 	t.Helper()
 	decl := declaration()
@@ -36,7 +36,8 @@
 		is.Equal(shown.Text, "difference to 117:\n~ upstream nurse-1 concurrency: 8 -> 16\n~ caller residents-app share: none -> 2\n~ policy cost_weight: 0 -> 0.5")
 		is.Equal(shown.Revision, config.Revision(117))
 
-		// Another operator drains nurse-2 before the file is applied: that stays.
+		// Another operator drains nurse-2 before the file is applied, and the file
+		// must not revert that.
 		exchange{"drain nurse-2", command.Accepted, []string{"118 in force 7/7"}}.run(t, h)
 		application.DryRun, application.Seen = false, shown.Revision
 		is.Equal(h.executor.Apply(t.Context(), application).Text, "119 in force 7/7")
@@ -45,7 +46,7 @@
 		is.Equal(now.Upstreams[1].Concurrency, 16)
 		exchange{"log 1", command.OK, []string{"119 eleni apply d.yaml"}}.run(t, h)
 
-		// The same file once more, seen at 117, is in its own way.
+		// The same file again, seen at 117, conflicts with its first apply.
 		repeated := h.executor.Apply(t.Context(), application)
 		is.Equal(repeated.Text, "refused, nothing changed\nin the way: 119 by eleni\napply d.yaml")
 
@@ -88,9 +89,9 @@
 		is.True(!h.executor.VerifyKey("linh", "key-linh", data))
 		first := h.executor.Apply(t.Context(), command.ApplyRequest{Operator: "eleni", File: "d.yaml", Data: data})
 		is.Equal(first.Text, "1 in force 7/7")
-		is.True(!h.executor.VerifyKey("eleni", "key-linh", data)) // from now on the configuration decides
+		is.True(!h.executor.VerifyKey("eleni", "key-linh", data)) // now checked against the configuration
 
-		// Another operator, who had also seen that there was none, comes too late.
+		// A second first apply, by an operator who also saw no configuration.
 		late := h.executor.Apply(t.Context(), command.ApplyRequest{Operator: "eleni", File: "e.yaml", First: true, Data: file(t, func(d *config.Declaration) {
 			d.Policy.CostWeight = 1
 		})})
--- a/pkg/command/change.go
+++ b/pkg/command/change.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// propose gives the proposal an ID when it has none, and words the decision.
+// propose generates an ID if there is none, proposes and formats the decision.
 func (e *Executor) propose(ctx context.Context, proposal config.Proposal) Reply {
 	if proposal.ID == "" {
 		id, err := config.NewID(proposal.Seen, e.Random)
@@ -45,7 +45,7 @@
 	return e.changeReply(ctx, proposal, decision)
 }
 
-// IDError reports a change identity that is not well formed.
+// IDError reports a malformed change identity.
 type IDError struct {
 	Given string
 }
@@ -53,7 +53,7 @@
 // Error implements error.
 func (e *IDError) Error() string { return clip(e.Given) + " is not a change's ID" }
 
-// changeReply makes the reply of a decision.
+// changeReply returns the reply for a decision.
 func (e *Executor) changeReply(ctx context.Context, proposal config.Proposal, decision config.Decision) Reply {
 	switch decision.State {
 	case config.Accepted:
@@ -73,7 +73,7 @@
 	}
 }
 
-// refusal words why nothing was changed, and what to do.
+// refusal formats why nothing was changed and what the operator can do.
 func refusal(proposal config.Proposal, reason error) Reply {
 	lines := []string{"refused, nothing changed"}
 	var conflict *config.ConflictError
--- a/pkg/command/docs_test.go
+++ b/pkg/command/docs_test.go
@@ -13,9 +13,9 @@
 
 const operatorsPage = "../../docs/OPERATORS.md"
 
-// TestOperatorsPage runs every line of the operators' page that begins with "> "
-// against the wellness deployment's declaration, one after the other, and
-// compares the lines that follow it with the reply. Comments set the setup.
+// TestOperatorsPage executes every line of the operators' page that begins with
+// "> " in order, with the wellness deployment's declaration, and compares the
+// reply with the lines that follow. Comments of the page name the setup.
 func TestOperatorsPage(t *testing.T) {
 	page, err := os.ReadFile(operatorsPage)
 	if err != nil {
@@ -41,7 +41,7 @@
 	})
 }
 
-// step is a line of the page with its reply, and what happened before it.
+// step is a line of the page with its reply and the setup before it.
 type step struct{ setup, line, want string }
 
 func readSteps(page string) []step {
@@ -66,7 +66,7 @@
 	return steps
 }
 
-// setup brings about what a comment of the page says.
+// setup establishes the conditions that a comment of the page names.
 func (h *harness) setup(name string) {
 	revision := h.board.Config.Load().Revision
 	switch name {
@@ -90,7 +90,7 @@
 		}
 	case "":
 		if !h.partitioned {
-			h.members(revision) // everyone was heard just now
+			h.members(revision) // all instances reported just now
 			h.domains(revision, 2, 0)
 		}
 	default:
--- a/pkg/command/executor.go
+++ b/pkg/command/executor.go
@@ -9,11 +9,11 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// Changer accepts changes and keeps the audit trail; config.Store is one.
+// Changer accepts changes and stores the audit trail. config.Store implements it.
 type Changer interface {
-	// Change proposes a change and says what became of it.
+	// Change proposes a change and returns the decision.
 	Change(ctx context.Context, proposal config.Proposal) config.Decision
-	// Lookup says what became of a change by its ID.
+	// Lookup returns the decision on a change by its ID.
 	Lookup(ctx context.Context, id string) (config.Decision, error)
 	// Revision returns an accepted change by its number.
 	Revision(ctx context.Context, revision config.Revision) (*config.Change, error)
@@ -21,56 +21,56 @@
 	Log(ctx context.Context, n int, keep func(*config.Change) bool) ([]config.Change, error)
 }
 
-// Remote isQuery other instances.
+// Remote sends queries to other instances.
 type Remote interface {
-	// Ask passes a line to an instance of another failure domain.
+	// Ask forwards a line to an instance of another failure domain.
 	Ask(ctx context.Context, domain, operator, line string) (Reply, error)
-	// Why returns what any instance that can be reached remembers of a request,
-	// one event a line; unreached counts the instances that did not answer.
+	// Why returns the recorded events of a request from all reachable instances, one
+	// a line; unreached counts the instances that did not answer.
 	Why(ctx context.Context, requestID string) (lines []string, unreached int, err error)
 }
 
-// Self says which instance answers.
+// Self identifies the instance that answers.
 type Self struct {
 	Instance, Domain, Region string
 }
 
-// Executor answers operators' lines. It is safe for concurrent use.
+// Executor executes operators' lines. It is safe for concurrent use.
 type Executor struct {
 	Self    Self
 	Board   *board.Board
 	Changes Changer
 	Remote  Remote
 	Clock   clock.Clock
-	// Random is the source of changes' IDs.
+	// Random is the random source for change IDs.
 	Random io.Reader
-	// Accepted, when set, is given each head that a change made here, so that it
-	// is in force without waiting for the watch.
+	// Accepted, if set, receives the head of each change accepted here, which is then
+	// in force without waiting for the watch.
 	Accepted func(*config.Head)
 }
 
-// Request is a line with who typed it.
+// Request is a line with its operator.
 type Request struct {
 	Operator, Line string
-	// ID is the change's identity when the operator's program made one, so that
-	// it can ask what became of it; empty to have one made here.
+	// ID is the change's identity if the operator's program generated one, by which
+	// it can look up the decision. If empty, one is generated here.
 	ID string
-	// Repeated says that the line was sent before under the same ID.
+	// Repeated is true when the line was sent before under the same ID.
 	Repeated bool
 	// Seen is the revision that the operator saw; 0 means this instance's.
 	Seen config.Revision
-	// PassedOn is true when another instance passes on the line. It is answered
-	// from here, and changes nothing: two instances that hold different revisions
-	// would otherwise pass it to and fro.
+	// PassedOn is true when another instance forwarded the line. It is not forwarded
+	// again, because two instances with different revisions could forward it back
+	// and forth, and it changes nothing.
 	PassedOn bool
 }
 
-// Execute answers a line.
+// Execute executes a line.
 func (e *Executor) Execute(ctx context.Context, operator, line string) Reply {
 	return e.ExecuteRequest(ctx, Request{Operator: operator, Line: line})
 }
 
-// ExecuteRequest answers a line whose change has an identity already.
+// ExecuteRequest executes a line with its options.
 func (e *Executor) ExecuteRequest(ctx context.Context, request Request) Reply {
 	line, err := Parse(request.Line)
 	if err != nil {
@@ -91,19 +91,19 @@
 	return e.change(ctx, request, line)
 }
 
-// PassedOnError refuses a change that another instance passes on: a change is
-// proposed by the instance that knows its operator.
+// PassedOnError refuses a change that another instance forwarded. A change must be
+// proposed by the instance that authenticated its operator.
 type PassedOnError struct{}
 
 // Error implements error.
 func (*PassedOnError) Error() string { return "only questions are passed on" }
 
-// isQuery tells questions from changes.
+// isQuery reports whether the line is a query.
 func (l *Line) isQuery() bool {
 	return l.Status != nil || l.Pools != nil || l.Who != nil || l.Log != nil || l.Why != nil || l.Help != nil
 }
 
-// Changes tells changes from questions.
+// Changes reports whether the line is a change.
 func (l *Line) Changes() bool { return !l.isQuery() }
 
 func (e *Executor) answer(ctx context.Context, request Request, line *Line) Reply {
@@ -124,10 +124,10 @@
 // names resolves names against the configuration in force here.
 func (e *Executor) names() names { return names{decl: e.Board.Config.Load().Declaration} }
 
-// refuse says why nothing was done.
+// refuse returns the reply for an error before any change.
 func refuse(err error) Reply { return reply(Refused, err.Error()) }
 
-// helpLines is the help screen; the last word of the usage is help itself.
+// helpLines returns the help screen, without help itself.
 func helpLines() []string {
 	lines := make([]string, 0, len(usage))
 	for _, entry := range usage {
--- a/pkg/command/executor_test.go
+++ b/pkg/command/executor_test.go
@@ -16,7 +16,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-// exchange is a line and the reply that it must get.
+// exchange is a line and its expected reply.
 type exchange struct {
 	line    string
 	verdict command.Verdict
@@ -118,7 +118,7 @@
 }
 
 // Another operator's change was accepted through another instance, and this one
-// has not heard of it yet.
+// has not received it yet.
 func TestUnseenChangeConflicts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -144,7 +144,7 @@
 		}
 		start := time.Now()
 		exchange{"drain nurse-1", command.Accepted, []string{"118 in force 5/7", "larisa-hall silent 43 s"}}.run(t, h)
-		is.Equal(time.Since(start), command.InForceBound) // it waited, but no longer
+		is.Equal(time.Since(start), command.InForceBound) // waited for no longer than the bound
 
 		h.domains(118, 1, 0)
 		exchange{"st", command.OK, []string{"118 in force 6/7", "larisa-hall 1/2", "lilac-nurse 5/40 busy, 2 wait", "sleeplog-api 0/8 busy, 0 wait"}}.run(t, h)
@@ -154,7 +154,7 @@
 		}()
 		start = time.Now()
 		exchange{"undrain nurse-1", command.Accepted, []string{"119 in force 7/7"}}.run(t, h)
-		is.Equal(time.Since(start), time.Second) // it answered as soon as it was so
+		is.Equal(time.Since(start), time.Second) // replied as soon as all had reported
 	})
 }
 
@@ -177,8 +177,8 @@
 	})
 }
 
-// A domain that was never heard has at least one instance, so the count must not
-// look complete.
+// A domain without a report has at least one instance, so the count must not look
+// complete.
 func TestDomainWithoutReportIsMissing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
@@ -187,7 +187,7 @@
 	})
 }
 
-// Many missing domains leave room for the pools.
+// The notes on many missing domains leave rows for the pools.
 func TestManyMissingDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
@@ -220,7 +220,7 @@
 	})
 }
 
-// Whatever is typed, and whatever the names are, a reply fits the screen.
+// A reply fits the screen for any input and any names.
 func TestRepliesFitTheScreen(t *testing.T) {
 	h := newHarness(t)
 	decl := declaration()
--- a/pkg/command/grammar.go
+++ b/pkg/command/grammar.go
@@ -1,10 +1,10 @@
-// Package command is the operators' language: one line asks or changes, one
-// reply of at most 40 columns by 12 lines answers. Words and names may be
-// shortened to any unique prefix.
+// Package command implements the operators' language. Each line is a query or a
+// change, and gets a reply of at most 40 columns by 12 lines. Words and names may
+// be abbreviated to any unique prefix.
 //
-// Guarantee: a reply says that a change was accepted, refused or neither known
-// only where package config said so, and "in force" counts only what instances
-// reported.
+// A reply gives the state of a change, accepted, refused or unknown, only as
+// decided by package config. The "in force" counts include only instances that
+// reported the revision.
 package command
 
 import (
@@ -31,7 +31,7 @@
 	Force bool `parser:"@'!'?"`
 }
 
-// Name is a name or number with its place in the line.
+// Name is a name or number with its position in the line.
 type Name struct {
 	Pos  lexer.Position `parser:""`
 	Text string         `parser:"@Word"`
@@ -43,38 +43,38 @@
 	Text string         `parser:"@Percent"`
 }
 
-// Status asks for the state of everything, or of one failure domain.
+// Status queries the state of the deployment, or of one failure domain.
 type Status struct {
 	Word   string `parser:"@'st'"`
 	Domain *Name  `parser:"@@?"`
 }
 
-// Pools asks for upstreams: all pools, one pool, or one upstream.
+// Pools queries all pools, one pool, or one upstream.
 type Pools struct {
 	Word string `parser:"@'up'"`
 	Name *Name  `parser:"@@?"`
 }
 
-// Who asks for the callers and operators, or for one caller.
+// Who queries all callers, or one caller.
 type Who struct {
 	Word   string `parser:"@'who'"`
 	Caller *Name  `parser:"@@?"`
 }
 
-// Log asks for the last changes: how many, and which word they contain.
+// Log queries the last changes, with an optional count and search word.
 type Log struct {
 	Word   string `parser:"@'log'"`
 	First  *Name  `parser:"@@?"`
 	Second *Name  `parser:"@@?"`
 }
 
-// Why asks what became of a request, a change or a revision.
+// Why queries the outcome of a request, a change or a revision.
 type Why struct {
 	Word    string `parser:"@'why'"`
 	Subject Name   `parser:"@@"`
 }
 
-// Help asks for the commands.
+// Help queries the commands.
 type Help struct {
 	Word string `parser:"@'help'"`
 }
@@ -85,13 +85,13 @@
 	Upstream Name   `parser:"@@"`
 }
 
-// Undrain puts an upstream back into service.
+// Undrain returns an upstream to service.
 type Undrain struct {
 	Word     string `parser:"@'undrain'"`
 	Upstream Name   `parser:"@@"`
 }
 
-// Spill caps the share of one region's requests that another may be sent.
+// Spill caps the share of one region's requests that may be sent to another.
 type Spill struct {
 	Word    string  `parser:"@'spill'"`
 	From    Name    `parser:"@@ '>'"`
@@ -99,14 +99,14 @@
 	Percent Percent `parser:"@@"`
 }
 
-// Permit lets a caller's data be processed in a region.
+// Permit permits a caller's data to be processed in a region.
 type Permit struct {
 	Word   string `parser:"@'permit'"`
 	Caller Name   `parser:"@@"`
 	Region Name   `parser:"@@"`
 }
 
-// Forbid takes that permission away.
+// Forbid revokes that permission.
 type Forbid struct {
 	Word   string `parser:"@'forbid'"`
 	Caller Name   `parser:"@@"`
@@ -121,13 +121,13 @@
 	Percent Percent `parser:"@@"`
 }
 
-// Undo takes an accepted change back.
+// Undo reverts an accepted change.
 type Undo struct {
 	Word     string `parser:"@'undo'"`
 	Revision Name   `parser:"@@"`
 }
 
-// tokens are the language's: a word is anything without space, ">", "%" or "!".
+// tokens defines the lexer. A word is any text without space, ">", "%" or "!".
 var tokens = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Percent", Pattern: `[0-9]+%`},
 	{Name: "Word", Pattern: `[^\s>%!]+`},
--- a/pkg/command/harness_test.go
+++ b/pkg/command/harness_test.go
@@ -15,7 +15,7 @@
 
 var errDown = &platform.Error{Service: "key-value", Call: "any", Err: platform.ErrUnavailable}
 
-// countingRandom is a random source that gives 7s first, then 8s, and so on.
+// countingRandom is a random source that returns 7s first, then 8s, and so on.
 type countingRandom struct{ next byte }
 
 func (c *countingRandom) Read(p []byte) (int, error) {
@@ -43,25 +43,25 @@
 	return nil, 2, nil
 }
 
-// harness is one instance of three domains with its platform.
+// harness is one instance with its platform and a board for three domains.
 type harness struct {
 	kv     *platformtest.Service
 	store  *config.Store
 	board  *board.Board
 	remote *fakeRemote
-	// partitioned is true while larisa-hall cannot be heard.
+	// partitioned is true while larisa-hall is unreachable.
 	partitioned bool
 	executor    *command.Executor
 }
 
-// newHarness starts with revision 117 in force on all seven instances, by the
-// synctest clock.
+// newHarness returns a harness with revision 117 in force on all seven instances,
+// by the synctest clock.
 func newHarness(t testing.TB) *harness {
 	t.Helper()
 	return newHarnessWith(t, declaration())
 }
 
-// newHarnessWith starts with revision 117 of a declaration.
+// newHarnessWith returns a harness with revision 117 of a declaration.
 func newHarnessWith(t testing.TB, decl *config.Declaration) *harness {
 	t.Helper()
 	h := &harness{kv: platformtest.New(clock.System{}), board: new(board.Board), remote: new(fakeRemote)}
@@ -104,7 +104,7 @@
 	h.publish(head)
 }
 
-// publish puts a head in force on every instance.
+// publish sets a head as in force on every instance.
 func (h *harness) publish(head *config.Head) {
 	h.board.Config.Store(head)
 	h.members(head.Revision)
@@ -119,8 +119,8 @@
 	h.board.Members.Store(&board.Members{Self: "kal-1", Instances: instances})
 }
 
-// domains sets what the other domains told: larisa-hall has so many of its two
-// instances at the revision, and was heard that long ago.
+// domains sets the digests of the other domains. The given number of larisa-hall's
+// two instances has the revision, and its digest has the given age.
 func (h *harness) domains(revision config.Revision, larisa int, silence time.Duration) {
 	pool := []board.PoolDigest{{Serves: "lilac-nurse", Version: "v1", Slots: 16, Busy: 2, Waiting: 1}}
 	h.board.Domains.Store(&board.Domains{Remote: []board.DomainDigest{
@@ -162,13 +162,13 @@
 	}
 }
 
-// platformSilent is the health of a platform that has been silent that long;
-// zero means that it answers.
+// platformSilent returns the health of a platform that has been unreachable for the
+// given time; zero means that it answers.
 func platformSilent(silence time.Duration) *board.PlatformHealth {
 	return &board.PlatformHealth{KeyValue: silence == 0, Since: time.Now().Add(-silence)}
 }
 
-// stored is the head in the key-value service.
+// stored returns the head in the key-value service.
 func (h *harness) stored() *config.Head {
 	head, err := config.DecodeHead(h.kv.Value(config.HeadKey))
 	if err != nil {
--- a/pkg/command/history.go
+++ b/pkg/command/history.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// logDefault is how many changes "log" shows, logMost how many at most.
+	// logDefault is the number of changes that "log" shows, logMost its maximum.
 	logDefault = 5
 	logMost    = Rows
-	// timeLayout is how times are shown, always in UTC.
+	// timeLayout is the format of times, which are in UTC.
 	timeLayout = "01-02 15:04"
 )
 
@@ -55,7 +55,7 @@
 	return count, word
 }
 
-// logLine is one change on one line, cut to the screen.
+// logLine formats a change as one line, truncated to the screen.
 func logLine(change *config.Change) string {
 	text := fmt.Sprintf("%d %s %s", change.Revision, change.Operator, change.Line)
 	runes := []rune(text)
@@ -65,7 +65,7 @@
 	return string(runes[:Columns-1]) + "~"
 }
 
-// why answers what became of a request, a change or a revision.
+// why answers "why" for a request, a change or a revision.
 func (e *Executor) why(ctx context.Context, line *Why) Reply {
 	subject := line.Subject.Text
 	if _, isChange := config.ParseID(strings.ToLower(subject)); isChange {
@@ -127,7 +127,7 @@
 	return reply(OK, lines...)
 }
 
-// who answers "who": the callers and operators, or one caller.
+// who answers "who" with all callers, or one caller.
 func (e *Executor) who(request Request, line *Who) Reply {
 	decl := e.Board.Config.Load().Declaration
 	if line.Caller != nil {
--- a/pkg/command/inforce.go
+++ b/pkg/command/inforce.go
@@ -11,26 +11,26 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// InForceBound is how long a change's answer waits for every instance.
+// InForceBound is the longest time that a change's reply waits for every instance.
 const InForceBound = 3 * time.Second
 
-// rollout says how far a revision is in force, as far as instances reported.
+// rollout counts the instances that reported a revision as in force.
 type rollout struct {
 	revision    config.Revision
 	have, total int
-	// notes name what is missing, one fact a line.
+	// notes list what is missing, one a line.
 	notes []string
 }
 
-// complete tells whether every instance reported the revision.
+// complete reports whether every instance reported the revision.
 func (s *rollout) complete() bool { return s.have == s.total && len(s.notes) == 0 }
 
-// line is the first line of an answer: "118 in force 5/7".
+// line returns the first line of a reply, like "118 in force 5/7".
 func (s *rollout) line() string {
 	return fmt.Sprintf("%d in force %d/%d", s.revision, s.have, s.total)
 }
 
-// rollout counts the instances that have the revision or a newer one.
+// rollout counts the instances with the revision or a newer one.
 func (e *Executor) rollout(revision config.Revision) *rollout {
 	s := &rollout{revision: revision}
 	now := e.Clock.Now()
@@ -39,17 +39,17 @@
 	head := e.Board.Config.Load()
 	for _, domain := range slices.Sorted(maps.Keys(domains(head.Declaration))) {
 		if domain != e.Self.Domain && !reported[domain] {
-			s.total++ // it has one instance at least
+			s.total++ // it has at least one instance
 			s.notes = append(s.notes, domain+" not heard yet")
 		}
 	}
 	return s
 }
 
-// maxNotes bounds the notes that an answer shows.
+// maxNotes is the largest number of notes in a reply.
 const maxNotes = 6
 
-// lines is the answer: the count, and what is missing.
+// lines returns the count and the notes.
 func (s *rollout) lines() []string {
 	lines := append([]string{s.line()}, s.notes...)
 	if len(s.notes) <= maxNotes {
@@ -79,7 +79,7 @@
 	}
 }
 
-// countRemote adds the other domains' digests and returns which were reported.
+// countRemote adds the other domains' digests and returns the domains with one.
 func (s *rollout) countRemote(remote *board.Domains, now time.Time) map[string]bool {
 	reported := map[string]bool{}
 	if remote == nil {
@@ -106,8 +106,8 @@
 	return reported
 }
 
-// waitInForce waits until the revision is in force everywhere, or for
-// InForceBound, and returns what was true at the end.
+// waitInForce waits until the revision is in force on every instance, at most for
+// InForceBound, and returns the last count.
 func (e *Executor) waitInForce(ctx context.Context, revision config.Revision) *rollout {
 	ctx, cancel := context.WithTimeout(ctx, InForceBound)
 	defer cancel()
--- a/pkg/command/intent.go
+++ b/pkg/command/intent.go
@@ -21,8 +21,8 @@
 	return fmt.Sprintf("col %d: %s is not 0%% to 100%%", e.Column, clip(e.Given))
 }
 
-// HomeError refuses to take a caller's home region while it has others: the
-// home must stay one of its regions.
+// HomeError refuses to forbid a caller's home region while it has others, because
+// the home must remain one of its regions.
 type HomeError struct {
 	Caller, Region string
 }
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%s is the home of %s\napply a file with another home first", e.Region, e.Caller)
 }
 
-// RevisionError reports text that is not a revision's number.
+// RevisionError reports text that is not a revision number.
 type RevisionError struct {
 	Column int
 	Given  string
@@ -43,12 +43,12 @@
 	return fmt.Sprintf("col %d: %s is not a revision", e.Column, clip(e.Given))
 }
 
-// intent is a change with its names written out.
+// intent is a change with its names resolved.
 type intent struct {
-	// line is the command with its names written out, without the "!".
+	// line is the command with full names, without the "!".
 	line  string
 	build func(*config.Declaration) ([]config.Op, error)
-	// since is set by undo; see config.Proposal.
+	// since is set by undo (see config.Proposal).
 	since config.Revision
 }
 
@@ -123,7 +123,7 @@
 	return intent{line: ops[0].String(), build: build}, nil
 }
 
-// value returns 0 to 100.
+// value returns the number, 0 to 100.
 func (p Percent) value() (int, error) {
 	value, err := strconv.Atoi(strings.TrimSuffix(p.Text, "%"))
 	if err != nil || value > 100 {
@@ -148,7 +148,7 @@
 	return intent{line: ops[0].String(), build: build}, nil
 }
 
-// checkPermit returns why the permission cannot be given or taken.
+// checkPermit returns an error if the permission cannot be given or revoked.
 func checkPermit(decl *config.Declaration, op *config.PermitOp) error {
 	caller, ok := decl.Caller(op.Caller)
 	if !ok {
@@ -213,7 +213,7 @@
 // Error implements error.
 func (*FirstError) Error() string { return "1 is the first and cannot be undone" }
 
-// revision returns an accepted change, from the head here when it holds it.
+// revision returns an accepted change, from the local head if it holds it.
 func (e *Executor) revision(ctx context.Context, revision config.Revision) (*config.Change, error) {
 	head := e.Board.Config.Load()
 	for i := range head.Recent {
--- a/pkg/command/name.go
+++ b/pkg/command/name.go
@@ -14,18 +14,18 @@
 type NameError struct {
 	// Column counts characters from 1.
 	Column int
-	// Kind is what was looked for; Given is what the operator wrote.
+	// Kind is the expected kind of entry, Given the operator's text.
 	Kind, Given string
-	// Matches are the names that begin so; none when the name is unknown.
+	// Matches are the names with that prefix; none when the name is unknown.
 	Matches []string
-	// Nearest is the name that was perhaps meant; empty for none.
+	// Nearest is the most similar name; empty for none.
 	Nearest string
 }
 
-// maxMatches bounds how many names an ambiguity lists.
+// maxMatches is the largest number of names that an ambiguity lists.
 const maxMatches = 6
 
-// Error implements error, a fact a line.
+// Error implements error, with the nearest name on a second line.
 func (e *NameError) Error() string {
 	if len(e.Matches) > 0 {
 		shown := e.Matches[:min(len(e.Matches), maxMatches)]
@@ -42,7 +42,8 @@
 	return text
 }
 
-// resolve returns the one candidate that has the name or begins with it.
+// resolve returns the candidate equal to the name, or the only one with it as
+// prefix.
 func resolve(kind string, name Name, candidates []string) (string, error) {
 	given := strings.ToLower(name.Text)
 	var matches []string
@@ -64,7 +65,7 @@
 	return "", failure
 }
 
-// names resolves names of one declaration, typed in one line.
+// names resolves the names in a line against one declaration.
 type names struct {
 	decl *config.Declaration
 }
@@ -105,8 +106,8 @@
 	return resolve("version", name, candidates)
 }
 
-// spillRegion resolves an end of a spill rule: a region, or a failure domain that
-// stands for its region.
+// spillRegion resolves a region of a spill rule, which may be given by one of its
+// failure domains.
 func (n names) spillRegion(name Name) (string, error) {
 	regionOf := domains(n.decl)
 	for _, region := range n.decl.Regions {
--- a/pkg/command/parse.go
+++ b/pkg/command/parse.go
@@ -13,7 +13,7 @@
 	"github.com/lilacweir/lilacweir/pkg/yamlfile"
 )
 
-// MaxLine bounds a line, in bytes.
+// MaxLine is the length limit of a line, in bytes.
 const MaxLine = 256
 
 // usage lists the words in the order of the help screen, with their arguments.
@@ -33,19 +33,19 @@
 	{"help", "", ""},
 }
 
-// SyntaxError reports a line that is not in the language.
+// SyntaxError reports a line that is not valid.
 type SyntaxError struct {
 	// Column counts characters from 1.
 	Column int
-	// Problem says what is wrong there.
+	// Problem describes the error there.
 	Problem string
-	// Nearest is the word that was perhaps meant; empty for none.
+	// Nearest is the most similar word; empty for none.
 	Nearest string
-	// Usage is the form of the command; empty when the word is not known.
+	// Usage is the usage of the command; empty when the word is unknown.
 	Usage string
 }
 
-// Error implements error, a fact a line.
+// Error implements error, with the nearest word and the usage on further lines.
 func (e *SyntaxError) Error() string {
 	text := fmt.Sprintf("col %d: %s", e.Column, e.Problem)
 	if e.Nearest != "" {
@@ -57,7 +57,7 @@
 	return text
 }
 
-// Parse reads a line. The error is a *SyntaxError.
+// Parse parses a line. The error is a *SyntaxError.
 func Parse(text string) (*Line, error) {
 	if len(text) > MaxLine {
 		return nil, &SyntaxError{Column: columnOf(text, MaxLine), Problem: "line is too long"}
@@ -80,7 +80,7 @@
 	return line, nil
 }
 
-// parseWords parses the text with its first word written out.
+// parseWords parses the text with its first word replaced by its full form.
 func parseWords(text, word string) (*Line, error) {
 	inner, err := tokens.LexString("", text)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return grammar.ParseFromLexer(peeking)
 }
 
-// firstWordLexer gives the first word its full form, at its own place.
+// firstWordLexer replaces the first word by its full form at the same position.
 type firstWordLexer struct {
 	inner lexer.Lexer
 	kind  lexer.TokenType
@@ -112,7 +112,7 @@
 	return token, err
 }
 
-// firstWord returns where the first word starts and ends, in bytes.
+// firstWord returns the start and end of the first word, in bytes.
 func firstWord(text string) (start, end int) {
 	trimmed := strings.TrimLeftFunc(text, unicode.IsSpace)
 	start = len(text) - len(trimmed)
@@ -125,10 +125,10 @@
 	return start, start + length
 }
 
-// columnOf converts an offset in bytes to a column.
+// columnOf converts a byte offset to a column.
 func columnOf(text string, offset int) int { return utf8.RuneCountInString(text[:offset]) + 1 }
 
-// expand returns the word of the language that begins with the given letters.
+// expand returns the command word with the given prefix.
 func expand(given string, column int) (string, error) {
 	given = strings.ToLower(given)
 	var matches, words []string
@@ -171,7 +171,7 @@
 	return failure
 }
 
-// usageOf returns how a command is written.
+// usageOf returns the usage of a command.
 func usageOf(word string) string {
 	for _, entry := range usage {
 		if entry.word == word {
@@ -181,10 +181,10 @@
 	return ""
 }
 
-// maxClip bounds how much of an operator's own text an answer repeats.
+// maxClip is the length limit, in characters, of input that a reply quotes.
 const maxClip = 16
 
-// clip shortens text that an answer repeats.
+// clip shortens input that a reply quotes.
 func clip(text string) string {
 	runes := []rune(text)
 	if len(runes) <= maxClip {
--- a/pkg/command/parse_test.go
+++ b/pkg/command/parse_test.go
@@ -52,8 +52,8 @@
 	is.True(line.Force)
 }
 
-// FuzzParse checks that any line gives a command or a typed error whose column
-// lies in the line or right behind it.
+// FuzzParse checks that any line gives a command or a typed error with a column in
+// the line or directly after it.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{"st", "drain nurse-1 !", "spill a>b 20%", "log 5 drain", "why c1-00000000", "ver m v 5%", "% > !", "\xff"} {
 		f.Add(seed)
--- a/pkg/command/reply.go
+++ b/pkg/command/reply.go
@@ -8,24 +8,24 @@
 	"unicode/utf8"
 )
 
-// Columns and Rows are the size of a reply, for a phone held upright.
+// Columns and Rows are the largest size of a reply, that of a phone held upright.
 const (
 	Columns = 40
 	Rows    = 12
 )
 
-// Verdict classes a reply.
+// Verdict classifies a reply.
 type Verdict string
 
 // The verdicts of a reply.
 const (
-	// OK: a question was answered.
+	// OK means that a query was answered.
 	OK Verdict = "ok"
-	// Accepted: the change has a revision; how far it is in force stands beside it.
+	// Accepted means that the change has a revision. The text has its rollout.
 	Accepted Verdict = "accepted"
-	// Refused: nothing was changed, or the question was not understood.
+	// Refused means that nothing was changed, or the query was invalid.
 	Refused Verdict = "refused"
-	// Unknown: the change may or may not have been accepted.
+	// Unknown means that the change may or may not have been accepted.
 	Unknown Verdict = "unknown"
 )
 
@@ -37,8 +37,8 @@
 	Text string
 }
 
-// reply lays out lines: long ones are wrapped, and what is over the last row
-// is counted.
+// reply formats lines. It wraps long ones, and replaces those after the last row by
+// their number.
 func reply(verdict Verdict, lines ...string) Reply {
 	var rows []string
 	for _, line := range lines {
@@ -53,7 +53,7 @@
 	return Reply{Verdict: verdict, Text: strings.Join(rows, "\n")}
 }
 
-// wrap breaks a line at spaces, and words that are too long anywhere.
+// wrap breaks a line at spaces, and inside words that are too long.
 func wrap(line string) []string {
 	line = strings.Map(printable, line)
 	var rows []string
@@ -81,7 +81,7 @@
 	return append(rows, row), ""
 }
 
-// printable replaces what a phone's screen might act on.
+// printable replaces characters that a phone's screen might interpret.
 func printable(r rune) rune {
 	if unicode.IsPrint(r) || r == ' ' {
 		return r
@@ -89,7 +89,7 @@
 	return '?'
 }
 
-// age writes a span as a person would: "40 s", "12 min", "3 h".
+// age formats a duration with one unit, like "40 s", "12 min" or "3 h".
 func age(span time.Duration) string {
 	switch {
 	case span < 2*time.Minute:
@@ -101,7 +101,7 @@
 	}
 }
 
-// instances writes a number of instances.
+// instances formats a number of instances.
 func instances(count int) string {
 	if count == 1 {
 		return "1 instance"
--- a/pkg/command/status.go
+++ b/pkg/command/status.go
@@ -11,8 +11,8 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// status answers "st": how far the configuration is in force, what is silent,
-// and how busy each pool is.
+// status answers "st" with the rollout of the configuration, the unreachable
+// instances and services, and the load of each pool.
 func (e *Executor) status(line *Status) Reply {
 	if line.Domain != nil {
 		domain, err := e.names().domain(*line.Domain)
@@ -30,7 +30,7 @@
 	return reply(OK, lines...)
 }
 
-// platformNotes says what of the platform does not answer.
+// platformNotes reports an unreachable platform.
 func (e *Executor) platformNotes() []string {
 	health := e.Board.Platform.Load()
 	if health == nil || health.KeyValue {
@@ -39,17 +39,17 @@
 	return []string{"platform silent " + age(e.Clock.Now().Sub(health.Since)) + " at " + e.Self.Domain}
 }
 
-// load is how busy a pool is.
+// load is the load of a pool.
 type load struct {
 	slots, busy, waiting int
 }
 
-// line words a pool's load: "lilac-nurse 3/48 busy, 0 wait".
+// line formats a pool's load, like "lilac-nurse 3/48 busy, 0 wait".
 func (l *load) line(name string) string {
 	return fmt.Sprintf("%s %d/%d busy, %d wait", name, l.busy, l.slots, l.waiting)
 }
 
-// totals adds up the pools of all domains, as last reported.
+// totals returns the load of each pool in all domains, as last reported.
 func (e *Executor) totals() map[string]*load {
 	totals := e.ownTotals()
 	remote := e.Board.Domains.Load()
@@ -75,7 +75,7 @@
 	}
 }
 
-// ownTotals adds up the pools of the own domain.
+// ownTotals returns the load of each pool in the local domain.
 func (e *Executor) ownTotals() map[string]*load {
 	totals := map[string]*load{}
 	decl := e.Board.Config.Load().Declaration
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// pools answers "up": each pool, one pool by domain, or one upstream.
+// pools answers "up" with all pools, one pool by domain, or one upstream.
 func (e *Executor) pools(ctx context.Context, request Request, line *Pools) Reply {
 	if line.Name == nil {
 		return reply(OK, poolLines(e.totals())...)
@@ -206,8 +206,8 @@
 	return answer
 }
 
-// pool words one pool, a domain a line: how many upstreams are not drained, and
-// how busy they are.
+// pool formats one pool, with a line for each domain: the number of upstreams that
+// are not drained, and their load.
 func (e *Executor) pool(decl *config.Declaration, name string) Reply {
 	counts := map[string]int{}
 	drained := map[string]int{}
@@ -232,7 +232,7 @@
 	return reply(OK, lines...)
 }
 
-// domainLoad returns how busy a pool is in one domain; nil when not known.
+// domainLoad returns the load of a pool in one domain, or nil when not known.
 func (e *Executor) domainLoad(domain, pool string) *load {
 	if domain == e.Self.Domain {
 		return e.ownTotals()[pool]
@@ -246,7 +246,7 @@
 	return totals[pool]
 }
 
-// declared words what the configuration says of an upstream.
+// declared formats the declaration of an upstream.
 func declared(upstream config.Upstream) []string {
 	serves := strings.TrimSpace(upstream.Serves + " " + upstream.Version)
 	lines := []string{upstream.Name + " at " + upstream.Domain, "serves " + serves}
@@ -256,7 +256,7 @@
 	return lines
 }
 
-// upstream words an upstream of the own domain.
+// upstream formats an upstream of the local domain.
 func (e *Executor) upstream(upstream config.Upstream) Reply {
 	lines := declared(upstream)
 	reports := e.Board.Upstreams.Load()
