--- a/cmd/lilacweir-load/main.go
+++ b/cmd/lilacweir-load/main.go
@@ -57,13 +57,13 @@
 		Mix: mix, Seeds: load.SeedsByDomain(instances), Regions: load.RegionByDomain(instances),
 		Seed: c.Seed, Rate: c.Rate, Length: c.For, Timeout: c.Timeout,
 	}
-	began := time.Now()
+	start := time.Now()
 	report, err := run.Send(ctx)
 	if err != nil {
 		return err
 	}
 	if c.Admin != "" {
-		if report.Cost, err = load.ReadCost(ctx, c.Admin, began); err != nil {
+		if report.Cost, err = load.ReadCost(ctx, c.Admin, start); err != nil {
 			return err
 		}
 	}
--- a/pkg/cli/check.go
+++ b/pkg/cli/check.go
@@ -29,14 +29,14 @@
 	return nil
 }
 
-// shape holds the keys that tell the kinds of file apart.
-type shape struct {
+// fileKeys holds the keys that tell the kinds of file apart.
+type fileKeys struct {
 	Instance *yaml.Node `yaml:"instance"`
 	Servers  *yaml.Node `yaml:"servers"`
 }
 
 func checkFile(file string, data []byte) error {
-	var keys shape
+	var keys fileKeys
 	_ = yaml.Unmarshal(data, &keys)
 	switch {
 	case keys.Instance != nil:
--- a/pkg/cli/cli_test.go
+++ b/pkg/cli/cli_test.go
@@ -18,8 +18,8 @@
 	"github.com/lilacweir/lilacweir/pkg/header"
 )
 
-// agentFake answers every line with one reply, and counts the lines.
-type agentFake struct {
+// fakeAgent answers every line with one reply, and counts the lines.
+type fakeAgent struct {
 	*httptest.Server
 	lines []string
 	// seen is what each line said that its operator had seen; revision is what
@@ -28,8 +28,8 @@
 	revision string
 }
 
-func newAgent(t *testing.T, verdict, text string) *agentFake {
-	fake := &agentFake{}
+func newFakeAgent(t *testing.T, verdict, text string) *fakeAgent {
+	fake := &fakeAgent{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/healthz", func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("/v1/command", func(w http.ResponseWriter, r *http.Request) {
@@ -45,7 +45,7 @@
 	return fake
 }
 
-func (f *agentFake) address() string { return strings.TrimPrefix(f.URL, "http://") }
+func (f *fakeAgent) address() string { return strings.TrimPrefix(f.URL, "http://") }
 
 func newSession(out *bytes.Buffer) *Session {
 	return &Session{
@@ -69,7 +69,7 @@
 	for _, test := range cases {
 		t.Run(test.verdict+" "+test.text, func(t *testing.T) {
 			is := is.New(t)
-			agent := newAgent(t, test.verdict, test.text)
+			agent := newFakeAgent(t, test.verdict, test.text)
 			var out bytes.Buffer
 			session := newSession(&out)
 			command := RunCommand{Line: "st", OperatorFlags: OperatorFlags{Server: []string{agent.address()}, Operator: "eleni"}}
@@ -86,7 +86,7 @@
 	down, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	is.NoErr(down.Close())
-	good := newAgent(t, "ok", "fine")
+	good := newFakeAgent(t, "ok", "fine")
 	lossy := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/healthz" {
 			panic(http.ErrAbortHandler) // takes the change, loses the answer
@@ -109,7 +109,7 @@
 
 // After a lost answer the change is asked about by its identity, and never sent
 // a second time.
-func TestLostAnswerIsAskedFor(t *testing.T) {
+func TestLostAnswerIsLookedUpByChangeID(t *testing.T) {
 	is := is.New(t)
 	lossy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -121,7 +121,7 @@
 		}
 	}))
 	defer lossy.Close()
-	good := newAgent(t, "accepted", "accepted as 118\n118 in force 7/7")
+	good := newFakeAgent(t, "accepted", "accepted as 118\n118 in force 7/7")
 	var out bytes.Buffer
 	session := newSession(&out)
 	command := RunCommand{Line: "undo 117", OperatorFlags: OperatorFlags{Operator: "eleni"}}
@@ -141,9 +141,9 @@
 
 // A change that is typed at the prompt is compared with what was accepted since
 // the reply that the operator saw last.
-func TestPromptSaysWhatWasSeen(t *testing.T) {
+func TestPromptSendsTheRevisionLastSeen(t *testing.T) {
 	is := is.New(t)
-	agent := newAgent(t, "ok", "fine")
+	agent := newFakeAgent(t, "ok", "fine")
 	session := newSession(new(bytes.Buffer))
 	server := &Server{Addresses: []string{agent.address()}, Operator: "eleni", Key: "key-eleni", HTTP: http.DefaultClient, Scheme: "http"}
 	session.answerLine(server, "drain nurse-1")
@@ -157,7 +157,7 @@
 
 func TestSettingsFileAndFlags(t *testing.T) {
 	is := is.New(t)
-	agent := newAgent(t, "ok", "fine")
+	agent := newFakeAgent(t, "ok", "fine")
 	directory := t.TempDir()
 	file := filepath.Join(directory, "operator.yaml")
 	is.NoErr(os.WriteFile(file, []byte("servers: ["+agent.address()+"]\noperator: eleni\n"), 0o600))
--- a/pkg/cli/explain.go
+++ b/pkg/cli/explain.go
@@ -31,7 +31,7 @@
 			return err
 		}
 	}
-	story, err := read.Tell()
+	explanation, err := read.Tell()
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 	if c.Phone {
 		width = explain.Phone
 	}
-	if _, err := io.WriteString(session.Out, story.Text(width)); err != nil {
+	if _, err := io.WriteString(session.Out, explanation.Text(width)); err != nil {
 		return fmt.Errorf("write the explanation: %w", err)
 	}
 	return nil
--- a/pkg/cli/explain_test.go
+++ b/pkg/cli/explain_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestExplainTellsWhatItCannotRead(t *testing.T) {
+func TestExplainReportsUnknownRequestAndMissingLog(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	session := newSession(&out)
--- a/pkg/cli/operate.go
+++ b/pkg/cli/operate.go
@@ -27,7 +27,7 @@
 	reply, err := server.Run(session.Context, c.Line)
 	if err != nil {
 		session.Code = ExitUnknown
-		return unanswered(err)
+		return outcomeUnknown(err)
 	}
 	session.show(reply)
 	return nil
@@ -54,8 +54,8 @@
 	if err != nil {
 		return err
 	}
-	application := Application{Declaration: data, File: c.File, Dry: true, Force: c.Force}
-	difference, err := server.Apply(session.Context, application)
+	request := ApplyRequest{Declaration: data, File: c.File, Dry: true, Force: c.Force}
+	difference, err := server.Apply(session.Context, request)
 	if err != nil {
 		session.Code = ExitUnknown
 		return fmt.Errorf("difference: %w", err)
@@ -64,12 +64,12 @@
 	if c.DryRun || difference.Verdict != VerdictOK {
 		return nil
 	}
-	application.Dry = false
-	application.Seen = difference.Revision
-	reply, err := server.Apply(session.Context, application)
+	request.Dry = false
+	request.Seen = difference.Revision
+	reply, err := server.Apply(session.Context, request)
 	if err != nil {
 		session.Code = ExitUnknown
-		return unanswered(err)
+		return outcomeUnknown(err)
 	}
 	session.show(reply)
 	return nil
@@ -126,15 +126,15 @@
 	reply, err := server.Run(s.Context, line)
 	if err != nil {
 		s.Code = ExitUnknown
-		_, _ = fmt.Fprintln(s.Err, unanswered(err))
+		_, _ = fmt.Fprintln(s.Err, outcomeUnknown(err))
 		return
 	}
 	server.Seen = reply.Revision
 	s.show(reply)
 }
 
-// unanswered says that the outcome is unknown, unless nothing was sent.
-func unanswered(err error) error {
+// outcomeUnknown says that the outcome is unknown, unless nothing was sent.
+func outcomeUnknown(err error) error {
 	if errors.Is(err, ErrNoServer) {
 		return err
 	}
--- a/pkg/cli/prompt_test.go
+++ b/pkg/cli/prompt_test.go
@@ -11,7 +11,7 @@
 
 func TestPromptSendsEachLine(t *testing.T) {
 	is := is.New(t)
-	agent := newAgent(t, "refused", "no such upstream")
+	agent := newFakeAgent(t, "refused", "no such upstream")
 	var out bytes.Buffer
 	session := newSession(&out)
 	session.In = io.NopCloser(strings.NewReader("st\n\ndrain x\nquit\nnever sent\n"))
--- a/pkg/cli/server.go
+++ b/pkg/cli/server.go
@@ -110,21 +110,21 @@
 // Run sends one line of the operators' language. When the answer to a change is
 // lost, it asks the servers what became of the change, and returns that.
 func (s *Server) Run(ctx context.Context, line string) (Reply, error) {
-	address, err := s.answering(ctx)
+	address, err := s.firstReachable(ctx)
 	if err != nil {
 		return Reply{Verdict: VerdictUnknown}, err
 	}
 	query := url.Values{}
 	parsed, err := command.Parse(line)
 	if err == nil && parsed.Changes() {
-		query.Set("id", s.identity(ctx, address))
+		query.Set("id", s.newChangeID(ctx, address))
 		query.Set("seen", s.Seen)
 	}
 	return s.send(ctx, address, pathCommand, query, []byte(line))
 }
 
-// Application is a declaration that is applied.
-type Application struct {
+// ApplyRequest is a declaration that is applied.
+type ApplyRequest struct {
 	Declaration []byte
 	// File is the file's name.
 	File string
@@ -137,27 +137,27 @@
 }
 
 // Apply sends a declaration. A lost answer is treated as by Run.
-func (s *Server) Apply(ctx context.Context, application Application) (Reply, error) {
-	address, err := s.answering(ctx)
+func (s *Server) Apply(ctx context.Context, request ApplyRequest) (Reply, error) {
+	address, err := s.firstReachable(ctx)
 	if err != nil {
 		return Reply{Verdict: VerdictUnknown}, err
 	}
-	query := url.Values{"file": {application.File}}
-	if application.Force {
+	query := url.Values{"file": {request.File}}
+	if request.Force {
 		query.Set("force", "1")
 	}
-	if application.Dry {
+	if request.Dry {
 		query.Set("dry", "1")
 	} else {
-		query.Set("seen", application.Seen)
-		query.Set("id", s.identity(ctx, address))
+		query.Set("seen", request.Seen)
+		query.Set("id", s.newChangeID(ctx, address))
 	}
-	return s.send(ctx, address, pathApply, query, application.Declaration)
+	return s.send(ctx, address, pathApply, query, request.Declaration)
 }
 
 // identity makes the identity of a change; "" when the server does not say which
 // revision it has, after which the server makes one itself.
-func (s *Server) identity(ctx context.Context, address string) string {
+func (s *Server) newChangeID(ctx context.Context, address string) string {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var ready struct {
@@ -237,8 +237,8 @@
 	}, nil
 }
 
-// answering returns the first server that answers a probe.
-func (s *Server) answering(ctx context.Context) (string, error) {
+// firstReachable returns the first server that answers a probe.
+func (s *Server) firstReachable(ctx context.Context) (string, error) {
 	var failures []error
 	for _, address := range s.Addresses {
 		err := s.probe(ctx, address)
--- a/pkg/cli/wait.go
+++ b/pkg/cli/wait.go
@@ -12,8 +12,8 @@
 
 // Pace and bound of one look at an instance's readiness.
 const (
-	waitPace  = 50 * time.Millisecond
-	waitProbe = 2 * time.Second
+	waitPollInterval = 50 * time.Millisecond
+	readyTimeout     = 2 * time.Second
 )
 
 // WaitCommand waits until gateways are in a state.
@@ -60,11 +60,11 @@
 	if err != nil {
 		return err
 	}
-	tick := time.NewTicker(waitPace)
+	tick := time.NewTicker(waitPollInterval)
 	defer tick.Stop()
 	for _, gateway := range c.Gateway {
 		for {
-			err := c.look(ctx, transport, scheme+"://"+gateway)
+			err := c.checkReady(ctx, transport, scheme+"://"+gateway)
 			if err == nil {
 				break
 			}
@@ -80,8 +80,8 @@
 }
 
 // look returns nil when the gateway at the URL is as wanted.
-func (c *WaitCommand) look(ctx context.Context, transport *http.Client, gateway string) error {
-	ctx, cancel := context.WithTimeout(ctx, waitProbe)
+func (c *WaitCommand) checkReady(ctx context.Context, transport *http.Client, gateway string) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, gateway+"/readyz", nil)
 	if err != nil {
--- a/pkg/command/apply.go
+++ b/pkg/command/apply.go
@@ -43,12 +43,12 @@
 //
 // On a deployment without configuration it makes revision 1, and the operator must
 // be one of the file itself. The caller of Apply checks keys (see VerifyKey).
-func (e *Executor) Apply(ctx context.Context, application ApplyRequest) Difference {
-	target, err := config.Load(application.File, application.Data)
+func (e *Executor) Apply(ctx context.Context, request ApplyRequest) Difference {
+	target, err := config.Load(request.File, request.Data)
 	if err != nil {
 		return Difference{Reply: Reply{Verdict: Refused, Text: err.Error()}}
 	}
-	before, seen, err := e.seen(application)
+	before, seen, err := e.seen(request)
 	if err != nil {
 		return Difference{Reply: refuse(err)}
 	}
@@ -56,36 +56,36 @@
 	if len(ops) == 0 {
 		return Difference{Reply: reply(OK, fmt.Sprintf("no difference to %d", seen)), Revision: seen}
 	}
-	if application.DryRun {
+	if request.DryRun {
 		return Difference{Reply: difference(before, target, ops, seen), Revision: seen}
 	}
-	line := "apply " + filepath.Base(application.File)
+	line := "apply " + filepath.Base(request.File)
 	proposal := config.Proposal{
-		ID:       application.ID,
-		Operator: application.Operator,
+		ID:       request.ID,
+		Operator: request.Operator,
 		Line:     line,
 		Seen:     seen,
 		Build:    config.Fixed(ops),
-		Force:    application.Force,
+		Force:    request.Force,
 	}
 	return Difference{Reply: e.propose(ctx, proposal), Revision: seen}
 }
 
 // seen returns the declaration that the operator saw, or an empty one when there is
 // no configuration yet.
-func (e *Executor) seen(application ApplyRequest) (*config.Declaration, config.Revision, error) {
+func (e *Executor) seen(request ApplyRequest) (*config.Declaration, config.Revision, error) {
 	head := e.Board.Config.Load()
 	if head == nil || head.Revision == 0 {
 		return new(config.Declaration), 0, nil
 	}
-	if application.Seen == 0 && !application.First {
+	if request.Seen == 0 && !request.First {
 		return head.Declaration, head.Revision, nil
 	}
-	decl, ok := head.At(application.Seen)
-	if !ok || application.First {
-		return nil, 0, &config.StaleError{Seen: application.Seen, Now: head.Revision}
+	decl, ok := head.At(request.Seen)
+	if !ok || request.First {
+		return nil, 0, &config.StaleError{Seen: request.Seen, Now: head.Revision}
 	}
-	return decl, application.Seen, nil
+	return decl, request.Seen, nil
 }
 
 // difference formats the effect of applying.
--- a/pkg/command/apply_test.go
+++ b/pkg/command/apply_test.go
@@ -27,32 +27,32 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHarness(t)
-		application := command.ApplyRequest{Operator: "eleni", File: "deploy/d.yaml", DryRun: true, Data: file(t, func(d *config.Declaration) {
+		request := command.ApplyRequest{Operator: "eleni", File: "deploy/d.yaml", DryRun: true, Data: file(t, func(d *config.Declaration) {
 			d.Upstreams[1].Concurrency = 16
 			d.Callers[1].Share = 2
 			d.Policy.CostWeight = 0.5
 		})}
-		shown := h.executor.Apply(t.Context(), application)
+		shown := h.executor.Apply(t.Context(), request)
 		is.Equal(shown.Text, "difference to 117:\n~ upstream nurse-1 concurrency: 8 -> 16\n~ caller residents-app share: none -> 2\n~ policy cost_weight: 0 -> 0.5")
 		is.Equal(shown.Revision, config.Revision(117))
 
 		// Another operator drains nurse-2 before the file is applied, and the file
 		// must not revert that.
 		exchange{"drain nurse-2", command.Accepted, []string{"118 in force 7/7"}}.run(t, h)
-		application.DryRun, application.Seen = false, shown.Revision
-		is.Equal(h.executor.Apply(t.Context(), application).Text, "119 in force 7/7")
+		request.DryRun, request.Seen = false, shown.Revision
+		is.Equal(h.executor.Apply(t.Context(), request).Text, "119 in force 7/7")
 		now := h.board.Config.Load().Declaration
 		is.True(now.Upstreams[2].Drained)
 		is.Equal(now.Upstreams[1].Concurrency, 16)
 		exchange{"log 1", command.OK, []string{"119 eleni apply d.yaml"}}.run(t, h)
 
 		// The same file again, seen at 117, conflicts with its first apply.
-		repeated := h.executor.Apply(t.Context(), application)
+		repeated := h.executor.Apply(t.Context(), request)
 		is.Equal(repeated.Text, "refused, nothing changed\nin the way: 119 by eleni\napply d.yaml")
 
-		application.Seen = 0
-		application.DryRun = true
-		again := h.executor.Apply(t.Context(), application)
+		request.Seen = 0
+		request.DryRun = true
+		again := h.executor.Apply(t.Context(), request)
 		is.Equal(again.Text, "difference to 119:\n~ upstream nurse-2 drained: true -> none")
 	})
 }
@@ -61,17 +61,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHarness(t)
-		application := command.ApplyRequest{Operator: "eleni", File: "d.yaml", DryRun: true, Data: file(t, func(d *config.Declaration) {
+		request := command.ApplyRequest{Operator: "eleni", File: "d.yaml", DryRun: true, Data: file(t, func(d *config.Declaration) {
 			d.Upstreams = d.Upstreams[:3]
 		})}
-		is.Equal(h.executor.Apply(t.Context(), application).Text, "difference to 117:\n- upstream nurse-3\n! leaves larisa-hall no lilac-nurse")
-		application.DryRun = false
-		is.Equal(h.executor.Apply(t.Context(), application).Verdict, command.Refused)
-		application.Force = true
-		is.Equal(h.executor.Apply(t.Context(), application).Text, "118 in force 7/7\nit leaves larisa-hall no lilac-nurse")
+		is.Equal(h.executor.Apply(t.Context(), request).Text, "difference to 117:\n- upstream nurse-3\n! leaves larisa-hall no lilac-nurse")
+		request.DryRun = false
+		is.Equal(h.executor.Apply(t.Context(), request).Verdict, command.Refused)
+		request.Force = true
+		is.Equal(h.executor.Apply(t.Context(), request).Text, "118 in force 7/7\nit leaves larisa-hall no lilac-nurse")
 
-		application.Data = []byte("regions: 5\n")
-		faults := h.executor.Apply(t.Context(), application)
+		request.Data = []byte("regions: 5\n")
+		faults := h.executor.Apply(t.Context(), request)
 		is.Equal(faults.Verdict, command.Refused)
 		is.Equal(faults.Text, "d.yaml:1: regions: got \"5\", expected a list\nd.yaml:1: operators: missing, expected at least one operator")
 	})
