--- a/cmd/lilacweir-agent/main.go
+++ b/cmd/lilacweir-agent/main.go
@@ -1,4 +1,4 @@
-// Command lilacweir-agent is the control path of an entry instance.
+// Command lilacweir-agent runs the control path of an entry instance.
 package main
 
 import (
@@ -24,20 +24,20 @@
 
 const program = "lilacweir-agent"
 
-// memoryTarget is what the runtime tries to stay under, in bytes: with the
-// program's own pages the process then is near 32 MB. Much less, and the collector
-// runs all the time in an agent that is alone in its domain and sees 40 others.
+// memoryTarget is the memory limit of the runtime, in bytes. With the program's own
+// pages the process is then near 32 MB. A much lower limit keeps the collector
+// running all the time in an agent that is alone in its domain and sees 40 others.
 // GOMEMLIMIT overrides it.
 const memoryTarget = 25 << 20
 
-// commands are the program's command line.
+// commands is the program's command line.
 type commands struct {
 	Run     runCommand            `cmd:"" help:"Serve until SIGTERM, then leave gracefully."`
 	Check   settings.CheckCommand `cmd:"" help:"Check the settings without starting."`
 	Version kong.VersionFlag      `help:"Print the version."`
 }
 
-// runCommand serves.
+// runCommand runs the agent.
 type runCommand struct{ settings.File }
 
 // Run implements the command.
@@ -58,8 +58,8 @@
 	return agent.New(options).Run(ctx)
 }
 
-// optionsOf wires the platform's adapters. Links to other instances and to the
-// own gateway have a network each, so that their bytes are counted apart.
+// optionsOf connects the platform's adapters. Links to other instances and to the
+// local gateway have separate networks, so that their bytes are counted separately.
 func optionsOf(instance *settings.Instance) (agent.Options, error) {
 	log, err := logging.New(os.Stderr, program, instance.Instance, instance.Log.Level)
 	if err != nil {
--- a/cmd/lilacweir-gateway/main.go
+++ b/cmd/lilacweir-gateway/main.go
@@ -1,4 +1,4 @@
-// Command lilacweir-gateway is the data path of an entry instance.
+// Command lilacweir-gateway runs the data path of an entry instance.
 package main
 
 import (
@@ -17,14 +17,14 @@
 	"github.com/lilacweir/lilacweir/pkg/version"
 )
 
-// commands are the program's command line.
+// commands is the program's command line.
 type commands struct {
 	Run     runCommand            `cmd:"" help:"Serve until SIGTERM, then leave gracefully."`
 	Check   settings.CheckCommand `cmd:"" help:"Check the settings without starting."`
 	Version kong.VersionFlag      `help:"Print the version."`
 }
 
-// runCommand serves.
+// runCommand runs the gateway.
 type runCommand struct{ settings.File }
 
 // Run implements the command.
--- a/cmd/lilacweir-load/capacity.go
+++ b/cmd/lilacweir-load/capacity.go
@@ -7,7 +7,7 @@
 	"github.com/lilacweir/lilacweir/pkg/capacity"
 )
 
-// capacityCommand prints what each role costs at the users' target.
+// capacityCommand prints the cost of each role at the target size.
 type capacityCommand struct {
 	Measured string `arg:"" default:"docs/capacity/measured.txt" help:"Recorded output of the benchmarks."`
 }
@@ -21,7 +21,7 @@
 	return capacity.WriteModel(os.Stdout, capacity.UsersTarget, capacity.NewMeasured(series))
 }
 
-// fitCommand prints the series of benchmark output with their lines.
+// fitCommand prints the series of benchmark output with a line fitted to each.
 type fitCommand struct {
 	Measured string `arg:"" default:"docs/capacity/measured.txt" help:"Recorded output of the benchmarks."`
 }
--- a/cmd/lilacweir-load/main.go
+++ b/cmd/lilacweir-load/main.go
@@ -1,5 +1,5 @@
-// Command lilacweir-load sends open-loop load to a deployment and reports what
-// callers saw.
+// Command lilacweir-load sends open-loop load to a deployment and reports the
+// results of callers.
 package main
 
 import (
--- a/pkg/cli/check.go
+++ b/pkg/cli/check.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// fileKeys holds the keys that tell the kinds of file apart.
+// fileKeys holds the keys that distinguish the kinds of file.
 type fileKeys struct {
 	Instance *yaml.Node `yaml:"instance"`
 	Servers  *yaml.Node `yaml:"servers"`
--- a/pkg/cli/cli.go
+++ b/pkg/cli/cli.go
@@ -13,11 +13,11 @@
 
 // Exit codes of the program.
 const (
-	// ExitOK: answered, or accepted and in force on every instance.
+	// ExitOK means answered, or accepted and in force on every instance.
 	ExitOK = 0
-	// ExitRefused: refused, or the input was at fault; nothing was changed or run.
+	// ExitRefused means refused, or invalid input; nothing was changed or run.
 	ExitRefused = 1
-	// ExitUnknown: not known, or accepted and not yet in force everywhere.
+	// ExitUnknown means unknown, or accepted but not yet in force everywhere.
 	ExitUnknown = 2
 )
 
@@ -29,9 +29,9 @@
 	EnvCallerKey = "LILACWEIR_CALLER_KEY"
 )
 
-// Session is what the commands of one run of the program share.
+// Session holds what the commands of one run of the program share.
 type Session struct {
-	// Context ends at a signal.
+	// Context is cancelled by a signal.
 	Context context.Context
 	Out     io.Writer
 	Err     io.Writer
@@ -91,7 +91,7 @@
 	return strings.TrimSpace(string(data)), nil
 }
 
-// OperatorFlags say which agents to talk to, and as whom.
+// OperatorFlags select the agents to connect to and the operator.
 type OperatorFlags struct {
 	Settings string   `short:"c" help:"Client settings file (operator.yaml)." type:"path"`
 	Server   []string `short:"s" sep:"none" help:"Operators' address of an agent; repeat for fallbacks."`
@@ -100,7 +100,7 @@
 	AuthorityFlag
 }
 
-// MissingFlagError reports what neither a flag nor the settings file gave.
+// MissingFlagError reports a value that neither a flag nor the settings file has.
 type MissingFlagError struct {
 	Flag string
 }
@@ -110,7 +110,7 @@
 	return "give " + e.Flag + " or a settings file that has it (--settings)"
 }
 
-// connect merges flags over the settings file.
+// connect returns a Server, with flags that override the settings file.
 func (f *OperatorFlags) connect(session *Session) (*Server, error) {
 	merged := settings.Client{Servers: f.Server, Operator: f.Operator, KeyFile: f.KeyFile, Authority: f.Authority}
 	if f.Settings != "" {
@@ -153,7 +153,7 @@
 	return base
 }
 
-// show prints a reply and sets the exit code by its verdict.
+// show prints a reply and sets the exit code from its verdict.
 func (s *Session) show(reply Reply) {
 	if reply.Text != "" {
 		_, _ = fmt.Fprintln(s.Out, reply.Text)
--- a/pkg/cli/cli_test.go
+++ b/pkg/cli/cli_test.go
@@ -18,12 +18,12 @@
 	"github.com/lilacweir/lilacweir/pkg/header"
 )
 
-// fakeAgent answers every line with one reply, and counts the lines.
+// fakeAgent answers every line with the same reply, and records the lines.
 type fakeAgent struct {
 	*httptest.Server
 	lines []string
-	// seen is what each line said that its operator had seen; revision is what
-	// the agent says that it has.
+	// seen holds the seen parameter of each line; revision is what the agent returns
+	// as its own.
 	seen     []string
 	revision string
 }
@@ -99,7 +99,7 @@
 	command := RunCommand{Line: "undo 118", OperatorFlags: OperatorFlags{Operator: "eleni"}}
 	command.Server = []string{down.Addr().String(), good.address()}
 	is.NoErr(command.Run(session))
-	is.Equal(len(good.lines), 1) // the first did not answer, the second was used
+	is.Equal(len(good.lines), 1) // the first did not answer, so the second was used
 
 	command.Server = []string{strings.TrimPrefix(lossy.URL, "http://"), good.address()}
 	is.True(command.Run(session) != nil)
@@ -107,8 +107,8 @@
 	is.Equal(len(good.lines), 1) // the change was not sent a second time
 }
 
-// After a lost answer the change is asked about by its identity, and never sent
-// a second time.
+// After a lost answer the change is looked up by its ID, and never sent a second
+// time.
 func TestLostAnswerIsLookedUpByChangeID(t *testing.T) {
 	is := is.New(t)
 	lossy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -134,13 +134,13 @@
 	command.Server = command.Server[:1]
 	err := command.Run(session)
 	var lost *LostError
-	is.True(errors.As(err, &lost)) // nobody could be asked
+	is.True(errors.As(err, &lost)) // no server could be queried
 	is.True(strings.HasPrefix(lost.ID, "c117-"))
 	is.Equal(session.Code, ExitUnknown)
 }
 
-// A change that is typed at the prompt is compared with what was accepted since
-// the reply that the operator saw last.
+// A change typed at the prompt is compared with the changes accepted since the last
+// reply that the operator saw.
 func TestPromptSendsTheRevisionLastSeen(t *testing.T) {
 	is := is.New(t)
 	agent := newFakeAgent(t, "ok", "fine")
@@ -149,7 +149,7 @@
 	session.answerLine(server, "drain nurse-1")
 	agent.revision = "117"
 	session.answerLine(server, "st")
-	agent.revision = "118" // somebody else's change, which this operator has not seen
+	agent.revision = "118" // a change that this operator has not seen
 	session.answerLine(server, "drain nurse-1")
 	session.answerLine(server, "drain nurse-1")
 	is.Equal(agent.seen, []string{"", "", "117", "118"})
@@ -179,7 +179,7 @@
 	err := (&CheckCommand{File: file}).Run(newSession(&out))
 	is.True(err != nil)
 	for _, place := range []string{"regions", "model", "callers"} {
-		is.True(strings.Contains(err.Error(), place)) // all faults in one go
+		is.True(strings.Contains(err.Error(), place)) // all faults at once
 	}
 	is.NoErr((&CheckCommand{File: "../../deploy/wellness/declaration.yaml"}).Run(newSession(&out)))
 	is.NoErr((&CheckCommand{File: "../../deploy/wellness/kal-1.yaml"}).Run(newSession(&out)))
--- a/pkg/cli/explain.go
+++ b/pkg/cli/explain.go
@@ -8,7 +8,7 @@
 	"github.com/lilacweir/lilacweir/pkg/explain"
 )
 
-// ExplainCommand tells one request's way from the logs of instances.
+// ExplainCommand explains the path of one request from the logs of instances.
 type ExplainCommand struct {
 	Request string   `arg:"" help:"The request's ID."`
 	Logs    []string `arg:"" optional:"" help:"Logs of the instances, in any order; none or - for standard input."`
@@ -18,7 +18,7 @@
 // standardInput is the name of standard input among files.
 const standardInput = "-"
 
-// Run implements the command. The error for a request that no line is about is an
+// Run implements the command. The error for a request without a log line is an
 // *explain.UnknownRequestError.
 func (c *ExplainCommand) Run(session *Session) error {
 	logs := c.Logs
--- a/pkg/cli/explain_test.go
+++ b/pkg/cli/explain_test.go
@@ -19,7 +19,7 @@
 	failedLine = `time=2026-03-01T10:00:02.000Z level=warn event=request-failed instance=a request=r-1 outcome=not-run reason=overloaded sends=1 status=503 detail="the retry budget is used up"` + "\n"
 )
 
-// TestExplainReadsFilesAndStandardInput together.
+// Logs from a file and from standard input are combined.
 func TestExplainReadsFilesAndStandardInput(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "a.log")
--- a/pkg/cli/operate.go
+++ b/pkg/cli/operate.go
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// ApplyCommand changes the declaration to what a file says.
+// ApplyCommand changes the declaration to that of a file.
 type ApplyCommand struct {
 	OperatorFlags
 	DryRun bool   `help:"Only show the difference."`
@@ -118,7 +118,7 @@
 	}
 }
 
-// answerLine sends one prompt line; the code of the last line remains.
+// answerLine sends one prompt line. The exit code is that of the last line.
 func (s *Session) answerLine(server *Server, line string) {
 	if line == "" {
 		return
@@ -133,7 +133,7 @@
 	s.show(reply)
 }
 
-// outcomeUnknown says that the outcome is unknown, unless nothing was sent.
+// outcomeUnknown marks the outcome as unknown, unless nothing was sent.
 func outcomeUnknown(err error) error {
 	if errors.Is(err, ErrNoServer) {
 		return err
--- a/pkg/cli/request.go
+++ b/pkg/cli/request.go
@@ -12,7 +12,7 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// CallerFlags say through which gateways to send, and as whom.
+// CallerFlags select the gateways to send through and the caller.
 type CallerFlags struct {
 	Gateway  []string      `short:"g" sep:"none" required:"" help:"Callers' address of a gateway; repeat for fallbacks."`
 	KeyFile  string        `help:"File with the caller's key; otherwise LILACWEIR_CALLER_KEY holds it." type:"path"`
@@ -92,7 +92,7 @@
 	return data, nil
 }
 
-// send tries the gateways in order until one could be connected to.
+// send tries the gateways in order until one can be reached.
 func (f *CallerFlags) send(session *Session, request func(context.Context, *client.Client, string) *client.Answer) error {
 	key, err := session.readKey(f.KeyFile, EnvCallerKey)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// report ends the answer's line and says on standard error what became of it.
+// report ends the answer's line and prints the outcome on standard error.
 func (f *CallerFlags) report(session *Session, answer *client.Answer) {
 	if answer.Outcome == outcome.Complete && answer.Chunks > 0 {
 		_, _ = fmt.Fprintln(session.Out)
--- a/pkg/cli/secure.go
+++ b/pkg/cli/secure.go
@@ -16,13 +16,13 @@
 	schemeSecure = "https"
 )
 
-// AuthorityFlag says how the servers' certificates are checked.
+// AuthorityFlag selects how the servers' certificates are verified.
 type AuthorityFlag struct {
 	Authority string `help:"PEM file that the servers' certificates are checked against; without it plain HTTP is spoken." type:"path"`
 }
 
-// transport returns how to speak to servers: plainly when no authority is named. The
-// error is a *credential.FileError.
+// transport returns an HTTP client and a URL scheme, plain when no authority is
+// set. The error is a *credential.FileError.
 func (f AuthorityFlag) transport() (*http.Client, string, error) {
 	if f.Authority == "" {
 		return &http.Client{}, schemePlain, nil
--- a/pkg/cli/server.go
+++ b/pkg/cli/server.go
@@ -1,10 +1,10 @@
-// Package cli is the operators' command line: it sends lines of the operators'
-// language to an agent and shows the replies, applies declarations, and sends
-// requests as a caller.
+// Package cli implements the operators' command line. It sends lines of the
+// operators' language to an agent and shows the replies, applies declarations, and
+// sends requests as a caller.
 //
-// Guarantee: a change is sent to one agent once. Another agent is tried only
-// while nothing has been sent; after that, the agents are asked what became of the
-// change, and silence is reported as unknown.
+// A change is sent at most once, to one agent. Another agent is tried only before
+// anything has been sent. After a lost answer the agents are queried for the
+// decision, and if none answers, the change is reported as unknown.
 package cli
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/lilacweir/lilacweir/pkg/header"
 )
 
-// Paths of the operators' HTTP.
+// Paths of the operators' HTTP interface.
 const (
 	pathCommand = "/v1/command"
 	pathApply   = "/v1/apply"
@@ -39,10 +39,10 @@
 	maxReply     = 1 << 20
 )
 
-// Verdict is what became of a line.
+// Verdict is the result of a line.
 type Verdict string
 
-// The verdicts, as agents give them.
+// The verdicts, as agents return them.
 const (
 	VerdictOK       Verdict = "ok"
 	VerdictAccepted Verdict = "accepted"
@@ -50,29 +50,29 @@
 	VerdictUnknown  Verdict = "unknown"
 )
 
-// ErrNoServer: none of the servers answered, so nothing was sent.
+// ErrNoServer reports that no server answered, so that nothing was sent.
 var ErrNoServer = errors.New("no server answered; nothing was sent")
 
 // Reply is an agent's answer to an operator.
 type Reply struct {
 	Text    string
 	Verdict Verdict
-	// Revision is what a difference was made against, or which revision the agent
-	// had when it answered a line; empty when it did not say.
+	// Revision is the one of a difference, or the agent's when it answered a line;
+	// empty when the agent did not return one.
 	Revision string
 }
 
-// inForce reads how many instances follow a change.
+// inForce matches the number of instances that follow a change.
 var inForce = regexp.MustCompile(`in force (\d+)/(\d+)`)
 
-// InForceEverywhere tells whether the reply says that a change is in force on
-// every instance.
+// InForceEverywhere reports whether the change is in force on every instance,
+// according to the reply.
 func (r Reply) InForceEverywhere() bool {
 	counts := inForce.FindStringSubmatch(r.Text)
 	return counts != nil && counts[1] == counts[2]
 }
 
-// Server talks to the first agent that answers.
+// Server is a client of the first agent that answers.
 type Server struct {
 	// Addresses are tried in order.
 	Addresses []string
@@ -81,22 +81,22 @@
 	HTTP      *http.Client
 	// Scheme is https or http.
 	Scheme string
-	// Seen is the revision of the last reply that the operator saw; changes are
-	// compared with what was accepted since. Empty means the agent's present one.
+	// Seen is the revision of the last reply that the operator saw. Changes are
+	// compared with those accepted since. Empty means the agent's present one.
 	Seen string
 }
 
-// LostError says that an answer was lost after a change was sent, and that
-// nobody could be asked what became of it.
+// LostError reports that the answer to a change was lost and that no server
+// returned the decision.
 type LostError struct {
-	// ID is the change's identity; empty when the server made none known.
+	// ID is the change's identity; empty when it is not known.
 	ID string
-	// Address is where the change was sent.
+	// Address is the server to which the change was sent.
 	Address string
 	Err     error
 }
 
-// Error implements error; it says how to ask again.
+// Error implements error, and includes the command to ask again.
 func (e *LostError) Error() string {
 	if e.ID == "" {
 		return fmt.Sprintf("%s gave no answer, ask `log` whether it took effect: %v", e.Address, e.Err)
@@ -108,7 +108,7 @@
 func (e *LostError) Unwrap() error { return e.Err }
 
 // Run sends one line of the operators' language. When the answer to a change is
-// lost, it asks the servers what became of the change, and returns that.
+// lost, it queries the servers for the decision and returns that.
 func (s *Server) Run(ctx context.Context, line string) (Reply, error) {
 	address, err := s.firstReachable(ctx)
 	if err != nil {
@@ -123,20 +123,20 @@
 	return s.send(ctx, address, pathCommand, query, []byte(line))
 }
 
-// ApplyRequest is a declaration that is applied.
+// ApplyRequest is a declaration to apply.
 type ApplyRequest struct {
 	Declaration []byte
 	// File is the file's name.
 	File string
-	// Dry asks only for the difference.
+	// Dry requests only the difference.
 	Dry bool
-	// Seen is the revision of the difference that was shown; "" for none.
+	// Seen is the revision of the difference that was shown, or "".
 	Seen string
 	// Force accepts a dangerous change.
 	Force bool
 }
 
-// Apply sends a declaration. A lost answer is treated as by Run.
+// Apply sends a declaration. It handles a lost answer like Run.
 func (s *Server) Apply(ctx context.Context, request ApplyRequest) (Reply, error) {
 	address, err := s.firstReachable(ctx)
 	if err != nil {
@@ -155,8 +155,8 @@
 	return s.send(ctx, address, pathApply, query, request.Declaration)
 }
 
-// identity makes the identity of a change; "" when the server does not say which
-// revision it has, after which the server makes one itself.
+// newChangeID returns the identity for a change, or "" when the server does not
+// return its revision. The server then generates one itself.
 func (s *Server) newChangeID(ctx context.Context, address string) string {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -178,8 +178,8 @@
 	return id
 }
 
-// send posts to one server. When no answer comes to a change that has an
-// identity, the servers are asked what became of it.
+// send posts to one server. When the answer to a change with an identity is lost,
+// it queries the servers for the decision.
 func (s *Server) send(ctx context.Context, address, path string, query url.Values, body []byte) (Reply, error) {
 	reply, err := s.post(ctx, address, path+"?"+query.Encode(), body)
 	if err == nil {
--- a/pkg/cli/wait.go
+++ b/pkg/cli/wait.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Pace and bound of one look at an instance's readiness.
+// Interval and timeout of readiness checks.
 const (
 	waitPollInterval = 50 * time.Millisecond
 	readyTimeout     = 2 * time.Second
@@ -25,19 +25,19 @@
 	AuthorityFlag
 }
 
-// readiness is what a gateway says of its readiness.
+// readiness is a gateway's answer about its readiness.
 type readiness struct {
 	State    string `json:"state"`
 	Revision uint64 `json:"revision"`
 	Platform bool   `json:"platform"`
 }
 
-// NotReadyError says what a gateway was when the wait ended.
+// NotReadyError reports the state of a gateway when the wait ended.
 type NotReadyError struct {
 	Gateway string
 	// State is the last state; empty when the gateway did not answer.
 	State string
-	// Err is why it did not answer.
+	// Err is the reason why it did not answer.
 	Err error
 }
 
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// look returns nil when the gateway at the URL is as wanted.
+// checkReady returns nil when the gateway at the URL is in a wanted state.
 func (c *WaitCommand) checkReady(ctx context.Context, transport *http.Client, gateway string) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
