--- a/pkg/config/property_test.go
+++ b/pkg/config/property_test.go
@@ -112,7 +112,7 @@
 
 // A follower that receives only the changes, encoded with gob, reaches the same
 // declaration.
-func TestDeltaFollows(t *testing.T) {
+func TestDeltaReachesTheSameDeclaration(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := newStore(newService())
 		store.Change(context.Background(), config.Proposal{ID: "c0-00000000", Operator: "eleni", Line: "apply", Build: config.Fixed(config.Diff(&config.Declaration{}, sample()))})
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -15,7 +15,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-func TestConcurrentChangesToOneEntryConflict(t *testing.T) {
+func TestConcurrentChangesConflictWhenTheyOverlap(t *testing.T) {
 	tests := []struct {
 		name          string
 		first, second config.Op
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestConflictKeepsItsCause(t *testing.T) {
+func TestConflictWrapsItsCause(t *testing.T) {
 	is := is.New(t)
 	store := newStore(newService())
 	bootstrap(t, store)
@@ -81,7 +81,7 @@
 	return config.Op{SetUpstream: &config.Upstream{Name: name, Kind: "engine", Serves: "lilac-nurse", Version: "v1", Domain: "larisa-hall", Address: "127.0.0.77:9000", Concurrency: 1}}
 }
 
-func TestLostAnswers(t *testing.T) {
+func TestLookupSettlesALostAnswer(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults []platformtest.Fault
@@ -158,7 +158,7 @@
 	is.Equal(limitedStore(kv, 3).Change(t.Context(), repeated).State, config.Unknown)
 }
 
-func TestAuditTrailOutlivesHead(t *testing.T) {
+func TestArchivedChangesStayReadable(t *testing.T) {
 	is := is.New(t)
 	kv := newService()
 	store := newStore(kv)
