--- a/cmd/lilacweir-agent/main.go
+++ b/cmd/lilacweir-agent/main.go
@@ -24,8 +24,8 @@
 
 const program = "lilacweir-agent"
 
-// memoryTarget is the memory limit of the runtime, in bytes. With the program's own
-// pages the process is then near 32 MB. A much lower limit keeps the collector
+// memoryTarget is the soft memory limit of the runtime, in bytes. With the
+// program's own pages the process is then near 32 MB. A much lower limit keeps the collector
 // running all the time in an agent that is alone in its domain and sees 40 others.
 // GOMEMLIMIT overrides it.
 const memoryTarget = 25 << 20
--- a/pkg/config/audit.go
+++ b/pkg/config/audit.go
@@ -105,7 +105,7 @@
 }
 
 // Lookup returns the decision on a change by its ID. An ID that is not found is
-// marked as not accepted: the write of that makes every write of the change that
+// marked as not accepted in the head, which makes every write of the change that
 // is still in flight fail. The error is the platform's or a *HistoryError.
 func (s *Store) Lookup(ctx context.Context, id string) (Decision, error) {
 	ctx, cancel := context.WithTimeout(ctx, ChangeBound)
