--- a/pkg/agent/serve_command.go
+++ b/pkg/agent/serve_command.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return refuse(c, http.StatusBadRequest, "seen: expected a revision number")
 	}
-	difference := a.executor.Apply(c.Request().Context(), command.Application{
+	difference := a.executor.Apply(c.Request().Context(), command.ApplyRequest{
 		Operator: operator, File: fileName(c.QueryParam("file")), Data: body, Seen: seen,
 		First: c.QueryParam("seen") == "0",
 		ID:    c.QueryParam("id"), DryRun: c.QueryParam("dry") == "1", Force: c.QueryParam("force") == "1",
@@ -102,7 +102,7 @@
 	if !ok || name == "" {
 		return "", false
 	}
-	return name, a.executor.Judge(name, key, file)
+	return name, a.executor.VerifyKey(name, key, file)
 }
 
 // unauthenticated says why no key can be right here, or that this one is not.
--- a/pkg/cli/wait.go
+++ b/pkg/cli/wait.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Pace and bound of one look at an instance's readiness.
+// Interval and timeout of readiness checks.
 const (
-	waitPace  = 50 * time.Millisecond
-	waitProbe = 2 * time.Second
+	waitPollInterval = 50 * time.Millisecond
+	readyTimeout     = 2 * time.Second
 )
 
 // WaitCommand waits until gateways are in a state.
@@ -25,19 +25,19 @@
 	AuthorityFlag
 }
 
-// readiness is what a gateway says of its readiness.
+// readiness is a gateway's answer about its readiness.
 type readiness struct {
 	State    string `json:"state"`
 	Revision uint64 `json:"revision"`
 	Platform bool   `json:"platform"`
 }
 
-// NotReadyError says what a gateway was when the wait ended.
+// NotReadyError reports the state of a gateway when the wait ended.
 type NotReadyError struct {
 	Gateway string
 	// State is the last state; empty when the gateway did not answer.
 	State string
-	// Err is why it did not answer.
+	// Err is the reason why it did not answer.
 	Err error
 }
 
@@ -60,11 +60,11 @@
 	if err != nil {
 		return err
 	}
-	tick := time.NewTicker(waitPace)
+	tick := time.NewTicker(waitPollInterval)
 	defer tick.Stop()
 	for _, gateway := range c.Gateway {
 		for {
-			err := c.look(ctx, transport, scheme+"://"+gateway)
+			err := c.checkReady(ctx, transport, scheme+"://"+gateway)
 			if err == nil {
 				break
 			}
@@ -79,9 +79,9 @@
 	return nil
 }
 
-// look returns nil when the gateway at the URL is as wanted.
-func (c *WaitCommand) look(ctx context.Context, transport *http.Client, gateway string) error {
-	ctx, cancel := context.WithTimeout(ctx, waitProbe)
+// checkReady returns nil when the gateway at the URL is in a wanted state.
+func (c *WaitCommand) checkReady(ctx context.Context, transport *http.Client, gateway string) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, gateway+"/readyz", nil)
 	if err != nil {
--- a/pkg/command/history.go
+++ b/pkg/command/history.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// logDefault is how many changes "log" shows, logMost how many at most.
+	// logDefault is the number of changes that "log" shows, logMost its maximum.
 	logDefault = 5
 	logMost    = Rows
-	// timeLayout is how times are shown, always in UTC.
+	// timeLayout is the format of times, which are in UTC.
 	timeLayout = "01-02 15:04"
 )
 
@@ -22,16 +22,16 @@
 func (e *Executor) log(ctx context.Context, line *Log) Reply {
 	count, word := logArguments(line)
 	changes, err := e.Changes.Log(ctx, count, config.Mentions(word))
-	var tooFar *config.HistoryError
-	if err != nil && !errors.As(err, &tooFar) {
+	var incomplete *config.HistoryError
+	if err != nil && !errors.As(err, &incomplete) {
 		return reply(Refused, "the platform gives no answer", "log needs it; st does not")
 	}
 	var lines []string
 	for _, change := range changes {
 		lines = append(lines, logLine(&change))
 	}
-	if tooFar != nil {
-		lines = append(lines, tooFar.Error())
+	if incomplete != nil {
+		lines = append(lines, incomplete.Error())
 	}
 	if len(lines) == 0 {
 		lines = append(lines, "no such change")
@@ -55,7 +55,7 @@
 	return count, word
 }
 
-// logLine is one change on one line, cut to the screen.
+// logLine formats a change as one line, truncated to the screen.
 func logLine(change *config.Change) string {
 	text := fmt.Sprintf("%d %s %s", change.Revision, change.Operator, change.Line)
 	runes := []rune(text)
@@ -65,7 +65,7 @@
 	return string(runes[:Columns-1]) + "~"
 }
 
-// why answers what became of a request, a change or a revision.
+// why answers "why" for a request, a change or a revision.
 func (e *Executor) why(ctx context.Context, line *Why) Reply {
 	subject := line.Subject.Text
 	if _, isChange := config.ParseID(strings.ToLower(subject)); isChange {
@@ -78,15 +78,15 @@
 }
 
 func (e *Executor) whyChange(ctx context.Context, id string) Reply {
-	verdict, err := e.Changes.Lookup(ctx, id)
+	decision, err := e.Changes.Lookup(ctx, id)
 	switch {
-	case err != nil || verdict.State == config.Unknown:
+	case err != nil || decision.State == config.Unknown:
 		return reply(Unknown, "still unknown, ask again:", "why "+id)
-	case verdict.State == config.Refused:
+	case decision.State == config.Refused:
 		return reply(Refused, "not accepted, and never will be")
 	default:
-		s := e.spread(verdict.Revision)
-		lines := append([]string{fmt.Sprintf("accepted as %d", verdict.Revision)}, s.lines()...)
+		s := e.rollout(decision.Revision)
+		lines := append([]string{fmt.Sprintf("accepted as %d", decision.Revision)}, s.lines()...)
 		return reply(Accepted, lines...)
 	}
 }
@@ -127,7 +127,7 @@
 	return reply(OK, lines...)
 }
 
-// who answers "who": the callers and operators, or one caller.
+// who answers "who" with all callers, or one caller.
 func (e *Executor) who(request Request, line *Who) Reply {
 	decl := e.Board.Config.Load().Declaration
 	if line.Caller != nil {
--- a/pkg/config/danger.go
+++ b/pkg/config/danger.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Danger is an effect of a change that takes all of something away.
+// Danger is an effect of a change that removes the last of something.
 type Danger struct {
 	// Pool and Domain are set when a failure domain loses the last upstream of a
 	// model or service.
@@ -17,7 +17,7 @@
 	Model, Version string
 }
 
-// String says what would happen, for a phone.
+// String describes the effect, briefly enough for a phone.
 func (d Danger) String() string {
 	switch {
 	case d.Pool != "":
@@ -29,7 +29,7 @@
 	}
 }
 
-// DangerError refuses a change until the operator asks for it with emphasis.
+// DangerError refuses a dangerous change that the operator did not force.
 type DangerError struct {
 	Dangers []Danger
 }
@@ -43,15 +43,15 @@
 	return strings.Join(texts, "\n")
 }
 
-// Dangers returns what a change takes away wholly, in the order of the
+// Dangers returns the dangerous effects of a change, in the order of the
 // declaration's lists.
 func Dangers(before, after *Declaration) []Danger {
 	dangers := emptiedPools(before, after)
-	dangers = append(dangers, strandedCallers(before, after)...)
-	return append(dangers, strandedVersions(before, after)...)
+	dangers = append(dangers, callersWithoutRegion(before, after)...)
+	return append(dangers, unservedVersions(before, after)...)
 }
 
-// poolKey names the upstreams of one model or service in one domain.
+// poolKey identifies the upstreams of one model or service in one domain.
 type poolKey struct{ serves, domain string }
 
 func emptiedPools(before, after *Declaration) []Danger {
@@ -63,20 +63,20 @@
 		}
 	}
 	var dangers []Danger
-	told := map[poolKey]bool{}
+	reported := map[poolKey]bool{}
 	for i := range before.Upstreams {
 		upstream := &before.Upstreams[i]
 		pool := poolKey{upstream.Serves, upstream.Domain}
-		if upstream.Drained || left[pool] > 0 || told[pool] {
+		if upstream.Drained || left[pool] > 0 || reported[pool] {
 			continue
 		}
-		told[pool] = true
+		reported[pool] = true
 		dangers = append(dangers, Danger{Pool: pool.serves, Domain: pool.domain})
 	}
 	return dangers
 }
 
-func strandedCallers(before, after *Declaration) []Danger {
+func callersWithoutRegion(before, after *Declaration) []Danger {
 	var dangers []Danger
 	for i := range after.Callers {
 		caller := &after.Callers[i]
@@ -88,13 +88,13 @@
 	return dangers
 }
 
-// versionKey names a version of a model.
+// versionKey identifies a version of a model.
 type versionKey struct{ model, version string }
 
-func strandedVersions(before, after *Declaration) []Danger {
-	had := strandedSet(before)
+func unservedVersions(before, after *Declaration) []Danger {
+	had := unservedVersionSet(before)
 	var dangers []Danger
-	for _, version := range strandedList(after) {
+	for _, version := range unservedVersionList(after) {
 		if !had[version] {
 			dangers = append(dangers, Danger{Model: version.model, Version: version.version})
 		}
@@ -102,16 +102,17 @@
 	return dangers
 }
 
-func strandedSet(decl *Declaration) map[versionKey]bool {
+func unservedVersionSet(decl *Declaration) map[versionKey]bool {
 	set := map[versionKey]bool{}
-	for _, version := range strandedList(decl) {
+	for _, version := range unservedVersionList(decl) {
 		set[version] = true
 	}
 	return set
 }
 
-// strandedList returns the versions that get requests and have no upstream.
-func strandedList(decl *Declaration) []versionKey {
+// unservedVersionList returns the versions with a share of requests but no
+// upstream in service.
+func unservedVersionList(decl *Declaration) []versionKey {
 	served := map[versionKey]bool{}
 	for i := range decl.Upstreams {
 		upstream := &decl.Upstreams[i]
--- a/pkg/config/evaluate.go
+++ b/pkg/config/evaluate.go
@@ -2,37 +2,37 @@
 
 import "slices"
 
-// effect is what a proposal does to one declaration.
+// effect is the effect of a proposal on one declaration.
 type effect struct {
 	ops, inverse []Op
 	after        *Declaration
 	dangers      []Danger
 }
 
-// evaluate decides whether the proposal can be accepted on the head. Errors:
-// *ConflictError when a change that the operator had not seen stands in the way,
-// *StaleError when that cannot be told, else those of judge.
+// evaluate decides whether the proposal can be accepted on the head. The error is
+// a *ConflictError when a change that the operator had not seen conflicts with
+// it, a *StaleError when that cannot be determined, or one of evaluateOn.
 func evaluate(head *Head, proposal *Proposal) (*effect, error) {
 	unseen, err := unseenChanges(head, proposal)
 	if err != nil {
 		return nil, err
 	}
-	result, err := judge(head.Declaration, proposal)
+	result, err := evaluateOn(head.Declaration, proposal)
 	for _, change := range slices.Backward(unseen) {
 		if collide(change.Ops, result.ops) {
 			return nil, &ConflictError{Obstacle: change, Err: err}
 		}
 	}
 	if err != nil {
-		return nil, blame(head, proposal, unseen, err)
+		return nil, attributeConflict(head, proposal, unseen, err)
 	}
 	return result, nil
 }
 
-// judge returns what the proposal does to a declaration; with an error, what it
-// would have done as far as that is known. Errors: *DangerError, *InvalidError,
-// and those of Build and Apply.
-func judge(decl *Declaration, proposal *Proposal) (*effect, error) {
+// evaluateOn returns the effect of the proposal on a declaration; with an error,
+// the part that is known. The error is a *DangerError, an *InvalidError, or one
+// of Build and Apply.
+func evaluateOn(decl *Declaration, proposal *Proposal) (*effect, error) {
 	result := new(effect)
 	var err error
 	if result.ops, err = proposal.Build(decl); err != nil {
@@ -51,8 +51,8 @@
 	return result, nil
 }
 
-// unseenChanges returns what was accepted since the operator looked, oldest
-// first. The error is a *StaleError.
+// unseenChanges returns the changes accepted after the revision that the operator
+// saw, oldest first. The error is a *StaleError.
 func unseenChanges(head *Head, proposal *Proposal) ([]Change, error) {
 	if proposal.Seen == 0 && head.Revision > 0 {
 		return nil, &StaleError{Seen: 0, Now: head.Revision}
@@ -71,9 +71,9 @@
 	return changes, nil
 }
 
-// blame wraps the error in a *ConflictError when the proposal could have been
-// accepted before one of the unseen changes: the first after which it fails.
-func blame(head *Head, proposal *Proposal, unseen []Change, cause error) error {
+// attributeConflict wraps the error in a *ConflictError with the first unseen
+// change after which the proposal fails, if it could have been accepted before.
+func attributeConflict(head *Head, proposal *Proposal, unseen []Change, cause error) error {
 	if len(unseen) == 0 {
 		return cause
 	}
@@ -81,7 +81,7 @@
 	if !ok {
 		return cause
 	}
-	if _, err := judge(decl, proposal); err != nil {
+	if _, err := evaluateOn(decl, proposal); err != nil {
 		return cause
 	}
 	for _, change := range unseen {
@@ -90,7 +90,7 @@
 			return cause
 		}
 		decl = after
-		if _, err := judge(decl, proposal); err != nil {
+		if _, err := evaluateOn(decl, proposal); err != nil {
 			return &ConflictError{Obstacle: change, Err: cause}
 		}
 	}
--- a/pkg/config/store.go
+++ b/pkg/config/store.go
@@ -14,14 +14,14 @@
 const HeadKey = "config/head"
 
 // AuditPrefix starts the keys of the audit trail's segments; the rest is the
-// first revision of the segment in auditDigits digits.
+// segment's first revision in auditDigits digits.
 const AuditPrefix = "config/audit/"
 
 // Bounds of a change.
 const (
-	// ChangeBound is how long a change may take before it is called unknown.
+	// ChangeBound is the time after which an undecided change is unknown.
 	ChangeBound = 5 * time.Second
-	// callBound is how long one call of the platform's service may take.
+	// callBound is the timeout of one call of the platform's service.
 	callBound = time.Second
 	// firstPause and maxPause bound the pause between two attempts.
 	firstPause = 5 * time.Millisecond
@@ -31,37 +31,37 @@
 // Pause waits, or returns the context's error when that ends first.
 type Pause func(ctx context.Context, wait time.Duration) error
 
-// Store accepts changes and keeps the audit trail in the platform's key-value
+// Store accepts changes and stores the audit trail in the platform's key-value
 // service. It is safe for concurrent use, by any number of processes.
 //
-// The service's reads must not go back in time for one key: a read that shows a
-// modification revision proves that no write which expected an earlier one can
-// take effect any more.
+// The service's reads of one key must be monotonic. A read that returns a
+// modification revision then proves that no write which expected an earlier one
+// can still take effect.
 type Store struct {
 	kv     platform.KeyValue
 	clock  clock.Clock
 	pause  Pause
 	jitter func() float64
-	// turn lets one change of this process at a time compete for the head.
-	turn chan struct{}
+	// semaphore lets one change of this process at a time compete for the head.
+	semaphore chan struct{}
 }
 
 // NewStore returns a store. The jitter function returns numbers in [0,1).
 func NewStore(kv platform.KeyValue, clk clock.Clock, pause Pause, jitter func() float64) *Store {
-	return &Store{kv: kv, clock: clk, pause: pause, jitter: jitter, turn: make(chan struct{}, 1)}
+	return &Store{kv: kv, clock: clk, pause: pause, jitter: jitter, semaphore: make(chan struct{}, 1)}
 }
 
-// Stored is the head as it stands in the service.
+// Stored is the head as stored in the service.
 type Stored struct {
 	Head *Head
-	// ModRevision is the service's revision of the head key; 0 when it is absent.
+	// ModRevision is the modification revision of the head key, 0 when it is absent.
 	ModRevision int64
-	// newer says why this version must not write the head back; nil when it may.
+	// newer is the reason why this version must not write the head back, or nil.
 	newer error
 }
 
-// Read returns the head; one of revision 0 when there is none yet. Errors: the
-// platform's, or *EncodingError.
+// Read returns the head, or one of revision 0 when there is none yet. The error is
+// the platform's or an *EncodingError.
 func (s *Store) Read(ctx context.Context) (Stored, error) {
 	ctx, cancel := context.WithTimeout(ctx, callBound)
 	defer cancel()
@@ -82,13 +82,13 @@
 	return Stored{Head: head, ModRevision: entry.ModRevision, newer: newer}, nil
 }
 
-// Change proposes a change and returns what became of it, within ChangeBound.
-func (s *Store) Change(ctx context.Context, proposal Proposal) Verdict {
+// Change proposes a change and returns the decision, within ChangeBound.
+func (s *Store) Change(ctx context.Context, proposal Proposal) Decision {
 	ctx, cancel := context.WithTimeout(ctx, ChangeBound)
 	defer cancel()
 	select {
-	case s.turn <- struct{}{}:
-		defer func() { <-s.turn }()
+	case s.semaphore <- struct{}{}:
+		defer func() { <-s.semaphore }()
 	case <-ctx.Done():
 		return unreachable(&proposal, false, ctx.Err())
 	}
@@ -100,18 +100,18 @@
 type attempt struct {
 	store    *Store
 	proposal *Proposal
-	// pending is true while a write that was sent may still take effect; it can
-	// do so only over the head of modification revision over.
-	pending bool
-	over    int64
-	// last is the last failure of the service.
+	// pending is true while a write that was sent may still take effect, which it
+	// can only over the head of modification revision pendingRevision.
+	pending         bool
+	pendingRevision int64
+	// last is the last error of the service.
 	last error
 }
 
-// run repeats read, decide, write until one of them gives the verdict. Writing
-// again over the same head is harmless after a lost answer: both writes expect
-// the same modification revision, so one of them at most takes effect.
-func (a *attempt) run(ctx context.Context) Verdict {
+// run repeats read, decide and write until there is a decision. Repeating a write
+// over the same head after a lost answer is safe: both writes expect the same
+// modification revision, so at most one of them takes effect.
+func (a *attempt) run(ctx context.Context) Decision {
 	for round := 0; ; round++ {
 		if err := a.wait(ctx, round); err != nil {
 			return unreachable(a.proposal, a.pending, errors.Join(a.last, err))
@@ -119,15 +119,15 @@
 		stored, err := a.store.Read(ctx)
 		var unreadable *EncodingError
 		if errors.As(err, &unreadable) && !a.pending {
-			return Verdict{State: Refused, ID: a.proposal.ID, Reason: err}
+			return Decision{State: Refused, ID: a.proposal.ID, Reason: err}
 		}
 		if err != nil {
 			a.last = err
 			continue
 		}
-		verdict, done := a.decide(ctx, stored)
+		decision, done := a.decide(ctx, stored)
 		if done {
-			return verdict
+			return decision
 		}
 	}
 }
@@ -140,41 +140,41 @@
 	return a.store.pause(ctx, time.Duration(float64(wait)*a.store.jitter()))
 }
 
-// decide looks at the head as it stands, and proposes the next one.
-func (a *attempt) decide(ctx context.Context, stored Stored) (Verdict, bool) {
-	if a.pending && stored.ModRevision != a.over {
+// decide returns the decision found in the head, or else writes the next head.
+func (a *attempt) decide(ctx context.Context, stored Stored) (Decision, bool) {
+	if a.pending && stored.ModRevision != a.pendingRevision {
 		a.pending = false
 	}
-	verdict, done, err := a.store.history(ctx, stored.Head, a.proposal.ID)
-	var tooFar *HistoryError
-	if errors.As(err, &tooFar) {
-		return Verdict{State: Refused, ID: a.proposal.ID, Reason: err}, !a.pending
+	decision, done, err := a.store.history(ctx, stored.Head, a.proposal.ID)
+	var incomplete *HistoryError
+	if errors.As(err, &incomplete) {
+		return Decision{State: Refused, ID: a.proposal.ID, Reason: err}, !a.pending
 	}
 	if err != nil {
 		a.last = err
-		return Verdict{}, false
+		return Decision{}, false
 	}
 	if done {
-		return verdict, true
+		return decision, true
 	}
 	next, err := a.store.prepare(stored, a.proposal)
 	if err != nil {
-		return Verdict{State: Refused, ID: a.proposal.ID, Reason: err}, !a.pending
+		return Decision{State: Refused, ID: a.proposal.ID, Reason: err}, !a.pending
 	}
 	return a.write(ctx, stored, next)
 }
 
-func (a *attempt) write(ctx context.Context, stored Stored, next *prepared) (Verdict, bool) {
+func (a *attempt) write(ctx context.Context, stored Stored, next *prepared) (Decision, bool) {
 	a.pending = true
-	a.over = stored.ModRevision
+	a.pendingRevision = stored.ModRevision
 	ctx, cancel := context.WithTimeout(ctx, callBound)
 	defer cancel()
 	_, err := a.store.kv.Swap(ctx, next.expect, next.puts)
 	if err != nil {
 		a.last = err
-		return Verdict{}, false
+		return Decision{}, false
 	}
-	return Verdict{
+	return Decision{
 		State:    Accepted,
 		ID:       a.proposal.ID,
 		Revision: next.head.Revision,
@@ -184,12 +184,12 @@
 	}, true
 }
 
-// unreachable is the verdict when the service gave no answer in time: refused
-// when nothing of the ID was ever sent, else unknown.
-func unreachable(proposal *Proposal, sent bool, err error) Verdict {
+// unreachable returns the decision when the service did not answer in time. It is
+// refused when no write of the ID was ever sent, and otherwise unknown.
+func unreachable(proposal *Proposal, sent bool, err error) Decision {
 	state := Refused
 	if sent || proposal.Repeated {
 		state = Unknown
 	}
-	return Verdict{State: state, ID: proposal.ID, Reason: &UnreachableError{Sent: sent, Err: err}}
+	return Decision{State: state, ID: proposal.ID, Reason: &UnreachableError{Sent: sent, Err: err}}
 }
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -15,7 +15,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-func TestRaces(t *testing.T) {
+func TestConcurrentChangesConflictWhenTheyOverlap(t *testing.T) {
 	tests := []struct {
 		name          string
 		first, second config.Op
@@ -35,60 +35,61 @@
 			kv := newService()
 			ours, theirs := newStore(kv), newStore(kv)
 			bootstrap(t, ours)
-			// The other operator's change lands between our read and our write.
+			// The other operator's change is accepted between this store's read and write.
 			kv.BeforeNextWrite(func() {
-				verdict := theirs.Change(t.Context(), propose(testID(1, 1), "linh", 1, test.first))
-				is.Equal(verdict.State, config.Accepted)
+				decision := theirs.Change(t.Context(), propose(testID(1, 1), "linh", 1, test.first))
+				is.Equal(decision.State, config.Accepted)
 			})
-			verdict := ours.Change(t.Context(), propose(testID(1, 2), "eleni", 1, test.second))
-			is.Equal(verdict.State, test.want)
+			decision := ours.Change(t.Context(), propose(testID(1, 2), "eleni", 1, test.second))
+			is.Equal(decision.State, test.want)
 			stored, err := ours.Read(t.Context())
 			is.NoErr(err)
 			if test.want == config.Accepted {
-				is.Equal(verdict.Revision, config.Revision(3))
+				is.Equal(decision.Revision, config.Revision(3))
 				is.Equal(len(stored.Head.Recent), 3) // neither change is lost
 				return
 			}
 			is.Equal(stored.Head.Revision, config.Revision(2))
 			var conflict *config.ConflictError
-			is.True(errors.As(verdict.Reason, &conflict)) // names the change in the way
+			is.True(errors.As(decision.Reason, &conflict)) // names the conflicting change
 			is.Equal(conflict.Obstacle.Operator, "linh")
 			is.Equal(conflict.Obstacle.Revision, config.Revision(2))
 		})
 	}
 }
 
-func TestConflictKeepsItsCause(t *testing.T) {
+func TestConflictWrapsItsCause(t *testing.T) {
 	is := is.New(t)
 	store := newStore(newService())
 	bootstrap(t, store)
 	is.Equal(store.Change(t.Context(), propose(testID(1, 1), "linh", 1, drainOp("nurse-1", true))).State, config.Accepted)
-	verdict := store.Change(t.Context(), propose(testID(1, 2), "eleni", 1, drainOp("nurse-2", true)))
+	decision := store.Change(t.Context(), propose(testID(1, 2), "eleni", 1, drainOp("nurse-2", true)))
 	var danger *config.DangerError
-	is.True(errors.As(verdict.Reason, &danger))
+	is.True(errors.As(decision.Reason, &danger))
 	is.Equal(danger.Dangers[0].Pool, "lilac-nurse")
 
-	// What fails without the other change as well is not blamed on it.
-	verdict = store.Change(t.Context(), propose(testID(1, 3), "eleni", 1, drainOp("nurse-3", true)))
+	// A change that fails without the other one as well is no conflict.
+	decision = store.Change(t.Context(), propose(testID(1, 3), "eleni", 1, drainOp("nurse-3", true)))
 	var conflict *config.ConflictError
-	is.True(!errors.As(verdict.Reason, &conflict))
-	is.True(errors.As(verdict.Reason, &danger))
+	is.True(!errors.As(decision.Reason, &conflict))
+	is.True(errors.As(decision.Reason, &danger))
 }
 
-// setUpstream adds an upstream, always at the same address.
+// setUpstream returns an operation that adds an upstream, always at the same
+// address.
 func setUpstream(name string) config.Op {
 	return config.Op{SetUpstream: &config.Upstream{Name: name, Kind: "engine", Serves: "lilac-nurse", Version: "v1", Domain: "larisa-hall", Address: "127.0.0.77:9000", Concurrency: 1}}
 }
 
-func TestLostAnswers(t *testing.T) {
+func TestLookupSettlesALostAnswer(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults []platformtest.Fault
-		// deaf is how many reads fail after the first write.
-		deaf   int
-		pauses int
-		want   config.State
-		// later is what Lookup says afterwards.
+		// failedReads is the number of reads that fail after the first write.
+		failedReads int
+		pauses      int
+		want        config.State
+		// later is the state that Lookup returns afterwards.
 		later config.State
 	}{
 		{"write lost once", []platformtest.Fault{platformtest.LoseWrite}, 0, 9, config.Accepted, config.Accepted},
@@ -106,10 +107,10 @@
 			kv := newService()
 			bootstrap(t, newStore(kv))
 			kv.FailWrites(test.faults...)
-			kv.BeforeNextWrite(func() { kv.FailReads(test.deaf) })
+			kv.BeforeNextWrite(func() { kv.FailReads(test.failedReads) })
 			id := testID(1, 7)
-			verdict := limitedStore(kv, test.pauses).Change(t.Context(), propose(id, "eleni", 1, drainOp("nurse-1", true)))
-			is.Equal(verdict.State, test.want)
+			decision := limitedStore(kv, test.pauses).Change(t.Context(), propose(id, "eleni", 1, drainOp("nurse-1", true)))
+			is.Equal(decision.State, test.want)
 
 			kv.Mend()
 			found, err := newStore(kv).Lookup(t.Context(), id)
@@ -118,9 +119,9 @@
 			kv.Release() // a write that was delayed arrives now
 			again, err := newStore(kv).Lookup(t.Context(), id)
 			is.NoErr(err)
-			is.Equal(again.State, test.later) // the answer never changes
+			is.Equal(again.State, test.later) // the decision never changes
 			repeated := newStore(kv).Change(t.Context(), propose(id, "eleni", 1, drainOp("nurse-1", true)))
-			is.Equal(repeated.State, test.later) // nor does asking for the change again
+			is.Equal(repeated.State, test.later) // also when the change is proposed again
 			stored, err := newStore(kv).Read(t.Context())
 			is.NoErr(err)
 			is.Equal(count(stored.Head.Recent, id), map[config.State]int{config.Accepted: 1}[test.later])
@@ -144,28 +145,28 @@
 	bootstrap(t, newStore(kv))
 	kv.FailReads(99)
 	writes := kv.Counts().Writes
-	verdict := limitedStore(kv, 3).Change(t.Context(), propose(testID(1, 1), "eleni", 1, drainOp("nurse-1", true)))
-	is.Equal(verdict.State, config.Refused)
+	decision := limitedStore(kv, 3).Change(t.Context(), propose(testID(1, 1), "eleni", 1, drainOp("nurse-1", true)))
+	is.Equal(decision.State, config.Refused)
 	is.Equal(kv.Counts().Writes, writes)
 	var unreachable *config.UnreachableError
-	is.True(errors.As(verdict.Reason, &unreachable))
+	is.True(errors.As(decision.Reason, &unreachable))
 	is.True(!unreachable.Sent)
 
-	// Of an ID that was proposed before, nobody can say that it did nothing.
+	// An ID that was proposed before may have been accepted.
 	repeated := propose(testID(1, 1), "eleni", 1, drainOp("nurse-1", true))
 	repeated.Repeated = true
 	is.Equal(limitedStore(kv, 3).Change(t.Context(), repeated).State, config.Unknown)
 }
 
-func TestAuditTrailOutlivesHead(t *testing.T) {
+func TestArchivedChangesStayReadable(t *testing.T) {
 	is := is.New(t)
 	kv := newService()
 	store := newStore(kv)
 	bootstrap(t, store)
 	const last = 250
 	for revision := config.Revision(2); revision <= last; revision++ {
-		verdict := store.Change(t.Context(), propose(testID(revision-1, 0), "eleni", revision-1, drainOp("nurse-1", revision%2 == 0)))
-		is.Equal(verdict.State, config.Accepted)
+		decision := store.Change(t.Context(), propose(testID(revision-1, 0), "eleni", revision-1, drainOp("nurse-1", revision%2 == 0)))
+		is.Equal(decision.State, config.Accepted)
 	}
 	fresh := newStore(kv)
 	stored, err := fresh.Read(t.Context())
@@ -201,14 +202,14 @@
 	for revision := config.Revision(2); revision <= 80; revision++ {
 		store.Change(t.Context(), propose(testID(revision-1, 0), "eleni", revision-1, drainOp("nurse-1", revision%2 == 0)))
 	}
-	verdict := store.Change(t.Context(), propose(testID(80, 1), "linh", 3, drainOp("nurse-3", false)))
-	is.Equal(verdict.State, config.Refused)
+	decision := store.Change(t.Context(), propose(testID(80, 1), "linh", 3, drainOp("nurse-3", false)))
+	is.Equal(decision.State, config.Refused)
 	var stale *config.StaleError
-	is.True(errors.As(verdict.Reason, &stale))
+	is.True(errors.As(decision.Reason, &stale))
 }
 
-// An instance of an older version must not drop what a newer one has stored: it
-// follows the configuration, but changes nothing.
+// An instance of an older version must not drop fields that a newer one stored. It
+// follows the configuration, but refuses to change it.
 func TestNewerFieldsAreNotDropped(t *testing.T) {
 	is := is.New(t)
 	kv := newService()
@@ -228,17 +229,17 @@
 	is.NoErr(err)
 	is.Equal(stored.Head.Revision, config.Revision(5))
 	writes := kv.Counts().Writes
-	verdict := store.Change(t.Context(), propose(testID(5, 1), "eleni", 5, drainOp("nurse-1", true)))
-	is.Equal(verdict.State, config.Refused)
+	decision := store.Change(t.Context(), propose(testID(5, 1), "eleni", 5, drainOp("nurse-1", true)))
+	is.Equal(decision.State, config.Refused)
 	var encoding *config.EncodingError
-	is.True(errors.As(verdict.Reason, &encoding))
+	is.True(errors.As(decision.Reason, &encoding))
 	_, err = store.Lookup(t.Context(), testID(5, 1))
-	is.True(errors.As(err, &encoding)) // to void it would drop the field as well
+	is.True(errors.As(err, &encoding)) // voiding the ID would drop the field as well
 	is.Equal(kv.Counts().Writes, writes)
 }
 
-// A file that is applied to a deployment without configuration proves its
-// operator by itself, so it must not reach one that has a configuration.
+// The first apply authenticates its operator by the file itself, so it must not be
+// accepted once there is a configuration.
 func TestFirstApplyOnlyOnEmptyStore(t *testing.T) {
 	is := is.New(t)
 	kv := newService()
@@ -246,8 +247,8 @@
 	bootstrap(t, store)
 	stranger := config.Operator{Name: "mallory", KeyHash: config.HashKey("mine")}
 	proposal := propose(testID(0, 1), "mallory", 0, config.Op{SetOperator: &stranger})
-	verdict := store.Change(t.Context(), proposal)
-	is.Equal(verdict.State, config.Refused)
+	decision := store.Change(t.Context(), proposal)
+	is.Equal(decision.State, config.Refused)
 	var stale *config.StaleError
-	is.True(errors.As(verdict.Reason, &stale))
+	is.True(errors.As(decision.Reason, &stale))
 }
