--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -30,9 +30,9 @@
 
 // Intervals of the controllers.
 const (
-	// TendInterval is how often the sets of jobs are looked at anew and the
+	// ReconcileInterval is how often the sets of jobs are looked at anew and the
 	// blackboard is brought up to date, when nothing wakes it before.
-	TendInterval = 250 * time.Millisecond
+	ReconcileInterval = 250 * time.Millisecond
 	// RefreshInterval is how often unchanged sections are stored again, so that
 	// their ages are seen by the gateway.
 	RefreshInterval = time.Second
@@ -78,8 +78,8 @@
 	gateway  gatewayState
 	calls    calls
 	updates  updates
-	// taking is held while a received configuration is read.
-	taking sync.Mutex
+	// updating is held while a received configuration is read.
+	updating sync.Mutex
 	// published is used by the tend loop alone.
 	published published
 
@@ -130,7 +130,7 @@
 	}, now)
 	a.mesh.changed = a.dirty.raise
 	a.mesh.behind = a.catchUp.raise
-	a.keeper = spread.NewKeeper(&a.board.Config, a.taken)
+	a.keeper = spread.NewKeeper(&a.board.Config, a.headAccepted)
 	a.executor = a.newExecutor()
 	a.board.Platform.Store(&board.PlatformHealth{Since: now})
 	return a
@@ -147,7 +147,7 @@
 	}
 	a.Log.Info().Str("mesh", a.Settings.Agent.Mesh).Str("operators", a.Settings.Agent.Operators).Msg("ready")
 	loops := []func(context.Context){
-		a.tend, a.exchangeLoop, a.catchUpLoop, a.watch, a.register, a.listLoop,
+		a.reconcileLoop, a.exchangeLoop, a.catchUpLoop, a.watch, a.register, a.listLoop,
 		func(ctx context.Context) { a.Mesh.Credentials().Run(ctx, a.Log) },
 	}
 	for _, loop := range loops {
@@ -157,7 +157,7 @@
 		})
 	}
 	group.Go(func() error {
-		a.giveOrders(ctx) // a leaving instance gives the lease back at once
+		a.runOrders(ctx) // a leaving instance gives the lease back at once
 		return nil
 	})
 	group.Go(func() error {
@@ -200,10 +200,10 @@
 	return a.serveOperators(ctx, group)
 }
 
-// taken is called by the keeper after each head that was taken.
-func (a *Agent) taken(head *config.Head, source spread.Source) {
+// headAccepted is called by the keeper after each head that was taken.
+func (a *Agent) headAccepted(head *config.Head, source spread.Source) {
 	a.Log.Info().Uint64("revision", uint64(head.Revision)).Str("source", string(source)).Msg("configuration-taken")
-	a.revise()
+	a.updateRevisions()
 	a.exchange.raise()
 	a.dirty.raise()
 	if source != spread.SourceMesh {
@@ -211,8 +211,8 @@
 	}
 }
 
-// revise works out the configuration in force here and tells the domain.
-func (a *Agent) revise() {
+// updateRevisions works out the configuration in force here and tells the domain.
+func (a *Agent) updateRevisions() {
 	// One at a time: a revision that was read before must not be set after.
 	a.revising.Lock()
 	defer a.revising.Unlock()
--- a/pkg/agent/agent_test.go
+++ b/pkg/agent/agent_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilacweir/lilacweir/pkg/spread"
 )
 
-// accepted returns a head whose callers differ from revision to revision.
-func accepted(revision config.Revision) *config.Head {
+// acceptedHead returns a head whose callers differ from revision to revision.
+func acceptedHead(revision config.Revision) *config.Head {
 	head := &config.Head{Revision: revision, Declaration: &config.Declaration{
 		Callers: []config.Caller{{Name: "residents-app", Home: "region-a", Regions: []string{"region-a"}, Share: int(revision)}},
 	}}
@@ -24,10 +24,10 @@
 	return head
 }
 
-func TestSpreadReachesADomainThatIsCutFromThePlatform(t *testing.T) {
+func TestConfigurationReachesADomainPartitionedFromThePlatform(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 0, 2, 2, 1)
-	r.write(accepted(1))
+	r := newHarness(t, 0, 2, 2, 1)
+	r.write(acceptedHead(1))
 	r.startAll()
 	for name := range r.nodes {
 		r.wait(name, "revision 1 in force on all", func(a *Agent) bool { return inForce(a, 1) == len(r.nodes) })
@@ -38,12 +38,12 @@
 		d, _ := a.mesh.digest("b")
 		return !d.Platform
 	})
-	r.write(accepted(2))
+	r.write(acceptedHead(2))
 	for name := range r.nodes {
 		r.wait(name, "revision 2 in force on all", func(a *Agent) bool { return inForce(a, 2) == len(r.nodes) })
 	}
 	for _, n := range r.nodes {
-		is.True(!n.gateway.fell) // no gateway was sent a lower revision
+		is.True(!n.gateway.downgraded) // no gateway was sent a lower revision
 	}
 	is.Equal(r.nodes["b-1"].agent.readiness(time.Now()).State, StateIsolated)
 	is.Equal(r.nodes["a-1"].agent.readiness(time.Now()).State, StateServing)
@@ -57,16 +57,16 @@
 
 // Changes that do not lead to the head's declaration are not taken: the whole
 // head is, also in a domain that gets it from its neighbours.
-func TestChangesThatDoNotFollowAreReplacedByTheWhole(t *testing.T) {
+func TestInconsistentDeltaFallsBackToTheWholeHead(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 5, 1, 2)
-	r.write(accepted(1))
+	r := newHarness(t, 5, 1, 2)
+	r.write(acceptedHead(1))
 	r.startAll()
 	for name := range r.nodes {
 		r.wait(name, "revision 1 in force on all", func(a *Agent) bool { return inForce(a, 1) == len(r.nodes) })
 	}
 	r.store.Cut("b", true)
-	head := accepted(2)
+	head := acceptedHead(2)
 	other := *head.Recent[0].Ops[0].SetCaller
 	other.Share = 99
 	head.Recent[0].Ops[0].SetCaller = &other
@@ -78,46 +78,46 @@
 }
 
 // An asker that cannot read a head does not ask for it over and over.
-func TestUnreadableHeadIsNotAskedForAgain(t *testing.T) {
+func TestUnreadableHeadIsNotRequestedAgain(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 6, 1)
+	r := newHarness(t, 6, 1)
 	r.start("a-1")
 	f := &fetcher{agent: r.nodes["a-1"].agent}
-	f.take(7, &control.HeadUpdate{Delta: &config.Delta{From: 6, Changes: []config.Change{{Revision: 7}}}})
+	f.apply(7, &control.HeadUpdate{Delta: &config.Delta{From: 6, Changes: []config.Change{{Revision: 7}}}})
 	is.True(f.whole) // the changes did not follow
-	f.take(7, &control.HeadUpdate{Whole: []byte("nonsense")})
+	f.apply(7, &control.HeadUpdate{Whole: []byte("nonsense")})
 	is.True(!f.whole)
 	is.Equal(f.unreadable, config.Revision(7))
 }
 
-func TestTwoWatchersOfADomainAndTheirSuccession(t *testing.T) {
+func TestADomainKeepsTwoWatchersWhenOneStops(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 1, 4)
-	r.write(accepted(1))
+	r := newHarness(t, 1, 4)
+	r.write(acceptedHead(1))
 	r.startAll()
 	for name := range r.nodes {
 		r.wait(name, "four live", func(a *Agent) bool { return live(a) == 4 })
 	}
 	r.wait("a-1", "two watchers", func(*Agent) bool { return r.store.Watching("a") == spread.Watchers })
 
-	gone := ""
+	stopped := ""
 	for name, n := range r.nodes {
 		if n.agent.watching() {
-			gone = name
+			stopped = name
 		}
 	}
-	r.stop(gone)
-	rest := "a-1"
-	if gone == rest {
-		rest = "a-2"
+	r.stop(stopped)
+	survivor := "a-1"
+	if stopped == survivor {
+		survivor = "a-2"
 	}
-	r.wait(rest, "one said goodbye", func(a *Agent) bool { return len(a.board.Members.Load().Instances) == 3 })
-	r.wait(rest, "two watchers again", func(*Agent) bool { return r.store.Watching("a") == spread.Watchers })
-	is.True(!r.directory.has(gone))
+	r.wait(survivor, "one said goodbye", func(a *Agent) bool { return len(a.board.Members.Load().Instances) == 3 })
+	r.wait(survivor, "two watchers again", func(*Agent) bool { return r.store.Watching("a") == spread.Watchers })
+	is.True(!r.directory.has(stopped))
 }
 
 func TestTwoCandidatesForOrders(t *testing.T) {
-	r := newRig(t, 4, 4)
+	r := newHarness(t, 4, 4)
 	r.startAll()
 	for name := range r.nodes {
 		r.wait(name, "four live", func(a *Agent) bool { return live(a) == 4 })
@@ -135,8 +135,8 @@
 
 func TestLeavingGatewayIsMarkedEverywhere(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 2, 2, 1)
-	r.write(accepted(1))
+	r := newHarness(t, 2, 2, 1)
+	r.write(acceptedHead(1))
 	r.startAll()
 	r.wait("a-1", "a-2 is registered", func(*Agent) bool { return r.directory.has("a-2") })
 	r.wait("b-1", "a's entries are known", func(a *Agent) bool {
@@ -166,21 +166,21 @@
 	is.Equal(r.nodes["a-1"].agent.readiness(time.Now()).State, StateServing)
 }
 
-func TestRestartedAgentLearnsFromItsGateway(t *testing.T) {
+func TestRestartedAgentRecoversItsHeadFromItsGateway(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 3, 1)
+	r := newHarness(t, 3, 1)
 	r.start("a-1")
 	r.wait("a-1", "the gateway is met", func(a *Agent) bool { up, _ := a.gateway.state(); return up })
 	is.Equal(r.nodes["a-1"].agent.readiness(time.Now()).State, StateNoConfiguration)
 	is.True(!r.directory.has("a-1"))
 
-	r.write(accepted(7))
+	r.write(acceptedHead(7))
 	r.wait("a-1", "revision 7 in force", func(a *Agent) bool { return inForce(a, 7) == 1 })
 	r.stop("a-1")
 	r.store.Cut("a", true)
 	r.start("a-1")
 	r.wait("a-1", "revision 7 learned again", func(a *Agent) bool { return inForce(a, 7) == 1 })
-	is.True(!r.nodes["a-1"].gateway.fell)
+	is.True(!r.nodes["a-1"].gateway.downgraded)
 }
 
 func live(a *Agent) int {
--- a/pkg/agent/beat.go
+++ b/pkg/agent/beat.go
@@ -30,25 +30,25 @@
 	CatchUpRetry = 10 * time.Second
 )
 
-// beatDuties returns the loops that exchange heartbeats: one for each known
+// beatJobs returns the loops that exchange heartbeats: one for each known
 // peer, and one for each seed of the own domain that no known peer has.
-func (a *Agent) beatDuties(now time.Time) map[string]duty {
-	wanted := make(map[string]duty)
-	met := map[string]bool{a.Settings.Agent.Mesh: true}
+func (a *Agent) beatJobs(now time.Time) map[string]job {
+	wanted := make(map[string]job)
+	covered := map[string]bool{a.Settings.Agent.Mesh: true}
 	for _, peer := range a.mesh.peers(now) {
-		met[peer.Mesh] = true
-		wanted[peer.Name+" "+peer.Mesh] = a.beatDuty(peer)
+		covered[peer.Mesh] = true
+		wanted[peer.Name+" "+peer.Mesh] = a.beatJob(peer)
 	}
 	for _, seed := range a.Settings.Seeds {
-		if seed.Domain == a.Settings.Domain && !met[seed.Mesh] {
-			wanted["seed "+seed.Mesh] = a.beatDuty(member.Peer{Mesh: seed.Mesh})
+		if seed.Domain == a.Settings.Domain && !covered[seed.Mesh] {
+			wanted["seed "+seed.Mesh] = a.beatJob(member.Peer{Mesh: seed.Mesh})
 		}
 	}
 	return wanted
 }
 
-// beatDuty exchanges heartbeats with one peer.
-func (a *Agent) beatDuty(peer member.Peer) duty {
+// beatJob exchanges heartbeats with one peer.
+func (a *Agent) beatJob(peer member.Peer) job {
 	return func(ctx context.Context) {
 		wake := newSignal()
 		a.wakers.Store(peer, wake)
@@ -89,7 +89,7 @@
 			return true
 		case <-timer.C:
 		}
-		wait = interval - time.Since(a.mesh.heard(name))
+		wait = interval - time.Since(a.mesh.lastReceived(name))
 		if wait <= 0 {
 			return true
 		}
@@ -184,7 +184,7 @@
 	if err := a.clients.Call(ctx, address, control.MeshService+".Want", &args, &reply); err != nil {
 		return err
 	}
-	return a.takeUpdate(reply.Update, spread.SourceMesh)
+	return a.applyUpdate(reply.Update, spread.SourceMesh)
 }
 
 // meshService answers agents of the own failure domain.
@@ -202,7 +202,7 @@
 
 // Offer takes a pushed configuration.
 func (s *meshService) Offer(update *control.HeadUpdate, reply *control.OfferReply) error {
-	if s.agent.takeUpdate(update, spread.SourceMesh) != nil {
+	if s.agent.applyUpdate(update, spread.SourceMesh) != nil {
 		s.agent.catchUp.raise()
 	}
 	reply.Revision = s.agent.keeper.Revision()
--- a/pkg/agent/bench_test.go
+++ b/pkg/agent/bench_test.go
@@ -90,7 +90,7 @@
 // BenchmarkQuietBeat is the same with nothing new to tell.
 func BenchmarkQuietBeat(b *testing.B) { benchmarkBeat(b, func(*Agent, uint64) {}) }
 
-func benchmarkBeat(b *testing.B, news func(a *Agent, round uint64)) {
+func benchmarkBeat(b *testing.B, change func(a *Agent, round uint64)) {
 	for _, nodes := range []int{1, 3, 5, 9} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
 			agents := make([]*Agent, nodes)
@@ -99,7 +99,7 @@
 			}
 			round := func(n uint64) {
 				for _, a := range agents {
-					news(a, n)
+					change(a, n)
 				}
 				beatAll(b, agents)
 			}
@@ -155,8 +155,8 @@
 	a.board.Upstreams.Store(upstreams)
 }
 
-// benchWorld is one agent of domain "own", and one of each other domain.
-func benchWorld(b *testing.B, domains int) (own *Agent, remote []*Agent, head *config.Head) {
+// benchSystem is one agent of domain "own", and one of each other domain.
+func benchSystem(b *testing.B, domains int) (own *Agent, remote []*Agent, head *config.Head) {
 	head = &config.Head{Revision: 1, Declaration: &config.Declaration{}}
 	for d := range domains {
 		remote = append(remote, benchAgent(b, fmt.Sprintf("domain-%02d", d), fmt.Sprintf("domain-%02d-0", d), uint64(d+2)))
@@ -180,7 +180,7 @@
 func BenchmarkDigestFetch(b *testing.B) {
 	for _, domains := range []int{1, 5, 10, 20, 41} {
 		b.Run(fmt.Sprintf("domains=%d", domains), func(b *testing.B) {
-			own, remote, _ := benchWorld(b, domains)
+			own, remote, _ := benchSystem(b, domains)
 			fetchers := make([]*fetcher, len(remote))
 			for i, a := range remote {
 				fetchers[i] = &fetcher{agent: own, domain: a.Settings.Domain}
@@ -211,7 +211,7 @@
 func BenchmarkDigestShare(b *testing.B) {
 	for _, domains := range []int{1, 5, 10, 20, 41} {
 		b.Run(fmt.Sprintf("domains=%d", domains), func(b *testing.B) {
-			own, remote, _ := benchWorld(b, domains)
+			own, remote, _ := benchSystem(b, domains)
 			peer := benchAgent(b, "own", "own-1", 2)
 			round := func(n int) {
 				now := time.Now()
@@ -247,11 +247,11 @@
 func BenchmarkPrefixShare(b *testing.B) { benchmarkReports(b, PrefixInterval) }
 
 // benchmarkReports tells reports that are so far apart.
-func benchmarkReports(b *testing.B, apart time.Duration) {
+func benchmarkReports(b *testing.B, interval time.Duration) {
 	for _, upstreams := range []int{1, 5, 10, 25} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
 			own, peer := benchAgent(b, "a", "a-0", 1), benchAgent(b, "a", "a-1", 2)
-			began := time.Now()
+			start := time.Now()
 			round := func(n int) {
 				prefixes := make([]uint64, 16)
 				for i := range prefixes {
@@ -260,7 +260,7 @@
 				for u := range upstreams {
 					own.mesh.setUpstream(board.UpstreamLoad{
 						Name: benchUpstream("a", u).Name, State: board.UpstreamLive, Running: 5 + n%2, DecodeRate: 16, PrefillRate: 8000,
-						Version: "v1", ReportedAt: began.Add(time.Duration(n) * apart), Prefixes: prefixes,
+						Version: "v1", ReportedAt: start.Add(time.Duration(n) * interval), Prefixes: prefixes,
 					})
 				}
 				if err := own.sendBeat(context.Background(), peerOf(peer)); err != nil {
@@ -341,9 +341,9 @@
 				now := time.Now()
 				a.publish(now)
 				workers := a.mesh.workers(now)
-				a.beatDuties(now)
-				a.digestDuties(workers)
-				a.pollDuties(workers)
+				a.beatJobs(now)
+				a.digestJobs(workers)
+				a.pollJobs(workers)
 			}
 		})
 	}
--- a/pkg/agent/domains.go
+++ b/pkg/agent/domains.go
@@ -34,10 +34,10 @@
 	MaxHold = 10 * time.Second
 )
 
-// digestDuties returns the fetches that this instance owns. A fresh instance,
+// digestJobs returns the fetches that this instance owns. A fresh instance,
 // which has met nobody, would own them all, and get the configuration from each.
-func (a *Agent) digestDuties(workers []string) map[string]duty {
-	wanted := make(map[string]duty)
+func (a *Agent) digestJobs(workers []string) map[string]job {
+	wanted := make(map[string]job)
 	if time.Since(a.started) < SettleTime {
 		return wanted
 	}
@@ -82,7 +82,7 @@
 // fetchLoop fetches one remote domain's digest, from one entry after the other
 // when one does not answer.
 func (a *Agent) fetchLoop(ctx context.Context, domain string, wait time.Duration) {
-	defer a.mesh.dropDigest(domain)
+	defer a.mesh.withdrawDigest(domain)
 	f := &fetcher{agent: a, domain: domain, wait: wait}
 	retry := DigestSpacing
 	for ctx.Err() == nil {
@@ -131,41 +131,41 @@
 	err := a.clients.Call(ctx, address, control.DomainService+".Digest", &args, &reply)
 	count(a.calls.digests, a.calls.digestsFailed, err)
 	if err != nil || reply.Digest.Domain != f.domain {
-		f.miss(addresses)
+		f.recordFailure(addresses)
 		return false
 	}
 	f.failed = 0
 	f.seen = reply.Seen
-	f.take(reply.Revision, reply.Update)
+	f.apply(reply.Revision, reply.Update)
 	if a.mesh.setDigest(reply.Digest, reply.EntriesSum, time.Now()) {
 		a.beat.raise()
 	}
 	return true
 }
 
-// take follows an update. Changes that do not follow make it ask for the whole
+// apply follows an update. Changes that do not follow make it ask for the whole
 // head the next time.
-func (f *fetcher) take(revision config.Revision, update *control.HeadUpdate) {
-	asked := f.whole
-	f.whole = f.agent.takeUpdate(update, spread.SourceDomain) != nil
-	if f.whole && (asked || update.Delta == nil) {
+func (f *fetcher) apply(revision config.Revision, update *control.HeadUpdate) {
+	requestedWhole := f.whole
+	f.whole = f.agent.applyUpdate(update, spread.SourceDomain) != nil
+	if f.whole && (requestedWhole || update.Delta == nil) {
 		f.whole, f.unreadable = false, revision
 	}
 }
 
-// miss turns to the domain's next entry, and tells the own domain once all of
+// recordFailure turns to the domain's next entry, and tells the own domain once all of
 // them were tried.
-func (f *fetcher) miss(addresses []string) {
+func (f *fetcher) recordFailure(addresses []string) {
 	f.next++
 	f.failed++
 	f.seen = 0
-	if f.failed >= min(len(addresses), digestTries) {
+	if f.failed >= min(len(addresses), unreachableAfterEntries) {
 		f.agent.mesh.setUnreachable(f.domain)
 	}
 }
 
-// digestTries is how many entries of a domain must fail for it to count as cut off.
-const digestTries = 2
+// unreachableAfterEntries is how many entries of a domain must fail for it to count as cut off.
+const unreachableAfterEntries = 2
 
 // addressesOf returns the agents of a remote domain: those of its last digest,
 // then the seeds.
@@ -197,16 +197,16 @@
 // that the asker has not seen, else when the asker's wait is over.
 func (s *domainService) Digest(args *control.DigestArgs, reply *control.DigestReply) error {
 	a := s.agent
-	limit := time.NewTimer(min(args.Wait, MaxHold))
-	defer limit.Stop()
+	timeout := time.NewTimer(min(args.Wait, MaxHold))
+	defer timeout.Stop()
 	// One who has seen nothing yet is answered at once.
 	gathered := args.Seen == 0
-	for over := false; ; {
+	for timedOut := false; ; {
 		members, head, health := a.board.Members.Changed(), a.board.Config.Changed(), a.board.Platform.Changed()
 		own := a.ownDigest()
 		seen := digest.UrgentSum(&own)
 		urgent := seen != args.Seen || a.keeper.Revision() > args.Revision
-		if over || (urgent && gathered) {
+		if timedOut || (urgent && gathered) {
 			return a.fillDigest(args, reply, own, seen)
 		}
 		if urgent {
@@ -218,8 +218,8 @@
 		case <-members:
 		case <-head:
 		case <-health:
-		case <-limit.C:
-			over = true
+		case <-timeout.C:
+			timedOut = true
 		}
 	}
 }
--- a/pkg/agent/exchange.go
+++ b/pkg/agent/exchange.go
@@ -22,9 +22,9 @@
 	ExchangeSpacing  = 20 * time.Millisecond
 	// ExchangeTimeout bounds one exchange.
 	ExchangeTimeout = time.Second
-	// GatewayLost is how long the gateway may be out of reach before the instance
+	// GatewayLostAfter is how long the gateway may be out of reach before the instance
 	// counts as one without a gateway.
-	GatewayLost = 2 * time.Second
+	GatewayLostAfter = 2 * time.Second
 )
 
 // gatewayState is what the gateway said last. Safe for concurrent use.
@@ -91,7 +91,7 @@
 		a.gatewayFailed(err)
 		return
 	}
-	a.gatewayAnswered(reply, sections)
+	a.gatewayReplied(reply, sections)
 }
 
 // exchangeArgs holds what the gateway is not known to have.
@@ -100,7 +100,7 @@
 	a.gateway.mu.Lock()
 	sent := a.gateway.sent
 	a.gateway.mu.Unlock()
-	now := sentSections{
+	current := sentSections{
 		members:   a.board.Members.Load(),
 		upstreams: a.board.Upstreams.Load(),
 		domains:   a.board.Domains.Load(),
@@ -110,43 +110,43 @@
 	if head := a.keeper.Head(); head != nil && (!up || head.Revision > reply.Revision) {
 		args.Head = head
 	}
-	args.Members = unlessSame(now.members, sent.members)
-	args.Upstreams = unlessSame(now.upstreams, sent.upstreams)
-	args.Domains = unlessSame(now.domains, sent.domains)
-	args.Platform = unlessSame(now.platform, sent.platform)
-	return args, now
+	args.Members = nilIfSame(current.members, sent.members)
+	args.Upstreams = nilIfSame(current.upstreams, sent.upstreams)
+	args.Domains = nilIfSame(current.domains, sent.domains)
+	args.Platform = nilIfSame(current.platform, sent.platform)
+	return args, current
 }
 
-func unlessSame[T any](now, sent *T) *T {
+func nilIfSame[T any](now, sent *T) *T {
 	if now == sent {
 		return nil
 	}
 	return now
 }
 
-func (a *Agent) gatewayAnswered(reply control.ExchangeReply, sections sentSections) {
+func (a *Agent) gatewayReplied(reply control.ExchangeReply, sections sentSections) {
 	a.gateway.mu.Lock()
-	before, was := a.gateway.reply, a.gateway.up
+	before, wasUp := a.gateway.reply, a.gateway.up
 	sections.incarnation = reply.Incarnation
-	renewed := a.gateway.sent.incarnation != reply.Incarnation
-	if renewed {
+	restarted := a.gateway.sent.incarnation != reply.Incarnation
+	if restarted {
 		// What was left out of this exchange belonged to another incarnation.
 		sections = sentSections{incarnation: reply.Incarnation}
 	}
 	a.gateway.sent = sections
 	a.gateway.reply, a.gateway.up, a.gateway.reached = reply, true, time.Now()
 	a.gateway.mu.Unlock()
-	if renewed {
+	if restarted {
 		a.Log.Info().Uint64("incarnation", reply.Incarnation).Msg("gateway-met")
 		a.exchange.raise()
 	}
 	a.keeper.Offer(reply.Head, spread.SourceGateway)
-	a.revise()
+	a.updateRevisions()
 	if a.mesh.setGateway(reply.Incarnation, reply.Leaving, time.Now()) {
 		a.beat.raise()
 	}
 	var earlier *board.GatewayLoad
-	if was && !renewed {
+	if wasUp && !restarted {
 		earlier = &before.Load
 	}
 	a.mesh.setLoad(reply.Load, earlier)
@@ -164,18 +164,18 @@
 	for name, observation := range seen {
 		if observation.Leaving {
 			a.gateway.marked[name] = true
-			a.tellMark(name, true)
+			a.publishMark(name, true)
 		}
 	}
 	for name := range a.gateway.marked {
 		if !seen[name].Leaving {
 			delete(a.gateway.marked, name)
-			a.tellMark(name, false)
+			a.publishMark(name, false)
 		}
 	}
 }
 
-func (a *Agent) tellMark(upstream string, leaving bool) {
+func (a *Agent) publishMark(upstream string, leaving bool) {
 	if a.mesh.setMark(upstream, leaving) {
 		a.beat.raise()
 	}
@@ -184,8 +184,8 @@
 func (a *Agent) gatewayFailed(err error) {
 	a.gateway.mu.Lock()
 	// One that said that it was leaving and refuses connections has left.
-	gone := a.gateway.reply.Leaving && errors.Is(err, syscall.ECONNREFUSED)
-	lost := a.gateway.up && (gone || time.Since(a.gateway.reached) > GatewayLost)
+	stopped := a.gateway.reply.Leaving && errors.Is(err, syscall.ECONNREFUSED)
+	lost := a.gateway.up && (stopped || time.Since(a.gateway.reached) > GatewayLostAfter)
 	if lost {
 		a.gateway.up = false
 		a.gateway.sent = sentSections{}
@@ -196,6 +196,6 @@
 	}
 	a.Log.Warn().Err(err).Msg("gateway-lost")
 	a.mesh.setGateway(0, false, time.Now())
-	a.revise()
+	a.updateRevisions()
 	a.beat.raise()
 }
--- a/pkg/agent/rig_test.go
+++ b/pkg/agent/harness_test.go
@@ -26,7 +26,7 @@
 )
 
 // write accepts a head.
-func (r *rig) write(head *config.Head) {
+func (r *harness) write(head *config.Head) {
 	data, err := config.EncodeHead(head)
 	is.New(r.t).NoErr(err)
 	r.store.Set(testKey, data)
@@ -34,11 +34,11 @@
 
 // fakeGateway is an instance's gateway as its agent sees it.
 type fakeGateway struct {
-	mu      sync.Mutex
-	head    *config.Head
-	reply   control.ExchangeReply
-	members int
-	fell    bool
+	mu         sync.Mutex
+	head       *config.Head
+	reply      control.ExchangeReply
+	members    int
+	downgraded bool
 }
 
 // Exchange is Gateway.Exchange.
@@ -47,7 +47,7 @@
 	defer g.mu.Unlock()
 	if args.Head != nil {
 		if args.Head.Revision < g.reply.Revision {
-			g.fell = true
+			g.downgraded = true
 		}
 		g.head, g.reply.Revision = args.Head, max(args.Head.Revision, g.reply.Revision)
 	}
@@ -96,8 +96,8 @@
 	return ok
 }
 
-// rig runs agents of several failure domains over loopback TCP.
-type rig struct {
+// harness runs agents of several failure domains over loopback TCP.
+type harness struct {
 	t         *testing.T
 	store     *platformtest.Service
 	directory *fakeDirectory
@@ -117,11 +117,11 @@
 	ended    chan error
 }
 
-// newRig lays out domains "a", "b", … with the given counts of instances; each
+// newHarness lays out domains "a", "b", … with the given counts of instances; each
 // test has addresses of its own, and runs beside the others.
-func newRig(t *testing.T, test int, counts ...int) *rig {
+func newHarness(t *testing.T, test int, counts ...int) *harness {
 	t.Parallel()
-	r := &rig{
+	r := &harness{
 		t: t, store: platformtest.New(clock.System{}), directory: &fakeDirectory{entries: make(map[string]platform.DirectoryEntry)},
 		prefix: fmt.Sprintf("127.%d.%d", 130+os.Getpid()%100, 10*test),
 		names:  make(map[string][]string), nodes: make(map[string]*node),
@@ -153,13 +153,13 @@
 	return r
 }
 
-func (r *rig) network(n *node) *control.Network {
+func (r *harness) network(n *node) *control.Network {
 	network, err := control.NewNetwork(n.settings.Security, nil)
 	is.New(r.t).NoErr(err)
 	return network
 }
 
-func (r *rig) startGateway(n *node) {
+func (r *harness) startGateway(n *node) {
 	server, err := control.NewServer(r.network(n), n.settings.Gateway.Control)
 	is.New(r.t).NoErr(err)
 	is.New(r.t).NoErr(server.Register(control.GatewayService, n.gateway))
@@ -170,7 +170,7 @@
 }
 
 // start starts an instance's agent.
-func (r *rig) start(names ...string) {
+func (r *harness) start(names ...string) {
 	for _, name := range names {
 		n := r.nodes[name]
 		r.epoch++
@@ -189,14 +189,14 @@
 	}
 }
 
-func (r *rig) startAll() {
+func (r *harness) startAll() {
 	for _, names := range r.names {
 		r.start(names...)
 	}
 }
 
 // stop stops an agent as SIGTERM does.
-func (r *rig) stop(name string) {
+func (r *harness) stop(name string) {
 	n := r.nodes[name]
 	if n.cancel == nil {
 		return
@@ -208,7 +208,7 @@
 
 // wait waits until the condition holds, looking at it whenever the agent's
 // blackboard changes, which it does once a second at least.
-func (r *rig) wait(name, what string, holds func(a *Agent) bool) {
+func (r *harness) wait(name, what string, holds func(a *Agent) bool) {
 	r.t.Helper()
 	a := r.nodes[name].agent
 	limit := time.After(testWait)
--- a/pkg/agent/duties.go
+++ b/pkg/agent/jobs.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// duty is a loop that runs until its context ends.
-type duty func(ctx context.Context)
+// job is a loop that runs until its context ends.
+type job func(ctx context.Context)
 
-// duties runs a changing set of named loops. It is used from one goroutine.
-type duties struct {
+// jobSet runs a changing set of named loops. It is used from one goroutine.
+type jobSet struct {
 	running map[string]context.CancelFunc
 	group   sync.WaitGroup
 }
 
-func newDuties() *duties { return &duties{running: make(map[string]context.CancelFunc)} }
+func newJobSet() *jobSet { return &jobSet{running: make(map[string]context.CancelFunc)} }
 
 // sync starts the wanted loops that do not run and ends those that are not wanted.
-func (d *duties) sync(ctx context.Context, wanted map[string]duty) {
+func (d *jobSet) sync(ctx context.Context, wanted map[string]job) {
 	for name, cancel := range d.running {
 		if _, ok := wanted[name]; !ok {
 			cancel()
@@ -35,7 +35,7 @@
 }
 
 // stop ends all loops and waits for them.
-func (d *duties) stop() {
+func (d *jobSet) stop() {
 	for _, cancel := range d.running {
 		cancel()
 	}
--- a/pkg/agent/mesh.go
+++ b/pkg/agent/mesh.go
@@ -13,9 +13,9 @@
 	"github.com/lilacweir/lilacweir/pkg/member"
 )
 
-// MarkHold is how long a leaving mark on an upstream outlives the last word of
+// MarkTTL is how long a leaving mark on an upstream outlives the last word of
 // the instance that set it.
-const MarkHold = 30 * time.Second
+const MarkTTL = 30 * time.Second
 
 // mesh is what this instance knows and tells in its failure domain. Every
 // method takes the time, and none does input or output.
@@ -45,13 +45,13 @@
 
 // link is what two instances have told each other.
 type link struct {
-	epoch     uint64
-	sequence  uint64
-	have      uint64
-	theirHave uint64
-	heard     time.Time
-	revision  config.Revision
-	viewSum   uint64
+	epoch        uint64
+	sequence     uint64
+	received     uint64
+	acknowledged uint64
+	lastReceived time.Time
+	revision     config.Revision
+	viewSum      uint64
 	// names are the upstreams that the peer's counts mean, by its numbers.
 	names map[int]string
 }
@@ -85,11 +85,11 @@
 		changed:   func() {},
 		behind:    func() {},
 	}
-	m.tellIdentity()
+	m.publishIdentity()
 	return m
 }
 
-func (m *mesh) tellIdentity() {
+func (m *mesh) publishIdentity() {
 	id := m.self
 	m.own.set(keyIdentity, func(f *control.Facts) { f.Identity = &id })
 }
@@ -104,8 +104,8 @@
 		From: m.self.Name, Epoch: m.self.Epoch, Sequence: m.sequence,
 		Revision: m.agent, InForce: m.inForce,
 		ViewSum: m.viewSum(now), UpTo: m.own.change,
-		Facts:     m.own.since(l.theirHave),
-		HaveEpoch: l.epoch, Have: l.have,
+		Facts:     m.own.since(l.acknowledged),
+		HaveEpoch: l.epoch, Have: l.received,
 	}
 	if l.viewSum != beat.ViewSum {
 		beat.Peers = m.view.Peers(now)
@@ -135,28 +135,28 @@
 	if b.Sequence <= l.sequence {
 		return true
 	}
-	news := false
+	updated := false
 	if b.Facts.Identity != nil {
-		news = m.view.Identify(*b.Facts.Identity, now)
+		updated = m.view.ApplyIdentity(*b.Facts.Identity, now)
 	}
 	if m.view.Epoch(b.From) != b.Epoch {
 		// Its identity has not come yet: have stays 0, so it is sent next time.
 		return true
 	}
-	l.sequence, l.heard, l.revision = b.Sequence, now, b.Revision
+	l.sequence, l.lastReceived, l.revision = b.Sequence, now, b.Revision
 	l.viewSum = b.ViewSum
-	l.theirHave = 0
+	l.acknowledged = 0
 	if b.HaveEpoch == m.self.Epoch {
-		l.theirHave = b.Have
+		l.acknowledged = b.Have
 	}
-	l.have = max(l.have, b.UpTo)
-	news = m.view.Heard(b.From, b.Epoch, b.InForce, now) || news
-	news = m.applyFacts(b, now) || news
+	l.received = max(l.received, b.UpTo)
+	updated = m.view.RecordHeartbeat(b.From, b.Epoch, b.InForce, now) || updated
+	updated = m.applyFacts(b, now) || updated
 	for _, peer := range b.Peers {
-		m.view.Propose(peer, now)
+		m.view.AddPeer(peer, now)
 	}
 	m.confirm(b.From, now)
-	if news || before != m.view.State(b.From, now) {
+	if updated || before != m.view.State(b.From, now) {
 		m.changed()
 	}
 	if b.Revision > m.agent {
@@ -167,37 +167,37 @@
 
 func (m *mesh) applyFacts(b *control.Beat, now time.Time) bool {
 	f := &b.Facts
-	news := false
+	updated := false
 	l := m.link(b.From)
-	l.takeNames(f.Names)
+	l.applyNames(f.Names)
 	if f.Load != nil {
-		m.view.Load(b.From, b.Epoch, l.takeLoad(f))
-		news = true
+		m.view.SetLoad(b.From, b.Epoch, l.decodeLoad(f))
+		updated = true
 	}
 	for i := range f.Upstreams {
-		m.takeReport(b.From, &f.Upstreams[i], now)
-		news = true
+		m.applyReport(b.From, &f.Upstreams[i], now)
+		updated = true
 	}
 	for i := range f.Prefixes {
-		m.takePrefixes(&f.Prefixes[i])
-		news = true
+		m.applyPrefixes(&f.Prefixes[i])
+		updated = true
 	}
 	for _, mark := range f.Marks {
 		m.mark(b.From, mark.Upstream, mark.Leaving)
-		news = true
+		updated = true
 	}
 	for i := range f.Digests {
-		news = m.takeDigest(b.From, &f.Digests[i], now) || news
+		updated = m.applyDigest(b.From, &f.Digests[i], now) || updated
 	}
 	if f.Platform != nil {
 		m.platform[b.From] = *f.Platform
-		news = true
+		updated = true
 	}
 	if f.List != nil {
-		m.takeList(f.List, now)
-		news = true
+		m.applyList(f.List, now)
+		updated = true
 	}
-	return news
+	return updated
 }
 
 // confirm keeps alive what a peer vouches for: it says nothing while nothing changes.
@@ -225,7 +225,7 @@
 	m.marks[from][upstream] = true
 }
 
-func (m *mesh) takeList(list *control.ListFact, now time.Time) {
+func (m *mesh) applyList(list *control.ListFact, now time.Time) {
 	m.list = list
 	listed := make([]member.Listed, 0, len(list.Lines))
 	for _, line := range list.Lines {
@@ -235,7 +235,7 @@
 		peer := member.Peer{Name: line.Name, Mesh: line.Mesh}
 		listed = append(listed, member.Listed{Peer: peer, Leaving: line.Leaving})
 	}
-	m.view.List(listed, now)
+	m.view.ApplyList(listed, now)
 }
 
 // goodbye takes a peer's goodbye.
--- a/pkg/agent/mesh_digest.go
+++ b/pkg/agent/mesh_digest.go
@@ -11,9 +11,9 @@
 // noEntries is the hash of a digest without entries.
 var noEntries = digest.EntriesSum(nil)
 
-// withEntries makes a digest whose domain has no entries say so: an empty list
+// restoreEmptyEntries makes a digest whose domain has no entries say so: an empty list
 // does not survive the wire.
-func withEntries(d board.DomainDigest, entriesSum uint64) board.DomainDigest {
+func restoreEmptyEntries(d board.DomainDigest, entriesSum uint64) board.DomainDigest {
 	if len(d.Entries) > 0 {
 		return d
 	}
@@ -31,13 +31,13 @@
 	return m.remote.Get(domain)
 }
 
-// takeDigest takes a digest that a peer fetched and shares.
-func (m *mesh) takeDigest(from string, fact *control.DigestFact, now time.Time) bool {
+// applyDigest takes a digest that a peer fetched and shares.
+func (m *mesh) applyDigest(from string, fact *control.DigestFact, now time.Time) bool {
 	m.digests[fact.Digest.Domain] = &digestEntry{from: from, reachable: fact.Reachable}
 	if !fact.Reachable {
 		return true
 	}
-	return m.remote.Merge(withEntries(fact.Digest, fact.EntriesSum), now.Add(-fact.Age))
+	return m.remote.Merge(restoreEmptyEntries(fact.Digest, fact.EntriesSum), now.Add(-fact.Age))
 }
 
 // setDigest notes a fetch of a remote domain's digest that this instance owns.
@@ -46,31 +46,31 @@
 func (m *mesh) setDigest(d board.DomainDigest, entriesSum uint64, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.remote.Merge(withEntries(d, entriesSum), now)
+	m.remote.Merge(restoreEmptyEntries(d, entriesSum), now)
 	current, _ := m.remote.Get(d.Domain)
 	before, ok := m.digests[d.Domain]
-	mine := ok && before.from == m.self.Name
-	if mine && before.reachable && !digest.Differs(&before.digest, &current) {
+	owned := ok && before.from == m.self.Name
+	if owned && before.reachable && !digest.Differs(&before.digest, &current) {
 		return false
 	}
-	urgent := !mine || !before.reachable || digest.UrgentSum(&before.digest) != digest.UrgentSum(&current)
+	urgent := !owned || !before.reachable || digest.UrgentSum(&before.digest) != digest.UrgentSum(&current)
 	m.digests[d.Domain] = &digestEntry{from: m.self.Name, reachable: true, digest: current}
 	sum := digest.EntriesSum(current.Entries)
-	if !mine || digest.EntriesSum(before.digest.Entries) != sum {
-		m.share("entries/", current, sum, now)
+	if !owned || digest.EntriesSum(before.digest.Entries) != sum {
+		m.publishDigest("entries/", current, sum, now)
 	}
 	current.Entries = nil
-	m.share("digest/", current, sum, now)
+	m.publishDigest("digest/", current, sum, now)
 	m.changed()
 	return urgent
 }
 
-// share tells the domain a digest. Entries go under a key of their own, so that
+// publishDigest tells the domain a digest. Entries go under a key of their own, so that
 // they travel again only when they have changed.
-func (m *mesh) share(kind string, d board.DomainDigest, entriesSum uint64, heard time.Time) {
+func (m *mesh) publishDigest(kind string, d board.DomainDigest, entriesSum uint64, receivedAt time.Time) {
 	d.HeardAt = time.Time{}
 	m.own.set(kind+d.Domain, func(f *control.Facts) {
-		fact := control.DigestFact{Digest: d, Age: max(time.Since(heard), 0), EntriesSum: entriesSum, Reachable: true}
+		fact := control.DigestFact{Digest: d, Age: max(time.Since(receivedAt), 0), EntriesSum: entriesSum, Reachable: true}
 		f.Digests = append(f.Digests, fact)
 	})
 }
@@ -92,9 +92,9 @@
 	m.changed()
 }
 
-// dropDigest takes back what this instance vouched for: it does not own the
+// withdrawDigest takes back what this instance vouched for: it does not own the
 // domain's fetch any more.
-func (m *mesh) dropDigest(domain string) {
+func (m *mesh) withdrawDigest(domain string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.own.remove("entries/" + domain)
--- a/pkg/agent/mesh_load.go
+++ b/pkg/agent/mesh_load.go
@@ -9,13 +9,13 @@
 	"github.com/lilacweir/lilacweir/pkg/control"
 )
 
-// maxNames bounds the numbered names that are kept of one peer.
-const maxNames = 4096
+// maxNumberedNames bounds the numbered names that are kept of one peer.
+const maxNumberedNames = 4096
 
-// tellLoad makes the own gateway's load a fact. Upstreams go by number, as their
+// publishLoad makes the own gateway's load a fact. Upstreams go by number, as their
 // names would be most of what a heartbeat carries; each name is a fact of its own
 // and travels to each peer once.
-func (m *mesh) tellLoad(load board.GatewayLoad) {
+func (m *mesh) publishLoad(load board.GatewayLoad) {
 	counts := make([]control.LoadCount, 0, len(load.InFlight))
 	for _, name := range slices.Sorted(maps.Keys(load.InFlight)) {
 		counts = append(counts, control.LoadCount{Number: m.numberOf(name), InFlight: load.InFlight[name]})
@@ -37,8 +37,8 @@
 	return number
 }
 
-// takeLoad takes a peer's load. Counts whose name has not come are left out.
-func (l *link) takeLoad(f *control.Facts) board.GatewayLoad {
+// decodeLoad takes a peer's load. Counts whose name has not come are left out.
+func (l *link) decodeLoad(f *control.Facts) board.GatewayLoad {
 	load := *f.Load
 	if len(f.Counts) == 0 {
 		return load
@@ -52,13 +52,13 @@
 	return load
 }
 
-// takeNames takes the names that a peer has numbered in its epoch.
-func (l *link) takeNames(names []control.NameFact) {
+// applyNames takes the names that a peer has numbered in its epoch.
+func (l *link) applyNames(names []control.NameFact) {
 	if l.names == nil {
 		l.names = make(map[int]string, len(names))
 	}
 	for _, fact := range names {
-		if len(l.names) < maxNames {
+		if len(l.names) < maxNumberedNames {
 			l.names[fact.Number] = fact.Name
 		}
 	}
--- a/pkg/agent/mesh_hints.go
+++ b/pkg/agent/mesh_prefixes.go
@@ -18,9 +18,9 @@
 	at       time.Time
 }
 
-// tellPrefixes tells the domain an engine's cached prefixes when they have changed
+// publishPrefixes tells the domain an engine's cached prefixes when they have changed
 // and the last telling is not too recent; the polls that follow look again.
-func (m *mesh) tellPrefixes(load *board.UpstreamLoad) {
+func (m *mesh) publishPrefixes(load *board.UpstreamLoad) {
 	last := m.hints[load.Name]
 	if slices.Equal(last.prefixes, load.Prefixes) || load.ReportedAt.Sub(last.at) < PrefixInterval {
 		return
@@ -30,14 +30,14 @@
 	m.own.set("prefixes/"+load.Name, func(f *control.Facts) { f.Prefixes = append(f.Prefixes, fact) })
 }
 
-// dropPrefixes takes back what was told of an engine that is another's now.
-func (m *mesh) dropPrefixes(upstream string) {
+// withdrawPrefixes takes back what was told of an engine that is another's now.
+func (m *mesh) withdrawPrefixes(upstream string) {
 	delete(m.hints, upstream)
 	m.own.remove("prefixes/" + upstream)
 }
 
-// takeReport takes a peer's report of an upstream; its prefixes come apart.
-func (m *mesh) takeReport(from string, fact *control.UpstreamFact, now time.Time) {
+// applyReport takes a peer's report of an upstream; its prefixes come apart.
+func (m *mesh) applyReport(from string, fact *control.UpstreamFact, now time.Time) {
 	load := fact.Load
 	load.ReportedAt = now.Add(-fact.Age)
 	if before, ok := m.upstreams[load.Name]; ok && load.Prefixes == nil {
@@ -46,7 +46,7 @@
 	m.upstreams[load.Name] = &upstreamEntry{from: from, load: load}
 }
 
-func (m *mesh) takePrefixes(fact *control.PrefixFact) {
+func (m *mesh) applyPrefixes(fact *control.PrefixFact) {
 	if entry, ok := m.upstreams[fact.Upstream]; ok {
 		entry.load.Prefixes = fact.Prefixes
 	}
--- a/pkg/agent/mesh_tell.go
+++ b/pkg/agent/mesh_publish.go
@@ -17,7 +17,7 @@
 		return false
 	}
 	m.agent, m.inForce = agent, inForce
-	m.view.Heard(m.self.Name, m.self.Epoch, inForce, now)
+	m.view.RecordHeartbeat(m.self.Name, m.self.Epoch, inForce, now)
 	m.changed()
 	return true
 }
@@ -31,14 +31,14 @@
 		return false
 	}
 	m.self.Incarnation, m.self.Leaving = incarnation, leaving
-	m.view.Identify(m.self, now)
-	m.tellIdentity()
+	m.view.ApplyIdentity(m.self, now)
+	m.publishIdentity()
 	m.changed()
 	return true
 }
 
-// leaving marks this instance as leaving for good.
-func (m *mesh) leaving(now time.Time) {
+// setLeaving marks this instance as leaving for good.
+func (m *mesh) setLeaving(now time.Time) {
 	m.mu.Lock()
 	incarnation := m.self.Incarnation
 	m.stopping = true
@@ -53,8 +53,8 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Load(m.self.Name, m.self.Epoch, load)
-	m.tellLoad(load)
+	m.view.SetLoad(m.self.Name, m.self.Epoch, load)
+	m.publishLoad(load)
 	m.changed()
 }
 
@@ -80,27 +80,27 @@
 	defer m.mu.Unlock()
 	before, ok := m.upstreams[load.Name]
 	m.upstreams[load.Name] = &upstreamEntry{from: m.self.Name, load: load}
-	m.tellPrefixes(&load)
+	m.publishPrefixes(&load)
 	if ok && before.from == m.self.Name && sameLoad(before.load, load) {
 		return false
 	}
-	made := load.ReportedAt
+	reportedAt := load.ReportedAt
 	fact := load
 	fact.ReportedAt, fact.Prefixes = time.Time{}, nil
 	m.own.set("upstream/"+load.Name, func(f *control.Facts) {
-		f.Upstreams = append(f.Upstreams, control.UpstreamFact{Load: fact, Age: max(time.Since(made), 0)})
+		f.Upstreams = append(f.Upstreams, control.UpstreamFact{Load: fact, Age: max(time.Since(reportedAt), 0)})
 	})
 	m.changed()
 	return !ok || before.load.State != load.State
 }
 
-// dropUpstream takes back what this instance vouched for: it does not own the
+// withdrawUpstream takes back what this instance vouched for: it does not own the
 // upstream's poll any more.
-func (m *mesh) dropUpstream(name string) {
+func (m *mesh) withdrawUpstream(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.own.remove("upstream/" + name)
-	m.dropPrefixes(name)
+	m.withdrawPrefixes(name)
 }
 
 func sameLoad(a, b board.UpstreamLoad) bool {
--- a/pkg/agent/mesh_ask.go
+++ b/pkg/agent/mesh_query.go
@@ -25,12 +25,12 @@
 	return m.view.Workers(now)
 }
 
-// heard is when a peer's last message came.
-func (m *mesh) heard(name string) time.Time {
+// lastReceived is when a peer's last message came.
+func (m *mesh) lastReceived(name string) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if l, ok := m.links[name]; ok {
-		return l.heard
+		return l.lastReceived
 	}
 	return time.Time{}
 }
@@ -94,7 +94,7 @@
 		return
 	}
 	list := &control.ListFact{Lines: lines}
-	m.takeList(list, now)
+	m.applyList(list, now)
 	m.own.set(keyList, func(f *control.Facts) { f.List = list })
 	m.changed()
 }
@@ -151,7 +151,7 @@
 		}
 	}
 	for from, marks := range m.marks {
-		if from != m.self.Name && now.Sub(m.link(from).heard) > MarkHold {
+		if from != m.self.Name && now.Sub(m.link(from).lastReceived) > MarkTTL {
 			continue
 		}
 		for name := range marks {
--- a/pkg/agent/mesh_test.go
+++ b/pkg/agent/mesh_test.go
@@ -30,7 +30,7 @@
 
 // An answer that was composed before a call of the other direction may arrive
 // after it: what it says is old.
-func TestHeartbeatsThatOvertakeEachOther(t *testing.T) {
+func TestReorderedHeartbeatsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	one, two := testMesh("lar-1", 1, now), testMesh("lar-2", 2, now)
@@ -53,33 +53,33 @@
 	is.Equal(len(again.Facts.Marks), 1)
 
 	// A receiver that was started anew has nothing, and says so.
-	anew := testMesh("lar-2", 3, now)
-	is.True(anew.receive(&again, now)) // without an identity it is not yet known
-	answer = anew.compose("lar-1", now)
+	restarted := testMesh("lar-2", 3, now)
+	is.True(restarted.receive(&again, now)) // without an identity it is not yet known
+	answer = restarted.compose("lar-1", now)
 	is.True(one.receive(&answer, now))
 	whole := one.compose("lar-2", now)
 	is.True(whole.Facts.Identity != nil)
-	is.True(anew.receive(&whole, now))
-	is.Equal(incarnation(anew, "lar-1", now), uint64(77))
+	is.True(restarted.receive(&whole, now))
+	is.Equal(incarnation(restarted, "lar-1", now), uint64(77))
 }
 
 // A peer's new revision is published at once, and not only at the next look.
-func TestRevisionOfAPeerIsNews(t *testing.T) {
+func TestPeerRevisionChangeIsPublishedAtOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	one, two := testMesh("lar-1", 1, now), testMesh("lar-2", 2, now)
-	tell(t, one, two, now)
-	news := 0
-	two.changed = func() { news++ }
-	tell(t, one, two, now)
-	is.Equal(news, 0)
+	exchangeBeats(t, one, two, now)
+	changes := 0
+	two.changed = func() { changes++ }
+	exchangeBeats(t, one, two, now)
+	is.Equal(changes, 0)
 	one.setRevisions(5, 5, now)
-	tell(t, one, two, now)
-	is.Equal(news, 1)
+	exchangeBeats(t, one, two, now)
+	is.Equal(changes, 1)
 }
 
-// tell brings what one instance vouches for to another, and the answer back.
-func tell(t *testing.T, from, to *mesh, now time.Time) {
+// exchangeBeats brings what one instance vouches for to another, and the answer back.
+func exchangeBeats(t *testing.T, from, to *mesh, now time.Time) {
 	is := is.New(t)
 	beat := from.compose(to.self.Name, now)
 	is.True(to.receive(&beat, now))
@@ -94,7 +94,7 @@
 
 // A leaving mark from any source wins over a live report, for as long as its
 // source stands by it.
-func TestLeavingUpstreamWins(t *testing.T) {
+func TestLeavingMarkOverridesLiveReport(t *testing.T) {
 	start := time.Now()
 	report := func(state board.UpstreamState) board.UpstreamLoad {
 		return board.UpstreamLoad{Name: "nurse-1", State: state, ReportedAt: start}
@@ -134,39 +134,39 @@
 			is := is.New(t)
 			one, two := testMesh("lar-1", 1, start), testMesh("lar-2", 2, start)
 			one.setUpstream(report(board.UpstreamLive))
-			tell(t, one, two, start)
+			exchangeBeats(t, one, two, start)
 			c.do(one, two)
-			tell(t, one, two, start)
+			exchangeBeats(t, one, two, start)
 			is.Equal(upstreamState(one, start), c.want)
 			is.Equal(upstreamState(two, start), c.want)
 		})
 	}
 }
 
-func TestMarkEndsAfterItsSourceWasLost(t *testing.T) {
+func TestMarkExpiresAfterItsSourceIsLost(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
 	one, two := testMesh("lar-1", 1, start), testMesh("lar-2", 2, start)
 	two.setUpstream(board.UpstreamLoad{Name: "nurse-1", State: board.UpstreamLive, ReportedAt: start})
 	one.setMark("nurse-1", true)
-	tell(t, one, two, start)
-	is.Equal(upstreamState(two, start.Add(MarkHold)), board.UpstreamLeaving)
-	is.Equal(upstreamState(two, start.Add(MarkHold+1)), board.UpstreamLive)
+	exchangeBeats(t, one, two, start)
+	is.Equal(upstreamState(two, start.Add(MarkTTL)), board.UpstreamLeaving)
+	is.Equal(upstreamState(two, start.Add(MarkTTL+1)), board.UpstreamLive)
 }
 
 // What a former owner vouched for does not reach an instance that joins later.
-func TestFormerOwnerVouchesNoMore(t *testing.T) {
+func TestFormerOwnerWithdrawsItsReports(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	one, two := testMesh("lar-1", 1, now), testMesh("lar-2", 2, now)
 	one.setUpstream(board.UpstreamLoad{Name: "nurse-1", State: board.UpstreamSilent, ReportedAt: now})
-	tell(t, one, two, now)
-	one.dropUpstream("nurse-1")
+	exchangeBeats(t, one, two, now)
+	one.withdrawUpstream("nurse-1")
 	two.setUpstream(board.UpstreamLoad{Name: "nurse-1", State: board.UpstreamLive, ReportedAt: now})
-	tell(t, two, one, now)
+	exchangeBeats(t, two, one, now)
 	joined := testMesh("lar-3", 3, now)
-	tell(t, two, joined, now)
-	tell(t, one, joined, now)
+	exchangeBeats(t, two, joined, now)
+	exchangeBeats(t, one, joined, now)
 	is.Equal(upstreamState(joined, now), board.UpstreamLive)
 }
 
@@ -203,7 +203,7 @@
 
 // The gateway that marked an upstream as leaving lifts the mark by the upstream's
 // own report, which the mark must not hide.
-func TestMarkLeavesTheOwnReportVisible(t *testing.T) {
+func TestMarkDoesNotHideTheUpstreamsOwnReport(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	m := testMesh("lar-1", 1, now)
@@ -219,56 +219,56 @@
 
 // Loads name upstreams by numbers whose names travel once; a peer that was started
 // anew, or has lost a heartbeat, still understands them.
-func TestLoadsKeepTheirNames(t *testing.T) {
+func TestNumberedLoadsResolveAfterRestartOrLoss(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	one, two := testMesh("lar-1", 1, now), testMesh("lar-2", 2, now)
 	first := board.GatewayLoad{InFlight: map[string]int{"nurse-1": 3, "nurse-2": 1}, Requests: 9}
 	second := board.GatewayLoad{InFlight: map[string]int{"nurse-2": 4, "nurse-3": 2}, Requests: 11}
-	heard := func(by *mesh) board.GatewayLoad {
+	received := func(by *mesh) board.GatewayLoad {
 		members, _, _ := by.snapshot(now, nil)
 		return members.Instances[0].Load
 	}
-	tell(t, one, two, now)
+	exchangeBeats(t, one, two, now)
 	one.setLoad(first, nil)
-	tell(t, one, two, now)
-	is.Equal(heard(two), first)
+	exchangeBeats(t, one, two, now)
+	is.Equal(received(two), first)
 	one.setLoad(second, &first)
 	one.compose("lar-2", now) // lost on its way
-	tell(t, one, two, now)
-	is.Equal(heard(two), second)
-	tell(t, one, two, now)
-	is.Equal(len(one.own.since(one.link("lar-2").theirHave).Names), 0) // nothing is told twice
+	exchangeBeats(t, one, two, now)
+	is.Equal(received(two), second)
+	exchangeBeats(t, one, two, now)
+	is.Equal(len(one.own.since(one.link("lar-2").acknowledged).Names), 0) // nothing is told twice
 
-	anew := testMesh("lar-2", 3, now)
-	tell(t, one, anew, now)
-	tell(t, one, anew, now)
-	is.Equal(heard(anew), second)
+	restarted := testMesh("lar-2", 3, now)
+	exchangeBeats(t, one, restarted, now)
+	exchangeBeats(t, one, restarted, now)
+	is.Equal(received(restarted), second)
 }
 
 // Cached prefixes are told apart from the load, now and then; a report between does
 // not take them away.
-func TestPrefixesAreToldNowAndThen(t *testing.T) {
+func TestPrefixesArePublishedAtIntervals(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	one, two := testMesh("lar-1", 1, now), testMesh("lar-2", 2, now)
 	report := func(running int, after time.Duration, prefixes ...uint64) {
 		load := board.UpstreamLoad{Name: "nurse-1", State: board.UpstreamLive, Running: running, ReportedAt: now.Add(after), Prefixes: prefixes}
 		one.setUpstream(load)
-		tell(t, one, two, now.Add(after))
+		exchangeBeats(t, one, two, now.Add(after))
 	}
-	heard := func() board.UpstreamLoad {
+	received := func() board.UpstreamLoad {
 		_, upstreams, _ := two.snapshot(now, []string{"nurse-1"})
 		return upstreams.ByName["nurse-1"]
 	}
-	tell(t, one, two, now)
+	exchangeBeats(t, one, two, now)
 	report(1, 0, 7, 8)
-	is.Equal(heard().Prefixes, []uint64{7, 8})
+	is.Equal(received().Prefixes, []uint64{7, 8})
 	report(2, PrefixInterval/2, 9)
-	is.Equal(heard().Running, 2)
-	is.Equal(heard().Prefixes, []uint64{7, 8}) // too soon to be told
+	is.Equal(received().Running, 2)
+	is.Equal(received().Prefixes, []uint64{7, 8}) // too soon to be told
 	report(2, PrefixInterval, 9)
-	is.Equal(heard().Prefixes, []uint64{9})
+	is.Equal(received().Prefixes, []uint64{9})
 	report(3, 2*PrefixInterval)
-	is.Equal(len(heard().Prefixes), 0) // the engine has forgotten them
+	is.Equal(len(received().Prefixes), 0) // the engine has forgotten them
 }
--- a/pkg/agent/operators.go
+++ b/pkg/agent/operators.go
@@ -58,9 +58,9 @@
 	})
 	group.Go(func() error {
 		<-ctx.Done()
-		ending, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
+		shutdownContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
 		defer cancel()
-		if err := server.Shutdown(ending); err != nil {
+		if err := server.Shutdown(shutdownContext); err != nil {
 			_ = server.Close()
 		}
 		return nil
@@ -70,7 +70,7 @@
 
 func (a *Agent) operatorRoutes() http.Handler {
 	router := echo.New()
-	router.Use(boundHeader)
+	router.Use(limitHeader)
 	router.GET("/healthz", func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
 	router.GET("/readyz", a.serveReadiness)
 	router.GET("/metrics", echo.WrapHandler(telemetry.Handler(a.Registry)))
@@ -80,13 +80,13 @@
 	return router
 }
 
-// boundHeader refuses requests whose header is too large.
-func boundHeader(next echo.HandlerFunc) echo.HandlerFunc {
+// limitHeader refuses requests whose header is too large.
+func limitHeader(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if len(c.Request().RequestURI)+header.Size(c.Request().Header) <= maxHeader {
 			return next(c)
 		}
-		return refuse(c, http.StatusRequestHeaderFieldsTooLarge, "the request's header is too large")
+		return reject(c, http.StatusRequestHeaderFieldsTooLarge, "the request's header is too large")
 	}
 }
 
--- a/pkg/agent/operators_test.go
+++ b/pkg/agent/operators_test.go
@@ -18,15 +18,15 @@
 	"github.com/lilacweir/lilacweir/pkg/header"
 )
 
-// refusals is how many connections must have been refused for the agent to have
+// minRefusals is how many connections must have been refused for the agent to have
 // had the time to end, had it not waited.
-const refusals = 2000
+const minRefusals = 2000
 
 // A request that an operator has begun is answered although the agent stops.
-func TestStoppingAgentAnswersWhatWasBegun(t *testing.T) {
+func TestStoppingAgentAnswersRequestsInProgress(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 7, 1)
-	r.write(accepted(1))
+	r := newHarness(t, 7, 1)
+	r.write(acceptedHead(1))
 	r.start("a-1")
 	r.wait("a-1", "revision 1 in force", func(a *Agent) bool { return inForce(a, 1) == 1 })
 	address := r.nodes["a-1"].settings.Agent.Operators
@@ -44,7 +44,7 @@
 	is.NoErr(err)
 
 	r.nodes["a-1"].cancel()
-	for refused := 0; refused < refusals; {
+	for refused := 0; refused < minRefusals; {
 		probe, err := net.Dial("tcp", address)
 		if err != nil {
 			refused++
@@ -62,10 +62,10 @@
 }
 
 // What a stranger sends to apply is not waited for, nor held in memory.
-func TestStrangersDeclarationIsNotRead(t *testing.T) {
+func TestUnauthenticatedDeclarationIsNotRead(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 8, 1)
-	r.write(accepted(1))
+	r := newHarness(t, 8, 1)
+	r.write(acceptedHead(1))
 	r.start("a-1")
 	r.wait("a-1", "revision 1 in force", func(a *Agent) bool { return inForce(a, 1) == 1 })
 	conn, err := net.Dial("tcp", r.nodes["a-1"].settings.Agent.Operators)
@@ -80,7 +80,7 @@
 	is.NoErr(response.Body.Close())
 }
 
-func TestBodyOfALineIsReadWhole(t *testing.T) {
+func TestCommandBodyMustBeReadWhole(t *testing.T) {
 	tests := []struct {
 		name string
 		body io.Reader
--- a/pkg/agent/orders.go
+++ b/pkg/agent/orders.go
@@ -15,8 +15,8 @@
 // for orders: the second takes it when the first is gone.
 const orderCandidates = 2
 
-// giveOrders takes part in giving orders to the domain's engines until ctx ends.
-func (a *Agent) giveOrders(ctx context.Context) {
+// runOrders takes part in giving orders to the domain's engines until ctx ends.
+func (a *Agent) runOrders(ctx context.Context) {
 	if a.Engines == nil {
 		return
 	}
--- a/pkg/agent/platform.go
+++ b/pkg/agent/platform.go
@@ -40,7 +40,7 @@
 		Decode:   config.DecodeHead,
 		Keeper:   a.keeper,
 		OnDuty:   a.watching,
-		OnResult: a.platformAnswered,
+		OnResult: a.recordKeyValueResult,
 		OnFault:  func(err error) { a.Log.Error().Err(err).Msg("configuration-unreadable") },
 		Clock:    clock.System{},
 		Rand:     rand.Float64,
@@ -61,8 +61,8 @@
 	return on
 }
 
-// platformAnswered notes the result of a call of the key-value service.
-func (a *Agent) platformAnswered(err error) {
+// recordKeyValueResult notes the result of a call of the key-value service.
+func (a *Agent) recordKeyValueResult(err error) {
 	count(a.calls.keyValue, a.calls.keyValueFailed, err)
 	if a.mesh.setPlatform(control.PlatformFact{Watching: true, KeyValue: err == nil}) {
 		a.Log.Info().Bool("reached", err == nil).AnErr("error", err).Msg("key-value-service")
@@ -99,7 +99,7 @@
 		if ready == registered && (!ready || time.Now().Before(renewal)) {
 			continue
 		}
-		err := a.tellDirectory(ctx, ready)
+		err := a.updateDirectory(ctx, ready)
 		if err != nil {
 			clock.Sleep(ctx, jitter(retry))
 			retry = min(2*retry, DirectoryRetryMax)
@@ -113,8 +113,8 @@
 	}
 }
 
-// tellDirectory registers the instance, or takes it out.
-func (a *Agent) tellDirectory(ctx context.Context, present bool) error {
+// updateDirectory registers the instance, or takes it out.
+func (a *Agent) updateDirectory(ctx context.Context, present bool) error {
 	ctx, cancel := context.WithTimeout(ctx, DirectoryTimeout)
 	defer cancel()
 	s := a.Settings
--- a/pkg/agent/poll.go
+++ b/pkg/agent/poll.go
@@ -37,9 +37,9 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("upstream answered %d", e.Status) }
 
-// pollDuties returns the polls that this instance owns.
-func (a *Agent) pollDuties(workers []string) map[string]duty {
-	wanted := make(map[string]duty)
+// pollJobs returns the polls that this instance owns.
+func (a *Agent) pollJobs(workers []string) map[string]job {
+	wanted := make(map[string]job)
 	head := a.keeper.Head()
 	if head == nil {
 		return wanted
@@ -57,7 +57,7 @@
 }
 
 func (a *Agent) pollLoop(ctx context.Context, u *config.Upstream) {
-	defer a.mesh.dropUpstream(u.Name)
+	defer a.mesh.withdrawUpstream(u.Name)
 	failed := 0
 	for {
 		load, err := a.poll(ctx, u)
--- a/pkg/agent/tend.go
+++ b/pkg/agent/reconcile.go
@@ -18,16 +18,16 @@
 const (
 	// LeaveTimeout bounds what is said when leaving.
 	LeaveTimeout = time.Second
-	// GatewayNotice is how long a stopping agent waits to see whether its gateway
+	// GatewayLeavingWait is how long a stopping agent waits to see whether its gateway
 	// is stopping too.
-	GatewayNotice = 2 * time.Second
+	GatewayLeavingWait = 2 * time.Second
 )
 
-// tend keeps the blackboard up to date and the sets of jobs right.
-func (a *Agent) tend(ctx context.Context) {
-	jobs := newDuties()
+// reconcileLoop keeps the blackboard up to date and the sets of jobs right.
+func (a *Agent) reconcileLoop(ctx context.Context) {
+	jobs := newJobSet()
 	defer jobs.stop()
-	ticker := time.NewTicker(TendInterval)
+	ticker := time.NewTicker(ReconcileInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -42,15 +42,15 @@
 		now := time.Now()
 		a.publish(now)
 		workers := a.mesh.workers(now)
-		wanted := make(map[string]duty)
-		addDuties(wanted, "beat ", a.beatDuties(now))
-		addDuties(wanted, "digest ", a.digestDuties(workers))
-		addDuties(wanted, "poll ", a.pollDuties(workers))
+		wanted := make(map[string]job)
+		addJobs(wanted, "beat ", a.beatJobs(now))
+		addJobs(wanted, "digest ", a.digestJobs(workers))
+		addJobs(wanted, "poll ", a.pollJobs(workers))
 		jobs.sync(ctx, wanted)
 	}
 }
 
-func addDuties(all map[string]duty, kind string, some map[string]duty) {
+func addJobs(all map[string]job, kind string, some map[string]job) {
 	for name, run := range some {
 		all[kind+name] = run
 	}
@@ -62,10 +62,10 @@
 func (a *Agent) publish(now time.Time) {
 	a.publishPlatform(now)
 	members, upstreams, domains := a.mesh.snapshot(now, a.ownUpstreams())
-	urgent := !sameStanding(a.board.Members.Load(), members) || !sameStates(a.board.Upstreams.Load(), upstreams)
-	store(&a.board.Members, members, sameMembers, a.stale(now, &a.published.members))
-	store(&a.board.Upstreams, upstreams, sameUpstreams, a.stale(now, &a.published.upstreams))
-	store(&a.board.Domains, domains, sameDomains, a.stale(now, &a.published.domains))
+	urgent := !sameMembership(a.board.Members.Load(), members) || !sameStates(a.board.Upstreams.Load(), upstreams)
+	store(&a.board.Members, members, sameMembers, a.refreshDue(now, &a.published.members))
+	store(&a.board.Upstreams, upstreams, sameUpstreams, a.refreshDue(now, &a.published.upstreams))
+	store(&a.board.Domains, domains, sameDomains, a.refreshDue(now, &a.published.domains))
 	if urgent {
 		a.exchange.raise()
 	}
@@ -74,9 +74,9 @@
 // published is when each section was stored last.
 type published struct{ members, upstreams, domains time.Time }
 
-// stale says whether a section is due to be stored even when nothing but its
+// refreshDue says whether a section is due to be stored even when nothing but its
 // ages changed.
-func (a *Agent) stale(now time.Time, last *time.Time) func(stored bool) bool {
+func (a *Agent) refreshDue(now time.Time, last *time.Time) func(stored bool) bool {
 	return func(stored bool) bool {
 		if stored {
 			*last = now
@@ -94,9 +94,9 @@
 	}
 }
 
-// sameStanding says whether the same instances are there, in the same state and
+// sameMembership says whether the same instances are there, in the same state and
 // the same lives.
-func sameStanding(a, b *board.Members) bool {
+func sameMembership(a, b *board.Members) bool {
 	return a != nil && slices.EqualFunc(a.Instances, b.Instances, func(x, y board.Instance) bool {
 		x.LastHeard, y.LastHeard = time.Time{}, time.Time{}
 		successor := x.Load.Successor == y.Load.Successor
@@ -159,15 +159,15 @@
 // is told goodbye.
 func (a *Agent) leave(ctx context.Context) {
 	a.Log.Info().Msg("leaving")
-	a.mesh.leaving(time.Now())
+	a.mesh.setLeaving(time.Now())
 	a.wakePeers()
 	if a.Directory != nil {
-		if err := a.tellDirectory(ctx, false); err != nil {
+		if err := a.updateDirectory(ctx, false); err != nil {
 			a.Log.Warn().Err(err).Msg("deregistration-failed")
 		}
 	}
 	a.awaitGateway(ctx)
-	a.sayGoodbye(ctx)
+	a.sendGoodbye(ctx)
 }
 
 // drainLimit is how long the gateway may take to end its streams.
@@ -180,17 +180,17 @@
 
 // awaitGateway waits while the own gateway is leaving.
 func (a *Agent) awaitGateway(ctx context.Context) {
-	notice := time.Now().Add(GatewayNotice)
-	limit := time.Now().Add(a.drainLimit())
-	for time.Now().Before(limit) && clock.Sleep(ctx, ReadinessCheck) {
+	leaveDeadline := time.Now().Add(GatewayLeavingWait)
+	drainDeadline := time.Now().Add(a.drainLimit())
+	for time.Now().Before(drainDeadline) && clock.Sleep(ctx, ReadinessCheck) {
 		up, reply := a.gateway.state()
-		if !up || (!reply.Leaving && time.Now().After(notice)) {
+		if !up || (!reply.Leaving && time.Now().After(leaveDeadline)) {
 			return
 		}
 	}
 }
 
-func (a *Agent) sayGoodbye(ctx context.Context) {
+func (a *Agent) sendGoodbye(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, LeaveTimeout)
 	defer cancel()
 	args := &control.Goodbye{From: a.Settings.Instance, Epoch: a.Epoch}
--- a/pkg/agent/tend_test.go
+++ b/pkg/agent/reconcile_test.go
@@ -18,7 +18,7 @@
 
 // A gateway's load differs at each exchange while it serves. Were each difference
 // a reason for the next exchange, the two would never rest.
-func TestOnlyStandingIsToldAtOnce(t *testing.T) {
+func TestOnlyMembershipAndStateChangesTriggerAnExchange(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	cases := []struct {
 		name   string
@@ -46,7 +46,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			a := settled(t, now)
+			a := settledAgent(t, now)
 			c.change(a)
 			a.publish(now)
 			is.Equal(len(a.exchange) == 1, c.want)
@@ -54,8 +54,8 @@
 	}
 }
 
-// settled is an agent with one peer and one upstream, whose gateway knows all.
-func settled(t *testing.T, now time.Time) *Agent {
+// settledAgent is an agent with one peer and one upstream, whose gateway knows all.
+func settledAgent(t *testing.T, now time.Time) *Agent {
 	t.Helper()
 	network, err := control.NewNetwork(settings.Security{PlaintextLoopback: true}, nil)
 	is.New(t).NoErr(err)
@@ -79,11 +79,11 @@
 }
 
 // Many domains bring the same configuration at the same time; it is read once.
-func TestAHeldConfigurationIsNotReadAgain(t *testing.T) {
+func TestAHeldConfigurationIsNotDecodedAgain(t *testing.T) {
 	is := is.New(t)
-	a := settled(t, time.Unix(1_800_000_000, 0))
+	a := settledAgent(t, time.Unix(1_800_000_000, 0))
 	unreadable := func(to config.Revision) error {
-		return a.takeUpdate(&control.HeadUpdate{To: to, Whole: []byte("no head")}, spread.SourceDomain)
+		return a.applyUpdate(&control.HeadUpdate{To: to, Whole: []byte("no head")}, spread.SourceDomain)
 	}
 	is.NoErr(unreadable(1)) // held already
 	is.True(unreadable(2) != nil)
@@ -92,9 +92,9 @@
 
 func TestAFreshInstanceOwnsNoDigests(t *testing.T) {
 	is := is.New(t)
-	a := settled(t, time.Unix(1_800_000_000, 0))
+	a := settledAgent(t, time.Unix(1_800_000_000, 0))
 	a.Settings.Seeds = []settings.Seed{{Domain: "b", Mesh: "127.0.0.1:1"}}
-	is.Equal(len(a.digestDuties([]string{"a-1"})), 0)
+	is.Equal(len(a.digestJobs([]string{"a-1"})), 0)
 	a.started = a.started.Add(-SettleTime)
-	is.Equal(len(a.digestDuties([]string{"a-1"})), 1)
+	is.Equal(len(a.digestJobs([]string{"a-1"})), 1)
 }
--- a/pkg/agent/ask.go
+++ b/pkg/agent/remote.go
@@ -24,21 +24,21 @@
 	// gateway about a request.
 	AskTimeout = 3 * time.Second
 	WhyTimeout = 2 * time.Second
-	// whyAtOnce bounds the gateways that are asked at the same time.
-	whyAtOnce = 32
+	// maxConcurrentWhy bounds the gateways that are asked at the same time.
+	maxConcurrentWhy = 32
 )
 
-// CutOffError: no agent of a failure domain answered.
-type CutOffError struct {
+// UnreachableError: no agent of a failure domain answered.
+type UnreachableError struct {
 	Domain string
 	Err    error
 }
 
 // Error implements error.
-func (e *CutOffError) Error() string { return e.Domain + " is cut off from here" }
+func (e *UnreachableError) Error() string { return e.Domain + " is cut off from here" }
 
 // Unwrap returns the last cause; nil when no address is known.
-func (e *CutOffError) Unwrap() error { return e.Err }
+func (e *UnreachableError) Unwrap() error { return e.Err }
 
 // newExecutor returns what answers operators' lines.
 func (a *Agent) newExecutor() *command.Executor {
@@ -68,7 +68,7 @@
 	a := r.agent
 	ctx, cancel := context.WithTimeout(ctx, AskTimeout)
 	defer cancel()
-	cut := &CutOffError{Domain: domain}
+	unreachable := &UnreachableError{Domain: domain}
 	for _, address := range a.addressesOf(domain) {
 		var reply control.AskReply
 		args := control.AskArgs{Operator: operator, Line: line}
@@ -76,9 +76,9 @@
 		if err == nil {
 			return command.Reply{Verdict: command.Verdict(reply.Verdict), Text: reply.Text}, nil
 		}
-		cut.Err = err
+		unreachable.Err = err
 	}
-	return command.Reply{}, cut
+	return command.Reply{}, unreachable
 }
 
 // Why implements command.Remote. Every gateway is asked, as a request may have
@@ -87,11 +87,11 @@
 	ctx, cancel := context.WithTimeout(ctx, WhyTimeout)
 	defer cancel()
 	var group errgroup.Group
-	group.SetLimit(whyAtOnce)
+	group.SetLimit(maxConcurrentWhy)
 	var mu sync.Mutex
 	var lines []string
 	unreached := 0
-	for _, instance := range r.agent.everyInstance() {
+	for _, instance := range r.agent.allInstances() {
 		group.Go(func() error {
 			var reply control.WhyReply
 			args := control.WhyArgs{RequestID: requestID}
@@ -111,8 +111,8 @@
 	return lines, unreached, group.Wait()
 }
 
-// everyInstance returns all instances whose addresses are known here.
-func (a *Agent) everyInstance() []board.Instance {
+// allInstances returns all instances whose addresses are known here.
+func (a *Agent) allInstances() []board.Instance {
 	var all []board.Instance
 	if members := a.board.Members.Load(); members != nil {
 		for i := range members.Instances {
--- a/pkg/agent/serve_command.go
+++ b/pkg/agent/serve_command.go
@@ -27,17 +27,17 @@
 // query's "id", the revision that the operator saw as "seen"; "again=1" says that
 // the same id was sent before.
 func (a *Agent) serveCommand(c echo.Context) error {
-	body, err := readBounded(c, maxLine)
+	body, err := readLimited(c, maxLine)
 	if err != nil {
-		return refuseBody(c, err, "the line is too long")
+		return rejectBody(c, err, "the line is too long")
 	}
 	operator, ok := a.operator(c, nil)
 	if !ok {
-		return refuse(c, http.StatusUnauthorized, a.unauthenticated())
+		return reject(c, http.StatusUnauthorized, a.unauthenticated())
 	}
 	seen, err := revisionOf(c.QueryParam("seen"))
 	if err != nil {
-		return refuse(c, http.StatusBadRequest, "seen: expected a revision number")
+		return reject(c, http.StatusBadRequest, "seen: expected a revision number")
 	}
 	reply := a.executor.ExecuteRequest(c.Request().Context(), command.Request{
 		Operator: operator, Line: strings.TrimSpace(string(body)), ID: c.QueryParam("id"), Seen: seen,
@@ -53,19 +53,19 @@
 func (a *Agent) serveApply(c echo.Context) error {
 	if _, ok := a.operator(c, nil); !ok && a.board.Config.Load() != nil {
 		c.Response().Header().Set("Connection", "close")
-		return refuse(c, http.StatusUnauthorized, a.unauthenticated())
+		return reject(c, http.StatusUnauthorized, a.unauthenticated())
 	}
-	body, err := readBounded(c, maxDeclaration)
+	body, err := readLimited(c, maxDeclaration)
 	if err != nil {
-		return refuseBody(c, err, "the declaration is too large")
+		return rejectBody(c, err, "the declaration is too large")
 	}
 	operator, ok := a.operator(c, body)
 	if !ok {
-		return refuse(c, http.StatusUnauthorized, a.unauthenticated())
+		return reject(c, http.StatusUnauthorized, a.unauthenticated())
 	}
 	seen, err := revisionOf(c.QueryParam("seen"))
 	if err != nil {
-		return refuse(c, http.StatusBadRequest, "seen: expected a revision number")
+		return reject(c, http.StatusBadRequest, "seen: expected a revision number")
 	}
 	difference := a.executor.Apply(c.Request().Context(), command.Application{
 		Operator: operator, File: fileName(c.QueryParam("file")), Data: body, Seen: seen,
@@ -80,11 +80,11 @@
 // serveDeclaration answers GET /v1/declaration with the declaration in force here.
 func (a *Agent) serveDeclaration(c echo.Context) error {
 	if _, ok := a.operator(c, nil); !ok {
-		return refuse(c, http.StatusUnauthorized, a.unauthenticated())
+		return reject(c, http.StatusUnauthorized, a.unauthenticated())
 	}
 	head := a.keeper.Head()
 	if head == nil {
-		return refuse(c, http.StatusServiceUnavailable, "no configuration here")
+		return reject(c, http.StatusServiceUnavailable, "no configuration here")
 	}
 	data, err := yaml.Marshal(head.Declaration)
 	if err != nil {
@@ -128,21 +128,21 @@
 	return name
 }
 
-// readBounded reads a body of at most limit bytes.
-func readBounded(c echo.Context, limit int64) ([]byte, error) {
+// readLimited reads a body of at most limit bytes.
+func readLimited(c echo.Context, limit int64) ([]byte, error) {
 	return io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, limit))
 }
 
-// refuseBody answers to a body that was too large, came too slowly or broke off.
-func refuseBody(c echo.Context, err error, tooLarge string) error {
+// rejectBody answers to a body that was too large, came too slowly or broke off.
+func rejectBody(c echo.Context, err error, tooLarge string) error {
 	var over *http.MaxBytesError
 	if errors.As(err, &over) {
-		return refuse(c, http.StatusRequestEntityTooLarge, tooLarge)
+		return reject(c, http.StatusRequestEntityTooLarge, tooLarge)
 	}
-	return refuse(c, http.StatusBadRequest, "the request's body broke off")
+	return reject(c, http.StatusBadRequest, "the request's body broke off")
 }
 
-func refuse(c echo.Context, status int, text string) error {
+func reject(c echo.Context, status int, text string) error {
 	c.Response().Header().Set(header.Verdict, string(command.Refused))
 	return c.String(status, text+"\n")
 }
--- a/pkg/agent/update.go
+++ b/pkg/agent/update.go
@@ -45,19 +45,19 @@
 	return u.whole, nil
 }
 
-// takeUpdate offers a received configuration to the keeper. An error means that
+// applyUpdate offers a received configuration to the keeper. An error means that
 // the whole head has to be asked for. Many bring the same one at the same time, so
 // one is read after the other, and not at all once its revision is held.
-func (a *Agent) takeUpdate(update *control.HeadUpdate, source spread.Source) error {
+func (a *Agent) applyUpdate(update *control.HeadUpdate, source spread.Source) error {
 	if update == nil {
 		return nil
 	}
-	a.taking.Lock()
-	defer a.taking.Unlock()
+	a.updating.Lock()
+	defer a.updating.Unlock()
 	if update.To > 0 && a.keeper.Revision() >= update.To {
 		return nil
 	}
-	head, err := a.readUpdate(update)
+	head, err := a.decodeUpdate(update)
 	if err != nil {
 		a.Log.Warn().Err(err).Str("source", string(source)).Msg("configuration-not-followed")
 		return err
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func (a *Agent) readUpdate(update *control.HeadUpdate) (*config.Head, error) {
+func (a *Agent) decodeUpdate(update *control.HeadUpdate) (*config.Head, error) {
 	if update.Delta == nil {
 		return config.DecodeHead(update.Whole)
 	}
--- a/pkg/member/rank.go
+++ b/pkg/member/rank.go
@@ -76,16 +76,16 @@
 
 // The finaliser of splitmix64 spreads the combined hashes evenly.
 const (
-	mixShift1 = 30
-	mixShift2 = 27
-	mixShift3 = 31
-	mixFactor = 0xbf58476d1ce4e5b9
-	mixAgain  = 0x94d049bb133111eb
+	mixShift1  = 30
+	mixShift2  = 27
+	mixShift3  = 31
+	mixFactor1 = 0xbf58476d1ce4e5b9
+	mixFactor2 = 0x94d049bb133111eb
 )
 
 func score(key uint64, name string) uint64 {
 	x := key ^ xxhash.Sum64String(name)
-	x = (x ^ (x >> mixShift1)) * mixFactor
-	x = (x ^ (x >> mixShift2)) * mixAgain
+	x = (x ^ (x >> mixShift1)) * mixFactor1
+	x = (x ^ (x >> mixShift2)) * mixFactor2
 	return x ^ (x >> mixShift3)
 }
--- a/pkg/member/rank_test.go
+++ b/pkg/member/rank_test.go
@@ -30,7 +30,7 @@
 	})
 }
 
-func TestLossMovesOnlyTheLostJobs(t *testing.T) {
+func TestLosingANameMovesOnlyItsJobs(t *testing.T) {
 	is := is.New(t)
 	names := make([]string, 9)
 	for i := range names {
--- a/pkg/member/view.go
+++ b/pkg/member/view.go
@@ -16,9 +16,9 @@
 	// ForgetAfter is how long an instance that the platform's list no longer
 	// names stays counted as silent.
 	ForgetAfter = 10 * time.Minute
-	// TombstoneAfter is how long a goodbye is remembered, so that a late message
+	// TombstoneTTL is how long a goodbye is remembered, so that a late message
 	// does not bring the instance back.
-	TombstoneAfter = 10 * time.Minute
+	TombstoneTTL = 10 * time.Minute
 )
 
 // Identity is what an instance says of itself and what seldom changes.
@@ -59,29 +59,29 @@
 	// known is whether the instance has described itself in this epoch.
 	known bool
 	mesh  string
-	// heard is the last message, and first when it was first named.
-	heard, first time.Time
-	revision     config.Revision
-	load         board.GatewayLoad
+	// lastReceived is the last message, and first when it was first named.
+	lastReceived, firstSeen time.Time
+	revision                config.Revision
+	load                    board.GatewayLoad
 	// leaving holds for the incarnation of the gateway that it was set for.
 	leaving     bool
 	incarnation uint64
 	goodbye     time.Time
 	// listed is whether the platform's list names it, listMark whether as leaving.
-	listed, listMark bool
+	listed, listLeaving bool
 }
 
 // NewView returns a view that knows only self.
 func NewView(self Identity, now time.Time) *View {
 	v := &View{self: self.Name, domain: self.Domain, entries: make(map[string]*entry)}
-	v.entries[self.Name] = &entry{first: now}
-	v.Identify(self, now)
+	v.entries[self.Name] = &entry{firstSeen: now}
+	v.ApplyIdentity(self, now)
 	return v
 }
 
-// Identify takes an instance's own description. An older epoch is ignored; a
+// ApplyIdentity takes an instance's own description. An older epoch is ignored; a
 // newer one clears what was known of the instance's former life.
-func (v *View) Identify(id Identity, now time.Time) bool {
+func (v *View) ApplyIdentity(id Identity, now time.Time) bool {
 	if id.Domain != v.domain {
 		return false
 	}
@@ -93,7 +93,7 @@
 		return false
 	}
 	if id.Epoch > e.identity.Epoch {
-		*e = entry{first: now, listed: e.listed, listMark: e.listMark}
+		*e = entry{firstSeen: now, listed: e.listed, listLeaving: e.listLeaving}
 	}
 	if e.incarnation != 0 && id.Incarnation > e.incarnation {
 		e.leaving = false
@@ -105,36 +105,36 @@
 	e.identity = id
 	e.mesh = id.Addresses.Mesh
 	e.known = true
-	if id.Name == v.self || e.heard.IsZero() {
-		e.heard = now
+	if id.Name == v.self || e.lastReceived.IsZero() {
+		e.lastReceived = now
 	}
 	return changed
 }
 
-// Heard notes a message from an instance in its given epoch, and says whether
+// RecordHeartbeat notes a message from an instance in its given epoch, and says whether
 // its revision is another than before.
-func (v *View) Heard(name string, epoch uint64, revision config.Revision, now time.Time) bool {
+func (v *View) RecordHeartbeat(name string, epoch uint64, revision config.Revision, now time.Time) bool {
 	e, ok := v.entries[name]
 	if !ok || e.identity.Epoch != epoch || !e.goodbye.IsZero() {
 		return false
 	}
 	changed := e.revision != revision
-	e.heard = now
+	e.lastReceived = now
 	e.revision = revision
 	return changed
 }
 
-// Load notes what an instance's gateway has in hand.
-func (v *View) Load(name string, epoch uint64, load board.GatewayLoad) {
+// SetLoad notes what an instance's gateway has in hand.
+func (v *View) SetLoad(name string, epoch uint64, load board.GatewayLoad) {
 	e, ok := v.entries[name]
 	if ok && e.identity.Epoch == epoch {
 		e.load = load
 	}
 }
 
-// Propose notes that somebody named an instance; it counts from then on, and is
+// AddPeer notes that somebody named an instance; it counts from then on, and is
 // silent until it speaks for itself. A proposal does not undo a goodbye.
-func (v *View) Propose(peer Peer, now time.Time) {
+func (v *View) AddPeer(peer Peer, now time.Time) {
 	if peer.Name == "" || peer.Name == v.self || peer.Quiet >= ForgetAfter {
 		return
 	}
@@ -164,28 +164,28 @@
 	Leaving bool
 }
 
-// List takes what the platform's list says now. It proposes instances, and its
+// ApplyList takes what the platform's list says now. It proposes instances, and its
 // leaving mark holds for the epoch in which it appeared: the list lags, so an
 // instance that was started anew is not marked by the old line.
-func (v *View) List(lines []Listed, now time.Time) {
+func (v *View) ApplyList(lines []Listed, now time.Time) {
 	v.haveList = true
 	named := make(map[string]bool, len(lines))
 	for _, line := range lines {
 		named[line.Peer.Name] = true
-		v.Propose(line.Peer, now)
+		v.AddPeer(line.Peer, now)
 		e, ok := v.entries[line.Peer.Name]
 		if !ok {
 			continue
 		}
 		e.listed = true
-		if line.Leaving && !e.listMark {
+		if line.Leaving && !e.listLeaving {
 			e.leaving = true
 		}
-		e.listMark = line.Leaving
+		e.listLeaving = line.Leaving
 	}
 	for name, e := range v.entries {
 		if !named[name] {
-			e.listMark = false
+			e.listLeaving = false
 			e.listed = false
 		}
 	}
@@ -197,9 +197,9 @@
 		if name == v.self {
 			continue
 		}
-		said := !e.goodbye.IsZero() && now.Sub(e.goodbye) >= TombstoneAfter
+		tombstoneExpired := !e.goodbye.IsZero() && now.Sub(e.goodbye) >= TombstoneTTL
 		unlisted := v.haveList && !e.listed
-		if said || (unlisted && now.Sub(e.lastSign()) >= ForgetAfter) {
+		if tombstoneExpired || (unlisted && now.Sub(e.lastSeen()) >= ForgetAfter) {
 			delete(v.entries, name)
 		}
 	}
@@ -218,7 +218,7 @@
 	switch {
 	case !e.goodbye.IsZero():
 		return board.InstanceLeft
-	case name != v.self && (e.heard.IsZero() || now.Sub(e.heard) > SilentAfter):
+	case name != v.self && (e.lastReceived.IsZero() || now.Sub(e.lastReceived) > SilentAfter):
 		return board.InstanceSilent
 	case e.leaving:
 		return board.InstanceLeaving
@@ -239,7 +239,7 @@
 		list = append(list, board.Instance{
 			Name: name, Domain: v.domain, Region: e.identity.Region,
 			Incarnation: e.identity.Incarnation, State: state, Addresses: e.identity.Addresses,
-			Revision: e.revision, LastHeard: e.lastSign(), Load: e.load,
+			Revision: e.revision, LastHeard: e.lastSeen(), Load: e.load,
 		})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
@@ -266,7 +266,7 @@
 		if name == v.self || !e.goodbye.IsZero() || e.mesh == "" {
 			continue
 		}
-		peer := Peer{Name: name, Mesh: e.mesh, Epoch: e.identity.Epoch, Quiet: now.Sub(e.lastSign())}
+		peer := Peer{Name: name, Mesh: e.mesh, Epoch: e.identity.Epoch, Quiet: now.Sub(e.lastSeen())}
 		peers = append(peers, peer)
 	}
 	sort.Slice(peers, func(i, j int) bool { return peers[i].Name < peers[j].Name })
@@ -284,16 +284,16 @@
 func (v *View) entry(name string, now time.Time) *entry {
 	e, ok := v.entries[name]
 	if !ok {
-		e = &entry{first: now}
+		e = &entry{firstSeen: now}
 		v.entries[name] = e
 	}
 	return e
 }
 
-// lastSign is when the instance was last heard, or first named.
-func (e *entry) lastSign() time.Time {
-	if e.heard.IsZero() {
-		return e.first
+// lastSeen is when the instance was last heard, or first named.
+func (e *entry) lastSeen() time.Time {
+	if e.lastReceived.IsZero() {
+		return e.firstSeen
 	}
-	return e.heard
+	return e.lastReceived
 }
--- a/pkg/member/view_test.go
+++ b/pkg/member/view_test.go
@@ -27,22 +27,22 @@
 
 func identify(epoch, incarnation uint64, leaving bool) func(*View, time.Time) {
 	return func(v *View, now time.Time) {
-		v.Identify(identity("lar-2", epoch, incarnation, leaving), now)
-		v.Heard("lar-2", epoch, 1, now)
+		v.ApplyIdentity(identity("lar-2", epoch, incarnation, leaving), now)
+		v.RecordHeartbeat("lar-2", epoch, 1, now)
 	}
 }
 
 func listed(lines ...Listed) func(*View, time.Time) {
-	return func(v *View, now time.Time) { v.List(lines, now) }
+	return func(v *View, now time.Time) { v.ApplyList(lines, now) }
 }
 
 func TestStates(t *testing.T) {
 	here := Peer{Name: "lar-2", Mesh: "lar-2:8090"}
-	said := func(epoch uint64) func(*View, time.Time) {
+	goodbye := func(epoch uint64) func(*View, time.Time) {
 		return func(v *View, now time.Time) { v.Goodbye("lar-2", epoch, now) }
 	}
 	proposed := func(quiet time.Duration) func(*View, time.Time) {
-		return func(v *View, now time.Time) { v.Propose(Peer{Name: "lar-2", Mesh: "x", Quiet: quiet}, now) }
+		return func(v *View, now time.Time) { v.AddPeer(Peer{Name: "lar-2", Mesh: "x", Quiet: quiet}, now) }
 	}
 	cases := []struct {
 		name  string
@@ -82,15 +82,15 @@
 		{"only its gateway started anew", []step{
 			{0, identify(1, 1, true)}, {1, identify(1, 0, false)}, {2, identify(1, 2, false)},
 		}, 2, board.InstanceLive},
-		{"goodbye", []step{{0, identify(1, 1, true)}, {1, said(1)}}, 1, board.InstanceLeft},
+		{"goodbye", []step{{0, identify(1, 1, true)}, {1, goodbye(1)}}, 1, board.InstanceLeft},
 		{"a late message after the goodbye", []step{
-			{0, identify(1, 1, true)}, {1, said(1)}, {2, identify(1, 1, false)}, {2, proposed(0)},
+			{0, identify(1, 1, true)}, {1, goodbye(1)}, {2, identify(1, 1, false)}, {2, proposed(0)},
 		}, 2, board.InstanceLeft},
 		{"started anew after the goodbye", []step{
-			{0, identify(1, 1, true)}, {1, said(1)}, {2, identify(2, 2, false)},
+			{0, identify(1, 1, true)}, {1, goodbye(1)}, {2, identify(2, 2, false)},
 		}, 2, board.InstanceLive},
 		{"a late goodbye of a former life", []step{
-			{0, identify(1, 1, false)}, {1, identify(2, 2, false)}, {2, said(1)},
+			{0, identify(1, 1, false)}, {1, identify(2, 2, false)}, {2, goodbye(1)},
 		}, 2, board.InstanceLive},
 		{"a late message of a former life", []step{
 			{0, identify(2, 2, false)}, {SilentAfter + 1, identify(1, 1, false)},
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestSilentInstanceStaysCounted(t *testing.T) {
+func TestSilentInstanceIsListedButOwnsNoJobs(t *testing.T) {
 	is := is.New(t)
 	v := NewView(identity("lar-1", 1, 1, false), start)
 	identify(1, 1, false)(v, start)
@@ -123,7 +123,7 @@
 
 // Whatever is heard in whatever order, a mark that was set for a life of the
 // instance is not lost while that life lasts.
-func TestLeavingWinsInAnyOrder(t *testing.T) {
+func TestLeavingMarkHoldsForItsEpochInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewView(identity("lar-1", 1, 1, false), start)
 		marked := uint64(0)
