--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -1,10 +1,10 @@
-// Package agent is the control path of one entry instance: it follows the
-// accepted configuration, keeps the membership of its failure domain, exchanges
-// load digests with the others, teaches its gateway, and answers operators.
+// Package agent is the control path of one entry instance: it follows the accepted
+// configuration, maintains the membership of its failure domain, exchanges load
+// digests with other domains, updates its gateway, and serves operators.
 //
 // Guarantees: the configuration never goes to a lower revision; the platform is
-// called at a bounded rate whether it answers or not; a request in the gateway
-// does not depend on this process.
+// called at a bounded rate whether it answers or not; a request in the gateway does
+// not depend on this process.
 package agent
 
 import (
@@ -30,36 +30,37 @@
 
 // Intervals of the controllers.
 const (
-	// ReconcileInterval is how often the sets of jobs are looked at anew and the
-	// blackboard is brought up to date, when nothing wakes it before.
+	// ReconcileInterval is the longest time between two reconciliations of the
+	// running jobs and the blackboard.
 	ReconcileInterval = 250 * time.Millisecond
-	// RefreshInterval is how often unchanged sections are stored again, so that
-	// their ages are seen by the gateway.
+	// RefreshInterval is how often unchanged sections are stored again, so that the
+	// gateway sees current timestamps.
 	RefreshInterval = time.Second
-	// SettleTime is how long a fresh agent listens for others of its domain
+	// SettleTime is the time that a fresh agent waits for heartbeats of its domain
 	// before it takes on the platform's watch and other domains' digests.
 	SettleTime = 500 * time.Millisecond
 )
 
-// Options is what an agent is made from.
+// Options configures an agent.
 type Options struct {
 	Settings *settings.Instance
 	// Mesh carries the links to other agents, Local those to the own gateway. The
-	// agent keeps Mesh's credentials up to date; Local should share them.
+	// agent reloads Mesh's credentials; Local should share them.
 	Mesh, Local *control.Network
 	KeyValue    platform.KeyValue
 	// HeadKey is the key of the accepted configuration.
 	HeadKey string
-	// Directory and List may be nil: the platform has none.
+	// Directory and List are nil if the platform has none.
 	Directory platform.Directory
 	List      platform.InstanceList
-	// Engines carries orders to engines; nil means that none are given. Weights
-	// may be nil: the platform has no weight store.
+	// Engines carries orders to engines; nil disables orders. Weights is nil if the
+	// platform has no weight store.
 	Engines  order.Engines
 	Weights  platform.WeightStore
 	Log      zerolog.Logger
 	Registry metrics.Registry
-	// Epoch is drawn at each start and grows (nanoseconds of the clock).
+	// Epoch identifies this start of the agent; it grows from start to start
+	// (nanoseconds of the clock).
 	Epoch uint64
 }
 
@@ -72,7 +73,7 @@
 	clients *control.Clients
 	local   *control.Clients
 	http    *http.Client
-	// executor answers operators.
+	// executor runs operators' commands.
 	executor *command.Executor
 	started  time.Time
 	gateway  gatewayState
@@ -80,7 +81,7 @@
 	updates  updates
 	// updating is held while a received configuration is read.
 	updating sync.Mutex
-	// published is used by the tend loop alone.
+	// published is used by the reconcile loop alone.
 	published published
 
 	dirty    signal
@@ -91,7 +92,7 @@
 	wakers   sync.Map
 }
 
-// signal wakes a loop; signals that come together are one.
+// signal wakes a loop; signals that are raised before it wakes are merged.
 type signal chan struct{}
 
 func newSignal() signal { return make(signal, 1) }
@@ -136,8 +137,8 @@
 	return a
 }
 
-// Run serves until ctx ends, then leaves: the domain and the directory are told
-// first, and a gateway that is leaving too is given the time to finish.
+// Run serves until ctx ends, then leaves: it notifies the domain and the directory
+// first, and gives a gateway that is leaving too the time to finish.
 func (a *Agent) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -157,7 +158,7 @@
 		})
 	}
 	group.Go(func() error {
-		a.runOrders(ctx) // a leaving instance gives the lease back at once
+		a.runOrders(ctx) // ctx, so that a leaving instance releases the lease at once
 		return nil
 	})
 	group.Go(func() error {
@@ -200,7 +201,7 @@
 	return a.serveOperators(ctx, group)
 }
 
-// headAccepted is called by the keeper after each head that was taken.
+// headAccepted is called by the keeper after each head that it accepted.
 func (a *Agent) headAccepted(head *config.Head, source spread.Source) {
 	a.Log.Info().Uint64("revision", uint64(head.Revision)).Str("source", string(source)).Msg("configuration-taken")
 	a.updateRevisions()
@@ -211,9 +212,11 @@
 	}
 }
 
-// updateRevisions works out the configuration in force here and tells the domain.
+// updateRevisions computes the configuration in force here and publishes it in the
+// domain.
 func (a *Agent) updateRevisions() {
-	// One at a time: a revision that was read before must not be set after.
+	// Serialised, so that a revision that was read earlier is not stored after a
+	// newer one.
 	a.revising.Lock()
 	defer a.revising.Unlock()
 	agent := a.keeper.Revision()
@@ -222,7 +225,7 @@
 	}
 }
 
-// ListenError is an address that cannot be listened on.
+// ListenError reports an address that cannot be listened on.
 type ListenError struct {
 	Address string
 	Err     error
--- a/pkg/agent/agent_test.go
+++ b/pkg/agent/agent_test.go
@@ -12,7 +12,7 @@
 	"github.com/lilacweir/lilacweir/pkg/spread"
 )
 
-// acceptedHead returns a head whose callers differ from revision to revision.
+// acceptedHead returns a head whose caller has another share in each revision.
 func acceptedHead(revision config.Revision) *config.Head {
 	head := &config.Head{Revision: revision, Declaration: &config.Declaration{
 		Callers: []config.Caller{{Name: "residents-app", Home: "region-a", Regions: []string{"region-a"}, Share: int(revision)}},
@@ -55,8 +55,8 @@
 	})
 }
 
-// Changes that do not lead to the head's declaration are not taken: the whole
-// head is, also in a domain that gets it from its neighbours.
+// A delta that does not lead to the head's declaration is rejected, and the whole
+// head is fetched instead, also in a domain that receives it from other domains.
 func TestInconsistentDeltaFallsBackToTheWholeHead(t *testing.T) {
 	is := is.New(t)
 	r := newHarness(t, 5, 1, 2)
@@ -77,14 +77,14 @@
 	}
 }
 
-// An asker that cannot read a head does not ask for it over and over.
+// A fetcher that cannot decode a whole head does not request that revision again.
 func TestUnreadableHeadIsNotRequestedAgain(t *testing.T) {
 	is := is.New(t)
 	r := newHarness(t, 6, 1)
 	r.start("a-1")
 	f := &fetcher{agent: r.nodes["a-1"].agent}
 	f.apply(7, &control.HeadUpdate{Delta: &config.Delta{From: 6, Changes: []config.Change{{Revision: 7}}}})
-	is.True(f.whole) // the changes did not follow
+	is.True(f.whole) // the delta does not apply
 	f.apply(7, &control.HeadUpdate{Whole: []byte("nonsense")})
 	is.True(!f.whole)
 	is.Equal(f.unreadable, config.Revision(7))
@@ -154,7 +154,7 @@
 	})
 	r.wait("a-2", "a-2 is out of the directory", func(*Agent) bool { return !r.directory.has("a-2") })
 
-	// The gateway was replaced, the agent was not: the instance is back.
+	// The gateway restarts under the same agent, which clears the leaving mark.
 	r.nodes["a-2"].gateway.set(func(reply *control.ExchangeReply) {
 		reply.Leaving = false
 		reply.Incarnation += 1000
--- a/pkg/agent/beat.go
+++ b/pkg/agent/beat.go
@@ -13,25 +13,25 @@
 
 // Timing inside the failure domain.
 const (
-	// BeatInterval is the longest silence between two instances that see each
-	// other. Of a pair, the one with the lower name calls first; the other calls
-	// when nothing came for BeatBackup.
+	// BeatInterval is the longest time without a heartbeat between two instances that
+	// reach each other. Of a pair, the one with the lower name calls first; the other
+	// calls when it received nothing for BeatBackup.
 	BeatInterval = time.Second
 	BeatBackup   = 1300 * time.Millisecond
 	// BeatSpacing is the shortest time between two calls to one peer.
 	BeatSpacing = 20 * time.Millisecond
 	// BeatTimeout bounds one call inside the domain.
 	BeatTimeout = 1500 * time.Millisecond
-	// BeatRetryMax bounds the wait after failed calls to a peer.
+	// BeatRetryMax bounds the backoff after failed calls to a peer.
 	BeatRetryMax = 4 * time.Second
-	// CatchUpDelay leaves a pushed head the time to arrive before one is asked for,
-	// and CatchUpRetry is the wait when nobody's head could be read.
+	// CatchUpDelay gives a pushed head the time to arrive before one is requested,
+	// and CatchUpRetry is the wait when no peer's head could be read.
 	CatchUpDelay = 100 * time.Millisecond
 	CatchUpRetry = 10 * time.Second
 )
 
-// beatJobs returns the loops that exchange heartbeats: one for each known
-// peer, and one for each seed of the own domain that no known peer has.
+// beatJobs returns the loops that exchange heartbeats: one for each known peer, and
+// one for each seed of the own domain that is not a known peer.
 func (a *Agent) beatJobs(now time.Time) map[string]job {
 	wanted := make(map[string]job)
 	covered := map[string]bool{a.Settings.Agent.Mesh: true}
@@ -47,7 +47,7 @@
 	return wanted
 }
 
-// beatJob exchanges heartbeats with one peer.
+// beatJob returns the loop that exchanges heartbeats with one peer.
 func (a *Agent) beatJob(peer member.Peer) job {
 	return func(ctx context.Context) {
 		wake := newSignal()
@@ -73,7 +73,8 @@
 	}
 }
 
-// awaitBeat waits until the next heartbeat is due: the peer's own calls count.
+// awaitBeat waits until the next heartbeat is due; heartbeats received from the
+// peer postpone it. It returns false when ctx ends.
 func (a *Agent) awaitBeat(ctx context.Context, name string, wake signal, wait, interval time.Duration) bool {
 	if !clock.Sleep(ctx, BeatSpacing) {
 		return false
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// offerPeers pushes a head to the peers that are not known to have it.
+// offerPeers pushes a head to the peers that are not known to hold it.
 func (a *Agent) offerPeers(head *config.Head) {
 	for _, peer := range a.mesh.peers(time.Now()) {
 		held := a.mesh.revision(peer.Name)
@@ -144,7 +145,7 @@
 	}
 }
 
-// catchUpLoop asks peers for a configuration that they were heard to have.
+// catchUpLoop requests a configuration from peers that advertise a newer one.
 func (a *Agent) catchUpLoop(ctx context.Context) {
 	for {
 		select {
@@ -161,7 +162,8 @@
 	}
 }
 
-// catchUpOnce asks the peers that are ahead; false means that none could help.
+// catchUpOnce requests the configuration from the peers that are ahead. It returns
+// false if there were some and none supplied it.
 func (a *Agent) catchUpOnce(ctx context.Context) bool {
 	held := a.keeper.Revision()
 	ahead := a.mesh.ahead(held, time.Now())
@@ -187,7 +189,7 @@
 	return a.applyUpdate(reply.Update, spread.SourceMesh)
 }
 
-// meshService answers agents of the own failure domain.
+// meshService serves agents of the own failure domain.
 type meshService struct{ agent *Agent }
 
 // Beat exchanges heartbeats.
@@ -200,7 +202,7 @@
 	return nil
 }
 
-// Offer takes a pushed configuration.
+// Offer applies a pushed configuration.
 func (s *meshService) Offer(update *control.HeadUpdate, reply *control.OfferReply) error {
 	if s.agent.applyUpdate(update, spread.SourceMesh) != nil {
 		s.agent.catchUp.raise()
@@ -209,7 +211,7 @@
 	return nil
 }
 
-// Want returns the configuration when it is newer than the asker's.
+// Want returns the configuration when it is newer than the caller's.
 func (s *meshService) Want(args *control.WantArgs, reply *control.WantReply) error {
 	head := s.agent.keeper.Head()
 	if head == nil || head.Revision <= args.Revision {
@@ -220,14 +222,17 @@
 	return err
 }
 
-// Goodbye notes that a peer leaves for good.
+// Goodbye records that a peer leaves for good.
 func (s *meshService) Goodbye(goodbye *control.Goodbye, _ *control.OfferReply) error {
 	s.agent.mesh.goodbye(goodbye.From, goodbye.Epoch, time.Now())
 	return nil
 }
 
-// ForeignError: a heartbeat of another failure domain or of a former life.
+// ForeignError reports a heartbeat from another failure domain or from an earlier
+// epoch.
 type ForeignError struct{ From string }
 
 // Error implements error.
-func (e *ForeignError) Error() string { return "heartbeat of a foreign or former instance: " + e.From }
+func (e *ForeignError) Error() string {
+	return "heartbeat of a foreign or former instance: " + e.From
+}
--- a/pkg/agent/bench_test.go
+++ b/pkg/agent/bench_test.go
@@ -21,14 +21,14 @@
 	"github.com/lilacweir/lilacweir/pkg/spread"
 )
 
-// Sizes of one failure domain at the target: upstreams, models and nodes.
+// Sizes of one failure domain at the target scale: upstreams, models and nodes.
 const (
 	benchUpstreams = 25
 	benchModels    = 5
 	benchNodes     = 9
 )
 
-// benchAgent is an agent whose loops do not run; it serves its peers.
+// benchAgent returns an agent without running loops; it serves its peers.
 func benchAgent(b *testing.B, domain, name string, epoch uint64) *Agent {
 	network, err := control.NewNetwork(settings.Security{PlaintextLoopback: true}, nil)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// busy is a gateway's load with requests at every upstream of its domain.
+// busy returns a gateway's load with requests at every upstream of its domain.
 func busy(domain string, round uint64) board.GatewayLoad {
 	load := board.GatewayLoad{InFlight: make(map[string]int), Requests: round}
 	for n := range benchUpstreams {
@@ -75,19 +75,19 @@
 	return load
 }
 
-// reportBytes reports what the network carried for each operation.
+// reportBytes reports the bytes on the network for each operation.
 func reportBytes(b *testing.B, meter *control.Meter, sent, received int64) {
 	b.ReportMetric(float64(meter.Sent()-sent)/float64(b.N), "sent-B/op")
 	b.ReportMetric(float64(meter.Received()-received)/float64(b.N), "received-B/op")
 }
 
-// BenchmarkBeat is one heartbeat with each other node of the domain, each side
-// with a new load of its gateway to tell.
+// BenchmarkBeat measures one heartbeat with each other node of the domain, each
+// side with a new load of its gateway to publish.
 func BenchmarkBeat(b *testing.B) {
 	benchmarkBeat(b, func(a *Agent, round uint64) { a.mesh.setLoad(busy("a", round), nil) })
 }
 
-// BenchmarkQuietBeat is the same with nothing new to tell.
+// BenchmarkQuietBeat measures the same with no changes to publish.
 func BenchmarkQuietBeat(b *testing.B) { benchmarkBeat(b, func(*Agent, uint64) {}) }
 
 func benchmarkBeat(b *testing.B, change func(a *Agent, round uint64)) {
@@ -104,7 +104,7 @@
 				beatAll(b, agents)
 			}
 			for n := range uint64(5) {
-				round(n) // The first ones bring identities and types.
+				round(n) // The first rounds carry identities and gob types.
 			}
 			meter := agents[0].Mesh.Meter()
 			sent, received := meter.Sent(), meter.Received()
@@ -131,7 +131,8 @@
 	return member.Peer{Name: a.Settings.Instance, Mesh: a.Settings.Agent.Mesh}
 }
 
-// benchDomain gives an agent a whole domain's view: nodes, upstreams and a head.
+// benchDomain gives an agent the view of a whole domain: nodes, upstreams and a
+// head.
 func benchDomain(a *Agent, head *config.Head, busy int) {
 	domain := a.Settings.Domain
 	a.keeper.Offer(head, spread.SourcePlatform)
@@ -155,7 +156,7 @@
 	a.board.Upstreams.Store(upstreams)
 }
 
-// benchSystem is one agent of domain "own", and one of each other domain.
+// benchSystem returns one agent of domain "own", and one of each other domain.
 func benchSystem(b *testing.B, domains int) (own *Agent, remote []*Agent, head *config.Head) {
 	head = &config.Head{Revision: 1, Declaration: &config.Declaration{}}
 	for d := range domains {
@@ -175,8 +176,8 @@
 	return own, remote, head
 }
 
-// BenchmarkDigestFetch is one fetch of each remote domain's digest, as an owner of
-// them all would do it; the loads there have changed, the addresses have not.
+// BenchmarkDigestFetch measures one fetch of every remote domain's digest by one
+// owner; the loads there have changed, the addresses have not.
 func BenchmarkDigestFetch(b *testing.B) {
 	for _, domains := range []int{1, 5, 10, 20, 41} {
 		b.Run(fmt.Sprintf("domains=%d", domains), func(b *testing.B) {
@@ -206,8 +207,8 @@
 	}
 }
 
-// BenchmarkDigestShare is one heartbeat to a node of the own domain that brings it
-// the changed digests of so many remote domains.
+// BenchmarkDigestShare measures one heartbeat to a node of the own domain that
+// carries the changed digests of the given number of remote domains.
 func BenchmarkDigestShare(b *testing.B) {
 	for _, domains := range []int{1, 5, 10, 20, 41} {
 		b.Run(fmt.Sprintf("domains=%d", domains), func(b *testing.B) {
@@ -239,14 +240,15 @@
 	}
 }
 
-// BenchmarkUpstreamShare is one heartbeat to a node of the own domain that brings
-// it new reports of so many upstreams, whose cached prefixes are the same.
+// BenchmarkUpstreamShare measures one heartbeat to a node of the own domain that
+// carries new reports of the given number of upstreams with unchanged prefixes.
 func BenchmarkUpstreamShare(b *testing.B) { benchmarkReports(b, 0) }
 
-// BenchmarkPrefixShare is the same when each engine has cached 16 other prefixes.
+// BenchmarkPrefixShare measures the same when each engine has cached 16 other
+// prefixes.
 func BenchmarkPrefixShare(b *testing.B) { benchmarkReports(b, PrefixInterval) }
 
-// benchmarkReports tells reports that are so far apart.
+// benchmarkReports publishes reports at the given interval.
 func benchmarkReports(b *testing.B, interval time.Duration) {
 	for _, upstreams := range []int{1, 5, 10, 25} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
@@ -282,7 +284,7 @@
 	}
 }
 
-// BenchmarkPoll is one poll of each upstream by its owner, over HTTP.
+// BenchmarkPoll measures one poll of each upstream by its owner, over HTTP.
 func BenchmarkPoll(b *testing.B) {
 	report := `{"running":7,"queued":0,"concurrency":8,"decode_rate":16,"prefill_rate":8000,"version":"v1","leaving":false,"age_ms":250,"prefixes":["` +
 		strings.Repeat(`00112233445566aa","`, 15) + `00112233445566aa"]}`
@@ -321,8 +323,8 @@
 	}
 }
 
-// BenchmarkTend is one look at the sets of jobs and the blackboard, with so many
-// upstreams declared, 25 of them in the own domain.
+// BenchmarkTend measures one reconciliation of jobs and blackboard with the given
+// number of declared upstreams, 25 of them in the own domain.
 func BenchmarkTend(b *testing.B) {
 	for _, upstreams := range []int{25, 100, 400, 1000} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
--- a/pkg/agent/calls.go
+++ b/pkg/agent/calls.go
@@ -9,7 +9,7 @@
 	"github.com/lilacweir/lilacweir/pkg/control"
 )
 
-// calls counts what the agent asks of others.
+// calls counts the agent's outgoing calls.
 type calls struct {
 	keyValue, keyValueFailed   metrics.Counter
 	directory, directoryFailed metrics.Counter
@@ -36,8 +36,8 @@
 	}
 }
 
-// registerBytes shows the bytes of the links: to other instances, the platform
-// and the upstreams, and apart from them to the own gateway.
+// registerBytes registers gauges of the bytes on the links: to other instances, the
+// platform and the upstreams, and separately to the own gateway.
 func registerBytes(registry metrics.Registry, links, gateway *control.Meter) {
 	gauges := map[string]func() int64{
 		"links.sent": links.Sent, "links.received": links.Received,
@@ -56,8 +56,8 @@
 	}
 }
 
-// jitter returns a time between half and the whole of its bound, so that nodes
-// that failed together do not come back together.
+// jitter returns a random time between half the bound and the bound, so that nodes
+// that failed together do not retry together.
 func jitter(bound time.Duration) time.Duration {
 	half := bound / 2
 	return half + time.Duration(rand.Int64N(int64(half)+1))
--- a/pkg/agent/domains.go
+++ b/pkg/agent/domains.go
@@ -15,27 +15,30 @@
 
 // Timing between failure domains.
 const (
-	// DigestInterval is how often a remote domain's load is fetched; what is
-	// urgent comes at once, as the asked holds its reply back until then.
+	// DigestInterval is how often a remote domain's load is fetched. Urgent changes
+	// arrive at once: the remote agent holds its reply back until there is one or the
+	// interval is over.
 	DigestInterval = time.Second
-	// DigestPerDomain stretches the interval where there are many domains, so that
-	// a node's bytes grow more slowly than their number.
+	// DigestPerDomain lengthens the interval where there are many domains, so that a
+	// node's traffic grows more slowly than their number.
 	DigestPerDomain = 75 * time.Millisecond
 	// DigestSpacing is the shortest time between two fetches of one domain.
 	DigestSpacing = 50 * time.Millisecond
-	// UrgentDelay gathers what changes together, such as the instances of a domain
-	// that take a new configuration one after the other, into one reply.
+	// UrgentDelay batches changes that occur together into one reply, such as the
+	// instances of a domain that apply a new configuration one after the other.
 	UrgentDelay = 40 * time.Millisecond
-	// DigestTimeout bounds a fetch beyond the time that the reply is held back.
+	// DigestTimeout bounds a fetch beyond the time that the reply may be held back.
 	DigestTimeout = 2 * time.Second
-	// DigestRetryMax bounds the wait after failed fetches.
+	// DigestRetryMax bounds the backoff after failed fetches.
 	DigestRetryMax = 4 * time.Second
-	// MaxHold bounds how long a reply is held back, whatever the asker says.
+	// MaxHold bounds the time that a reply is held back, whatever the caller
+	// requests.
 	MaxHold = 10 * time.Second
 )
 
-// digestJobs returns the fetches that this instance owns. A fresh instance,
-// which has met nobody, would own them all, and get the configuration from each.
+// digestJobs returns the fetches that this instance owns. A fresh instance knows no
+// peers yet; without SettleTime it would own all fetches, and receive the
+// configuration from every domain.
 func (a *Agent) digestJobs(workers []string) map[string]job {
 	wanted := make(map[string]job)
 	if time.Since(a.started) < SettleTime {
@@ -51,7 +54,8 @@
 	return wanted
 }
 
-// remoteDomains are those of the configuration, of the seeds and of the digests.
+// remoteDomains returns the other domains named by the configuration, the seeds and
+// the digests.
 func (a *Agent) remoteDomains() []string {
 	seen := map[string]bool{a.Settings.Domain: true}
 	var domains []string
@@ -79,8 +83,8 @@
 	return domains
 }
 
-// fetchLoop fetches one remote domain's digest, from one entry after the other
-// when one does not answer.
+// fetchLoop fetches one remote domain's digest, and turns to the domain's next
+// entry when one does not answer.
 func (a *Agent) fetchLoop(ctx context.Context, domain string, wait time.Duration) {
 	defer a.mesh.withdrawDigest(domain)
 	f := &fetcher{agent: a, domain: domain, wait: wait}
@@ -104,8 +108,8 @@
 	next   int
 	seen   uint64
 	whole  bool
-	// unreadable is a revision whose whole head could not be read: it is not
-	// asked for again.
+	// unreadable is a revision whose whole head could not be decoded; it is not
+	// requested again.
 	unreadable config.Revision
 	failed     int
 }
@@ -116,8 +120,9 @@
 	if len(addresses) == 0 {
 		return false
 	}
-	// Each domain ranks the entries in its own way, so that none is asked by all,
-	// and keeps to one although what the entries say of each other may differ.
+	// Each domain ranks the entries by its own key, which spreads the domains over
+	// the entries, and prefers one entry even when digests of different entries
+	// differ.
 	ranked := member.Rank(member.Key("entry", a.Settings.Domain), addresses)
 	address := ranked[f.next%len(ranked)]
 	ctx, cancel := context.WithTimeout(ctx, f.wait+DigestTimeout)
@@ -143,8 +148,8 @@
 	return true
 }
 
-// apply follows an update. Changes that do not follow make it ask for the whole
-// head the next time.
+// apply applies an update. After a delta that does not apply it requests the whole
+// head with the next fetch.
 func (f *fetcher) apply(revision config.Revision, update *control.HeadUpdate) {
 	requestedWhole := f.whole
 	f.whole = f.agent.applyUpdate(update, spread.SourceDomain) != nil
@@ -153,8 +158,9 @@
 	}
 }
 
-// recordFailure turns to the domain's next entry, and tells the own domain once all of
-// them were tried.
+// recordFailure turns to the domain's next entry, and publishes the domain as
+// unreachable after unreachableAfterEntries failures in a row, or as many as it has
+// entries if fewer.
 func (f *fetcher) recordFailure(addresses []string) {
 	f.next++
 	f.failed++
@@ -164,11 +170,12 @@
 	}
 }
 
-// unreachableAfterEntries is how many entries of a domain must fail for it to count as cut off.
+// unreachableAfterEntries is the number of entries of a domain that must fail for
+// the domain to count as unreachable.
 const unreachableAfterEntries = 2
 
-// addressesOf returns the agents of a remote domain: those of its last digest,
-// then the seeds.
+// addressesOf returns the addresses of a remote domain's agents: those of its last
+// digest, then the seeds.
 func (a *Agent) addressesOf(domain string) []string {
 	seen := make(map[string]bool)
 	var addresses []string
@@ -190,16 +197,16 @@
 	return addresses
 }
 
-// domainService answers agents of other failure domains.
+// domainService serves agents of other failure domains.
 type domainService struct{ agent *Agent }
 
-// Digest returns the own domain's digest: at once when there is something urgent
-// that the asker has not seen, else when the asker's wait is over.
+// Digest returns the own domain's digest, at once when it has an urgent change that
+// the caller has not seen, else after the caller's wait.
 func (s *domainService) Digest(args *control.DigestArgs, reply *control.DigestReply) error {
 	a := s.agent
 	timeout := time.NewTimer(min(args.Wait, MaxHold))
 	defer timeout.Stop()
-	// One who has seen nothing yet is answered at once.
+	// A caller that has seen nothing yet is answered at once.
 	gathered := args.Seen == 0
 	for timedOut := false; ; {
 		members, head, health := a.board.Members.Changed(), a.board.Config.Changed(), a.board.Platform.Changed()
@@ -243,7 +250,7 @@
 	return nil
 }
 
-// ownDigest is the own domain's digest now.
+// ownDigest returns the own domain's current digest.
 func (a *Agent) ownDigest() board.DomainDigest {
 	health := a.board.Platform.Load()
 	return digest.Build(digest.Input{
--- a/pkg/agent/exchange.go
+++ b/pkg/agent/exchange.go
@@ -22,12 +22,13 @@
 	ExchangeSpacing  = 20 * time.Millisecond
 	// ExchangeTimeout bounds one exchange.
 	ExchangeTimeout = time.Second
-	// GatewayLostAfter is how long the gateway may be out of reach before the instance
-	// counts as one without a gateway.
+	// GatewayLostAfter is the time without contact to the gateway after which the
+	// instance counts as one without a gateway.
 	GatewayLostAfter = 2 * time.Second
 )
 
-// gatewayState is what the gateway said last. Safe for concurrent use.
+// gatewayState is the gateway's last reply and what was sent to it. Safe for
+// concurrent use.
 type gatewayState struct {
 	mu      sync.Mutex
 	reached time.Time
@@ -37,7 +38,7 @@
 	marked  map[string]bool
 }
 
-// sentSections are the snapshots that the gateway's incarnation has got.
+// sentSections holds the snapshots that the gateway's incarnation has received.
 type sentSections struct {
 	incarnation uint64
 	members     *board.Members
@@ -55,14 +56,14 @@
 	return g.reply.Revision
 }
 
-// state returns whether the gateway is up, and its last reply.
+// state reports whether the gateway is up, and returns its last reply.
 func (g *gatewayState) state() (bool, control.ExchangeReply) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.up, g.reply
 }
 
-// exchangeLoop teaches the gateway and learns from it.
+// exchangeLoop exchanges state with the gateway.
 func (a *Agent) exchangeLoop(ctx context.Context) {
 	for {
 		a.exchangeOnce(ctx)
@@ -94,7 +95,8 @@
 	a.gatewayReplied(reply, sections)
 }
 
-// exchangeArgs holds what the gateway is not known to have.
+// exchangeArgs returns the arguments with what the gateway is not known to have,
+// and the sections that they are made from.
 func (a *Agent) exchangeArgs() (*control.ExchangeArgs, sentSections) {
 	up, reply := a.gateway.state()
 	a.gateway.mu.Lock()
@@ -130,7 +132,8 @@
 	sections.incarnation = reply.Incarnation
 	restarted := a.gateway.sent.incarnation != reply.Incarnation
 	if restarted {
-		// What was left out of this exchange belonged to another incarnation.
+		// The sections left out of this exchange had been sent to another
+		// incarnation.
 		sections = sentSections{incarnation: reply.Incarnation}
 	}
 	a.gateway.sent = sections
@@ -183,7 +186,8 @@
 
 func (a *Agent) gatewayFailed(err error) {
 	a.gateway.mu.Lock()
-	// One that said that it was leaving and refuses connections has left.
+	// A gateway that reported that it was leaving and refuses connections has
+	// stopped.
 	stopped := a.gateway.reply.Leaving && errors.Is(err, syscall.ECONNREFUSED)
 	lost := a.gateway.up && (stopped || time.Since(a.gateway.reached) > GatewayLostAfter)
 	if lost {
--- a/pkg/agent/harness_test.go
+++ b/pkg/agent/harness_test.go
@@ -25,14 +25,14 @@
 	testWait = 30 * time.Second
 )
 
-// write accepts a head.
+// write stores an accepted head in the key-value service.
 func (r *harness) write(head *config.Head) {
 	data, err := config.EncodeHead(head)
 	is.New(r.t).NoErr(err)
 	r.store.Set(testKey, data)
 }
 
-// fakeGateway is an instance's gateway as its agent sees it.
+// fakeGateway is the gateway side of the exchange with an agent.
 type fakeGateway struct {
 	mu         sync.Mutex
 	head       *config.Head
@@ -67,7 +67,7 @@
 	change(&g.reply)
 }
 
-// fakeDirectory is the platform's directory.
+// fakeDirectory is an in-memory directory of the platform.
 type fakeDirectory struct {
 	mu      sync.Mutex
 	entries map[string]platform.DirectoryEntry
@@ -108,7 +108,7 @@
 	epoch     uint64
 }
 
-// node is one entry instance of a rig.
+// node is one entry instance of a harness.
 type node struct {
 	settings settings.Instance
 	gateway  *fakeGateway
@@ -117,8 +117,8 @@
 	ended    chan error
 }
 
-// newHarness lays out domains "a", "b", … with the given counts of instances; each
-// test has addresses of its own, and runs beside the others.
+// newHarness declares domains "a", "b", … with the given numbers of instances; each
+// test has its own addresses and runs in parallel with the others.
 func newHarness(t *testing.T, test int, counts ...int) *harness {
 	t.Parallel()
 	r := &harness{
@@ -206,8 +206,8 @@
 	is.New(r.t).NoErr(<-n.ended)
 }
 
-// wait waits until the condition holds, looking at it whenever the agent's
-// blackboard changes, which it does once a second at least.
+// wait waits until the condition holds, checking it whenever the agent's blackboard
+// changes, which happens at least once a second.
 func (r *harness) wait(name, what string, holds func(a *Agent) bool) {
 	r.t.Helper()
 	a := r.nodes[name].agent
@@ -229,8 +229,8 @@
 	}
 }
 
-// inForce counts the nodes of the whole system that an agent knows to have the
-// revision in force.
+// inForce counts the nodes of the whole system that have the revision in force, as
+// known to an agent.
 func inForce(a *Agent, revision config.Revision) int {
 	own := a.ownDigest()
 	total := atRevision(own.Revisions, revision)
--- a/pkg/agent/jobs.go
+++ b/pkg/agent/jobs.go
@@ -8,7 +8,7 @@
 // job is a loop that runs until its context ends.
 type job func(ctx context.Context)
 
-// jobSet runs a changing set of named loops. It is used from one goroutine.
+// jobSet runs a changing set of named jobs. It is used from one goroutine.
 type jobSet struct {
 	running map[string]context.CancelFunc
 	group   sync.WaitGroup
@@ -16,7 +16,7 @@
 
 func newJobSet() *jobSet { return &jobSet{running: make(map[string]context.CancelFunc)} }
 
-// sync starts the wanted loops that do not run and ends those that are not wanted.
+// sync starts the wanted jobs that do not run and stops those that are not wanted.
 func (d *jobSet) sync(ctx context.Context, wanted map[string]job) {
 	for name, cancel := range d.running {
 		if _, ok := wanted[name]; !ok {
@@ -34,7 +34,7 @@
 	}
 }
 
-// stop ends all loops and waits for them.
+// stop cancels all jobs and waits for them.
 func (d *jobSet) stop() {
 	for _, cancel := range d.running {
 		cancel()
--- a/pkg/agent/journal.go
+++ b/pkg/agent/journal.go
@@ -6,21 +6,23 @@
 	"github.com/lilacweir/lilacweir/pkg/control"
 )
 
-// Keys of the single facts; the others are built from a kind and a name.
+// Keys of the facts of which there is one; the other keys are built from a kind and
+// a name.
 const (
 	keyIdentity = "identity"
 	keyLoad     = "load"
 	keyList     = "list"
 )
 
-// journal holds the latest of each fact that this instance vouches for, numbered
-// in the order of change, so that a peer is sent only what it has not got.
+// journal holds the latest version of each fact that this instance publishes,
+// numbered in the order of change, so that a peer is sent only what it has not
+// received.
 type journal struct {
 	change uint64
 	facts  map[string]journalFact
 }
 
-// journalFact is one fact, written into the message by add.
+// journalFact is one fact; add writes it into a message.
 type journalFact struct {
 	change uint64
 	add    func(*control.Facts)
@@ -34,7 +36,7 @@
 	j.facts[key] = journalFact{change: j.change, add: add}
 }
 
-// remove forgets a fact that nobody needs any more.
+// remove deletes a fact that is no longer published.
 func (j *journal) remove(key string) { delete(j.facts, key) }
 
 // since returns the facts that changed after the given number.
--- a/pkg/agent/mesh.go
+++ b/pkg/agent/mesh.go
@@ -13,12 +13,13 @@
 	"github.com/lilacweir/lilacweir/pkg/member"
 )
 
-// MarkTTL is how long a leaving mark on an upstream outlives the last word of
-// the instance that set it.
+// MarkTTL is the time that a leaving mark on an upstream remains valid after the
+// last heartbeat of the instance that set it.
 const MarkTTL = 30 * time.Second
 
-// mesh is what this instance knows and tells in its failure domain. Every
-// method takes the time, and none does input or output.
+// mesh is the state that this instance receives and publishes in its failure
+// domain. Methods take the current time where they need it, and do no input or
+// output.
 type mesh struct {
 	mu      sync.Mutex
 	self    member.Identity
@@ -28,9 +29,9 @@
 	remote  *digest.Table
 	own     *journal
 	links   map[string]*link
-	// numbers are those of upstreams in the loads that are told.
+	// numbers maps upstream names to their numbers in the published loads.
 	numbers map[string]int
-	// hints are the cached prefixes that were told, by upstream.
+	// hints holds the cached prefixes that were published last, by upstream.
 	hints     map[string]hint
 	upstreams map[string]*upstreamEntry
 	digests   map[string]*digestEntry
@@ -43,7 +44,7 @@
 	behind    func()
 }
 
-// link is what two instances have told each other.
+// link is the heartbeat state of one peer.
 type link struct {
 	epoch        uint64
 	sequence     uint64
@@ -52,17 +53,17 @@
 	lastReceived time.Time
 	revision     config.Revision
 	viewSum      uint64
-	// names are the upstreams that the peer's counts mean, by its numbers.
+	// names maps the upstream numbers in the peer's counts to names.
 	names map[int]string
 }
 
-// upstreamEntry is the last report of an upstream and who made it.
+// upstreamEntry is the last report of an upstream and its source.
 type upstreamEntry struct {
 	from string
 	load board.UpstreamLoad
 }
 
-// digestEntry is who shared a remote domain's digest last.
+// digestEntry is the last source of a remote domain's digest.
 type digestEntry struct {
 	from      string
 	reachable bool
@@ -94,7 +95,8 @@
 	m.own.set(keyIdentity, func(f *control.Facts) { f.Identity = &id })
 }
 
-// compose makes the heartbeat for a peer; an empty name is a peer not yet met.
+// compose builds the heartbeat for a peer; the name is empty for a peer that is not
+// known yet.
 func (m *mesh) compose(to string, now time.Time) control.Beat {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -113,8 +115,8 @@
 	return beat
 }
 
-// receive takes a peer's heartbeat and returns whether the sender may be
-// answered: it is of this domain, and not of an epoch that is over.
+// receive applies a peer's heartbeat and reports whether the sender may be
+// answered: it is of this domain, and not of an earlier epoch.
 func (m *mesh) receive(b *control.Beat, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -140,7 +142,8 @@
 		updated = m.view.ApplyIdentity(*b.Facts.Identity, now)
 	}
 	if m.view.Epoch(b.From) != b.Epoch {
-		// Its identity has not come yet: have stays 0, so it is sent next time.
+		// Its identity has not arrived yet: received stays 0, so it is sent next
+		// time.
 		return true
 	}
 	l.sequence, l.lastReceived, l.revision = b.Sequence, now, b.Revision
@@ -200,7 +203,8 @@
 	return updated
 }
 
-// confirm keeps alive what a peer vouches for: it says nothing while nothing changes.
+// confirm refreshes what a peer publishes, as a peer sends nothing while nothing
+// changes.
 func (m *mesh) confirm(from string, now time.Time) {
 	for domain, entry := range m.digests {
 		if entry.from == from && entry.reachable {
@@ -238,7 +242,7 @@
 	m.view.ApplyList(listed, now)
 }
 
-// goodbye takes a peer's goodbye.
+// goodbye records that a peer left.
 func (m *mesh) goodbye(name string, epoch uint64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -256,12 +260,13 @@
 	return l
 }
 
-// viewSum is a hash of the instances that may be spoken to, self included.
+// viewSum returns a hash of the instances that may be called, self included.
 func (m *mesh) viewSum(now time.Time) uint64 {
 	peers := append(m.view.Peers(now), member.Peer{Name: m.self.Name, Mesh: m.self.Addresses.Mesh, Epoch: m.self.Epoch})
 	var sum uint64
 	for _, peer := range peers {
-		// A sum does not depend on the order, which differs between instances.
+		// Adding makes the result independent of the order, which differs between
+		// instances.
 		sum += xxhash.Sum64String(peer.Name + " " + peer.Mesh)
 	}
 	return sum
--- a/pkg/agent/mesh_digest.go
+++ b/pkg/agent/mesh_digest.go
@@ -8,11 +8,12 @@
 	"github.com/lilacweir/lilacweir/pkg/digest"
 )
 
-// noEntries is the hash of a digest without entries.
+// noEntries is the hash of an empty list of entries.
 var noEntries = digest.EntriesSum(nil)
 
-// restoreEmptyEntries makes a digest whose domain has no entries say so: an empty list
-// does not survive the wire.
+// restoreEmptyEntries sets Entries to an empty list if the hash shows that the
+// domain has no entries, and to nil if they were omitted: gob decodes an empty list
+// as nil.
 func restoreEmptyEntries(d board.DomainDigest, entriesSum uint64) board.DomainDigest {
 	if len(d.Entries) > 0 {
 		return d
@@ -31,7 +32,7 @@
 	return m.remote.Get(domain)
 }
 
-// applyDigest takes a digest that a peer fetched and shares.
+// applyDigest applies a digest that a peer fetched and shares.
 func (m *mesh) applyDigest(from string, fact *control.DigestFact, now time.Time) bool {
 	m.digests[fact.Digest.Domain] = &digestEntry{from: from, reachable: fact.Reachable}
 	if !fact.Reachable {
@@ -40,9 +41,9 @@
 	return m.remote.Merge(restoreEmptyEntries(fact.Digest, fact.EntriesSum), now.Add(-fact.Age))
 }
 
-// setDigest notes a fetch of a remote domain's digest that this instance owns.
-// What is shared with the domain is only what differs enough to matter; it says
-// whether something urgent is among it.
+// setDigest records a remote domain's digest that this instance owns and fetched.
+// It publishes the digest only if it differs enough to matter, and reports whether
+// the change is urgent.
 func (m *mesh) setDigest(d board.DomainDigest, entriesSum uint64, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,8 +66,8 @@
 	return urgent
 }
 
-// publishDigest tells the domain a digest. Entries go under a key of their own, so that
-// they travel again only when they have changed.
+// publishDigest publishes a digest in the domain. Entries have a key of their own,
+// so that they are sent again only when they have changed.
 func (m *mesh) publishDigest(kind string, d board.DomainDigest, entriesSum uint64, receivedAt time.Time) {
 	d.HeardAt = time.Time{}
 	m.own.set(kind+d.Domain, func(f *control.Facts) {
@@ -75,8 +76,8 @@
 	})
 }
 
-// setUnreachable notes that a remote domain does not answer this instance, whose
-// job it is to ask: from now on its digest ages.
+// setUnreachable publishes that a remote domain does not answer this instance,
+// which owns its fetch: from now on its digest ages.
 func (m *mesh) setUnreachable(domain string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,8 +93,8 @@
 	m.changed()
 }
 
-// withdrawDigest takes back what this instance vouched for: it does not own the
-// domain's fetch any more.
+// withdrawDigest withdraws a digest when this instance no longer owns the domain's
+// fetch.
 func (m *mesh) withdrawDigest(domain string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/agent/mesh_load.go
+++ b/pkg/agent/mesh_load.go
@@ -9,12 +9,12 @@
 	"github.com/lilacweir/lilacweir/pkg/control"
 )
 
-// maxNumberedNames bounds the numbered names that are kept of one peer.
+// maxNumberedNames bounds the numbered names that are kept for one peer.
 const maxNumberedNames = 4096
 
-// publishLoad makes the own gateway's load a fact. Upstreams go by number, as their
-// names would be most of what a heartbeat carries; each name is a fact of its own
-// and travels to each peer once.
+// publishLoad publishes the own gateway's load. Upstreams are identified by number,
+// as their names would be most of a heartbeat; each name is a fact of its own and
+// is sent to each peer once.
 func (m *mesh) publishLoad(load board.GatewayLoad) {
 	counts := make([]control.LoadCount, 0, len(load.InFlight))
 	for _, name := range slices.Sorted(maps.Keys(load.InFlight)) {
@@ -24,8 +24,8 @@
 	m.own.set(keyLoad, func(f *control.Facts) { f.Load, f.Counts = &load, counts })
 }
 
-// numberOf returns the number of a name, and tells the domain a new one. Numbers
-// hold for this instance's epoch.
+// numberOf returns the number of a name, and assigns and publishes a new one if
+// needed. Numbers are valid for this instance's epoch.
 func (m *mesh) numberOf(name string) int {
 	if number, ok := m.numbers[name]; ok {
 		return number
@@ -37,7 +37,8 @@
 	return number
 }
 
-// decodeLoad takes a peer's load. Counts whose name has not come are left out.
+// decodeLoad returns a peer's load. Counts with a number that has no name yet are
+// left out.
 func (l *link) decodeLoad(f *control.Facts) board.GatewayLoad {
 	load := *f.Load
 	if len(f.Counts) == 0 {
@@ -52,7 +53,7 @@
 	return load
 }
 
-// applyNames takes the names that a peer has numbered in its epoch.
+// applyNames records the names that a peer has numbered in its epoch.
 func (l *link) applyNames(names []control.NameFact) {
 	if l.names == nil {
 		l.names = make(map[int]string, len(names))
--- a/pkg/agent/mesh_prefixes.go
+++ b/pkg/agent/mesh_prefixes.go
@@ -8,18 +8,18 @@
 	"github.com/lilacweir/lilacweir/pkg/control"
 )
 
-// PrefixInterval is the shortest time between two tellings of the prefixes that
-// one engine has cached: they are hints, and most of what a report weighs.
+// PrefixInterval is the shortest time between two publications of the prefixes that
+// one engine has cached: they are hints, and the largest part of a report.
 const PrefixInterval = 4 * time.Second
 
-// hint is what the domain was told last of an engine's cached prefixes.
+// hint is the last publication of an engine's cached prefixes.
 type hint struct {
 	prefixes []uint64
 	at       time.Time
 }
 
-// publishPrefixes tells the domain an engine's cached prefixes when they have changed
-// and the last telling is not too recent; the polls that follow look again.
+// publishPrefixes publishes an engine's cached prefixes if they have changed and
+// PrefixInterval has passed; otherwise a later poll does.
 func (m *mesh) publishPrefixes(load *board.UpstreamLoad) {
 	last := m.hints[load.Name]
 	if slices.Equal(last.prefixes, load.Prefixes) || load.ReportedAt.Sub(last.at) < PrefixInterval {
@@ -30,13 +30,15 @@
 	m.own.set("prefixes/"+load.Name, func(f *control.Facts) { f.Prefixes = append(f.Prefixes, fact) })
 }
 
-// withdrawPrefixes takes back what was told of an engine that is another's now.
+// withdrawPrefixes withdraws an engine's prefixes when another instance owns its
+// poll.
 func (m *mesh) withdrawPrefixes(upstream string) {
 	delete(m.hints, upstream)
 	m.own.remove("prefixes/" + upstream)
 }
 
-// applyReport takes a peer's report of an upstream; its prefixes come apart.
+// applyReport applies a peer's report of an upstream; its prefixes arrive
+// separately.
 func (m *mesh) applyReport(from string, fact *control.UpstreamFact, now time.Time) {
 	load := fact.Load
 	load.ReportedAt = now.Add(-fact.Age)
--- a/pkg/agent/mesh_publish.go
+++ b/pkg/agent/mesh_publish.go
@@ -9,7 +9,7 @@
 	"github.com/lilacweir/lilacweir/pkg/control"
 )
 
-// setRevisions notes the configuration here; it returns whether that is news.
+// setRevisions records the own revisions, and reports whether they changed.
 func (m *mesh) setRevisions(agent, inForce config.Revision, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -22,7 +22,8 @@
 	return true
 }
 
-// setGateway notes the own gateway's incarnation and whether it is leaving.
+// setGateway records the own gateway's incarnation and whether it is leaving. It
+// reports whether that changed.
 func (m *mesh) setGateway(incarnation uint64, leaving bool, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -46,7 +47,7 @@
 	m.setGateway(incarnation, true, now)
 }
 
-// setLoad notes the own gateway's load.
+// setLoad records and publishes the own gateway's load if it changed.
 func (m *mesh) setLoad(load board.GatewayLoad, before *board.GatewayLoad) {
 	if before != nil && reflect.DeepEqual(load, *before) {
 		return
@@ -58,8 +59,8 @@
 	m.changed()
 }
 
-// setMark notes that this instance saw, or no longer sees, an upstream leaving,
-// and says whether that is news.
+// setMark records and publishes whether this instance saw an upstream leaving. It
+// reports whether that changed.
 func (m *mesh) setMark(upstream string, leaving bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,8 +74,8 @@
 	return true
 }
 
-// setUpstream notes a poll of an upstream that this instance owns, and says
-// whether the upstream's state is another than before.
+// setUpstream records and publishes a poll of an upstream that this instance owns.
+// It reports whether the upstream's state changed.
 func (m *mesh) setUpstream(load board.UpstreamLoad) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,8 +95,8 @@
 	return !ok || before.load.State != load.State
 }
 
-// withdrawUpstream takes back what this instance vouched for: it does not own the
-// upstream's poll any more.
+// withdrawUpstream withdraws a report when this instance no longer owns the
+// upstream's poll.
 func (m *mesh) withdrawUpstream(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/agent/mesh_query.go
+++ b/pkg/agent/mesh_query.go
@@ -11,7 +11,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// peers returns the instances that may be spoken to.
+// peers returns the instances that may be called.
 func (m *mesh) peers(now time.Time) []member.Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -25,7 +25,7 @@
 	return m.view.Workers(now)
 }
 
-// lastReceived is when a peer's last message came.
+// lastReceived returns the time of a peer's last message.
 func (m *mesh) lastReceived(name string) time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -35,7 +35,7 @@
 	return time.Time{}
 }
 
-// revision is what a peer's agent last said that it holds.
+// revision returns the revision that a peer's agent last reported.
 func (m *mesh) revision(name string) config.Revision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -59,7 +59,7 @@
 	return peers
 }
 
-// seesPlatform says whether any watcher of the domain that is not silent reaches
+// seesPlatform reports whether any watcher of the domain that is not silent reaches
 // the key-value service.
 func (m *mesh) seesPlatform(now time.Time) bool {
 	m.mu.Lock()
@@ -73,7 +73,8 @@
 	return false
 }
 
-// setPlatform notes how the key-value service answers here.
+// setPlatform records and publishes whether the key-value service answers here. It
+// reports whether that changed.
 func (m *mesh) setPlatform(fact control.PlatformFact) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,7 +87,7 @@
 	return true
 }
 
-// setList notes what the platform's list says.
+// setList records and publishes the platform's list.
 func (m *mesh) setList(lines []platform.ListedInstance, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,7 +100,7 @@
 	m.changed()
 }
 
-// state is what is known of an instance of the domain.
+// state returns the state of an instance of the domain.
 func (m *mesh) state(name string, now time.Time) board.InstanceState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -139,8 +140,8 @@
 	return &board.Upstreams{ByName: byName}
 }
 
-// leavingUpstreams joins the marks of the platform's list and of every instance
-// that was heard of late.
+// leavingUpstreams merges the marks of the platform's list and of every instance
+// whose last message is at most MarkTTL old.
 func (m *mesh) leavingUpstreams(now time.Time) map[string]bool {
 	leaving := make(map[string]bool)
 	if m.list != nil {
--- a/pkg/agent/mesh_test.go
+++ b/pkg/agent/mesh_test.go
@@ -28,8 +28,8 @@
 	return 0
 }
 
-// An answer that was composed before a call of the other direction may arrive
-// after it: what it says is old.
+// A reply that was composed before a call of the other direction may arrive after
+// it; its older content must be ignored.
 func TestReorderedHeartbeatsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -42,9 +42,9 @@
 	is.Equal(incarnation(two, "lar-1", now), uint64(77))
 	is.True(two.receive(&late, now))
 	is.Equal(incarnation(two, "lar-1", now), uint64(77))
-	is.Equal(len(two.ahead(4, now)), 1) // nor does the revision fall
+	is.Equal(len(two.ahead(4, now)), 1) // the revision does not fall either
 
-	// Only what is new travels from here on.
+	// From here on only changes are sent.
 	answer := two.compose("lar-1", now)
 	is.True(one.receive(&answer, now))
 	is.True(one.compose("lar-2", now).Facts.Identity == nil)
@@ -52,9 +52,9 @@
 	again := one.compose("lar-2", now)
 	is.Equal(len(again.Facts.Marks), 1)
 
-	// A receiver that was started anew has nothing, and says so.
+	// A restarted receiver has nothing and reports that.
 	restarted := testMesh("lar-2", 3, now)
-	is.True(restarted.receive(&again, now)) // without an identity it is not yet known
+	is.True(restarted.receive(&again, now)) // without an identity the sender is not known yet
 	answer = restarted.compose("lar-1", now)
 	is.True(one.receive(&answer, now))
 	whole := one.compose("lar-2", now)
@@ -63,7 +63,8 @@
 	is.Equal(incarnation(restarted, "lar-1", now), uint64(77))
 }
 
-// A peer's new revision is published at once, and not only at the next look.
+// A peer's new revision is published at once, and not only at the next
+// reconciliation.
 func TestPeerRevisionChangeIsPublishedAtOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -78,7 +79,8 @@
 	is.Equal(changes, 1)
 }
 
-// exchangeBeats brings what one instance vouches for to another, and the answer back.
+// exchangeBeats delivers a heartbeat from one instance to another, and the reply
+// back.
 func exchangeBeats(t *testing.T, from, to *mesh, now time.Time) {
 	is := is.New(t)
 	beat := from.compose(to.self.Name, now)
@@ -92,8 +94,8 @@
 	return upstreams.ByName["nurse-1"].State
 }
 
-// A leaving mark from any source wins over a live report, for as long as its
-// source stands by it.
+// A leaving mark from any source overrides a live report until its source withdraws
+// it.
 func TestLeavingMarkOverridesLiveReport(t *testing.T) {
 	start := time.Now()
 	report := func(state board.UpstreamState) board.UpstreamLoad {
@@ -154,7 +156,7 @@
 	is.Equal(upstreamState(two, start.Add(MarkTTL+1)), board.UpstreamLive)
 }
 
-// What a former owner vouched for does not reach an instance that joins later.
+// Reports that a former owner withdrew do not reach an instance that joins later.
 func TestFormerOwnerWithdrawsItsReports(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -170,8 +172,8 @@
 	is.Equal(upstreamState(joined, now), board.UpstreamLive)
 }
 
-// FuzzBeat: whatever a peer sends, this instance neither fails nor changes its
-// mind about itself.
+// FuzzBeat checks that no heartbeat makes this instance fail, changes its own
+// state, or sets a digest of its own domain.
 func FuzzBeat(f *testing.F) {
 	f.Add("lar-2", "larisa-hall", uint64(2), uint64(1), uint64(9), "lar-1", true)
 	f.Add("lar-1", "larisa-hall", uint64(9), uint64(1), uint64(9), "nurse-1", false)
@@ -196,12 +198,12 @@
 			t.Fatalf("this instance became %s", state)
 		}
 		if _, ok := m.digest("larisa-hall"); ok {
-			t.Fatal("took a digest of the own domain")
+			t.Fatal("accepted a digest of the own domain")
 		}
 	})
 }
 
-// The gateway that marked an upstream as leaving lifts the mark by the upstream's
+// The gateway that marked an upstream as leaving clears the mark by the upstream's
 // own report, which the mark must not hide.
 func TestMarkDoesNotHideTheUpstreamsOwnReport(t *testing.T) {
 	is := is.New(t)
@@ -214,11 +216,11 @@
 	is.True(upstreams.ByName["nurse-1"].Marked)
 	m.setUpstream(board.UpstreamLoad{Name: "nurse-1", State: board.UpstreamLeaving, ReportedAt: now})
 	_, upstreams, _ = m.snapshot(now, []string{"nurse-1"})
-	is.True(!upstreams.ByName["nurse-1"].Marked) // it says so itself
+	is.True(!upstreams.ByName["nurse-1"].Marked) // the upstream reports it itself
 }
 
-// Loads name upstreams by numbers whose names travel once; a peer that was started
-// anew, or has lost a heartbeat, still understands them.
+// Loads identify upstreams by numbers, and the names are sent once. A peer that
+// restarted or lost a heartbeat must still resolve them.
 func TestNumberedLoadsResolveAfterRestartOrLoss(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -234,11 +236,11 @@
 	exchangeBeats(t, one, two, now)
 	is.Equal(received(two), first)
 	one.setLoad(second, &first)
-	one.compose("lar-2", now) // lost on its way
+	one.compose("lar-2", now) // lost in transit
 	exchangeBeats(t, one, two, now)
 	is.Equal(received(two), second)
 	exchangeBeats(t, one, two, now)
-	is.Equal(len(one.own.since(one.link("lar-2").acknowledged).Names), 0) // nothing is told twice
+	is.Equal(len(one.own.since(one.link("lar-2").acknowledged).Names), 0) // nothing is sent twice
 
 	restarted := testMesh("lar-2", 3, now)
 	exchangeBeats(t, one, restarted, now)
@@ -246,8 +248,8 @@
 	is.Equal(received(restarted), second)
 }
 
-// Cached prefixes are told apart from the load, now and then; a report between does
-// not take them away.
+// Cached prefixes are published separately from the load, at most once in
+// PrefixInterval; a report in between does not remove them.
 func TestPrefixesArePublishedAtIntervals(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -266,9 +268,9 @@
 	is.Equal(received().Prefixes, []uint64{7, 8})
 	report(2, PrefixInterval/2, 9)
 	is.Equal(received().Running, 2)
-	is.Equal(received().Prefixes, []uint64{7, 8}) // too soon to be told
+	is.Equal(received().Prefixes, []uint64{7, 8}) // too soon to be published
 	report(2, PrefixInterval, 9)
 	is.Equal(received().Prefixes, []uint64{9})
 	report(3, 2*PrefixInterval)
-	is.Equal(len(received().Prefixes), 0) // the engine has forgotten them
+	is.Equal(len(received().Prefixes), 0) // the engine has evicted them
 }
--- a/pkg/agent/operators.go
+++ b/pkg/agent/operators.go
@@ -17,25 +17,27 @@
 	"github.com/lilacweir/lilacweir/pkg/telemetry"
 )
 
-// Bounds of the operators' HTTP.
+// Bounds of the operators' HTTP server.
 const (
 	headerTimeout = 5 * time.Second
-	// requestTimeout bounds reading a request; an answer may wait for a change to
-	// be in force.
+	// requestTimeout bounds reading a request. There is no write timeout, as an
+	// answer may wait until a change is in force.
 	requestTimeout = 30 * time.Second
-	// maxHeader bounds a request's header in bytes. Up to maxRead it is read and
-	// refused; of more, the connection is closed with a plain status 431.
+	// maxHeader bounds a request's header in bytes. A header of up to maxRead is read
+	// and refused; beyond that, the server closes the connection with a plain status
+	// 431.
 	maxHeader = 16 << 10
 	maxRead   = 128 << 10
-	// maxOperators bounds the open connections of operators and of what reads health
-	// and metrics. Slow ones are closed in time; hundreds must not keep others out.
+	// maxOperators bounds the open connections of operators and of health and metrics
+	// clients. Slow ones are closed by timeouts; hundreds of them must not keep
+	// others out.
 	maxOperators = 1024
-	// closeTimeout bounds what is answered while stopping: a change's answer waits
-	// for command.InForceBound.
+	// closeTimeout bounds requests in progress while stopping: the answer to a change
+	// waits for command.InForceBound.
 	closeTimeout = command.InForceBound + 2*time.Second
 )
 
-// serveOperators opens the operators' HTTP.
+// serveOperators starts the operators' HTTP server.
 func (a *Agent) serveOperators(ctx context.Context, group *errgroup.Group) error {
 	address := a.Settings.Agent.Operators
 	listener, err := a.Mesh.ListenPublic(address, a.Settings.Agent.OperatorsTLS, maxOperators)
@@ -80,7 +82,7 @@
 	return router
 }
 
-// limitHeader refuses requests whose header is too large.
+// limitHeader refuses requests with a header above maxHeader.
 func limitHeader(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if len(c.Request().RequestURI)+header.Size(c.Request().Header) <= maxHeader {
@@ -99,9 +101,9 @@
 	Platform bool `json:"platform"`
 	// Gateway is whether the own gateway answers.
 	Gateway bool `json:"gateway"`
-	// SilentDomains are the failure domains that cannot be heard.
+	// SilentDomains are the failure domains without a recent digest.
 	SilentDomains []string `json:"silent_domains"`
-	// SilentInstances are the instances of the own domain that cannot be heard.
+	// SilentInstances are the instances of the own domain without a recent heartbeat.
 	SilentInstances []string `json:"silent_instances"`
 }
 
--- a/pkg/agent/operators_test.go
+++ b/pkg/agent/operators_test.go
@@ -18,11 +18,12 @@
 	"github.com/lilacweir/lilacweir/pkg/header"
 )
 
-// minRefusals is how many connections must have been refused for the agent to have
-// had the time to end, had it not waited.
+// minRefusals is the number of refused connections after which an agent that did
+// not wait for open requests would have stopped.
 const minRefusals = 2000
 
-// A request that an operator has begun is answered although the agent stops.
+// A request that an operator has begun to send is answered although the agent
+// stops.
 func TestStoppingAgentAnswersRequestsInProgress(t *testing.T) {
 	is := is.New(t)
 	r := newHarness(t, 7, 1)
@@ -39,7 +40,7 @@
 	reader := bufio.NewReader(conn)
 	line, err := reader.ReadString('\n')
 	is.NoErr(err)
-	is.Equal(line, "HTTP/1.1 100 Continue\r\n") // the handler reads
+	is.Equal(line, "HTTP/1.1 100 Continue\r\n") // the handler reads the body
 	_, err = reader.ReadString('\n')
 	is.NoErr(err)
 
@@ -52,7 +53,7 @@
 		}
 		_ = probe.Close()
 	}
-	is.Equal(len(r.nodes["a-1"].ended), 0) // it waits for what was begun
+	is.Equal(len(r.nodes["a-1"].ended), 0) // the agent waits for the open request
 	_, err = fmt.Fprint(conn, "st")
 	is.NoErr(err)
 	response, err := http.ReadResponse(reader, nil)
@@ -61,7 +62,7 @@
 	is.NoErr(response.Body.Close())
 }
 
-// What a stranger sends to apply is not waited for, nor held in memory.
+// The body of an unauthenticated apply is neither waited for nor held in memory.
 func TestUnauthenticatedDeclarationIsNotRead(t *testing.T) {
 	is := is.New(t)
 	r := newHarness(t, 8, 1)
--- a/pkg/agent/orders.go
+++ b/pkg/agent/orders.go
@@ -11,11 +11,12 @@
 	"github.com/lilacweir/lilacweir/pkg/order"
 )
 
-// orderCandidates is how many instances of a failure domain may take the lease
-// for orders: the second takes it when the first is gone.
+// orderCandidates is the number of instances of a failure domain that compete for
+// the lease for orders: the second acquires it when the first is lost.
 const orderCandidates = 2
 
-// runOrders takes part in giving orders to the domain's engines until ctx ends.
+// runOrders competes for the lease and sends orders to the domain's engines until
+// ctx ends.
 func (a *Agent) runOrders(ctx context.Context) {
 	if a.Engines == nil {
 		return
@@ -33,7 +34,7 @@
 	controller.Run(ctx)
 }
 
-// orderSource is what orders are decided from.
+// orderSource is the input of order decisions.
 type orderSource struct{ agent *Agent }
 
 // Declaration implements order.Source.
--- a/pkg/agent/platform.go
+++ b/pkg/agent/platform.go
@@ -14,17 +14,16 @@
 	"github.com/lilacweir/lilacweir/pkg/spread"
 )
 
-// Timing of the calls of the platform's other services.
+// Timing of the calls to the platform's other services.
 const (
-	// DirectoryTTL is how long an entry outlives its last renewal, which comes
-	// every DirectoryInterval.
+	// DirectoryTTL is the lifetime of an entry after its last renewal; renewals are
+	// sent every DirectoryInterval.
 	DirectoryTTL      = 30 * time.Second
 	DirectoryInterval = 10 * time.Second
-	// DirectoryTimeout bounds a call; DirectoryRetryMax the wait after failures.
+	// DirectoryTimeout bounds a call, DirectoryRetryMax the backoff after failures.
 	DirectoryTimeout  = 2 * time.Second
 	DirectoryRetryMax = 8 * time.Second
-	// ReadinessCheck is how often an unregistered instance looks whether its
-	// gateway has become ready.
+	// ReadinessCheck is how often the gateway's readiness is checked.
 	ReadinessCheck = 100 * time.Millisecond
 	// ListInterval is how often one instance of a domain reads the lagging list.
 	ListInterval = 2 * time.Second
@@ -48,7 +47,7 @@
 	watcher.Run(ctx)
 }
 
-// watching says whether this instance watches the head key.
+// watching reports whether this instance watches the head key.
 func (a *Agent) watching() bool {
 	if time.Since(a.started) < SettleTime {
 		return false
@@ -61,7 +60,7 @@
 	return on
 }
 
-// recordKeyValueResult notes the result of a call of the key-value service.
+// recordKeyValueResult records the result of a call to the key-value service.
 func (a *Agent) recordKeyValueResult(err error) {
 	count(a.calls.keyValue, a.calls.keyValueFailed, err)
 	if a.mesh.setPlatform(control.PlatformFact{Watching: true, KeyValue: err == nil}) {
@@ -80,7 +79,7 @@
 	a.exchange.raise()
 }
 
-// ready says whether callers may be sent to the own gateway.
+// ready reports whether callers may be sent to the own gateway.
 func (a *Agent) ready() bool {
 	up, reply := a.gateway.state()
 	leaving := a.mesh.state(a.Settings.Instance, time.Now()) != board.InstanceLive
@@ -113,7 +112,7 @@
 	}
 }
 
-// updateDirectory registers the instance, or takes it out.
+// updateDirectory registers or deregisters the instance.
 func (a *Agent) updateDirectory(ctx context.Context, present bool) error {
 	ctx, cancel := context.WithTimeout(ctx, DirectoryTimeout)
 	defer cancel()
--- a/pkg/agent/poll.go
+++ b/pkg/agent/poll.go
@@ -22,16 +22,16 @@
 	PollInterval = time.Second
 	// PollTimeout bounds one poll.
 	PollTimeout = time.Second
-	// PollFailures is how many polls in a row must fail for an upstream to count
-	// as silent.
+	// PollFailures is the number of consecutive failed polls after which an upstream
+	// counts as silent.
 	PollFailures = 2
 	// maxReport bounds a load report in bytes.
 	maxReport = 64 << 10
-	// maxPrefixes bounds the prefix hashes that are kept of one engine.
+	// maxPrefixes bounds the prefix hashes that are kept for one engine.
 	maxPrefixes = 64
 )
 
-// StatusError is an upstream's answer other than 200.
+// StatusError reports an upstream's answer other than 200.
 type StatusError struct{ Status int }
 
 // Error implements error.
@@ -81,7 +81,7 @@
 	}
 }
 
-// poll asks one upstream for its load.
+// poll reads one upstream's load.
 func (a *Agent) poll(ctx context.Context, u *config.Upstream) (board.UpstreamLoad, error) {
 	ctx, cancel := context.WithTimeout(ctx, PollTimeout)
 	defer cancel()
@@ -126,7 +126,8 @@
 	return load, nil
 }
 
-// prefixes reads hexadecimal hashes; one that is not is left out, as they are hints.
+// prefixes parses hexadecimal hashes and leaves out invalid ones, as prefixes are
+// only hints.
 func prefixes(hexes []string) []uint64 {
 	var hashes []uint64
 	for _, text := range hexes[:min(len(hexes), maxPrefixes)] {
--- a/pkg/agent/reconcile.go
+++ b/pkg/agent/reconcile.go
@@ -14,16 +14,16 @@
 	"github.com/lilacweir/lilacweir/pkg/settings"
 )
 
-// Timing of the end.
+// Timing of the shutdown.
 const (
-	// LeaveTimeout bounds what is said when leaving.
+	// LeaveTimeout bounds the goodbye calls to peers.
 	LeaveTimeout = time.Second
-	// GatewayLeavingWait is how long a stopping agent waits to see whether its gateway
-	// is stopping too.
+	// GatewayLeavingWait is the time that a stopping agent waits to see whether its
+	// gateway is stopping too.
 	GatewayLeavingWait = 2 * time.Second
 )
 
-// reconcileLoop keeps the blackboard up to date and the sets of jobs right.
+// reconcileLoop keeps the blackboard and the set of running jobs up to date.
 func (a *Agent) reconcileLoop(ctx context.Context) {
 	jobs := newJobSet()
 	defer jobs.stop()
@@ -56,9 +56,9 @@
 	}
 }
 
-// publish writes the sections that have changed. The gateway is told at once of
-// who is there and who is leaving; loads change all the time, its own with each
-// request, and go with the next exchange that is due.
+// publish stores the sections that have changed. Changes of membership and of
+// states trigger an exchange with the gateway at once; loads change with each
+// request, and are sent with the next exchange that is due.
 func (a *Agent) publish(now time.Time) {
 	a.publishPlatform(now)
 	members, upstreams, domains := a.mesh.snapshot(now, a.ownUpstreams())
@@ -71,11 +71,11 @@
 	}
 }
 
-// published is when each section was stored last.
+// published holds the time at which each section was last stored.
 type published struct{ members, upstreams, domains time.Time }
 
-// refreshDue says whether a section is due to be stored even when nothing but its
-// ages changed.
+// refreshDue returns a function that reports whether a section is due to be stored
+// although only its timestamps changed.
 func (a *Agent) refreshDue(now time.Time, last *time.Time) func(stored bool) bool {
 	return func(stored bool) bool {
 		if stored {
@@ -85,7 +85,7 @@
 	}
 }
 
-// store swaps a section when its content changed, or when it is due.
+// store replaces a section if its content changed or it is due.
 func store[T any](section *board.Section[T], value *T, same func(a, b *T) bool, due func(stored bool) bool) {
 	before := section.Load()
 	if before == nil || !same(before, value) || due(false) {
@@ -94,8 +94,8 @@
 	}
 }
 
-// sameMembership says whether the same instances are there, in the same state and
-// the same lives.
+// sameMembership reports whether both sections have the same instances, equal in
+// all but their last heartbeat and load; of the load only the successor counts.
 func sameMembership(a, b *board.Members) bool {
 	return a != nil && slices.EqualFunc(a.Instances, b.Instances, func(x, y board.Instance) bool {
 		x.LastHeard, y.LastHeard = time.Time{}, time.Time{}
@@ -105,7 +105,8 @@
 	})
 }
 
-// sameStates says whether the same upstreams are there, in the same state.
+// sameStates reports whether both sections have the same upstreams in the same
+// states.
 func sameStates(a, b *board.Upstreams) bool {
 	return a != nil && maps.EqualFunc(a.ByName, b.ByName, func(x, y board.UpstreamLoad) bool { return x.State == y.State })
 }
@@ -139,7 +140,7 @@
 	return true
 }
 
-// ownUpstreams names the upstreams of the own domain.
+// ownUpstreams returns the names of the own domain's upstreams.
 func (a *Agent) ownUpstreams() []string {
 	head := a.keeper.Head()
 	if head == nil {
@@ -154,9 +155,9 @@
 	return names
 }
 
-// leave takes the instance out: it is marked as leaving everywhere, a gateway
-// that is leaving too is given the time to end its streams, and then the domain
-// is told goodbye.
+// leave takes the instance out of service: it is marked as leaving everywhere, a
+// gateway that is leaving too is given the time to end its streams, and then the
+// agent says goodbye to its peers.
 func (a *Agent) leave(ctx context.Context) {
 	a.Log.Info().Msg("leaving")
 	a.mesh.setLeaving(time.Now())
@@ -170,7 +171,7 @@
 	a.sendGoodbye(ctx)
 }
 
-// drainLimit is how long the gateway may take to end its streams.
+// drainLimit returns the time that the gateway may take to end its streams.
 func (a *Agent) drainLimit() time.Duration {
 	if drain := a.Settings.Gateway.Drain; drain > 0 {
 		return drain
--- a/pkg/agent/reconcile_test.go
+++ b/pkg/agent/reconcile_test.go
@@ -16,8 +16,8 @@
 	"github.com/lilacweir/lilacweir/pkg/spread"
 )
 
-// A gateway's load differs at each exchange while it serves. Were each difference
-// a reason for the next exchange, the two would never rest.
+// A gateway's load changes with each exchange while it serves. If each change
+// triggered the next exchange, the two would exchange without a pause.
 func TestOnlyMembershipAndStateChangesTriggerAnExchange(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	cases := []struct {
@@ -54,7 +54,8 @@
 	}
 }
 
-// settledAgent is an agent with one peer and one upstream, whose gateway knows all.
+// settledAgent returns an agent with one peer and one upstream, and no exchange
+// pending.
 func settledAgent(t *testing.T, now time.Time) *Agent {
 	t.Helper()
 	network, err := control.NewNetwork(settings.Security{PlaintextLoopback: true}, nil)
@@ -78,7 +79,7 @@
 	return a
 }
 
-// Many domains bring the same configuration at the same time; it is read once.
+// Many domains send the same configuration at the same time; it is decoded once.
 func TestAHeldConfigurationIsNotDecodedAgain(t *testing.T) {
 	is := is.New(t)
 	a := settledAgent(t, time.Unix(1_800_000_000, 0))
@@ -87,7 +88,7 @@
 	}
 	is.NoErr(unreadable(1)) // held already
 	is.True(unreadable(2) != nil)
-	is.True(unreadable(0) != nil) // a sender that does not say must be read
+	is.True(unreadable(0) != nil) // without a target revision it must be decoded
 }
 
 func TestAFreshInstanceOwnsNoDigests(t *testing.T) {
--- a/pkg/agent/remote.go
+++ b/pkg/agent/remote.go
@@ -18,17 +18,17 @@
 	"github.com/lilacweir/lilacweir/pkg/spread"
 )
 
-// Bounds of questions that are passed on.
+// Bounds of operators' commands that are passed on.
 const (
-	// AskTimeout bounds a question to another failure domain, WhyTimeout one to a
-	// gateway about a request.
+	// AskTimeout bounds a command passed to another failure domain, WhyTimeout the
+	// lookup of a request at a gateway.
 	AskTimeout = 3 * time.Second
 	WhyTimeout = 2 * time.Second
-	// maxConcurrentWhy bounds the gateways that are asked at the same time.
+	// maxConcurrentWhy bounds the gateways that are queried concurrently.
 	maxConcurrentWhy = 32
 )
 
-// UnreachableError: no agent of a failure domain answered.
+// UnreachableError means that no agent of a failure domain answered.
 type UnreachableError struct {
 	Domain string
 	Err    error
@@ -37,10 +37,10 @@
 // Error implements error.
 func (e *UnreachableError) Error() string { return e.Domain + " is cut off from here" }
 
-// Unwrap returns the last cause; nil when no address is known.
+// Unwrap returns the last cause, or nil if no address is known.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// newExecutor returns what answers operators' lines.
+// newExecutor returns the executor of operators' commands.
 func (a *Agent) newExecutor() *command.Executor {
 	pause := func(ctx context.Context, wait time.Duration) error {
 		clock.Sleep(ctx, wait)
@@ -60,7 +60,7 @@
 	}
 }
 
-// remote asks other instances.
+// remote passes operators' commands to other instances.
 type remote struct{ agent *Agent }
 
 // Ask implements command.Remote.
@@ -81,7 +81,7 @@
 	return command.Reply{}, unreachable
 }
 
-// Why implements command.Remote. Every gateway is asked, as a request may have
+// Why implements command.Remote. It queries every gateway, as a request may have
 // passed through several.
 func (r *remote) Why(ctx context.Context, requestID string) ([]string, int, error) {
 	ctx, cancel := context.WithTimeout(ctx, WhyTimeout)
@@ -111,7 +111,7 @@
 	return lines, unreached, group.Wait()
 }
 
-// allInstances returns all instances whose addresses are known here.
+// allInstances returns all instances that have a known address.
 func (a *Agent) allInstances() []board.Instance {
 	var all []board.Instance
 	if members := a.board.Members.Load(); members != nil {
@@ -129,10 +129,10 @@
 	return all
 }
 
-// operatorService answers operators' questions that another instance passes on.
+// operatorService runs operators' commands that another instance passes on.
 type operatorService struct{ agent *Agent }
 
-// Ask answers a question; changes are made where the operator is.
+// Ask runs a query; changes are made by the instance that the operator called.
 func (s *operatorService) Ask(args *control.AskArgs, reply *control.AskReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), AskTimeout)
 	defer cancel()
--- a/pkg/agent/serve_command.go
+++ b/pkg/agent/serve_command.go
@@ -15,7 +15,7 @@
 	"github.com/lilacweir/lilacweir/pkg/header"
 )
 
-// Bounds of what operators send, in bytes.
+// Bounds of operators' request bodies, in bytes.
 const (
 	maxLine        = 4 << 10
 	maxDeclaration = 8 << 20
@@ -23,9 +23,9 @@
 
 const bearer = "Bearer "
 
-// serveCommand answers POST /v1/command. The change's identity may come as the
-// query's "id", the revision that the operator saw as "seen"; "again=1" says that
-// the same id was sent before.
+// serveCommand handles POST /v1/command. The query may carry the change's identity
+// as "id" and the revision that the operator saw as "seen"; "again=1" marks a
+// repetition with the same id.
 func (a *Agent) serveCommand(c echo.Context) error {
 	body, err := readLimited(c, maxLine)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return answer(c, reply)
 }
 
-// serveApply answers POST /v1/apply: the body is the declaration's YAML. Once a
-// configuration is in force, a stranger's is not read.
+// serveApply handles POST /v1/apply: the body is the declaration's YAML. Once a
+// configuration is in force, the body of an unauthenticated request is not read.
 func (a *Agent) serveApply(c echo.Context) error {
 	if _, ok := a.operator(c, nil); !ok && a.board.Config.Load() != nil {
 		c.Response().Header().Set("Connection", "close")
@@ -77,7 +77,8 @@
 	return answer(c, difference.Reply)
 }
 
-// serveDeclaration answers GET /v1/declaration with the declaration in force here.
+// serveDeclaration handles GET /v1/declaration: it returns the declaration in force
+// here.
 func (a *Agent) serveDeclaration(c echo.Context) error {
 	if _, ok := a.operator(c, nil); !ok {
 		return reject(c, http.StatusUnauthorized, a.unauthenticated())
@@ -94,7 +95,7 @@
 	return c.Blob(http.StatusOK, "application/yaml", data)
 }
 
-// operator returns who asks, when the key is right: by the configuration in
+// operator returns the operator's name if the key is right by the configuration in
 // force here, or by the file that is to make revision 1.
 func (a *Agent) operator(c echo.Context, file []byte) (string, bool) {
 	name := c.Request().Header.Get(header.Operator)
@@ -105,7 +106,8 @@
 	return name, a.executor.Judge(name, key, file)
 }
 
-// unauthenticated says why no key can be right here, or that this one is not.
+// unauthenticated returns the message for a rejected key: without a configuration
+// no key can be right.
 func (a *Agent) unauthenticated() string {
 	if a.keeper.Head() == nil {
 		return "no configuration here, so no operator is known\nfirst: lilacweir apply FILE"
@@ -133,7 +135,8 @@
 	return io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, limit))
 }
 
-// rejectBody answers to a body that was too large, came too slowly or broke off.
+// rejectBody answers a request with a body that was too large, too slow or
+// incomplete.
 func rejectBody(c echo.Context, err error, tooLarge string) error {
 	var over *http.MaxBytesError
 	if errors.As(err, &over) {
--- a/pkg/agent/update.go
+++ b/pkg/agent/update.go
@@ -8,8 +8,8 @@
 	"github.com/lilacweir/lilacweir/pkg/spread"
 )
 
-// updates keeps the last update that was made, since many ask for the same one
-// at the same time. The zero value is ready for use.
+// updates caches the last update, since many peers request the same one at the same
+// time. The zero value is ready for use.
 type updates struct {
 	mu     sync.Mutex
 	to     config.Revision
@@ -18,8 +18,8 @@
 	change *control.HeadUpdate
 }
 
-// make returns what brings a holder of the given revision to the head: the
-// changes alone where the head still holds them, else the whole.
+// make returns an update from the held revision to the head: the delta alone if the
+// head still has it, else the whole head.
 func (u *updates) make(head *config.Head, held config.Revision, whole bool) (*control.HeadUpdate, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -46,8 +46,9 @@
 }
 
 // applyUpdate offers a received configuration to the keeper. An error means that
-// the whole head has to be asked for. Many bring the same one at the same time, so
-// one is read after the other, and not at all once its revision is held.
+// the whole head has to be requested. The same configuration often arrives from
+// many sources at once, so updates are decoded one at a time, and not at all once
+// their revision is held.
 func (a *Agent) applyUpdate(update *control.HeadUpdate, source spread.Source) error {
 	if update == nil {
 		return nil
