--- a/pkg/agent/agent_test.go
+++ b/pkg/agent/agent_test.go
@@ -34,7 +34,7 @@
 	}
 
 	r.store.Cut("b", true)
-	r.wait("a-1", "b is seen to be cut from the platform", func(a *Agent) bool {
+	r.wait("a-1", "b reports that it cannot reach the platform", func(a *Agent) bool {
 		d, _ := a.mesh.digest("b")
 		return !d.Platform
 	})
@@ -49,7 +49,7 @@
 	is.Equal(r.nodes["a-1"].agent.readiness(time.Now()).State, StateServing)
 
 	r.store.Cut("b", false)
-	r.wait("a-1", "b is seen to be back", func(a *Agent) bool {
+	r.wait("a-1", "b reports that it reaches the platform again", func(a *Agent) bool {
 		d, _ := a.mesh.digest("b")
 		return d.Platform
 	})
@@ -111,7 +111,7 @@
 	if stopped == survivor {
 		survivor = "a-2"
 	}
-	r.wait(survivor, "one said goodbye", func(a *Agent) bool { return len(a.board.Members.Load().Instances) == 3 })
+	r.wait(survivor, "the stopped instance is removed", func(a *Agent) bool { return len(a.board.Members.Load().Instances) == 3 })
 	r.wait(survivor, "two watchers again", func(*Agent) bool { return r.store.Watching("a") == spread.Watchers })
 	is.True(!r.directory.has(stopped))
 }
@@ -148,7 +148,7 @@
 	r.wait("a-1", "a-2 is leaving", func(a *Agent) bool {
 		return a.mesh.state("a-2", time.Now()) == board.InstanceLeaving
 	})
-	r.wait("b-1", "a-2 is no entry any more", func(a *Agent) bool {
+	r.wait("b-1", "a-2 is removed from the entries", func(a *Agent) bool {
 		d, _ := a.mesh.digest("a")
 		return len(d.Entries) == 1 && d.Entries[0].Name == "a-1"
 	})
@@ -170,7 +170,7 @@
 	is := is.New(t)
 	r := newHarness(t, 3, 1)
 	r.start("a-1")
-	r.wait("a-1", "the gateway is met", func(a *Agent) bool { up, _ := a.gateway.state(); return up })
+	r.wait("a-1", "the gateway is up", func(a *Agent) bool { up, _ := a.gateway.state(); return up })
 	is.Equal(r.nodes["a-1"].agent.readiness(time.Now()).State, StateNoConfiguration)
 	is.True(!r.directory.has("a-1"))
 
@@ -179,7 +179,7 @@
 	r.stop("a-1")
 	r.store.Cut("a", true)
 	r.start("a-1")
-	r.wait("a-1", "revision 7 learned again", func(a *Agent) bool { return inForce(a, 7) == 1 })
+	r.wait("a-1", "revision 7 recovered", func(a *Agent) bool { return inForce(a, 7) == 1 })
 	is.True(!r.nodes["a-1"].gateway.downgraded)
 }
 
--- a/pkg/agent/mesh_test.go
+++ b/pkg/agent/mesh_test.go
@@ -198,7 +198,7 @@
 			t.Fatalf("this instance became %s", state)
 		}
 		if _, ok := m.digest("larisa-hall"); ok {
-			t.Fatal("accepted a digest of the own domain")
+			t.Fatal("a digest of the own domain was accepted")
 		}
 	})
 }
