--- a/pkg/member/rank.go
+++ b/pkg/member/rank.go
@@ -1,10 +1,10 @@
-// Package member decides what one instance knows of the other instances of its
-// failure domain: who is live, leaving, silent or gone, and which of them owns
-// a shared job.
+// Package member tracks what one instance knows of the other instances of its
+// failure domain: which are live, leaving, silent or left, and which of them owns a
+// shared job.
 //
-// Guarantees: a leaving mark wins over an older live mark; a silent instance
-// stays counted until it said goodbye or the platform's list has long been
-// without it. The package does no input or output; the caller gives the time.
+// Guarantees: a leaving mark overrides an older live mark; a silent instance stays
+// listed until it says goodbye or has long been missing from the platform's list.
+// The package does no input or output; the caller passes the time.
 package member
 
 import (
@@ -18,9 +18,9 @@
 	return xxhash.Sum64String(job + "/" + subject)
 }
 
-// Rank orders the names by rendezvous hashing: the first owns the job, the
-// second takes over when the first is gone, and the loss of one name moves only
-// that name's jobs. Every process that knows the same names gets the same order.
+// Rank orders the names by rendezvous hashing: the first owns the job, the second
+// takes over when the first is lost, and the loss of one name moves only that
+// name's jobs. Every process that knows the same names gets the same order.
 func Rank(key uint64, names []string) []string {
 	type scored struct {
 		name  string
@@ -43,8 +43,8 @@
 	return ranked
 }
 
-// First returns the index of the first name of the ranking, without making it. There
-// must be at least one name.
+// First returns the index of the first name of the ranking without building it.
+// There must be at least one name.
 func First(key uint64, names []string) int {
 	first, highest := 0, uint64(0)
 	for i, name := range names {
@@ -56,7 +56,7 @@
 	return first
 }
 
-// Owns says whether self is among the first n of the ranking.
+// Owns reports whether self is among the first n of the ranking.
 func Owns(key uint64, names []string, self string, n int) bool {
 	own := score(key, self)
 	ahead := 0
--- a/pkg/member/rank_test.go
+++ b/pkg/member/rank_test.go
@@ -47,7 +47,7 @@
 			is.Equal(after[0], before[1]) // the second takes over
 			continue
 		}
-		is.Equal(after[0], before[0]) // the others keep theirs
+		is.Equal(after[0], before[0]) // the other owners keep their jobs
 	}
 	for _, name := range names {
 		fair := jobs / len(names)
--- a/pkg/member/view.go
+++ b/pkg/member/view.go
@@ -10,37 +10,37 @@
 
 // Bounds of the state machine.
 const (
-	// SilentAfter is how long an instance may say nothing before its jobs pass
+	// SilentAfter is the time without a heartbeat after which an instance's jobs pass
 	// to others: two missed heartbeats and a margin for a busy machine.
 	SilentAfter = 2500 * time.Millisecond
-	// ForgetAfter is how long an instance that the platform's list no longer
-	// names stays counted as silent.
+	// ForgetAfter is the time that an instance missing from the platform's list stays
+	// listed as silent.
 	ForgetAfter = 10 * time.Minute
-	// TombstoneTTL is how long a goodbye is remembered, so that a late message
-	// does not bring the instance back.
+	// TombstoneTTL is the time that a goodbye is kept as a tombstone, so that a late
+	// message does not restore the instance.
 	TombstoneTTL = 10 * time.Minute
 )
 
-// Identity is what an instance says of itself and what seldom changes.
+// Identity is an instance's description of itself; it rarely changes.
 type Identity struct {
 	Name, Domain, Region string
-	// Epoch is drawn at the agent's start and grows from start to start
+	// Epoch identifies a start of the agent and grows from start to start
 	// (nanoseconds of its clock).
 	Epoch uint64
-	// Incarnation is the gateway's; zero while it has none.
+	// Incarnation is the gateway's; zero if it has none.
 	Incarnation uint64
 	Addresses   board.Addresses
 	// Leaving is the instance's own mark.
 	Leaving bool
 }
 
-// Peer names an instance and where its agent listens.
+// Peer is an instance's name and the address of its agent.
 type Peer struct {
 	Name  string
 	Mesh  string
 	Epoch uint64
-	// Quiet is how long ago it was last heard, so that a forgotten instance does
-	// not come back as new from one that has not forgotten it yet.
+	// Quiet is the time since its last heartbeat, so that an instance that was
+	// removed is not added again by a peer that has not removed it yet.
 	Quiet time.Duration
 }
 
@@ -50,7 +50,7 @@
 	self    string
 	domain  string
 	entries map[string]*entry
-	// haveList is whether the platform's list was ever read.
+	// haveList is whether the platform's list was ever received.
 	haveList bool
 }
 
@@ -59,15 +59,17 @@
 	// known is whether the instance has described itself in this epoch.
 	known bool
 	mesh  string
-	// lastReceived is the last message, and first when it was first named.
+	// lastReceived is the time of the last message, firstSeen the time at which the
+	// instance was first named.
 	lastReceived, firstSeen time.Time
 	revision                config.Revision
 	load                    board.GatewayLoad
-	// leaving holds for the incarnation of the gateway that it was set for.
+	// leaving is valid for the incarnation of the gateway for which it was set.
 	leaving     bool
 	incarnation uint64
 	goodbye     time.Time
-	// listed is whether the platform's list names it, listMark whether as leaving.
+	// listed is whether the platform's list has the instance, listLeaving whether as
+	// leaving.
 	listed, listLeaving bool
 }
 
@@ -79,8 +81,9 @@
 	return v
 }
 
-// ApplyIdentity takes an instance's own description. An older epoch is ignored; a
-// newer one clears what was known of the instance's former life.
+// ApplyIdentity applies an instance's own description and reports whether it
+// changed. An older epoch is ignored; a newer one clears the state of the earlier
+// one.
 func (v *View) ApplyIdentity(id Identity, now time.Time) bool {
 	if id.Domain != v.domain {
 		return false
@@ -99,7 +102,7 @@
 		e.leaving = false
 	}
 	e.incarnation = max(e.incarnation, id.Incarnation)
-	// A mark is never taken back by a live report of the same life.
+	// A live report of the same epoch and incarnation never clears a mark.
 	e.leaving = e.leaving || id.Leaving
 	changed := !e.known || e.identity != id
 	e.identity = id
@@ -111,8 +114,8 @@
 	return changed
 }
 
-// RecordHeartbeat notes a message from an instance in its given epoch, and says whether
-// its revision is another than before.
+// RecordHeartbeat records a message from an instance in the given epoch, and
+// reports whether its revision changed.
 func (v *View) RecordHeartbeat(name string, epoch uint64, revision config.Revision, now time.Time) bool {
 	e, ok := v.entries[name]
 	if !ok || e.identity.Epoch != epoch || !e.goodbye.IsZero() {
@@ -124,7 +127,7 @@
 	return changed
 }
 
-// SetLoad notes what an instance's gateway has in hand.
+// SetLoad records the load of an instance's gateway.
 func (v *View) SetLoad(name string, epoch uint64, load board.GatewayLoad) {
 	e, ok := v.entries[name]
 	if ok && e.identity.Epoch == epoch {
@@ -132,8 +135,8 @@
 	}
 }
 
-// AddPeer notes that somebody named an instance; it counts from then on, and is
-// silent until it speaks for itself. A proposal does not undo a goodbye.
+// AddPeer adds an instance that a peer or the list named; it counts as silent until
+// a heartbeat of its own arrives. It does not undo a goodbye.
 func (v *View) AddPeer(peer Peer, now time.Time) {
 	if peer.Name == "" || peer.Name == v.self || peer.Quiet >= ForgetAfter {
 		return
@@ -147,7 +150,8 @@
 	}
 }
 
-// Goodbye notes that an instance has left in the given epoch.
+// Goodbye records that an instance left in the given epoch. It reports whether that
+// is new.
 func (v *View) Goodbye(name string, epoch uint64, now time.Time) bool {
 	e, ok := v.entries[name]
 	if !ok || epoch < e.identity.Epoch || !e.goodbye.IsZero() {
@@ -164,9 +168,9 @@
 	Leaving bool
 }
 
-// ApplyList takes what the platform's list says now. It proposes instances, and its
-// leaving mark holds for the epoch in which it appeared: the list lags, so an
-// instance that was started anew is not marked by the old line.
+// ApplyList applies the platform's current list. It adds the listed instances; a
+// leaving mark is valid for the epoch in which it appeared: the list lags, so the
+// old line does not mark an instance that has restarted.
 func (v *View) ApplyList(lines []Listed, now time.Time) {
 	v.haveList = true
 	named := make(map[string]bool, len(lines))
@@ -191,7 +195,7 @@
 	}
 }
 
-// Forget drops instances that have been gone for long enough.
+// Forget removes instances that have been missing for long enough.
 func (v *View) Forget(now time.Time) {
 	for name, e := range v.entries {
 		if name == v.self {
@@ -205,7 +209,7 @@
 	}
 }
 
-// State returns an instance's state; left when it is not known.
+// State returns an instance's state; InstanceLeft if it is not known.
 func (v *View) State(name string, now time.Time) board.InstanceState {
 	e, ok := v.entries[name]
 	if !ok {
@@ -227,8 +231,8 @@
 	}
 }
 
-// Instances returns the counted instances, sorted by name, and also those that
-// left and named a successor for their idempotency keys.
+// Instances returns the listed instances, sorted by name, and also those that left
+// and named a successor for their idempotency keys.
 func (v *View) Instances(now time.Time) []board.Instance {
 	list := make([]board.Instance, 0, len(v.entries))
 	for name, e := range v.entries {
@@ -246,8 +250,8 @@
 	return list
 }
 
-// Workers returns the names among which shared jobs are ranked: live instances,
-// and self also while it is alone. Leaving instances give their jobs up.
+// Workers returns the names among which shared jobs are ranked: live instances, and
+// self also while it is alone. Leaving instances own no jobs.
 func (v *View) Workers(now time.Time) []string {
 	names := make([]string, 0, len(v.entries))
 	for name, e := range v.entries {
@@ -259,7 +263,7 @@
 	return names
 }
 
-// Peers returns every instance but self that may still be spoken to, sorted by name.
+// Peers returns every instance but self that may still be called, sorted by name.
 func (v *View) Peers(now time.Time) []Peer {
 	peers := make([]Peer, 0, len(v.entries))
 	for name, e := range v.entries {
@@ -290,7 +294,8 @@
 	return e
 }
 
-// lastSeen is when the instance was last heard, or first named.
+// lastSeen returns the time of the instance's last message, or the time at which it
+// was first named.
 func (e *entry) lastSeen() time.Time {
 	if e.lastReceived.IsZero() {
 		return e.firstSeen
--- a/pkg/member/view_test.go
+++ b/pkg/member/view_test.go
@@ -107,7 +107,7 @@
 			now := start.Add(c.at)
 			v.Forget(now)
 			is.Equal(v.State("lar-2", now), c.want)
-			is.Equal(v.State("lar-1", now), board.InstanceLive) // self is not forgotten
+			is.Equal(v.State("lar-1", now), board.InstanceLive) // self is not removed
 		})
 	}
 }
@@ -121,8 +121,7 @@
 	is.Equal(v.Workers(later), []string{"lar-1"}) // but owns no job
 }
 
-// Whatever is heard in whatever order, a mark that was set for a life of the
-// instance is not lost while that life lasts.
+// Messages in any order do not clear a mark within the epoch for which it was set.
 func TestLeavingMarkHoldsForItsEpochInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewView(identity("lar-1", 1, 1, false), start)
