--- a/pkg/member/view_test.go
+++ b/pkg/member/view_test.go
@@ -50,12 +50,12 @@
 		at    time.Duration
 		want  board.InstanceState
 	}{
-		{"unheard of", nil, 0, board.InstanceLeft},
+		{"never named", nil, 0, board.InstanceLeft},
 		{"named by the list only", []step{{0, listed(Listed{Peer: here})}}, 0, board.InstanceSilent},
 		{"named by a peer only", []step{{0, proposed(0)}}, 0, board.InstanceSilent},
-		{"heard", []step{{0, identify(1, 1, false)}}, SilentAfter, board.InstanceLive},
-		{"not heard for long", []step{{0, identify(1, 1, false)}}, SilentAfter + 1, board.InstanceSilent},
-		{"heard again", []step{{0, identify(1, 1, false)}, {time.Minute, identify(1, 1, false)}}, time.Minute, board.InstanceLive},
+		{"heartbeat received", []step{{0, identify(1, 1, false)}}, SilentAfter, board.InstanceLive},
+		{"no heartbeat for too long", []step{{0, identify(1, 1, false)}}, SilentAfter + 1, board.InstanceSilent},
+		{"heartbeat received after silence", []step{{0, identify(1, 1, false)}, {time.Minute, identify(1, 1, false)}}, time.Minute, board.InstanceLive},
 		{"silent for an hour but listed", []step{
 			{0, listed(Listed{Peer: here})}, {0, identify(1, 1, false)},
 		}, time.Hour, board.InstanceSilent},
@@ -65,34 +65,34 @@
 		{"silent and not listed, after the bound", []step{
 			{0, identify(1, 1, false)}, {time.Second, listed()},
 		}, ForgetAfter, board.InstanceLeft},
-		{"forgotten and then named by one that has not yet", []step{
+		{"removed and then named by a peer that has not removed it", []step{
 			{0, identify(1, 1, false)}, {time.Second, listed()}, {ForgetAfter, proposed(ForgetAfter)},
 		}, ForgetAfter, board.InstanceLeft},
-		{"leaving by its own word", []step{{0, identify(1, 1, true)}}, 0, board.InstanceLeaving},
-		{"a live word after the leaving mark", []step{
+		{"leaving by its own report", []step{{0, identify(1, 1, true)}}, 0, board.InstanceLeaving},
+		{"a live report after the leaving mark", []step{
 			{0, identify(1, 1, true)}, {1, identify(1, 1, false)},
 		}, 1, board.InstanceLeaving},
 		{"leaving by the list", []step{
 			{0, identify(1, 1, false)}, {1, listed(Listed{Peer: here, Leaving: true})}, {2, identify(1, 1, false)},
 		}, 2, board.InstanceLeaving},
-		{"started anew while the list lags", []step{
+		{"restarted while the list lags", []step{
 			{0, identify(1, 1, false)}, {1, listed(Listed{Peer: here, Leaving: true})},
 			{2, identify(2, 2, false)}, {3, listed(Listed{Peer: here, Leaving: true})},
 		}, 3, board.InstanceLive},
-		{"only its gateway started anew", []step{
+		{"only its gateway restarted", []step{
 			{0, identify(1, 1, true)}, {1, identify(1, 0, false)}, {2, identify(1, 2, false)},
 		}, 2, board.InstanceLive},
 		{"goodbye", []step{{0, identify(1, 1, true)}, {1, goodbye(1)}}, 1, board.InstanceLeft},
 		{"a late message after the goodbye", []step{
 			{0, identify(1, 1, true)}, {1, goodbye(1)}, {2, identify(1, 1, false)}, {2, proposed(0)},
 		}, 2, board.InstanceLeft},
-		{"started anew after the goodbye", []step{
+		{"restarted after the goodbye", []step{
 			{0, identify(1, 1, true)}, {1, goodbye(1)}, {2, identify(2, 2, false)},
 		}, 2, board.InstanceLive},
-		{"a late goodbye of a former life", []step{
+		{"a late goodbye of an earlier epoch", []step{
 			{0, identify(1, 1, false)}, {1, identify(2, 2, false)}, {2, goodbye(1)},
 		}, 2, board.InstanceLive},
-		{"a late message of a former life", []step{
+		{"a late message of an earlier epoch", []step{
 			{0, identify(2, 2, false)}, {SilentAfter + 1, identify(1, 1, false)},
 		}, SilentAfter + 1, board.InstanceSilent},
 	}
