--- a/pkg/member/view_test.go
+++ b/pkg/member/view_test.go
@@ -53,7 +53,7 @@
 		{"never named", nil, 0, board.InstanceLeft},
 		{"named by the list only", []step{{0, listed(Listed{Peer: here})}}, 0, board.InstanceSilent},
 		{"named by a peer only", []step{{0, proposed(0)}}, 0, board.InstanceSilent},
-		{"heartbeat received", []step{{0, identify(1, 1, false)}}, SilentAfter, board.InstanceLive},
+		{"heard", []step{{0, identify(1, 1, false)}}, SilentAfter, board.InstanceLive},
 		{"no heartbeat for too long", []step{{0, identify(1, 1, false)}}, SilentAfter + 1, board.InstanceSilent},
 		{"heartbeat received after silence", []step{{0, identify(1, 1, false)}, {time.Minute, identify(1, 1, false)}}, time.Minute, board.InstanceLive},
 		{"silent for an hour but listed", []step{
