--- a/pkg/control/server.go
+++ b/pkg/control/server.go
@@ -120,19 +120,19 @@
 // serverCodec is net/rpc's gob framing with a bound on each request.
 type serverCodec struct {
 	conn    io.Closer
-	allowed *boundedReader
+	bounded *boundedReader
 	decoder *gob.Decoder
 	encoder *gob.Encoder
 	buffer  *bufio.Writer
 }
 
 func newServerCodec(conn io.ReadWriteCloser) *serverCodec {
-	allowed := &boundedReader{reader: bufio.NewReader(conn)}
+	bounded := &boundedReader{reader: bufio.NewReader(conn)}
 	buffer := bufio.NewWriter(conn)
 	return &serverCodec{
 		conn:    conn,
-		allowed: allowed,
-		decoder: gob.NewDecoder(allowed),
+		bounded: bounded,
+		decoder: gob.NewDecoder(bounded),
 		encoder: gob.NewEncoder(buffer),
 		buffer:  buffer,
 	}
@@ -140,7 +140,7 @@
 
 // ReadRequestHeader implements rpc.ServerCodec.
 func (c *serverCodec) ReadRequestHeader(request *rpc.Request) error {
-	c.allowed.left = MaxMessage
+	c.bounded.remaining = MaxMessage
 	return c.decoder.Decode(request)
 }
 
@@ -169,28 +169,28 @@
 // boundedReader fails once more than left bytes are read. It implements
 // io.ByteReader so that gob does not buffer past a message.
 type boundedReader struct {
-	reader *bufio.Reader
-	left   int
+	reader    *bufio.Reader
+	remaining int
 }
 
 // Read implements io.Reader.
 func (r *boundedReader) Read(p []byte) (int, error) {
-	if r.left <= 0 {
+	if r.remaining <= 0 {
 		return 0, ErrMessageTooLarge
 	}
-	if len(p) > r.left {
-		p = p[:r.left]
+	if len(p) > r.remaining {
+		p = p[:r.remaining]
 	}
 	n, err := r.reader.Read(p)
-	r.left -= n
+	r.remaining -= n
 	return n, err
 }
 
 // ReadByte implements io.ByteReader.
 func (r *boundedReader) ReadByte() (byte, error) {
-	if r.left <= 0 {
+	if r.remaining <= 0 {
 		return 0, ErrMessageTooLarge
 	}
-	r.left--
+	r.remaining--
 	return r.reader.ReadByte()
 }
--- a/pkg/control/transport.go
+++ b/pkg/control/transport.go
@@ -139,7 +139,7 @@
 	if pair == (settings.Pair{}) {
 		return listenLimited(address, limit)
 	}
-	held, err := n.credentials.Pair(pair.Certificate, pair.Key)
+	loaded, err := n.credentials.Pair(pair.Certificate, pair.Key)
 	if err != nil {
 		return nil, err
 	}
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return tls.NewListener(plain, credential.ServerConfig(held, nil)), nil
+	return tls.NewListener(plain, credential.ServerConfig(loaded, nil)), nil
 }
 
 func listenLimited(address string, limit int) (net.Listener, error) {
@@ -222,10 +222,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.keep(address, rpc.NewClient(conn))
+	return c.add(address, rpc.NewClient(conn))
 }
 
-func (c *Clients) keep(address string, fresh *rpc.Client) (*rpc.Client, error) {
+func (c *Clients) add(address string, fresh *rpc.Client) (*rpc.Client, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
--- a/pkg/control/transport_test.go
+++ b/pkg/control/transport_test.go
@@ -102,7 +102,7 @@
 	is.Equal(callError.Method, "Echo.Missing")
 }
 
-func TestServerEndsAConnectionThatSendsTooMuchOrNonsense(t *testing.T) {
+func TestServerClosesAConnectionThatSendsTooMuchOrGarbage(t *testing.T) {
 	network := plainNetwork(t, nil)
 	address, _ := serve(t, network)
 	huge := make([]byte, control.MaxMessage+1)
--- a/pkg/gateway/bench_test.go
+++ b/pkg/gateway/bench_test.go
@@ -14,19 +14,19 @@
 // BenchmarkAdded measures what the gateway adds to a short call of a plain service,
 // against calls that go to the service directly, in turn.
 func BenchmarkAdded(b *testing.B) {
-	bed := newBed(b)
+	h := newHarness(b)
 	log, err := logging.New(io.Discard, "gateway", "north-1", "")
 	if err != nil {
 		b.Fatal(err)
 	}
-	bed.north.log = log
-	callers, _ := bed.north.Handlers()
-	through := bed.serve(callers)
-	upstream, _ := bed.north.config.Load().Upstream("log-n1")
+	h.north.log = log
+	callers, _ := h.north.Handlers()
+	through := h.serve(callers)
+	upstream, _ := h.north.config.Load().Upstream("log-n1")
 	var direct, relayed []time.Duration
 	for b.Loop() {
-		direct = append(direct, bed.timed(upstream.Address))
-		relayed = append(relayed, bed.timed(through))
+		direct = append(direct, h.timedCall(upstream.Address))
+		relayed = append(relayed, h.timedCall(through))
 	}
 	slices.Sort(direct)
 	slices.Sort(relayed)
@@ -37,13 +37,13 @@
 	}
 }
 
-// timed makes one repeatable call.
-func (b *bed) timed(address string) time.Duration {
-	b.url = address
+// timedCall makes one repeatable call.
+func (h *harness) timedCall(address string) time.Duration {
+	h.url = address
 	start := time.Now()
-	got := b.send(context.Background(), http.MethodGet, export.path, residentKey, "", nil)
+	got := h.send(context.Background(), http.MethodGet, export.path, residentKey, "", nil)
 	if got.status != http.StatusOK {
-		b.t.Fatal(got.body, got.err)
+		h.t.Fatal(got.body, got.err)
 	}
 	return time.Since(start)
 }
--- a/pkg/gateway/exchange.go
+++ b/pkg/gateway/exchange.go
@@ -41,13 +41,13 @@
 func (g *Gateway) Exchange(args control.ExchangeArgs) control.ExchangeReply {
 	g.exchange.Lock()
 	defer g.exchange.Unlock()
-	g.takeHead(args.Head)
+	g.applyHead(args.Head)
 	storeIfGiven(&g.board.Members, args.Members)
 	storeIfGiven(&g.board.Upstreams, args.Upstreams)
 	storeIfGiven(&g.board.Domains, args.Domains)
 	storeIfGiven(&g.board.Platform, args.Platform)
 	if args.Upstreams != nil {
-		g.marks.review(args.Upstreams)
+		g.marks.clearReported(args.Upstreams)
 	}
 	g.compile()
 	reply := control.ExchangeReply{
@@ -62,18 +62,18 @@
 			reply.Head = head
 		}
 	}
-	g.noteTold(&reply)
+	g.recordReported(&reply)
 	return reply
 }
 
-// takeHead brings a newer configuration into force. The lookups are in place
+// applyHead brings a newer configuration into force. The lookups are in place
 // before the revision is told to anyone.
-func (g *Gateway) takeHead(head *config.Head) {
+func (g *Gateway) applyHead(head *config.Head) {
 	if head == nil || head.Declaration == nil {
 		return
 	}
-	present := g.board.Config.Load()
-	if present != nil && head.Revision <= present.Revision {
+	current := g.board.Config.Load()
+	if current != nil && head.Revision <= current.Revision {
 		return
 	}
 	g.config.Store(&api.Configuration{Index: config.NewIndex(head.Declaration), Revision: head.Revision})
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -78,8 +78,8 @@
 	halt    context.CancelFunc
 
 	phase atomic.Int32
-	// toldLeaving and toldSuccessor are closed once the agent was told so.
-	toldLeaving, toldSuccessor signal
+	// leavingReported and toldSuccessor are closed once the agent was told so.
+	leavingReported, successorReported signal
 }
 
 // Phases of a gateway's life.
@@ -114,8 +114,8 @@
 		quota:       quota.NewGate(system),
 		client:      relay.NewClient(network.DialPlain, network.Dial),
 
-		toldLeaving:   newSignal(),
-		toldSuccessor: newSignal(),
+		leavingReported:   newSignal(),
+		successorReported: newSignal(),
 	}
 	g.running, g.halt = context.WithCancel(context.Background())
 	g.suspects = newSuspects(g.running, g.client.Probe)
@@ -158,31 +158,31 @@
 // Run serves until ctx ends, then leaves gracefully. It returns nil after a
 // graceful end.
 func (g *Gateway) Run(ctx context.Context) error {
-	doors, err := g.listen()
+	sockets, err := g.listen()
 	if err != nil {
 		return err
 	}
-	if err := g.register(doors.control); err != nil {
-		return errors.Join(err, doors.close())
+	if err := g.register(sockets.control); err != nil {
+		return errors.Join(err, sockets.close())
 	}
 	server := g.newServer()
 	callers, peers := server.Callers(), server.Peers()
 	callers.ErrorLog, peers.ErrorLog = logging.ServerErrors(g.log), logging.ServerErrors(g.log)
 	defer g.halt()
 	group, failed := errgroup.WithContext(g.running)
-	group.Go(func() error { return serve(callers, doors.callers) })
-	group.Go(func() error { return serve(peers, doors.peers) })
-	group.Go(func() error { doors.control.Serve(); return nil })
+	group.Go(func() error { return serve(callers, sockets.callers) })
+	group.Go(func() error { return serve(peers, sockets.peers) })
+	group.Go(func() error { sockets.control.Serve(); return nil })
 	group.Go(func() error { g.compileLoop(failed); return nil })
 	group.Go(func() error { g.network.Credentials().Run(failed, g.log); return nil })
-	g.log.Info().Str("callers", doors.callers.Addr().String()).Msg("ready")
+	g.log.Info().Str("callers", sockets.callers.Addr().String()).Msg("ready")
 	select {
 	case <-ctx.Done():
 	case <-failed.Done():
 	}
 	g.leave(callers, peers)
 	g.halt()
-	err = doors.control.Close()
+	err = sockets.control.Close()
 	g.peers.Close()
 	g.client.Close()
 	g.log.Info().Msg("stopped")
@@ -196,19 +196,19 @@
 	return nil
 }
 
-func (g *Gateway) listen() (doors listeners, err error) {
+func (g *Gateway) listen() (sockets listeners, err error) {
 	addresses := g.settings.Gateway
-	if doors.callers, err = g.network.ListenPublic(addresses.Callers, addresses.CallersTLS, maxConnections); err != nil {
-		return doors, fmt.Errorf("listen for callers: %w", err)
+	if sockets.callers, err = g.network.ListenPublic(addresses.Callers, addresses.CallersTLS, maxConnections); err != nil {
+		return sockets, fmt.Errorf("listen for callers: %w", err)
 	}
-	if doors.peers, err = g.network.Listen(addresses.Peers); err != nil {
-		return doors, errors.Join(fmt.Errorf("listen for gateways: %w", err), doors.close())
+	if sockets.peers, err = g.network.Listen(addresses.Peers); err != nil {
+		return sockets, errors.Join(fmt.Errorf("listen for gateways: %w", err), sockets.close())
 	}
-	if doors.control, err = control.NewServer(g.network, addresses.Control); err != nil {
-		return doors, errors.Join(fmt.Errorf("listen for control: %w", err), doors.close())
+	if sockets.control, err = control.NewServer(g.network, addresses.Control); err != nil {
+		return sockets, errors.Join(fmt.Errorf("listen for control: %w", err), sockets.close())
 	}
-	doors.peers = netutil.LimitListener(doors.peers, maxConnections)
-	return doors, nil
+	sockets.peers = netutil.LimitListener(sockets.peers, maxConnections)
+	return sockets, nil
 }
 
 // maxConnections bounds the open connections of callers, and of other gateways.
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -60,156 +60,156 @@
 
 func TestRevisionNeverGoesDown(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
+	h := newHarness(t)
 	older := &config.Head{Revision: 6, Declaration: &config.Declaration{}}
-	reply := b.north.Exchange(control.ExchangeArgs{Head: older, WantHead: true})
+	reply := h.north.Exchange(control.ExchangeArgs{Head: older, WantHead: true})
 	is.Equal(reply.Revision, config.Revision(7))
-	is.Equal(reply.Head, b.head) // an agent that was restarted learns it again
+	is.Equal(reply.Head, h.head) // an agent that was restarted learns it again
 	same := &config.Head{Revision: 7, Declaration: &config.Declaration{}}
-	is.Equal(b.north.Exchange(control.ExchangeArgs{Head: same, WantHead: true}).Head, b.head)
-	is.Equal(b.send(testContext(t), upload.method, upload.path, residentKey, "x", nil).status, http.StatusOK)
-	text := b.send(testContext(t), http.MethodGet, "/metrics", "", "", nil).body
+	is.Equal(h.north.Exchange(control.ExchangeArgs{Head: same, WantHead: true}).Head, h.head)
+	is.Equal(h.send(testContext(t), upload.method, upload.path, residentKey, "x", nil).status, http.StatusOK)
+	text := h.send(testContext(t), http.MethodGet, "/metrics", "", "", nil).body
 	is.True(strings.Contains(text, "lilacweir_config_revision 7\n"))
 	is.True(strings.Contains(text, "lilacweir_requests_all 1\n"))
 }
 
 func TestWithoutConfigurationNothingRuns(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
-	fresh := b.newGateway("north-2", "north-a", "north")
+	h := newHarness(t)
+	fresh := h.newGateway("north-2", "north-a", "north")
 	callers, _ := fresh.Handlers()
-	b.url = b.serve(callers)
-	got := b.send(testContext(t), upload.method, upload.path, residentKey, "x", nil)
+	h.url = h.serve(callers)
+	got := h.send(testContext(t), upload.method, upload.path, residentKey, "x", nil)
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.Equal(got.outcome, notRun)
 	is.Equal(refusalIn(t, got).Type, outcome.ReasonNoConfiguration)
-	is.Equal(b.ran(), 0)
-	is.Equal(b.send(testContext(t), http.MethodGet, "/readyz", "", "", nil).status, http.StatusServiceUnavailable)
-	is.Equal(b.send(testContext(t), http.MethodGet, "/healthz", "", "", nil).status, http.StatusOK)
+	is.Equal(h.runs(), 0)
+	is.Equal(h.send(testContext(t), http.MethodGet, "/readyz", "", "", nil).status, http.StatusServiceUnavailable)
+	is.Equal(h.send(testContext(t), http.MethodGet, "/healthz", "", "", nil).status, http.StatusOK)
 }
 
-func TestInstancesNamesThoseThatServe(t *testing.T) {
+func TestInstancesListsOnlyServingInstances(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
-	b.north.Exchange(control.ExchangeArgs{Members: &board.Members{Instances: []board.Instance{
+	h := newHarness(t)
+	h.north.Exchange(control.ExchangeArgs{Members: &board.Members{Instances: []board.Instance{
 		{Name: "north-2", State: board.InstanceLive, Incarnation: 1, Revision: 7},
 		{Name: "north-3", State: board.InstanceLive, Incarnation: 1}, // just started, without configuration
 		{Name: "north-4", State: board.InstanceLeaving, Incarnation: 1, Revision: 7},
 		{Name: "north-5", State: board.InstanceLive, Revision: 7}, // without a gateway
 	}}})
 	var names []string
-	for _, entry := range b.north.Instances(&config.Caller{}).Instances {
+	for _, entry := range h.north.Instances(&config.Caller{}).Instances {
 		names = append(names, entry.Instance)
 	}
 	is.Equal(names, []string{"north-1", "north-2"})
 }
 
-func TestKeyedRequestRunsOnceAndIsAnsweredAgain(t *testing.T) {
+func TestRequestWithKeyRunsOnceAndIsReplayed(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
+	h := newHarness(t)
 	var list api.Instances
-	is.NoErr(json.Unmarshal([]byte(b.send(testContext(t), http.MethodGet, "/v1/instances", residentKey, "", nil).body), &list))
+	is.NoErr(json.Unmarshal([]byte(h.send(testContext(t), http.MethodGet, "/v1/instances", residentKey, "", nil).body), &list))
 	is.Equal(list.Instances[0].Instance, "north-1")
 	is.Equal(len(list.Instances), 1) // the south is not permitted
 	fields := http.Header{header.IdempotencyKey: {list.KeyPrefix + ".0123456789abcdef"}}
-	first := b.send(testContext(t), upload.method, upload.path, residentKey, upload.body, fields)
-	again := b.send(testContext(t), upload.method, upload.path, residentKey, upload.body, fields)
+	first := h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, fields)
+	again := h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, fields)
 	is.Equal(first.status, http.StatusOK)
 	is.Equal(again.status, http.StatusOK)
 	is.Equal(again.body, first.body)
 	is.Equal(again.header.Get(header.Replayed), header.True)
-	other := b.send(testContext(t), upload.method, upload.path, residentKey, "another night", fields)
+	other := h.send(testContext(t), upload.method, upload.path, residentKey, "another night", fields)
 	is.Equal(other.outcome, unknown)
-	is.Equal(b.ran(), 1)
+	is.Equal(h.runs(), 1)
 }
 
-func TestLostAnswerIsUnknownWhenAskedAgain(t *testing.T) {
+func TestRepeatAfterALostAnswerIsUnknown(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
-	prefix, _ := b.north.claims.Prefix()
+	h := newHarness(t)
+	prefix, _ := h.north.claims.Prefix()
 	fields := http.Header{header.IdempotencyKey: {prefix + ".0123456789abcdef"}}
-	b.set("log-n1", "die", "1")
-	is.Equal(b.told(b.send(testContext(t), upload.method, upload.path, residentKey, upload.body, fields)), unknown)
-	is.Equal(b.told(b.send(testContext(t), upload.method, upload.path, residentKey, upload.body, fields)), unknown)
-	is.Equal(b.ran(), 1)
-	b.set("log-n1", "refuse", "1")
+	h.set("log-n1", "die", "1")
+	is.Equal(h.reported(h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, fields)), unknown)
+	is.Equal(h.reported(h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, fields)), unknown)
+	is.Equal(h.runs(), 1)
+	h.set("log-n1", "refuse", "1")
 	unused := http.Header{header.IdempotencyKey: {prefix + ".fedcba9876543210"}}
-	is.Equal(b.told(b.send(testContext(t), upload.method, upload.path, residentKey, upload.body, unused)), notRun)
-	eventually(t, "the upstream's rest", func() bool { return b.north.tracker.Load("log-n1").Rest == 0 })
-	is.Equal(b.told(b.send(testContext(t), upload.method, upload.path, residentKey, upload.body, unused)), complete)
-	is.Equal(b.ran(), 2)
+	is.Equal(h.reported(h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, unused)), notRun)
+	eventually(t, "the upstream's rest", func() bool { return h.north.tracker.Load("log-n1").Rest == 0 })
+	is.Equal(h.reported(h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, unused)), complete)
+	is.Equal(h.runs(), 2)
 }
 
-func TestLongAnswerOfAKeyIsNotGivenAgainInPart(t *testing.T) {
+func TestLongAnswerIsNotReplayedInPart(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
-	prefix, _ := b.north.claims.Prefix()
+	h := newHarness(t)
+	prefix, _ := h.north.claims.Prefix()
 	fields := http.Header{header.IdempotencyKey: {prefix + ".0123456789abcdef"}}
 	path := upload.path + "?bytes=200000"
-	first := b.send(testContext(t), upload.method, path, residentKey, upload.body, fields)
+	first := h.send(testContext(t), upload.method, path, residentKey, upload.body, fields)
 	is.Equal(len(first.body), 200000)
-	again := b.send(testContext(t), upload.method, path, residentKey, upload.body, fields)
+	again := h.send(testContext(t), upload.method, path, residentKey, upload.body, fields)
 	is.Equal(again.status, http.StatusConflict)
 	is.Equal(again.outcome, complete)
-	is.Equal(b.ran(), 1)
+	is.Equal(h.runs(), 1)
 }
 
 func TestLeavingUpstreamGetsNoNewWorkAtOnce(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
-	b.set("nurse-n1", "leave", "")
+	h := newHarness(t)
+	h.set("nurse-n1", "leave", "")
 	for range 20 {
-		is.Equal(b.told(b.send(testContext(t), review.method, review.path, residentKey, review.body, nil)), complete)
+		is.Equal(h.reported(h.send(testContext(t), review.method, review.path, residentKey, review.body, nil)), complete)
 	}
-	reply := b.north.Exchange(control.ExchangeArgs{})
-	is.True(reply.Observations["nurse-n1"].Leaving || len(b.journal.Entries("nurse-n1")) == 0)
-	is.Equal(len(b.journal.Entries("nurse-n1")), 0)
-	b.north.marks.mark("nurse-n2", time.Now())
+	reply := h.north.Exchange(control.ExchangeArgs{})
+	is.True(reply.Observations["nurse-n1"].Leaving || len(h.journal.Entries("nurse-n1")) == 0)
+	is.Equal(len(h.journal.Entries("nurse-n1")), 0)
+	h.north.marks.mark("nurse-n2", time.Now())
 	stale := &board.Upstreams{ByName: map[string]board.UpstreamLoad{"nurse-n2": {State: board.UpstreamLive, ReportedAt: time.Now()}}}
-	b.north.Exchange(control.ExchangeArgs{Upstreams: stale})
-	is.True(b.north.marks.marked("nurse-n2")) // an older live mark does not win
-	later := time.Now().Add(2 * markLife)
+	h.north.Exchange(control.ExchangeArgs{Upstreams: stale})
+	is.True(h.north.marks.marked("nurse-n2")) // an older live mark does not win
+	later := time.Now().Add(2 * markClearDelay)
 	stale.ByName["nurse-n2"] = board.UpstreamLoad{State: board.UpstreamLeaving, ReportedAt: later}
-	b.north.Exchange(control.ExchangeArgs{Upstreams: stale})
-	is.True(b.north.marks.marked("nurse-n2")) // it says itself that it leaves
+	h.north.Exchange(control.ExchangeArgs{Upstreams: stale})
+	is.True(h.north.marks.marked("nurse-n2")) // it says itself that it leaves
 	for _, back := range []board.UpstreamLoad{
 		{State: board.UpstreamLive, ReportedAt: later},
 		{State: board.UpstreamLeaving, Marked: true, ReportedAt: later}, // this gateway's own mark
 	} {
-		b.north.marks.mark("nurse-n2", time.Now())
+		h.north.marks.mark("nurse-n2", time.Now())
 		stale.ByName["nurse-n2"] = back
-		b.north.Exchange(control.ExchangeArgs{Upstreams: stale})
-		is.True(!b.north.marks.marked("nurse-n2")) // it came back
+		h.north.Exchange(control.ExchangeArgs{Upstreams: stale})
+		is.True(!h.north.marks.marked("nurse-n2")) // it came back
 	}
 }
 
-func TestPermissionIsCheckedAgainBeforeTheUpstream(t *testing.T) {
+func TestPermissionIsRecheckedBeforeTheUpstream(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
-	request := b.north.requestOf(t, "resident")
-	way := b.north.Route(request)
-	defer way.End()
-	choice, done, refusal := way.Next(testContext(t), nil)
+	h := newHarness(t)
+	request := h.north.requestOf(t, "resident")
+	route := h.north.Route(request)
+	defer route.End()
+	choice, done, refusal := route.Next(testContext(t), nil)
 	is.True(refusal == nil)
 	defer done(relay.Report{})
-	is.True(b.north.Permitted(request, &choice) == nil)
-	declaration := *b.head.Declaration
+	is.True(h.north.Permitted(request, &choice) == nil)
+	declaration := *h.head.Declaration
 	declaration.Callers = []config.Caller{{Name: "resident", KeyHash: config.HashKey(residentKey), Home: "south", Regions: []string{"south"}}}
-	b.north.Exchange(control.ExchangeArgs{Head: &config.Head{Revision: 8, Declaration: &declaration}})
-	is.Equal(b.north.Permitted(request, &choice).Outcome, outcome.NotRun)
-	forwarded := b.send(testContext(t), review.method, review.path, residentKey, review.body, nil)
+	h.north.Exchange(control.ExchangeArgs{Head: &config.Head{Revision: 8, Declaration: &declaration}})
+	is.Equal(h.north.Permitted(request, &choice).Outcome, outcome.NotRun)
+	forwarded := h.send(testContext(t), review.method, review.path, residentKey, review.body, nil)
 	is.Equal(forwarded.outcome, notRun) // the south's configuration is older
 	is.Equal(refusalIn(t, forwarded).Type, outcome.ReasonStaleRevision)
-	is.Equal(b.ran(), 0)
+	is.Equal(h.runs(), 0)
 }
 
-func TestCallerGoneCancelsTheEngine(t *testing.T) {
+func TestCallerDisconnectCancelsTheEngine(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
-	b.set("nurse-n1", "stall", "2")
-	b.set("nurse-n2", "stall", "2")
+	h := newHarness(t)
+	h.set("nurse-n1", "stall", "2")
+	h.set("nurse-n2", "stall", "2")
 	ctx, leave := context.WithCancel(testContext(t))
-	request, err := http.NewRequestWithContext(ctx, review.method, "http://"+b.url+review.path, strings.NewReader(reviewBody))
+	request, err := http.NewRequestWithContext(ctx, review.method, "http://"+h.url+review.path, strings.NewReader(reviewBody))
 	is.NoErr(err)
 	request.Header.Set(header.Authorization, "Bearer "+residentKey)
 	response, err := http.DefaultTransport.RoundTrip(request)
@@ -219,19 +219,19 @@
 	is.NoErr(err)
 	leave()
 	eventually(t, "the engine's stream is cancelled", func() bool {
-		entries := b.journal.Entries("")
+		entries := h.journal.Entries("")
 		return len(entries) == 1 && entries[0].Result == journal.ResultCancelled
 	})
 }
 
-func TestWhyFitsAPhone(t *testing.T) {
+func TestWhyLinesFitAPhoneScreen(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
-	b.set("nurse-n1", "die-after", "3")
-	b.set("nurse-n2", "die-after", "9")
-	b.send(testContext(t), review.method, review.path, residentKey, review.body, http.Header{header.RequestID: {"r7"}})
+	h := newHarness(t)
+	h.set("nurse-n1", "die-after", "3")
+	h.set("nurse-n2", "die-after", "9")
+	h.send(testContext(t), review.method, review.path, residentKey, review.body, http.Header{header.RequestID: {"r7"}})
 	var reply control.WhyReply
-	is.NoErr((&Service{gateway: b.north}).Why(control.WhyArgs{RequestID: "r7"}, &reply))
+	is.NoErr((&Service{gateway: h.north}).Why(control.WhyArgs{RequestID: "r7"}, &reply))
 	is.True(reply.Found)
 	text := strings.Join(reply.Lines, "\n")
 	for _, part := range []string{"arrived resident", "sent nurse-n", "failed nurse-n", "resumed nurse-n", "ended complete"} {
@@ -246,42 +246,42 @@
 // gateway leaves with a stream under way.
 func TestGracefulShutdown(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
-	gateway := b.north
+	h := newHarness(t)
+	gateway := h.north
 	gateway.settings.Gateway = settings.Gateway{Callers: closedAddress(t), Peers: closedAddress(t), Control: closedAddress(t), MaxBody: 1 << 20}
 	gateway.log = zerolog.Nop()
-	b.url = gateway.settings.Gateway.Callers
+	h.url = gateway.settings.Gateway.Callers
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- gateway.Run(ctx) }()
 	eventually(t, "the gateway answers", func() bool {
-		return b.send(testContext(t), http.MethodGet, "/healthz", "", "", nil).status == http.StatusOK
+		return h.send(testContext(t), http.MethodGet, "/healthz", "", "", nil).status == http.StatusOK
 	})
-	b.set("nurse-n1", "slow", "3000")
-	b.set("nurse-n2", "slow", "3000")
+	h.set("nurse-n1", "slow", "3000")
+	h.set("nurse-n2", "slow", "3000")
 	long := make(chan answer, 1)
 	body := strings.Replace(reviewBody, `:12,`, `:100,`, 1)
-	go func() { long <- b.send(testContext(t), review.method, review.path, residentKey, body, nil) }()
-	eventually(t, "the stream runs", func() bool { return b.ran() == 1 })
+	go func() { long <- h.send(testContext(t), review.method, review.path, residentKey, body, nil) }()
+	eventually(t, "the stream runs", func() bool { return h.runs() == 1 })
 	stop()
 	eventually(t, "the list leaves it out", func() bool {
-		got := b.send(testContext(t), http.MethodGet, "/v1/instances", residentKey, "", nil)
+		got := h.send(testContext(t), http.MethodGet, "/v1/instances", residentKey, "", nil)
 		return strings.Contains(got.body, `"instances":[]`)
 	})
-	late := b.send(testContext(t), upload.method, upload.path, residentKey, upload.body, nil)
+	late := h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, nil)
 	is.Equal(late.status, http.StatusOK) // lists that callers hold are still good
 	eventually(t, "new requests are refused", func() bool {
-		got := b.send(testContext(t), upload.method, upload.path, residentKey, upload.body, nil)
+		got := h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, nil)
 		return got.status == http.StatusServiceUnavailable && got.outcome == notRun && got.header.Get(header.RetryAfter) != ""
 	})
-	is.Equal(b.told(<-long), complete)
+	is.Equal(h.reported(<-long), complete)
 	is.NoErr(<-ended)
 }
 
 func TestForwardedRequestIsNotForwardedAgain(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
-	request, err := http.NewRequest(review.method, "http://"+b.southPeers+review.path, strings.NewReader(reviewBody))
+	h := newHarness(t)
+	request, err := http.NewRequest(review.method, "http://"+h.southPeers+review.path, strings.NewReader(reviewBody))
 	is.NoErr(err)
 	for name, value := range map[string]string{header.Origin: "north-a", header.Class: header.ClassDomain, header.Caller: "resident", header.Revision: "7"} {
 		request.Header.Set(name, value)
@@ -293,19 +293,19 @@
 	is.NoErr(err)
 	is.Equal(response.Header.Get(header.Outcome), notRun)
 	is.True(strings.Contains(string(body), "forbidden-region")) // checked at the receiver
-	is.Equal(b.ran(), 0)
+	is.Equal(h.runs(), 0)
 }
 
 func TestManyCallersEachGetTheirOwnAnswer(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
+	h := newHarness(t)
 	results := make(chan string)
 	const callers = 40
 	for i := range callers {
 		go func() {
 			body := fmt.Sprintf(`{"model":"nurse","messages":[{"role":"user","content":"night %d"}],"max_tokens":20,"stream":true}`, i)
-			got := b.send(testContext(t), review.method, review.path, residentKey, body, http.Header{header.RequestID: {fmt.Sprint("n", i)}})
-			if b.told(got) != complete || strings.Count(got.body, fmt.Sprintf(`"id":"resident~n%d~`, i)) != 20 {
+			got := h.send(testContext(t), review.method, review.path, residentKey, body, http.Header{header.RequestID: {fmt.Sprint("n", i)}})
+			if h.reported(got) != complete || strings.Count(got.body, fmt.Sprintf(`"id":"resident~n%d~`, i)) != 20 {
 				results <- got.body
 				return
 			}
@@ -319,50 +319,50 @@
 
 // Limits fall with each late or failed answer, the queue's places follow with the next
 // compiled table. A request that is admitted in between waits for a place.
-func TestAnAdmittedRequestWaitsWhenTheLimitsHaveFallen(t *testing.T) {
+func TestAdmittedRequestWaitsAfterTheLimitsFell(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
+	h := newHarness(t)
 	var held []func()
-	for _, pool := range b.north.table.Load().Pools() {
+	for _, pool := range h.north.table.Load().Pools() {
 		for _, name := range pool.Upstreams {
-			held = append(held, b.occupy(pool.Key, name)...)
+			held = append(held, h.fillSlots(pool.Key, name)...)
 		}
 	}
 	answered := make(chan answer, 1)
 	go func() {
-		answered <- b.send(testContext(t), review.method, review.path, residentKey, review.body, nil)
+		answered <- h.send(testContext(t), review.method, review.path, residentKey, review.body, nil)
 	}()
 	eventually(t, "the request waits or is answered", func() bool {
-		return len(b.north.queue.Waiting()) > 0 || len(answered) > 0
+		return len(h.north.queue.Waiting()) > 0 || len(answered) > 0
 	})
 	if len(answered) > 0 {
 		got := <-answered
-		t.Fatalf("answered at once: %d %s %s", got.status, b.told(got), got.body)
+		t.Fatalf("answered at once: %d %s %s", got.status, h.reported(got), got.body)
 	}
 	for _, release := range held {
 		release()
 	}
-	is.Equal(b.told(<-answered), complete)
+	is.Equal(h.reported(<-answered), complete)
 }
 
-// occupy lowers the north's limit at an upstream by failures, each two followed by a
+// fillSlots lowers the north's limit at an upstream by failures, each two followed by a
 // success so that it is not ejected, and takes every place that is left there as
 // requests do: by the queue and at the upstream. It returns what gives them back.
-func (b *bed) occupy(pool, upstream string) []func() {
-	is := is.New(b.t)
+func (h *harness) fillSlots(pool, upstream string) []func() {
+	is := is.New(h.t)
 	const failures = 40
 	for range failures {
 		for _, result := range []limit.Result{limit.Failed, limit.Failed, limit.Succeeded} {
-			if flight, ok := b.north.tracker.Start(upstream, 0, 0); ok {
+			if flight, ok := h.north.tracker.Start(upstream, 0, 0); ok {
 				flight.Done(result)
 			}
 		}
 	}
 	var held []func()
-	for range b.north.tracker.Load(upstream).Limit {
-		leave, refusal := b.north.queue.Acquire(b.t.Context(), admission.Ticket{Caller: &config.Caller{Name: "holder"}, Serves: pool, Cost: 1})
+	for range h.north.tracker.Load(upstream).Limit {
+		leave, refusal := h.north.queue.Acquire(h.t.Context(), admission.Ticket{Caller: &config.Caller{Name: "holder"}, Serves: pool, Cost: 1})
 		is.True(refusal == nil)
-		flight, ok := b.north.tracker.Start(upstream, 0, 0)
+		flight, ok := h.north.tracker.Start(upstream, 0, 0)
 		is.True(ok)
 		held = append(held, func() { flight.Done(limit.Succeeded); leave() })
 	}
@@ -371,21 +371,21 @@
 
 // A domain whose link is cut gets no request that may not be repeated, once one has
 // shown it: the next is refused as not run, until a probe gets through.
-func TestCutLinkIsNotTriedAgainUntilItHeals(t *testing.T) {
+func TestBrokenLinkIsNotUsedUntilAProbeSucceeds(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
-	link := newSwitchedLink(t, b.southPeers)
-	b.connect(link.address)
-	link.cut.Store(true)
+	h := newHarness(t)
+	link := newSwitchedLink(t, h.southPeers)
+	h.connect(link.address)
+	link.broken.Store(true)
 	send := func() string {
-		return b.told(b.send(testContext(t), upload.method, upload.path, roamerKey, upload.body, nil))
+		return h.reported(h.send(testContext(t), upload.method, upload.path, roamerKey, upload.body, nil))
 	}
 	is.Equal(send(), unknown)
 	is.Equal(send(), notRun)
-	is.Equal(b.ran(), 0)
-	link.cut.Store(false)
+	is.Equal(h.runs(), 0)
+	link.broken.Store(false)
 	eventually(t, "the link is used again", func() bool { return send() == complete })
-	is.Equal(b.ran(), 1)
+	is.Equal(h.runs(), 1)
 }
 
 func TestDeadlineEndsARequestWithItsOutcome(t *testing.T) {
@@ -402,55 +402,55 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			b := newBed(t)
-			b.set("nurse-n1", "stall", test.stall)
-			b.set("nurse-n2", "stall", test.stall)
-			got := b.send(testContext(t), review.method, review.path, residentKey, review.body, http.Header{header.Deadline: {test.deadline}})
+			h := newHarness(t)
+			h.set("nurse-n1", "stall", test.stall)
+			h.set("nurse-n2", "stall", test.stall)
+			got := h.send(testContext(t), review.method, review.path, residentKey, review.body, http.Header{header.Deadline: {test.deadline}})
 			is.Equal(got.status, test.status)
-			is.Equal(b.told(got), test.outcome)
+			is.Equal(h.reported(got), test.outcome)
 			is.True(strings.Contains(got.body, string(outcome.ReasonDeadline)))
-			is.True(b.ran() <= 1)
+			is.True(h.runs() <= 1)
 		})
 	}
 }
 
 // One engine that starts nothing must not cost requests while another one is idle.
-func TestRefusingEngineCostsNoRequests(t *testing.T) {
+func TestRejectingEngineFailsNoRequests(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
-	b.set("nurse-n1", "refuse", "1000")
+	h := newHarness(t)
+	h.set("nurse-n1", "refuse", "1000")
 	for i := range 30 {
 		body := fmt.Sprintf(`{"model":"nurse","messages":[{"role":"user","content":"night %d"}],"max_tokens":2,"stream":true}`, i)
-		is.Equal(b.told(b.send(testContext(t), review.method, review.path, residentKey, body, nil)), complete)
+		is.Equal(h.reported(h.send(testContext(t), review.method, review.path, residentKey, body, nil)), complete)
 	}
-	is.Equal(len(b.journal.Entries("nurse-n1")), 0)
-	is.Equal(b.ran(), 30)
+	is.Equal(len(h.journal.Entries("nurse-n1")), 0)
+	is.Equal(h.runs(), 30)
 }
 
 // A domain whose engines all start nothing is left for another one at once, after
 // the first requests have found out; work that may not leave is told when to come back.
-func TestRefusingDomainIsLeft(t *testing.T) {
+func TestRequestsLeaveADomainThatRejectsAll(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t)
-	declaration := *b.head.Declaration
+	h := newHarness(t)
+	declaration := *h.head.Declaration
 	declaration.Spill = []config.Spill{{From: "north", To: "south", Percent: 100}}
 	declaration.Callers = append(slices.Clone(declaration.Callers),
 		config.Caller{Name: "both", KeyHash: config.HashKey("key-both"), Home: "north", Regions: []string{"north", "south"}})
-	b.head = &config.Head{Revision: b.head.Revision + 1, Declaration: &declaration}
-	b.connect(b.southPeers)
-	b.south.Exchange(control.ExchangeArgs{Head: b.head})
-	b.set("nurse-n1", "refuse", "1000")
-	b.set("nurse-n2", "refuse", "1000")
+	h.head = &config.Head{Revision: h.head.Revision + 1, Declaration: &declaration}
+	h.connect(h.southPeers)
+	h.south.Exchange(control.ExchangeArgs{Head: h.head})
+	h.set("nurse-n1", "refuse", "1000")
+	h.set("nurse-n2", "refuse", "1000")
 	const requests = 8 // the credit that the south gave
 	for range requests {
-		got := b.send(testContext(t), review.method, review.path, "key-both", review.body, nil)
-		is.Equal(b.told(got), complete)
+		got := h.send(testContext(t), review.method, review.path, "key-both", review.body, nil)
+		is.Equal(h.reported(got), complete)
 		is.Equal(got.header.Get(header.Domain), "south-a")
 	}
 	// Without a rest it is two for each; the bound is for a machine so slow that
 	// some rests end in between.
-	is.True(b.north.metrics.Retried.Count() < 3*requests/2)
-	got := b.send(testContext(t), review.method, review.path, residentKey, review.body, nil)
-	is.Equal(b.told(got), notRun)
+	is.True(h.north.metrics.Retried.Count() < 3*requests/2)
+	got := h.send(testContext(t), review.method, review.path, residentKey, review.body, nil)
+	is.Equal(h.reported(got), notRun)
 	is.True(got.header.Get(header.RetryAfter) != "")
 }
--- a/pkg/gateway/bed_test.go
+++ b/pkg/gateway/harness_test.go
@@ -28,9 +28,9 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/service"
 )
 
-// bed is two failure domains in two regions, with a gateway each, two engines and
+// harness is two failure domains in two regions, with a gateway each, two engines and
 // a service in the north, and one of each in the south.
-type bed struct {
+type harness struct {
 	t        testing.TB
 	security settings.Security
 	journal  *journal.Journal
@@ -50,30 +50,30 @@
 	roamerKey   = "key-roamer"   // may be served in the south alone
 )
 
-func newBed(t testing.TB) *bed {
+func newHarness(t testing.TB) *harness {
 	t.Helper()
-	return newSecuredBed(t, settings.Security{PlaintextLoopback: true})
+	return newSecuredHarness(t, settings.Security{PlaintextLoopback: true})
 }
 
-// newSecuredBed links the gateways by the given material.
-func newSecuredBed(t testing.TB, security settings.Security) *bed {
+// newSecuredHarness links the gateways by the given material.
+func newSecuredHarness(t testing.TB, security settings.Security) *harness {
 	t.Helper()
-	b := &bed{t: t, security: security, journal: journal.New(), engines: map[string]*engine.Engine{}, services: map[string]*service.Service{}}
-	b.declare()
-	b.north = b.newGateway("north-1", "north-a", "north")
-	b.south = b.newGateway("south-1", "south-a", "south")
-	callers, _ := b.north.Handlers()
-	b.url = b.serve(callers)
-	_, peers := b.south.Handlers()
-	b.southPeers = b.servePeers(b.south.network, peers)
-	b.connect(b.southPeers)
-	b.south.Exchange(control.ExchangeArgs{Head: b.head})
-	return b
+	h := &harness{t: t, security: security, journal: journal.New(), engines: map[string]*engine.Engine{}, services: map[string]*service.Service{}}
+	h.declare()
+	h.north = h.newGateway("north-1", "north-a", "north")
+	h.south = h.newGateway("south-1", "south-a", "south")
+	callers, _ := h.north.Handlers()
+	h.url = h.serve(callers)
+	_, peers := h.south.Handlers()
+	h.southPeers = h.servePeers(h.south.network, peers)
+	h.connect(h.southPeers)
+	h.south.Exchange(control.ExchangeArgs{Head: h.head})
+	return h
 }
 
-func (b *bed) declare() {
+func (h *harness) declare() {
 	both := []string{"north", "south"}
-	b.head = &config.Head{Revision: 7, Declaration: &config.Declaration{
+	h.head = &config.Head{Revision: 7, Declaration: &config.Declaration{
 		Regions: []config.Region{{Name: "north", Domains: []string{"north-a"}}, {Name: "south", Domains: []string{"south-a"}}},
 		Models:  []config.Model{{Name: "nurse", Versions: []config.ModelVersion{{Name: "v1", Percent: 100}}, Regions: both}},
 		Services: []config.Service{{Name: "sleeplog", Prefix: "/sleeplog/", Regions: both, Routes: []config.Route{
@@ -85,36 +85,36 @@
 			{Name: "roamer", KeyHash: config.HashKey(roamerKey), Home: "south", Regions: []string{"south"}},
 		},
 	}}
-	b.addEngine("nurse-n1", "north-a")
-	b.addEngine("nurse-n2", "north-a")
-	b.addEngine("nurse-s1", "south-a")
-	b.addService("log-n1", "north-a")
-	b.addService("log-s1", "south-a")
+	h.addEngine("nurse-n1", "north-a")
+	h.addEngine("nurse-n2", "north-a")
+	h.addEngine("nurse-s1", "south-a")
+	h.addService("log-n1", "north-a")
+	h.addService("log-s1", "south-a")
 }
 
-func (b *bed) addEngine(name, domain string) {
+func (h *harness) addEngine(name, domain string) {
 	e := engine.New(engine.Settings{
 		Name: name, Domain: domain, Serves: "nurse", Version: "v1", Concurrency: 8, Queue: 64,
 		DecodeRate: 1e5, PrefillRate: 1e7, CacheTokens: 1e6, LoadLag: time.Second,
-	}, clock.System{}, b.journal)
-	b.engines[name] = e
-	b.addUpstream(config.Upstream{Name: name, Kind: config.KindEngine, Serves: "nurse", Version: "v1", Domain: domain, Address: b.serve(e.Handler()), Concurrency: 8})
+	}, clock.System{}, h.journal)
+	h.engines[name] = e
+	h.addUpstream(config.Upstream{Name: name, Kind: config.KindEngine, Serves: "nurse", Version: "v1", Domain: domain, Address: h.serve(e.Handler()), Concurrency: 8})
 }
 
-func (b *bed) addService(name, domain string) {
-	s := service.New(service.Settings{Name: name, Domain: domain, Serves: "sleeplog", Concurrency: 8}, clock.System{}, b.journal)
-	b.services[name] = s
-	b.addUpstream(config.Upstream{Name: name, Kind: config.KindService, Serves: "sleeplog", Domain: domain, Address: b.serve(s.Handler()), Concurrency: 8})
+func (h *harness) addService(name, domain string) {
+	s := service.New(service.Settings{Name: name, Domain: domain, Serves: "sleeplog", Concurrency: 8}, clock.System{}, h.journal)
+	h.services[name] = s
+	h.addUpstream(config.Upstream{Name: name, Kind: config.KindService, Serves: "sleeplog", Domain: domain, Address: h.serve(s.Handler()), Concurrency: 8})
 }
 
-func (b *bed) addUpstream(upstream config.Upstream) {
-	b.head.Declaration.Upstreams = append(b.head.Declaration.Upstreams, upstream)
+func (h *harness) addUpstream(upstream config.Upstream) {
+	h.head.Declaration.Upstreams = append(h.head.Declaration.Upstreams, upstream)
 }
 
 // serve starts an HTTP server and returns its address.
-func (b *bed) serve(handler http.Handler) string {
+func (h *harness) serve(handler http.Handler) string {
 	server := httptest.NewServer(handler)
-	b.t.Cleanup(func() {
+	h.t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
@@ -122,35 +122,35 @@
 }
 
 // servePeers starts the door for other gateways and returns its address.
-func (b *bed) servePeers(network *control.Network, handler http.Handler) string {
+func (h *harness) servePeers(network *control.Network, handler http.Handler) string {
 	listener, err := network.Listen("127.0.0.1:0")
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	server := &http.Server{Handler: handler, ErrorLog: log.New(io.Discard, "", 0)}
 	go func() { _ = server.Serve(listener) }()
-	b.t.Cleanup(func() { _ = server.Close() })
+	h.t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
-func (b *bed) newGateway(name, domain, region string) *Gateway {
-	network, err := control.NewNetwork(b.security, nil)
+func (h *harness) newGateway(name, domain, region string) *Gateway {
+	network, err := control.NewNetwork(h.security, nil)
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	keyValue := etcd.New(etcd.Options{Endpoints: []string{"127.0.0.1:1"}, Prefix: "test/", Dial: network.DialPlain})
 	gateway := New(&settings.Instance{
 		Instance: name, Domain: domain, Region: region,
 		Gateway: settings.Gateway{Callers: "127.0.0.1:0", Peers: "127.0.0.1:0", Control: "127.0.0.1:0", MaxBody: 1 << 20},
 	}, network, keyValue, zerolog.Nop())
-	b.t.Cleanup(gateway.halt)
+	h.t.Cleanup(gateway.halt)
 	return gateway
 }
 
 // connect gives the north its configuration, and the south's gateway at the given
 // address.
-func (b *bed) connect(southPeers string) {
-	b.north.Exchange(control.ExchangeArgs{Head: b.head, Domains: &board.Domains{Remote: []board.DomainDigest{{
+func (h *harness) connect(southPeers string) {
+	h.north.Exchange(control.ExchangeArgs{Head: h.head, Domains: &board.Domains{Remote: []board.DomainDigest{{
 		Domain: "south-a", Region: "south", Sequence: 1, HeardAt: time.Now(), Nodes: 1,
 		Entries: []board.Instance{{Name: "south-1", Domain: "south-a", Region: "south", State: board.InstanceLive, Addresses: board.Addresses{Peers: southPeers}}},
 		Pools: []board.PoolDigest{
@@ -160,18 +160,18 @@
 	}}}})
 }
 
-// readdress declares an upstream at another address, as a higher revision.
-func (b *bed) readdress(name, address string) {
-	declaration := *b.head.Declaration
+// changeAddress declares an upstream at another address, as a higher revision.
+func (h *harness) changeAddress(name, address string) {
+	declaration := *h.head.Declaration
 	declaration.Upstreams = append([]config.Upstream(nil), declaration.Upstreams...)
 	for i := range declaration.Upstreams {
 		if declaration.Upstreams[i].Name == name {
 			declaration.Upstreams[i].Address = address
 		}
 	}
-	b.head = &config.Head{Revision: b.head.Revision + 1, Declaration: &declaration}
-	b.north.Exchange(control.ExchangeArgs{Head: b.head})
-	b.south.Exchange(control.ExchangeArgs{Head: b.head})
+	h.head = &config.Head{Revision: h.head.Revision + 1, Declaration: &declaration}
+	h.north.Exchange(control.ExchangeArgs{Head: h.head})
+	h.south.Exchange(control.ExchangeArgs{Head: h.head})
 }
 
 // answer is what a caller was told.
@@ -184,10 +184,10 @@
 }
 
 // send makes one request of a caller.
-func (b *bed) send(ctx context.Context, method, path, key, body string, fields http.Header) answer {
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+b.url+path, bytes.NewReader([]byte(body)))
+func (h *harness) send(ctx context.Context, method, path, key, body string, fields http.Header) answer {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+h.url+path, bytes.NewReader([]byte(body)))
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	for name, values := range fields {
 		request.Header[name] = values
@@ -204,8 +204,8 @@
 
 const reviewBody = `{"model":"nurse","messages":[{"role":"user","content":"how did I sleep?"}],"max_tokens":12,"stream":true}`
 
-// ran counts what upstreams ran.
-func (b *bed) ran() int { return len(b.journal.Entries("")) }
+// runs counts what upstreams ran.
+func (h *harness) runs() int { return len(h.journal.Entries("")) }
 
 // closedAddress is an address at which nothing listens.
 func closedAddress(t testing.TB) string {
@@ -217,9 +217,9 @@
 	return listener.Addr().String()
 }
 
-// cutter passes connections on to target. It cuts each after so many bytes of the
+// newTruncatingProxy passes connections on to target. It cuts each after so many bytes of the
 // request or of the answer; a negative number means never.
-func cutter(t testing.TB, target string, requestBytes, answerBytes int64) string {
+func newTruncatingProxy(t testing.TB, target string, requestBytes, answerBytes int64) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -231,26 +231,26 @@
 	})
 	running.Go(func() {
 		for {
-			near, err := listener.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			running.Go(func() { pass(near, target, requestBytes, answerBytes) })
+			running.Go(func() { proxy(client, target, requestBytes, answerBytes) })
 		}
 	})
 	return listener.Addr().String()
 }
 
-func pass(near net.Conn, target string, requestBytes, answerBytes int64) {
-	defer near.Close()
-	far, err := net.Dial("tcp", target)
+func proxy(client net.Conn, target string, requestBytes, answerBytes int64) {
+	defer client.Close()
+	server, err := net.Dial("tcp", target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer server.Close()
 	done := make(chan struct{}, 2)
-	go copyUntil(far, near, requestBytes, done)
-	go copyUntil(near, far, answerBytes, done)
+	go copyUntil(server, client, requestBytes, done)
+	go copyUntil(client, server, answerBytes, done)
 	<-done
 }
 
@@ -262,9 +262,9 @@
 	done <- struct{}{}
 }
 
-// board2 describes the south as two instances, at two addresses.
-func board2(b *bed, addresses ...string) control.ExchangeArgs {
-	present := b.north.board.Domains.Load().Remote[0]
+// twoInstanceDomain describes the south as two instances, at two addresses.
+func twoInstanceDomain(h *harness, addresses ...string) control.ExchangeArgs {
+	present := h.north.board.Domains.Load().Remote[0]
 	present.HeardAt = time.Now()
 	present.Entries = nil
 	for i, address := range addresses {
@@ -288,7 +288,7 @@
 // switchedLink passes connections on to target, or breaks them off while cut.
 type switchedLink struct {
 	address string
-	cut     atomic.Bool
+	broken  atomic.Bool
 }
 
 func newSwitchedLink(t testing.TB, target string) *switchedLink {
@@ -300,15 +300,15 @@
 	link := &switchedLink{address: listener.Addr().String()}
 	go func() {
 		for {
-			near, err := listener.Accept()
+			client, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			requestBytes := int64(-1)
-			if link.cut.Load() {
+			if link.broken.Load() {
 				requestBytes = 1
 			}
-			go pass(near, target, requestBytes, -1)
+			go proxy(client, target, requestBytes, -1)
 		}
 	}()
 	return link
--- a/pkg/gateway/leave.go
+++ b/pkg/gateway/leave.go
@@ -24,7 +24,7 @@
 func (g *Gateway) leave(servers ...*http.Server) {
 	g.phase.Store(phaseLeaving)
 	g.log.Info().Msg("leaving")
-	g.awaitNotice()
+	g.awaitPropagation()
 	g.phase.Store(phaseDraining)
 	g.log.Info().Int64("active", g.metrics.Active.Count()).Msg("draining")
 	g.awaitRequests()
@@ -39,39 +39,39 @@
 	}
 }
 
-// awaitNotice waits until the lists that callers hold have run out, and for the
+// awaitPropagation waits until the lists that callers hold have run out, and for the
 // agent to have learned of the leaving, if it asks at all.
-func (g *Gateway) awaitNotice() {
+func (g *Gateway) awaitPropagation() {
 	<-time.After(instancesValid)
-	g.toldLeaving.await(agentTimeout)
+	g.leavingReported.wait(agentTimeout)
 }
 
 // agentTimeout bounds the wait for an agent that may be gone.
 const agentTimeout = 500 * time.Millisecond
 
-// noteTold records what a reply tells the agent.
-func (g *Gateway) noteTold(reply *control.ExchangeReply) {
+// recordReported records what a reply tells the agent.
+func (g *Gateway) recordReported(reply *control.ExchangeReply) {
 	if reply.Leaving {
-		g.toldLeaving.give()
+		g.leavingReported.set()
 	}
 	if reply.Load.Successor != "" {
-		g.toldSuccessor.give()
+		g.successorReported.set()
 	}
 }
 
 // signal is given once.
 type signal struct {
-	once  *sync.Once
-	given chan struct{}
+	once *sync.Once
+	done chan struct{}
 }
 
-func newSignal() signal { return signal{once: new(sync.Once), given: make(chan struct{})} }
+func newSignal() signal { return signal{once: new(sync.Once), done: make(chan struct{})} }
 
-func (s signal) give() { s.once.Do(func() { close(s.given) }) }
+func (s signal) set() { s.once.Do(func() { close(s.done) }) }
 
-func (s signal) await(bound time.Duration) {
+func (s signal) wait(bound time.Duration) {
 	select {
-	case <-s.given:
+	case <-s.done:
 	case <-time.After(bound):
 	}
 }
@@ -109,5 +109,5 @@
 		return
 	}
 	g.log.Info().Str("successor", successor.Instance).Msg("keys-handed-over")
-	g.toldSuccessor.await(agentTimeout)
+	g.successorReported.wait(agentTimeout)
 }
--- a/pkg/gateway/router.go
+++ b/pkg/gateway/router.go
@@ -17,21 +17,21 @@
 	"github.com/lilacweir/lilacweir/pkg/route"
 )
 
-// source is the random source of decisions.
-type source struct{}
+// randomSource is the random source of decisions.
+type randomSource struct{}
 
 // Uint64 implements route.Rand.
-func (source) Uint64() uint64 { return rand.Uint64() }
+func (randomSource) Uint64() uint64 { return rand.Uint64() }
 
-// placeRetries bounds how often another upstream is picked because the place at
+// maxSlotRetries bounds how often another upstream is picked because the place at
 // the first was taken in between.
-const placeRetries = 3
+const maxSlotRetries = 3
 
-// placeRetry is suggested when every place is taken.
-const placeRetry = 200 * time.Millisecond
+// slotRetryAfter is suggested when every place is taken.
+const slotRetryAfter = 200 * time.Millisecond
 
-// way is one request on its way; it implements dispatch.Route.
-type way struct {
+// requestRoute is one request on its way; it implements dispatch.Route.
+type requestRoute struct {
 	*Gateway
 	request *dispatch.Request
 	// query is the request as decisions see it, the same for all of them.
@@ -42,21 +42,21 @@
 
 // Route implements dispatch.Router.
 func (g *Gateway) Route(request *dispatch.Request) dispatch.Route {
-	return &way{Gateway: g, request: request, query: newQuery(request)}
+	return &requestRoute{Gateway: g, request: request, query: newQuery(request)}
 }
 
 // End implements dispatch.Route.
-func (w *way) End() {
-	if w.release != nil {
-		w.release()
+func (r *requestRoute) End() {
+	if r.release != nil {
+		r.release()
 	}
 }
 
 // Own implements dispatch.Route.
-func (w *way) Own() []string {
+func (r *requestRoute) Own() []string {
 	var names []string
-	for _, upstream := range w.config.Load().Pool(w.request.Serves) {
-		if upstream.Domain == w.settings.Domain {
+	for _, upstream := range r.config.Load().Pool(r.request.Serves) {
+		if upstream.Domain == r.settings.Domain {
 			names = append(names, upstream.Name)
 		}
 	}
@@ -64,107 +64,107 @@
 }
 
 // Next implements dispatch.Route.
-func (w *way) Next(ctx context.Context, tried []string) (dispatch.Choice, func(relay.Report), *outcome.Refusal) {
-	w.query.Tried = w.suspects.exhausted(w.board.Domains.Load(), tried)
-	w.query.Version = w.request.Version
-	if w.release == nil {
-		elsewhere, refusal := w.admit(ctx)
+func (r *requestRoute) Next(ctx context.Context, tried []string) (dispatch.Choice, func(relay.Report), *outcome.Refusal) {
+	r.query.Tried = r.suspects.exhausted(r.board.Domains.Load(), tried)
+	r.query.Version = r.request.Version
+	if r.release == nil {
+		remote, refusal := r.admit(ctx)
 		if refusal != nil {
 			return dispatch.Choice{}, nil, refusal
 		}
-		if elsewhere != nil {
-			return w.forward(elsewhere, tried)
+		if remote != nil {
+			return r.forward(remote, tried)
 		}
 	}
-	for again := 0; ; again++ {
-		w.query.Admitted = true
-		choice, done, refusal := w.place(tried)
-		if refusal == nil || refusal.Reason != outcome.ReasonOverloaded || again == requeues {
+	for attempt := 0; ; attempt++ {
+		r.query.Admitted = true
+		choice, done, refusal := r.reserveSlot(tried)
+		if refusal == nil || refusal.Reason != outcome.ReasonOverloaded || attempt == maxRequeues {
 			return choice, done, refusal
 		}
-		elsewhere, refusal := w.requeue(ctx)
+		remote, refusal := r.requeue(ctx)
 		if refusal != nil {
 			return dispatch.Choice{}, nil, refusal
 		}
-		if elsewhere != nil {
-			return w.forward(elsewhere, tried)
+		if remote != nil {
+			return r.forward(remote, tried)
 		}
 	}
 }
 
-// requeues bounds how often a request that was admitted waits once more, because the
+// maxRequeues bounds how often a request that was admitted waits once more, because the
 // limits at the upstreams had fallen below the places that the queue gave out.
-const requeues = 3
+const maxRequeues = 3
 
 // requeue waits for another turn, by the limits as they are now. An admitted request
 // is not refused only because the queue learned late that there are fewer places.
-func (w *way) requeue(ctx context.Context) (*route.Decision, *outcome.Refusal) {
-	w.release()
-	w.release = nil
-	w.query.Admitted = false
-	w.refreshCapacities()
-	return w.admit(ctx)
+func (r *requestRoute) requeue(ctx context.Context) (*route.Decision, *outcome.Refusal) {
+	r.release()
+	r.release = nil
+	r.query.Admitted = false
+	r.refreshCapacities()
+	return r.admit(ctx)
 }
 
 // admit decides whether the request stays in this domain, and if so waits for its
 // turn. It returns the decision when the request goes elsewhere.
-func (w *way) admit(ctx context.Context) (*route.Decision, *outcome.Refusal) {
-	decision, refusal := w.pick()
+func (r *requestRoute) admit(ctx context.Context) (*route.Decision, *outcome.Refusal) {
+	decision, refusal := r.pick()
 	if refusal != nil || decision.Domain != nil {
 		return &decision, refusal
 	}
-	ticket := w.ticket(&decision)
-	if wait := w.queue.Predict(ticket); wait > 0 {
-		w.query.Waiting = wait
-		decision, refusal = w.pick()
-		w.query.Waiting = 0
+	ticket := r.ticket(&decision)
+	if wait := r.queue.Predict(ticket); wait > 0 {
+		r.query.Waiting = wait
+		decision, refusal = r.pick()
+		r.query.Waiting = 0
 		if refusal != nil || decision.Domain != nil {
 			return &decision, refusal
 		}
-		ticket = w.ticket(&decision)
+		ticket = r.ticket(&decision)
 	}
-	release, refusal := w.queue.Acquire(ctx, ticket)
-	w.release = release
+	release, refusal := r.queue.Acquire(ctx, ticket)
+	r.release = release
 	return nil, refusal
 }
 
-func (w *way) pick() (route.Decision, *outcome.Refusal) {
-	return w.table.Load().Pick(&w.query, localLoad{w.Gateway}, source{}, w.clock.Now())
+func (r *requestRoute) pick() (route.Decision, *outcome.Refusal) {
+	return r.table.Load().Pick(&r.query, localLoad{r.Gateway}, randomSource{}, r.clock.Now())
 }
 
-func (w *way) ticket(decision *route.Decision) admission.Ticket {
-	answer := w.request.MaxTokens
-	if answer == 0 && w.request.Kind == config.KindEngine {
+func (r *requestRoute) ticket(decision *route.Decision) admission.Ticket {
+	answer := r.request.MaxTokens
+	if answer == 0 && r.request.Kind == config.KindEngine {
 		answer = route.ExpectedAnswer
 	}
 	return admission.Ticket{
-		Caller:   w.request.Caller,
+		Caller:   r.request.Caller,
 		Serves:   decision.Pool,
-		Cost:     admission.Cost(w.request.PromptTokens, answer),
-		Priority: w.request.Priority,
-		Deadline: w.request.Deadline,
+		Cost:     admission.Cost(r.request.PromptTokens, answer),
+		Priority: r.request.Priority,
+		Deadline: r.request.Deadline,
 		Run:      decision.Run,
 	}
 }
 
-// place takes a place at an upstream, or chooses another domain after all.
-func (w *way) place(tried []string) (dispatch.Choice, func(relay.Report), *outcome.Refusal) {
-	for range placeRetries {
-		decision, refusal := w.pick()
+// reserveSlot takes a place at an upstream, or chooses another domain after all.
+func (r *requestRoute) reserveSlot(tried []string) (dispatch.Choice, func(relay.Report), *outcome.Refusal) {
+	for range maxSlotRetries {
+		decision, refusal := r.pick()
 		if refusal != nil {
 			return dispatch.Choice{}, nil, refusal
 		}
 		if decision.Domain != nil {
-			return w.forward(&decision, tried)
+			return r.forward(&decision, tried)
 		}
-		flight, ok := w.tracker.Start(decision.Upstream.Name, w.request.PromptTokens, decision.FirstToken)
+		flight, ok := r.tracker.Start(decision.Upstream.Name, r.request.PromptTokens, decision.FirstToken)
 		if ok {
-			choice := w.local(&decision)
+			choice := r.localChoice(&decision)
 			choice.Begun = flight.FirstByte
-			return choice, w.finish(&decision, flight), nil
+			return choice, r.finish(&decision, flight), nil
 		}
 	}
-	return dispatch.Choice{}, nil, outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded, placeRetry, "this gateway's limit is reached at every usable upstream")
+	return dispatch.Choice{}, nil, outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded, slotRetryAfter, "this gateway's limit is reached at every usable upstream")
 }
 
 // newQuery returns the request as decisions see it.
@@ -187,7 +187,7 @@
 	return query
 }
 
-func (g *Gateway) local(decision *route.Decision) dispatch.Choice {
+func (g *Gateway) localChoice(decision *route.Decision) dispatch.Choice {
 	upstream := decision.Upstream
 	return dispatch.Choice{
 		Target:   relay.Target{Name: upstream.Name, Address: upstream.Address, Kind: upstream.Kind},
@@ -244,28 +244,28 @@
 }
 
 // forward chooses an instance of another failure domain.
-func (w *way) forward(decision *route.Decision, tried []string) (dispatch.Choice, func(relay.Report), *outcome.Refusal) {
+func (r *requestRoute) forward(decision *route.Decision, tried []string) (dispatch.Choice, func(relay.Report), *outcome.Refusal) {
 	digest := decision.Domain
-	left := w.suspects.entriesLeft(digest, tried)
+	left := r.suspects.entriesLeft(digest, tried)
 	if len(left) == 0 {
-		return dispatch.Choice{}, nil, outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonNoUpstream, placeRetry, "no instance of the other domain is left to ask")
+		return dispatch.Choice{}, nil, outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonNoUpstream, slotRetryAfter, "no instance of the other domain is left to ask")
 	}
 	entry := left[rand.IntN(len(left))]
 	choice := dispatch.Choice{
 		Target: relay.Target{
 			Name:    targetName(digest.Domain, entry.Name),
 			Address: entry.Addresses.Peers,
-			Kind:    w.request.Kind,
+			Kind:    r.request.Kind,
 			Peer:    true,
 		},
 		Domain:   digest.Domain,
 		Region:   digest.Region,
 		Version:  decision.Version,
-		Revision: w.table.Load().Revision(),
+		Revision: r.table.Load().Revision(),
 	}
 	done := func(report relay.Report) {
 		if unanswered(&report) {
-			w.suspects.failed(choice.Target.Name, digest, report.Silent)
+			r.suspects.failed(choice.Target.Name, digest, report.Silent)
 		}
 	}
 	return choice, done, nil
@@ -290,28 +290,28 @@
 // Permitted implements dispatch.Router: caller and placement must both permit the
 // region, by the configuration that is in force now.
 func (g *Gateway) Permitted(request *dispatch.Request, choice *dispatch.Choice) *outcome.Refusal {
-	now := g.config.Load()
-	caller, ok := now.Caller(request.Caller.Name)
+	current := g.config.Load()
+	caller, ok := current.Caller(request.Caller.Name)
 	if !ok {
 		return outcome.Refuse(http.StatusForbidden, outcome.ReasonForbiddenRegion, 0, "the caller is no longer declared")
 	}
-	region := now.Region(choice.Domain)
-	placed := slices.Contains(placement(now.Index, request), region)
+	region := current.Region(choice.Domain)
+	placed := slices.Contains(placementRegions(current.Index, request), region)
 	if region == "" || !placed || !slices.Contains(caller.Regions, region) {
 		return outcome.Refuse(http.StatusForbidden, outcome.ReasonForbiddenRegion, 0, "the request may not be processed in "+strings.TrimSpace(region+" "+choice.Domain))
 	}
 	if choice.Target.Peer {
 		return nil
 	}
-	upstream, ok := now.Upstream(choice.Target.Name)
+	upstream, ok := current.Upstream(choice.Target.Name)
 	if !ok || upstream.Drained || upstream.Address != choice.Target.Address {
-		return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonNoUpstream, placeRetry, "the upstream was taken out of service")
+		return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonNoUpstream, slotRetryAfter, "the upstream was taken out of service")
 	}
 	return nil
 }
 
-// placement lists the regions in which what the request asks for may run.
-func placement(index *config.Index, request *dispatch.Request) []string {
+// placementRegions lists the regions in which what the request asks for may run.
+func placementRegions(index *config.Index, request *dispatch.Request) []string {
 	if request.Kind == config.KindEngine {
 		if model, ok := index.Model(request.Serves); ok {
 			return model.Regions
--- a/pkg/gateway/status.go
+++ b/pkg/gateway/status.go
@@ -104,16 +104,16 @@
 
 // silentDomains names the declared domains without a recent digest.
 func (g *Gateway) silentDomains() []string {
-	heard := make(map[string]time.Time)
+	receivedAt := make(map[string]time.Time)
 	if domains := g.board.Domains.Load(); domains != nil {
 		for _, digest := range domains.Remote {
-			heard[digest.Domain] = digest.HeardAt
+			receivedAt[digest.Domain] = digest.HeardAt
 		}
 	}
 	silent := []string{}
 	for _, region := range g.board.Config.Load().Declaration.Regions {
 		for _, domain := range region.Domains {
-			if domain != g.settings.Domain && g.clock.Now().Sub(heard[domain]) > board.DomainSilentAfter {
+			if domain != g.settings.Domain && g.clock.Now().Sub(receivedAt[domain]) > board.DomainSilentAfter {
 				silent = append(silent, domain)
 			}
 		}
--- a/pkg/gateway/suspects.go
+++ b/pkg/gateway/suspects.go
@@ -27,9 +27,9 @@
 	mu sync.Mutex
 	// names maps target names to what is thought of them.
 	names map[string]suspicion
-	// out is a copy of names for requests, which take no lock; nil when empty.
-	out   atomic.Pointer[map[string]suspicion]
-	probe func(ctx context.Context, address string) error
+	// excluded is a copy of names for requests, which take no lock; nil when empty.
+	excluded atomic.Pointer[map[string]suspicion]
+	probe    func(ctx context.Context, address string) error
 	// running is done when the gateway stops.
 	running context.Context
 }
@@ -38,9 +38,9 @@
 type suspicion int
 
 const (
-	// doubted: another gateway of its domain fell silent. Only requests that were
+	// suspected: another gateway of its domain fell silent. Only requests that were
 	// tried there already are sent.
-	doubted suspicion = iota + 1
+	suspected suspicion = iota + 1
 	// unreachable: it did not answer.
 	unreachable
 )
@@ -49,23 +49,23 @@
 	return &suspects{names: make(map[string]suspicion), probe: probe, running: running}
 }
 
-// of returns what is thought of a gateway; zero when nothing speaks against it.
-func (s *suspects) of(target string) suspicion {
-	out := s.out.Load()
-	if out == nil {
+// suspicionOf returns what is thought of a gateway; zero when nothing speaks against it.
+func (s *suspects) suspicionOf(target string) suspicion {
+	excluded := s.excluded.Load()
+	if excluded == nil {
 		return 0
 	}
-	return (*out)[target]
+	return (*excluded)[target]
 }
 
 // publish makes names visible to requests. Callers hold s.mu.
 func (s *suspects) publish() {
 	if len(s.names) == 0 {
-		s.out.Store(nil)
+		s.excluded.Store(nil)
 		return
 	}
 	names := maps.Clone(s.names)
-	s.out.Store(&names)
+	s.excluded.Store(&names)
 }
 
 // failed marks a gateway that did not answer. One that fell silent casts doubt on
@@ -79,7 +79,7 @@
 		case name == target:
 			s.suspect(name, entry.Addresses.Peers, unreachable)
 		case silent:
-			s.suspect(name, entry.Addresses.Peers, doubted)
+			s.suspect(name, entry.Addresses.Peers, suspected)
 		}
 	}
 	s.publish()
@@ -98,7 +98,7 @@
 // watch probes a gateway until it answers.
 func (s *suspects) watch(name, address string) {
 	for !s.reached(address) {
-		s.set(name)
+		s.setUnreachable(name)
 		select {
 		case <-time.After(probeInterval):
 		case <-s.running.Done():
@@ -111,7 +111,7 @@
 	s.publish()
 }
 
-func (s *suspects) set(name string) {
+func (s *suspects) setUnreachable(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.names[name] = unreachable
@@ -129,9 +129,9 @@
 	var left []board.Instance
 	for _, entry := range digest.Entries {
 		name := targetName(digest.Domain, entry.Name)
-		thought := s.of(name)
-		out := thought == unreachable || (thought == doubted && len(tried) == 0)
-		if !out && !slices.Contains(tried, name) {
+		level := s.suspicionOf(name)
+		excluded := level == unreachable || (level == suspected && len(tried) == 0)
+		if !excluded && !slices.Contains(tried, name) {
 			left = append(left, entry)
 		}
 	}
@@ -141,10 +141,10 @@
 // exhausted returns the tried targets, and the failure domains that cannot be
 // tried: two of their instances have failed the request, or none is left.
 func (s *suspects) exhausted(domains *board.Domains, tried []string) []string {
-	if domains == nil || (len(tried) == 0 && s.out.Load() == nil) {
+	if domains == nil || (len(tried) == 0 && s.excluded.Load() == nil) {
 		return tried
 	}
-	out := tried
+	excluded := tried
 	for i := range domains.Remote {
 		digest := &domains.Remote[i]
 		failed := 0
@@ -154,10 +154,10 @@
 			}
 		}
 		if failed >= maxEntriesTried || len(s.entriesLeft(digest, tried)) == 0 {
-			out = append(slices.Clip(out), digest.Domain)
+			excluded = append(slices.Clip(excluded), digest.Domain)
 		}
 	}
-	return out
+	return excluded
 }
 
 // maxEntriesTried is how many instances of one domain a request is sent to.
--- a/pkg/gateway/table.go
+++ b/pkg/gateway/table.go
@@ -79,18 +79,18 @@
 // setCapacities gives each pool's queue the places that this gateway has there; a
 // pool that is gone has none.
 func (g *Gateway) setCapacities(previous, table *route.Table) {
-	gone := make(map[string]bool)
+	removed := make(map[string]bool)
 	if previous != nil {
 		for _, pool := range previous.Pools() {
-			gone[pool.Key] = true
+			removed[pool.Key] = true
 		}
 	}
 	for _, pool := range table.Pools() {
-		delete(gone, pool.Key)
+		delete(removed, pool.Key)
 		g.ejector.SetPool(pool.Key, pool.Upstreams)
 		g.queue.SetCapacity(pool.Key, table.Slots(pool, localLoad{g}))
 	}
-	for key := range gone {
+	for key := range removed {
 		g.ejector.SetPool(key, nil)
 		g.queue.SetCapacity(key, 0)
 	}
--- a/pkg/gateway/tls_test.go
+++ b/pkg/gateway/tls_test.go
@@ -30,15 +30,15 @@
 // them must know who knocks.
 func TestForwardedRequestsNeedACertificate(t *testing.T) {
 	is := is.New(t)
-	b := newSecuredBed(t, testSecurity(t))
-	got := b.send(testContext(t), review.method, review.path, roamerKey, review.body, nil)
-	is.Equal(b.told(got), complete)
-	is.Equal(b.ran(), 1)
-	stranger := &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}} // knows no key
+	h := newSecuredHarness(t, testSecurity(t))
+	got := h.send(testContext(t), review.method, review.path, roamerKey, review.body, nil)
+	is.Equal(h.reported(got), complete)
+	is.Equal(h.runs(), 1)
+	unauthenticated := &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}} // knows no key
 	for _, scheme := range []string{"http", "https"} {
-		request, err := http.NewRequest(http.MethodGet, scheme+"://"+b.southPeers+"/healthz", nil)
+		request, err := http.NewRequest(http.MethodGet, scheme+"://"+h.southPeers+"/healthz", nil)
 		is.NoErr(err)
-		response, err := stranger.RoundTrip(request)
+		response, err := unauthenticated.RoundTrip(request)
 		is.True(err != nil || response.StatusCode == http.StatusBadRequest)
 		if err == nil {
 			is.NoErr(response.Body.Close())
