--- a/pkg/gateway/bench_test.go
+++ b/pkg/gateway/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/lilacweir/lilacweir/pkg/logging"
 )
 
-// BenchmarkAdded measures what the gateway adds to a short call of a plain service,
-// against calls that go to the service directly, in turn.
+// BenchmarkAdded measures the latency that the gateway adds to a short call of a
+// plain service, against alternating calls directly to the service.
 func BenchmarkAdded(b *testing.B) {
 	h := newHarness(b)
 	log, err := logging.New(io.Discard, "gateway", "north-1", "")
--- a/pkg/gateway/exchange.go
+++ b/pkg/gateway/exchange.go
@@ -9,8 +9,8 @@
 	"github.com/lilacweir/lilacweir/pkg/route"
 )
 
-// Service is what a gateway serves by net/rpc to its agent and to operators'
-// questions.
+// Service is the net/rpc service that a gateway offers to its agent, and for
+// operators' lookups of requests.
 type Service struct{ gateway *Gateway }
 
 func (g *Gateway) register(server *control.Server) error {
@@ -20,13 +20,13 @@
 	return server.Register(claim.ServiceName, g.claims.Service())
 }
 
-// Exchange takes what the agent has learned and returns what the gateway has.
+// Exchange applies the agent's state and returns the gateway's.
 func (s *Service) Exchange(args control.ExchangeArgs, reply *control.ExchangeReply) error {
 	*reply = s.gateway.Exchange(args)
 	return nil
 }
 
-// Why tells what the gateway remembers of a request.
+// Why returns the log of a request.
 func (s *Service) Why(args control.WhyArgs, reply *control.WhyReply) error {
 	record := s.gateway.trace.Find(args.RequestID)
 	if record == nil {
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// Exchange is the only writer of the gateway's blackboard. A configuration with
-// a revision that is not higher than the present one is left aside.
+// Exchange is the only writer of the gateway's blackboard. It ignores a
+// configuration with a revision that is not higher than the current one.
 func (g *Gateway) Exchange(args control.ExchangeArgs) control.ExchangeReply {
 	g.exchange.Lock()
 	defer g.exchange.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // applyHead brings a newer configuration into force. The lookups are in place
-// before the revision is told to anyone.
+// before the revision is published.
 func (g *Gateway) applyHead(head *config.Head) {
 	if head == nil || head.Declaration == nil {
 		return
@@ -87,7 +87,7 @@
 	}
 }
 
-// load is what the gateway says of itself.
+// load returns the gateway's load as it is published.
 func (g *Gateway) load() board.GatewayLoad {
 	inFlight := g.tracker.Snapshot()
 	return board.GatewayLoad{
@@ -110,7 +110,8 @@
 	return byName
 }
 
-// observations tells what was seen of upstreams that should be passed on.
+// observations returns what the gateway saw of its upstreams that other instances
+// need to know.
 func (g *Gateway) observations() map[string]control.Observation {
 	seen := make(map[string]control.Observation)
 	for _, name := range g.marks.names() {
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -1,9 +1,9 @@
-// Package gateway puts the data path of one entry instance together: the
-// blackboard that its agent fills, the routing table compiled from it, and the
-// listeners for callers, other gateways and control calls.
+// Package gateway assembles the data path of one entry instance: the blackboard
+// that its agent fills, the routing table compiled from it, and the listeners for
+// callers, other gateways and control calls.
 //
-// Guarantees: the configuration's revision never goes down; requests read
-// snapshots without a lock; a graceful shutdown cuts no request.
+// Guarantees: the configuration's revision never goes down; requests read snapshots
+// without a lock; a graceful shutdown interrupts no request.
 package gateway
 
 import (
@@ -42,7 +42,7 @@
 	"github.com/lilacweir/lilacweir/pkg/trace"
 )
 
-// traceSize is how many requests Why can tell of.
+// traceSize is the number of requests that Why can look up.
 const traceSize = 4096
 
 // Gateway is the data path of one entry instance.
@@ -73,21 +73,24 @@
 	suspects *suspects
 	client   *relay.Client
 
-	// running ends when the gateway stops, by calling halt.
+	// running is cancelled by halt when the gateway stops.
 	running context.Context
 	halt    context.CancelFunc
 
 	phase atomic.Int32
-	// leavingReported and toldSuccessor are closed once the agent was told so.
+	// leavingReported and successorReported are set once a reply to the agent has
+	// carried that.
 	leavingReported, successorReported signal
 }
 
-// Phases of a gateway's life.
+// Phases of a gateway.
 const (
 	phaseServing int32 = iota
-	// phaseLeaving: the domain is being told; requests are still taken.
+	// phaseLeaving is the time in which the domain is notified and requests are still
+	// accepted.
 	phaseLeaving
-	// phaseDraining: new requests are refused, running ones end.
+	// phaseDraining is the time in which new requests are refused and running ones
+	// end.
 	phaseDraining
 )
 
@@ -126,7 +129,7 @@
 	return g
 }
 
-// claimOptions says how this gateway decides idempotency keys.
+// claimOptions returns the options by which this gateway decides idempotency keys.
 func (g *Gateway) claimOptions(keyValue platform.KeyValue) claim.Options {
 	return claim.Options{
 		Self:     claim.Origin{Domain: g.settings.Domain, Instance: g.settings.Instance, Incarnation: g.incarnation},
@@ -140,7 +143,7 @@
 	}
 }
 
-// keyTTL is how long an idempotency key may be used.
+// keyTTL returns the lifetime of an idempotency key.
 func (g *Gateway) keyTTL() time.Duration {
 	head := g.board.Config.Load()
 	if head == nil || head.Declaration.Policy.KeyTTL == 0 {
@@ -149,14 +152,14 @@
 	return head.Declaration.Policy.KeyTTL.Std()
 }
 
-// listeners are the three doors of a gateway.
+// listeners holds the three listeners of a gateway.
 type listeners struct {
 	callers, peers net.Listener
 	control        *control.Server
 }
 
-// Run serves until ctx ends, then leaves gracefully. It returns nil after a
-// graceful end.
+// Run serves until ctx ends, then shuts down gracefully. It returns nil after a
+// graceful shutdown.
 func (g *Gateway) Run(ctx context.Context) error {
 	sockets, err := g.listen()
 	if err != nil {
@@ -212,7 +215,7 @@
 }
 
 // maxConnections bounds the open connections of callers, and of other gateways.
-// Further ones wait to be accepted; idle and slow ones are closed in time.
+// Further ones wait to be accepted; idle and slow ones are closed by timeouts.
 const maxConnections = 8192
 
 func (l listeners) close() error {
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -34,7 +34,7 @@
 	return ctx
 }
 
-// eventually waits for a condition that another goroutine brings about.
+// eventually waits for a condition that another goroutine establishes.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	ctx := testContext(t)
@@ -64,7 +64,7 @@
 	older := &config.Head{Revision: 6, Declaration: &config.Declaration{}}
 	reply := h.north.Exchange(control.ExchangeArgs{Head: older, WantHead: true})
 	is.Equal(reply.Revision, config.Revision(7))
-	is.Equal(reply.Head, h.head) // an agent that was restarted learns it again
+	is.Equal(reply.Head, h.head) // a restarted agent recovers it
 	same := &config.Head{Revision: 7, Declaration: &config.Declaration{}}
 	is.Equal(h.north.Exchange(control.ExchangeArgs{Head: same, WantHead: true}).Head, h.head)
 	is.Equal(h.send(testContext(t), upload.method, upload.path, residentKey, "x", nil).status, http.StatusOK)
@@ -171,7 +171,7 @@
 	later := time.Now().Add(2 * markClearDelay)
 	stale.ByName["nurse-n2"] = board.UpstreamLoad{State: board.UpstreamLeaving, ReportedAt: later}
 	h.north.Exchange(control.ExchangeArgs{Upstreams: stale})
-	is.True(h.north.marks.marked("nurse-n2")) // it says itself that it leaves
+	is.True(h.north.marks.marked("nurse-n2")) // its own report says leaving
 	for _, back := range []board.UpstreamLoad{
 		{State: board.UpstreamLive, ReportedAt: later},
 		{State: board.UpstreamLeaving, Marked: true, ReportedAt: later}, // this gateway's own mark
@@ -179,7 +179,7 @@
 		h.north.marks.mark("nurse-n2", time.Now())
 		stale.ByName["nurse-n2"] = back
 		h.north.Exchange(control.ExchangeArgs{Upstreams: stale})
-		is.True(!h.north.marks.marked("nurse-n2")) // it came back
+		is.True(!h.north.marks.marked("nurse-n2")) // it is live again
 	}
 }
 
@@ -198,7 +198,7 @@
 	h.north.Exchange(control.ExchangeArgs{Head: &config.Head{Revision: 8, Declaration: &declaration}})
 	is.Equal(h.north.Permitted(request, &choice).Outcome, outcome.NotRun)
 	forwarded := h.send(testContext(t), review.method, review.path, residentKey, review.body, nil)
-	is.Equal(forwarded.outcome, notRun) // the south's configuration is older
+	is.Equal(forwarded.outcome, notRun) // the south's configuration has an older revision
 	is.Equal(refusalIn(t, forwarded).Type, outcome.ReasonStaleRevision)
 	is.Equal(h.runs(), 0)
 }
@@ -235,7 +235,7 @@
 	is.True(reply.Found)
 	text := strings.Join(reply.Lines, "\n")
 	for _, part := range []string{"arrived resident", "sent nurse-n", "failed nurse-n", "resumed nurse-n", "ended complete"} {
-		is.True(strings.Contains(text, part)) // one line an event
+		is.True(strings.Contains(text, part)) // one line for each event
 	}
 	for _, line := range reply.Lines {
 		is.True(len(line) <= 40)
@@ -243,7 +243,7 @@
 }
 
 // TestGracefulShutdown follows the list of instances, as callers do, while a
-// gateway leaves with a stream under way.
+// gateway leaves with a stream running.
 func TestGracefulShutdown(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t)
@@ -269,7 +269,7 @@
 		return strings.Contains(got.body, `"instances":[]`)
 	})
 	late := h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, nil)
-	is.Equal(late.status, http.StatusOK) // lists that callers hold are still good
+	is.Equal(late.status, http.StatusOK) // lists that callers hold are still valid
 	eventually(t, "new requests are refused", func() bool {
 		got := h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, nil)
 		return got.status == http.StatusServiceUnavailable && got.outcome == notRun && got.header.Get(header.RetryAfter) != ""
@@ -317,8 +317,9 @@
 	}
 }
 
-// Limits fall with each late or failed answer, the queue's places follow with the next
-// compiled table. A request that is admitted in between waits for a place.
+// Limits fall with each late or failed answer, and the queue's capacity follows
+// with the next compiled table. A request that is admitted in between waits for a
+// slot.
 func TestAdmittedRequestWaitsAfterTheLimitsFell(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t)
@@ -345,9 +346,10 @@
 	is.Equal(h.reported(<-answered), complete)
 }
 
-// fillSlots lowers the north's limit at an upstream by failures, each two followed by a
-// success so that it is not ejected, and takes every place that is left there as
-// requests do: by the queue and at the upstream. It returns what gives them back.
+// fillSlots lowers the north's limit at an upstream by failures, each two followed
+// by a success so that it is not ejected, and takes every remaining slot as
+// requests do: in the queue and at the upstream. It returns the functions that
+// release them.
 func (h *harness) fillSlots(pool, upstream string) []func() {
 	is := is.New(h.t)
 	const failures = 40
@@ -369,8 +371,8 @@
 	return held
 }
 
-// A domain whose link is cut gets no request that may not be repeated, once one has
-// shown it: the next is refused as not run, until a probe gets through.
+// Once a request has found a domain's link broken, the domain gets no request that
+// may not be repeated: the next is refused as not run, until a probe succeeds.
 func TestBrokenLinkIsNotUsedUntilAProbeSucceeds(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t)
@@ -414,7 +416,8 @@
 	}
 }
 
-// One engine that starts nothing must not cost requests while another one is idle.
+// One engine that rejects everything must not fail requests while another one is
+// idle.
 func TestRejectingEngineFailsNoRequests(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t)
@@ -427,8 +430,9 @@
 	is.Equal(h.runs(), 30)
 }
 
-// A domain whose engines all start nothing is left for another one at once, after
-// the first requests have found out; work that may not leave is told when to come back.
+// If all engines of a domain reject requests, requests go to another domain at once
+// after the first have discovered it; those that may not leave are refused with a
+// Retry-After.
 func TestRequestsLeaveADomainThatRejectsAll(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t)
@@ -447,8 +451,8 @@
 		is.Equal(h.reported(got), complete)
 		is.Equal(got.header.Get(header.Domain), "south-a")
 	}
-	// Without a rest it is two for each; the bound is for a machine so slow that
-	// some rests end in between.
+	// Without a backoff there are two retries for each request; the bound allows for
+	// a machine so slow that some backoffs end in between.
 	is.True(h.north.metrics.Retried.Count() < 3*requests/2)
 	got := h.send(testContext(t), review.method, review.path, residentKey, review.body, nil)
 	is.Equal(h.reported(got), notRun)
--- a/pkg/gateway/gauges.go
+++ b/pkg/gateway/gauges.go
@@ -2,7 +2,8 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// registerGauges exposes what the gateway holds now. Each is read when asked for.
+// registerGauges exposes the gateway's current counts. Each is computed when it is
+// read.
 func (g *Gateway) registerGauges() {
 	for name, read := range map[string]func() int64{
 		"config.revision":    g.revision,
--- a/pkg/gateway/harness_test.go
+++ b/pkg/gateway/harness_test.go
@@ -28,8 +28,8 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/service"
 )
 
-// harness is two failure domains in two regions, with a gateway each, two engines and
-// a service in the north, and one of each in the south.
+// harness is two failure domains in two regions, each with a gateway: two engines
+// and a service in the north, one of each in the south.
 type harness struct {
 	t        testing.TB
 	security settings.Security
@@ -39,9 +39,9 @@
 	head     *config.Head
 	north    *Gateway
 	south    *Gateway
-	// url is where the north's gateway answers callers.
+	// url is the address at which the north's gateway serves callers.
 	url string
-	// southPeers is the door of the south's gateway for the north's.
+	// southPeers is the address at which the south's gateway serves the north's.
 	southPeers string
 }
 
@@ -55,7 +55,7 @@
 	return newSecuredHarness(t, settings.Security{PlaintextLoopback: true})
 }
 
-// newSecuredHarness links the gateways by the given material.
+// newSecuredHarness connects the gateways with the given certificates.
 func newSecuredHarness(t testing.TB, security settings.Security) *harness {
 	t.Helper()
 	h := &harness{t: t, security: security, journal: journal.New(), engines: map[string]*engine.Engine{}, services: map[string]*service.Service{}}
@@ -121,7 +121,7 @@
 	return server.Listener.Addr().String()
 }
 
-// servePeers starts the door for other gateways and returns its address.
+// servePeers starts the listener for other gateways and returns its address.
 func (h *harness) servePeers(network *control.Network, handler http.Handler) string {
 	listener, err := network.Listen("127.0.0.1:0")
 	if err != nil {
@@ -147,8 +147,8 @@
 	return gateway
 }
 
-// connect gives the north its configuration, and the south's gateway at the given
-// address.
+// connect gives the north its configuration, and a digest with the south's gateway
+// at the given address.
 func (h *harness) connect(southPeers string) {
 	h.north.Exchange(control.ExchangeArgs{Head: h.head, Domains: &board.Domains{Remote: []board.DomainDigest{{
 		Domain: "south-a", Region: "south", Sequence: 1, HeardAt: time.Now(), Nodes: 1,
@@ -160,7 +160,7 @@
 	}}}})
 }
 
-// changeAddress declares an upstream at another address, as a higher revision.
+// changeAddress declares another address for an upstream, in a higher revision.
 func (h *harness) changeAddress(name, address string) {
 	declaration := *h.head.Declaration
 	declaration.Upstreams = append([]config.Upstream(nil), declaration.Upstreams...)
@@ -174,7 +174,7 @@
 	h.south.Exchange(control.ExchangeArgs{Head: h.head})
 }
 
-// answer is what a caller was told.
+// answer is the result of a caller's request.
 type answer struct {
 	status  int
 	header  http.Header
@@ -183,7 +183,7 @@
 	err     error
 }
 
-// send makes one request of a caller.
+// send makes one request as a caller.
 func (h *harness) send(ctx context.Context, method, path, key, body string, fields http.Header) answer {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+h.url+path, bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -204,10 +204,10 @@
 
 const reviewBody = `{"model":"nurse","messages":[{"role":"user","content":"how did I sleep?"}],"max_tokens":12,"stream":true}`
 
-// runs counts what upstreams ran.
+// runs counts the requests that upstreams ran.
 func (h *harness) runs() int { return len(h.journal.Entries("")) }
 
-// closedAddress is an address at which nothing listens.
+// closedAddress returns an address at which nothing listens.
 func closedAddress(t testing.TB) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -217,8 +217,8 @@
 	return listener.Addr().String()
 }
 
-// newTruncatingProxy passes connections on to target. It cuts each after so many bytes of the
-// request or of the answer; a negative number means never.
+// newTruncatingProxy forwards connections to target and closes each after the given
+// number of bytes of the request or of the answer; a negative number means never.
 func newTruncatingProxy(t testing.TB, target string, requestBytes, answerBytes int64) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -262,7 +262,7 @@
 	done <- struct{}{}
 }
 
-// twoInstanceDomain describes the south as two instances, at two addresses.
+// twoInstanceDomain describes the south as one instance for each address.
 func twoInstanceDomain(h *harness, addresses ...string) control.ExchangeArgs {
 	present := h.north.board.Domains.Load().Remote[0]
 	present.HeardAt = time.Now()
@@ -276,7 +276,7 @@
 	return control.ExchangeArgs{Domains: &board.Domains{Remote: []board.DomainDigest{present}}}
 }
 
-// requestOf is a chat request of a caller as the API hands it over.
+// requestOf returns a chat request of a caller as the API passes it on.
 func (g *Gateway) requestOf(t testing.TB, caller string) *dispatch.Request {
 	known, ok := g.config.Load().Caller(caller)
 	if !ok {
@@ -285,7 +285,7 @@
 	return &dispatch.Request{ID: "r", CallerID: "r", Caller: known, Serves: "nurse", Kind: config.KindEngine, Repeatable: true}
 }
 
-// switchedLink passes connections on to target, or breaks them off while cut.
+// switchedLink forwards connections to target, or closes them early while broken.
 type switchedLink struct {
 	address string
 	broken  atomic.Bool
--- a/pkg/gateway/leave.go
+++ b/pkg/gateway/leave.go
@@ -12,14 +12,14 @@
 
 // Times of a graceful shutdown.
 const (
-	// drainPoll is how often the end of running requests is looked for.
+	// drainPoll is how often the number of running requests is checked.
 	drainPoll = 20 * time.Millisecond
-	// closeTimeout bounds the closing of connections once requests have ended.
+	// closeTimeout bounds the closing of connections after requests have ended.
 	closeTimeout = 2 * time.Second
 )
 
-// leave takes the gateway out of service: the domain and callers are told first,
-// while requests are still taken; then new requests are refused as not run, and
+// leave takes the gateway out of service: it notifies the domain and callers while
+// requests are still accepted; then new requests are refused as not run, and
 // running ones end.
 func (g *Gateway) leave(servers ...*http.Server) {
 	g.phase.Store(phaseLeaving)
@@ -39,17 +39,17 @@
 	}
 }
 
-// awaitPropagation waits until the lists that callers hold have run out, and for the
-// agent to have learned of the leaving, if it asks at all.
+// awaitPropagation waits until the lists that callers hold have expired, and until
+// the agent has learned that the gateway is leaving, if it calls at all.
 func (g *Gateway) awaitPropagation() {
 	<-time.After(instancesValid)
 	g.leavingReported.wait(agentTimeout)
 }
 
-// agentTimeout bounds the wait for an agent that may be gone.
+// agentTimeout bounds the wait for an agent that may have stopped.
 const agentTimeout = 500 * time.Millisecond
 
-// recordReported records what a reply tells the agent.
+// recordReported records what a reply reports to the agent.
 func (g *Gateway) recordReported(reply *control.ExchangeReply) {
 	if reply.Leaving {
 		g.leavingReported.set()
@@ -59,7 +59,7 @@
 	}
 }
 
-// signal is given once.
+// signal can be set once and waited for.
 type signal struct {
 	once *sync.Once
 	done chan struct{}
@@ -95,11 +95,11 @@
 	}
 }
 
-// handoverTimeout bounds the passing on of idempotency keys.
+// handoverTimeout bounds the handover of idempotency keys.
 const handoverTimeout = 5 * time.Second
 
-// handOver passes the idempotency keys on to a peer. Without one, repeats are
-// answered from copies, or as unknown.
+// handOver transfers the idempotency keys to a peer. Without one, repeated requests
+// are answered from copies, or as unknown.
 func (g *Gateway) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
--- a/pkg/gateway/marks.go
+++ b/pkg/gateway/marks.go
@@ -9,18 +9,18 @@
 	"github.com/lilacweir/lilacweir/pkg/board"
 )
 
-// markClearDelay is how much later than a leaving mark a report must have been made to
-// lift it: reports lag.
+// markClearDelay is the time by which a report must be later than a leaving mark to
+// clear it, because reports lag.
 const markClearDelay = 5 * time.Second
 
-// leavingMarks holds the upstreams that said themselves that they are leaving.
-// Reads take no lock. The zero value is ready for use.
+// leavingMarks holds the upstreams that reported that they are leaving. Reads take
+// no lock. The zero value is ready for use.
 type leavingMarks struct {
 	mu    sync.Mutex
 	since atomic.Pointer[map[string]time.Time]
 }
 
-// mark notes that an upstream said that it is leaving.
+// mark records that an upstream reported that it is leaving.
 func (m *leavingMarks) mark(upstream string, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -32,7 +32,7 @@
 	m.since.Store(&next)
 }
 
-// marked says whether an upstream gets no new work.
+// marked reports whether an upstream is leaving and gets no new work.
 func (m *leavingMarks) marked(upstream string) bool {
 	current := m.since.Load()
 	if current == nil {
@@ -42,7 +42,7 @@
 	return ok
 }
 
-// names lists the marked upstreams.
+// names returns the marked upstreams.
 func (m *leavingMarks) names() []string {
 	current := m.since.Load()
 	if current == nil {
@@ -55,9 +55,9 @@
 	return names
 }
 
-// clearReported lifts the marks of upstreams that reported well after they had said
-// that they were leaving that they are live: they came back. The state joins all
-// marks, this one too, so the upstream's own report counts.
+// clearReported clears the marks of upstreams that reported themselves live more
+// than markClearDelay after they were marked. The domain's state merges all marks,
+// this gateway's included, so the upstream's own report decides.
 func (m *leavingMarks) clearReported(upstreams *board.Upstreams) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/gateway/path_test.go
+++ b/pkg/gateway/path_test.go
@@ -13,7 +13,7 @@
 	"github.com/lilacweir/lilacweir/pkg/header"
 )
 
-// call is one kind of request in the tests of the path.
+// call is one kind of request in these tests.
 type call struct{ method, path, body string }
 
 var (
@@ -24,8 +24,8 @@
 
 const complete, notRun, unknown = "complete", "not-run", "unknown"
 
-// TestBrokenPath breaks the path at each point and compares what the caller was
-// told with what the upstreams' journal says.
+// TestBrokenPath breaks the path at each point and compares the outcome reported to
+// the caller with the upstreams' journal.
 func TestBrokenPath(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -83,11 +83,11 @@
 	}
 }
 
-// reported reads the outcome as a caller would.
+// reported returns the outcome as a caller would read it.
 func (h *harness) reported(got answer) string {
 	switch {
 	case got.err != nil:
-		return unknown // a broken connection says nothing more
+		return unknown // a broken connection carries no outcome
 	case got.outcome != "":
 		return got.outcome
 	case strings.Contains(got.body, "event: error"):
@@ -147,6 +147,6 @@
 	is.NoErr(cut.err)
 	ids := regexp.MustCompile(`roamer~same~[0-9a-z]+`)
 	one := ids.FindString(cut.body)
-	is.Equal(strings.Count(cut.body, one), strings.Count(cut.body, `"id"`))                   // one request throughout
+	is.Equal(strings.Count(cut.body, one), strings.Count(cut.body, `"id"`))                   // one request ID throughout
 	is.Equal(strings.ReplaceAll(cut.body, one, "ID"), ids.ReplaceAllString(whole.body, "ID")) // byte for byte, across two gateways
 }
--- a/pkg/gateway/router.go
+++ b/pkg/gateway/router.go
@@ -17,26 +17,26 @@
 	"github.com/lilacweir/lilacweir/pkg/route"
 )
 
-// randomSource is the random source of decisions.
+// randomSource is the random source of routing decisions.
 type randomSource struct{}
 
 // Uint64 implements route.Rand.
 func (randomSource) Uint64() uint64 { return rand.Uint64() }
 
-// maxSlotRetries bounds how often another upstream is picked because the place at
-// the first was taken in between.
+// maxSlotRetries bounds how often an upstream is picked again because the slot at
+// the last one was taken in the meantime.
 const maxSlotRetries = 3
 
-// slotRetryAfter is suggested when every place is taken.
+// slotRetryAfter is the suggested retry delay when every slot is taken.
 const slotRetryAfter = 200 * time.Millisecond
 
-// requestRoute is one request on its way; it implements dispatch.Route.
+// requestRoute routes one request; it implements dispatch.Route.
 type requestRoute struct {
 	*Gateway
 	request *dispatch.Request
-	// query is the request as decisions see it, the same for all of them.
+	// query is the request as routing decisions see it, the same for all of them.
 	query route.Request
-	// release gives back the place that admission granted; nil before.
+	// release releases the slot that admission granted; nil until then.
 	release func()
 }
 
@@ -92,12 +92,12 @@
 	}
 }
 
-// maxRequeues bounds how often a request that was admitted waits once more, because the
-// limits at the upstreams had fallen below the places that the queue gave out.
+// maxRequeues bounds how often an admitted request is queued again because the
+// limits at the upstreams fell below the slots that the queue gave out.
 const maxRequeues = 3
 
-// requeue waits for another turn, by the limits as they are now. An admitted request
-// is not refused only because the queue learned late that there are fewer places.
+// requeue queues the request again under the current limits. An admitted request is
+// not refused only because the queue's capacity was updated late.
 func (r *requestRoute) requeue(ctx context.Context) (*route.Decision, *outcome.Refusal) {
 	r.release()
 	r.release = nil
@@ -107,7 +107,8 @@
 }
 
 // admit decides whether the request stays in this domain, and if so waits for its
-// turn. It returns the decision when the request goes elsewhere.
+// turn in the queue. It returns the decision when the request goes to another
+// domain.
 func (r *requestRoute) admit(ctx context.Context) (*route.Decision, *outcome.Refusal) {
 	decision, refusal := r.pick()
 	if refusal != nil || decision.Domain != nil {
@@ -147,7 +148,7 @@
 	}
 }
 
-// reserveSlot takes a place at an upstream, or chooses another domain after all.
+// reserveSlot reserves a slot at an upstream, or chooses another domain after all.
 func (r *requestRoute) reserveSlot(tried []string) (dispatch.Choice, func(relay.Report), *outcome.Refusal) {
 	for range maxSlotRetries {
 		decision, refusal := r.pick()
@@ -167,7 +168,7 @@
 	return dispatch.Choice{}, nil, outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded, slotRetryAfter, "this gateway's limit is reached at every usable upstream")
 }
 
-// newQuery returns the request as decisions see it.
+// newQuery returns the request as routing decisions see it.
 func newQuery(request *dispatch.Request) route.Request {
 	query := route.Request{
 		Caller:       request.Caller,
@@ -198,7 +199,7 @@
 	}
 }
 
-// finish returns what an attempt at an upstream reports to.
+// finish returns the callback for the report of an attempt at an upstream.
 func (g *Gateway) finish(decision *route.Decision, flight *limit.Flight) func(relay.Report) {
 	started := g.clock.Now()
 	expected := decision.FirstToken
@@ -223,8 +224,8 @@
 	}
 }
 
-// An upstream counts as failed when it had not begun to answer after hungAfter,
-// and hungFactor times the predicted time, whoever gave up then.
+// An upstream counts as failed if it had not begun to answer after hungAfter and
+// hungFactor times the predicted time, whoever cancelled the attempt.
 const (
 	hungAfter  = 3 * time.Second
 	hungFactor = 4
@@ -271,8 +272,8 @@
 	return choice, done, nil
 }
 
-// unanswered says whether an attempt failed without a word from the other side,
-// or fell silent.
+// unanswered reports whether an attempt failed without any answer from the other
+// side, or after it stopped sending.
 func unanswered(report *relay.Report) bool {
 	failure := report.Failure
 	if failure == nil || failure.Unsent || failure.CallerGone {
@@ -281,14 +282,14 @@
 	return report.Silent || report.Status == 0
 }
 
-// nameSeparator stands between a failure domain and its instance in the names of
-// targets. Declared names do not hold it.
+// nameSeparator separates a failure domain from its instance in the names of
+// targets. Declared names do not contain it.
 const nameSeparator = "/"
 
 func targetName(domain, instance string) string { return domain + nameSeparator + instance }
 
-// Permitted implements dispatch.Router: caller and placement must both permit the
-// region, by the configuration that is in force now.
+// Permitted implements dispatch.Router: both the caller and the placement must
+// permit the region, by the configuration that is in force now.
 func (g *Gateway) Permitted(request *dispatch.Request, choice *dispatch.Choice) *outcome.Refusal {
 	current := g.config.Load()
 	caller, ok := current.Caller(request.Caller.Name)
@@ -310,7 +311,8 @@
 	return nil
 }
 
-// placementRegions lists the regions in which what the request asks for may run.
+// placementRegions returns the regions in which the requested model or service may
+// run.
 func placementRegions(index *config.Index, request *dispatch.Request) []string {
 	if request.Kind == config.KindEngine {
 		if model, ok := index.Model(request.Serves); ok {
--- a/pkg/gateway/status.go
+++ b/pkg/gateway/status.go
@@ -10,15 +10,15 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// Times of what callers and operators are told.
+// Lifetimes of published lists.
 const (
-	// instancesValid is how long a caller may keep the list of instances. A
-	// leaving gateway goes on serving for as long.
+	// instancesValid is the time for which a caller may use the list of instances. A
+	// leaving gateway continues to serve for as long.
 	instancesValid = 2 * time.Second
 )
 
-// Instances implements api.Source: the own failure domain first, then the domains
-// of permitted regions, the caller's home region before others.
+// Instances implements api.Source: it lists the own failure domain first, then the
+// domains of permitted regions, the caller's home region before others.
 func (g *Gateway) Instances(caller *config.Caller) api.Instances {
 	list := g.ownInstances()
 	for _, digest := range g.permittedDomains(caller) {
@@ -102,7 +102,7 @@
 	return readiness
 }
 
-// silentDomains names the declared domains without a recent digest.
+// silentDomains returns the declared domains without a recent digest.
 func (g *Gateway) silentDomains() []string {
 	receivedAt := make(map[string]time.Time)
 	if domains := g.board.Domains.Load(); domains != nil {
--- a/pkg/gateway/suspects.go
+++ b/pkg/gateway/suspects.go
@@ -11,7 +11,7 @@
 	"github.com/lilacweir/lilacweir/pkg/board"
 )
 
-// Times of looking for a way to other domains' gateways.
+// Timing of probes of other domains' gateways.
 const (
 	// probeTimeout bounds one probe: several round trips between regions.
 	probeTimeout = time.Second
@@ -19,29 +19,29 @@
 	probeInterval = 500 * time.Millisecond
 )
 
-// suspects holds the gateways of other domains that did not answer from here. They
-// get no requests until a probe has reached them: a digest can be fresh although
-// the link to its domain is cut, when a third domain passes it on, and a request
+// suspects holds the gateways of other domains that did not answer this gateway.
+// They get no requests until a probe has succeeded: a digest can be fresh although
+// the link to its domain is broken, when a third domain passes it on, and a request
 // that may not be repeated must not serve as the probe.
 type suspects struct {
 	mu sync.Mutex
-	// names maps target names to what is thought of them.
+	// names maps target names to their suspicion.
 	names map[string]suspicion
-	// excluded is a copy of names for requests, which take no lock; nil when empty.
+	// excluded is a copy of names for requests, which take no lock; nil if empty.
 	excluded atomic.Pointer[map[string]suspicion]
 	probe    func(ctx context.Context, address string) error
-	// running is done when the gateway stops.
+	// running is cancelled when the gateway stops.
 	running context.Context
 }
 
-// suspicion is what is thought of a gateway that is being probed.
+// suspicion is the state of a gateway that is being probed.
 type suspicion int
 
 const (
-	// suspected: another gateway of its domain fell silent. Only requests that were
-	// tried there already are sent.
+	// suspected means that another gateway of its domain stopped answering. It gets
+	// only requests that have been attempted before.
 	suspected suspicion = iota + 1
-	// unreachable: it did not answer.
+	// unreachable means that it did not answer.
 	unreachable
 )
 
@@ -49,7 +49,7 @@
 	return &suspects{names: make(map[string]suspicion), probe: probe, running: running}
 }
 
-// suspicionOf returns what is thought of a gateway; zero when nothing speaks against it.
+// suspicionOf returns a gateway's suspicion; zero if there is none.
 func (s *suspects) suspicionOf(target string) suspicion {
 	excluded := s.excluded.Load()
 	if excluded == nil {
@@ -68,8 +68,8 @@
 	s.excluded.Store(&names)
 }
 
-// failed marks a gateway that did not answer. One that fell silent casts doubt on
-// its whole domain: the link may be cut.
+// failed marks a gateway that did not answer. If it stopped answering mid-request,
+// the other gateways of its domain become suspected: the link may be broken.
 func (s *suspects) failed(target string, digest *board.DomainDigest, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +85,8 @@
 	s.publish()
 }
 
-// suspect raises what is thought against a gateway, and sees that it is probed.
-// Callers hold s.mu.
+// suspect raises a gateway's suspicion to at least level, and starts probing it if
+// it was not suspected before. Callers hold s.mu.
 func (s *suspects) suspect(name, address string, level suspicion) {
 	before := s.names[name]
 	s.names[name] = max(before, level)
@@ -124,7 +124,8 @@
 	return s.probe(ctx, address) == nil
 }
 
-// entriesLeft returns the instances of a domain that a request may be sent to.
+// entriesLeft returns the instances of a domain to which a request may still be
+// sent.
 func (s *suspects) entriesLeft(digest *board.DomainDigest, tried []string) []board.Instance {
 	var left []board.Instance
 	for _, entry := range digest.Entries {
@@ -138,8 +139,8 @@
 	return left
 }
 
-// exhausted returns the tried targets, and the failure domains that cannot be
-// tried: two of their instances have failed the request, or none is left.
+// exhausted returns the tried targets, and the failure domains that are excluded:
+// two of their instances have failed the request, or none is left.
 func (s *suspects) exhausted(domains *board.Domains, tried []string) []string {
 	if domains == nil || (len(tried) == 0 && s.excluded.Load() == nil) {
 		return tried
@@ -160,5 +161,6 @@
 	return excluded
 }
 
-// maxEntriesTried is how many instances of one domain a request is sent to.
+// maxEntriesTried is the number of instances of one domain to which a request is
+// sent.
 const maxEntriesTried = 2
--- a/pkg/gateway/table.go
+++ b/pkg/gateway/table.go
@@ -9,12 +9,12 @@
 	"github.com/lilacweir/lilacweir/pkg/route"
 )
 
-// compileInterval bounds the age of what the table holds of passing time: credits
+// compileInterval bounds the age of the time-dependent parts of the table: credits
 // and the trust in reports.
 const compileInterval = 500 * time.Millisecond
 
-// compileLoop compiles the table anew as time passes. Changes of the blackboard
-// are compiled by the exchange that brings them.
+// compileLoop recompiles the table as time passes. Changes of the blackboard are
+// compiled by the exchange that delivers them.
 func (g *Gateway) compileLoop(ctx context.Context) {
 	ticker := time.NewTicker(compileInterval)
 	defer ticker.Stop()
@@ -31,7 +31,8 @@
 	}
 }
 
-// compile swaps in a table of the present sections. Callers hold g.exchange.
+// compile replaces the table by one of the current sections. Callers hold
+// g.exchange.
 func (g *Gateway) compile() {
 	table := route.Compile(route.Input{
 		Head:      g.board.Config.Load(),
@@ -51,8 +52,8 @@
 	g.updateQuota()
 }
 
-// refreshCapacities gives the queues the places that there are by now, without
-// compiling the table anew.
+// refreshCapacities sets the queues to the slots available now, without recompiling
+// the table.
 func (g *Gateway) refreshCapacities() {
 	g.exchange.Lock()
 	defer g.exchange.Unlock()
@@ -60,7 +61,7 @@
 	g.setCapacities(table, table)
 }
 
-// updateQuota tells the callers' limits who else lets requests in.
+// updateQuota passes to the callers' limits which other gateways admit requests.
 func (g *Gateway) updateQuota() {
 	view := quota.View{
 		Self:    g.settings.Instance,
@@ -76,8 +77,8 @@
 	g.quota.Update(view)
 }
 
-// setCapacities gives each pool's queue the places that this gateway has there; a
-// pool that is gone has none.
+// setCapacities sets each pool's queue to the slots that this gateway has there; a
+// removed pool has none.
 func (g *Gateway) setCapacities(previous, table *route.Table) {
 	removed := make(map[string]bool)
 	if previous != nil {
@@ -99,8 +100,8 @@
 // localLoad is this gateway's own knowledge of upstreams, for the table.
 type localLoad struct{ *Gateway }
 
-// Load implements route.LocalLoad. An upstream that said that it is leaving gets
-// no new work from the next request on.
+// Load implements route.LocalLoad. An upstream that reported that it is leaving
+// gets no new work from the next request on.
 func (l localLoad) Load(upstream string) limit.Load {
 	load := l.tracker.Load(upstream)
 	load.Ejected = load.Ejected || l.marks.marked(upstream)
--- a/pkg/gateway/tls_test.go
+++ b/pkg/gateway/tls_test.go
@@ -12,7 +12,7 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/certificate"
 )
 
-// testSecurity writes an authority and a certificate of it.
+// testSecurity writes an authority and a certificate that it issued.
 func testSecurity(t *testing.T) settings.Security {
 	t.Helper()
 	authority, err := certificate.Open(t.TempDir())
@@ -26,15 +26,15 @@
 	return security
 }
 
-// Forwarded requests name their caller without the caller's key, so the door for
-// them must know who knocks.
+// Forwarded requests name their caller without the caller's key, so the listener
+// for them must authenticate the sender.
 func TestForwardedRequestsNeedACertificate(t *testing.T) {
 	is := is.New(t)
 	h := newSecuredHarness(t, testSecurity(t))
 	got := h.send(testContext(t), review.method, review.path, roamerKey, review.body, nil)
 	is.Equal(h.reported(got), complete)
 	is.Equal(h.runs(), 1)
-	unauthenticated := &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}} // knows no key
+	unauthenticated := &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}} // has no certificate
 	for _, scheme := range []string{"http", "https"} {
 		request, err := http.NewRequest(http.MethodGet, scheme+"://"+h.southPeers+"/healthz", nil)
 		is.NoErr(err)
