--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -44,7 +44,7 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			t.Fatal("never came about: " + what)
+			t.Fatal("condition never held: " + what)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	h.set("log-n1", "refuse", "1")
 	unused := http.Header{header.IdempotencyKey: {prefix + ".fedcba9876543210"}}
 	is.Equal(h.reported(h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, unused)), notRun)
-	eventually(t, "the upstream's rest", func() bool { return h.north.tracker.Load("log-n1").Rest == 0 })
+	eventually(t, "the end of the upstream's backoff", func() bool { return h.north.tracker.Load("log-n1").Rest == 0 })
 	is.Equal(h.reported(h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, unused)), complete)
 	is.Equal(h.runs(), 2)
 }
