--- a/pkg/control/fuzz_test.go
+++ b/pkg/control/fuzz_test.go
@@ -12,7 +12,7 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// sink is a service that takes the messages of processes and remembers nothing.
+// sink is a service that accepts messages and keeps nothing.
 type sink struct{}
 
 func (sink) Beat(args *Beat, reply *Beat) error { *reply = *args; return nil }
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// stream is a connection that brings the given bytes and takes any.
+// stream is a connection that reads the given bytes and accepts any writes.
 type stream struct {
 	io.Reader
 	io.Writer
@@ -30,7 +30,7 @@
 
 func (stream) Close() error { return nil }
 
-// frames is what a client sends for one call.
+// frames returns the bytes that a client sends for one call.
 func frames(f *testing.F, method string, args any) []byte {
 	var sent bytes.Buffer
 	encoder := gob.NewEncoder(&sent)
@@ -42,8 +42,8 @@
 	return sent.Bytes()
 }
 
-// FuzzFrames: whatever bytes come over a connection between processes, serving
-// them ends, and the process goes on.
+// FuzzFrames checks that serving a connection ends, and the process continues,
+// whatever bytes arrive on it.
 func FuzzFrames(f *testing.F) {
 	digest := board.DomainDigest{Domain: "larisa-hall", Sequence: 7, Pools: []board.PoolDigest{{}}}
 	f.Add(frames(f, "Sink.Beat", Beat{From: "lar-1", Epoch: 1, Facts: Facts{Digests: []DigestFact{{Digest: digest}}}}))
--- a/pkg/control/mesh.go
+++ b/pkg/control/mesh.go
@@ -15,37 +15,40 @@
 	MeshService = "Mesh"
 	// DomainService is for agents of other failure domains.
 	DomainService = "Domain"
-	// OperatorService is for operators' questions that are passed on.
+	// OperatorService is for operators' commands that are passed on.
 	OperatorService = "Operator"
 )
 
-// Beat is a heartbeat, in both directions: each side says who it is, what it
-// has received, and only what the other has not yet acknowledged.
+// Beat is a heartbeat, in both directions: each side sends its identity, what it
+// has received, and only the facts that the other has not yet acknowledged.
 type Beat struct {
 	From string
-	// Epoch is the sender's; a new one makes the receiver forget what it had.
+	// Epoch is the sender's; a new one makes the receiver discard the state of the
+	// earlier one.
 	Epoch uint64
-	// Sequence orders the sender's heartbeats: one that was overtaken is old.
+	// Sequence orders the sender's heartbeats; a lower one than the last received is
+	// outdated.
 	Sequence uint64
-	// Revision is the sender's agent's configuration; InForce the lower of its
+	// Revision is the configuration of the sender's agent, InForce the lower of its
 	// agent's and its gateway's.
 	Revision, InForce config.Revision
 	// ViewSum is a hash of the instances that the sender knows. Peers lists them
 	// when the two sides' sums differ.
 	ViewSum uint64
 	Peers   []member.Peer
-	// UpTo numbers the last change that Facts brings the receiver to.
+	// UpTo is the number of the sender's last change that Facts includes.
 	UpTo  uint64
 	Facts Facts
-	// HaveEpoch and Have say which of the receiver's changes the sender has.
+	// HaveEpoch and Have acknowledge the receiver's changes: the epoch, and the
+	// number of the last change received.
 	HaveEpoch, Have uint64
 }
 
-// Facts are what the sender itself vouches for.
+// Facts are the facts that the sender publishes.
 type Facts struct {
 	Identity *member.Identity
-	// Load has no counts by upstream's name; they are in Counts, by the numbers that
-	// Names gives, in this heartbeat or in an earlier one of the same epoch.
+	// Load has no counts by upstream name; they are in Counts, by the numbers that
+	// Names assigns in this heartbeat or in an earlier one of the same epoch.
 	Load      *board.GatewayLoad
 	Counts    []LoadCount
 	Names     []NameFact
@@ -57,51 +60,52 @@
 	Platform  *PlatformFact
 }
 
-// LoadCount is what a gateway has at one upstream.
+// LoadCount is the number of a gateway's requests at one upstream.
 type LoadCount struct {
-	// Number is the sender's for the upstream's name.
+	// Number is the sender's number for the upstream's name.
 	Number int
 	// InFlight is as in board.GatewayLoad.
 	InFlight int
 }
 
-// NameFact gives an upstream's name a number, for the sender's epoch.
+// NameFact assigns a number to an upstream's name, for the sender's epoch.
 type NameFact struct {
 	Number int
 	Name   string
 }
 
-// PlatformFact is how the platform's key-value service answers a watcher.
+// PlatformFact is whether the platform's key-value service answers a watcher.
 type PlatformFact struct {
 	// Watching is whether the sender calls the service at all.
 	Watching, KeyValue bool
 }
 
-// ListFact is what the platform's lagging list says of the domain.
+// ListFact is the domain's part of the platform's lagging list.
 type ListFact struct{ Lines []platform.ListedInstance }
 
-// PrefixFact is what an engine has cached, by the engine's owner.
+// PrefixFact holds the prefixes that an engine has cached, from the owner of its
+// poll.
 type PrefixFact struct {
 	Upstream string
 	// Prefixes are hashes, as in board.UpstreamLoad.
 	Prefixes []uint64
 }
 
-// UpstreamFact is a report by the upstream's owner.
+// UpstreamFact is an upstream's report, from the owner of its poll.
 type UpstreamFact struct {
-	// Load has no ReportedAt: Age replaces it, as clocks differ. Nor has it
-	// Prefixes, which come as a PrefixFact.
+	// Load has no ReportedAt, which Age replaces, as clocks differ. It has no
+	// Prefixes either, which come as a PrefixFact.
 	Load board.UpstreamLoad
 	Age  time.Duration
 }
 
-// MarkFact sets or takes back the sender's leaving mark on an upstream.
+// MarkFact sets or clears the sender's leaving mark on an upstream.
 type MarkFact struct {
 	Upstream string
 	Leaving  bool
 }
 
-// DigestFact is a remote domain's digest by the owner of its fetch.
+// DigestFact is a remote domain's digest, from the owner of its fetch.
 type DigestFact struct {
 	// Digest has no HeardAt: Age replaces it.
 	Digest board.DomainDigest
@@ -113,75 +117,75 @@
 	Reachable bool
 }
 
-// Goodbye says that an instance leaves for good.
+// Goodbye announces that an instance leaves for good.
 type Goodbye struct {
 	From  string
 	Epoch uint64
 }
 
-// HeadUpdate brings a configuration to somebody whose revision is lower.
+// HeadUpdate carries a configuration to a receiver with a lower revision.
 type HeadUpdate struct {
-	// To is the revision that the receiver holds after it: whoever has that already
-	// need not read the rest.
+	// To is the revision that the receiver holds after it; a receiver that already
+	// holds it need not decode the rest.
 	To config.Revision
-	// Delta holds the changes alone, when the receiver is known to be able to
-	// follow them; else Whole is the encoded head (config.EncodeHead).
+	// Delta holds the changes alone, if the receiver is known to hold the revision
+	// that they start from; else Whole is the encoded head (config.EncodeHead).
 	Delta *config.Delta
 	Whole []byte
 }
 
 // OfferReply answers a HeadUpdate.
 type OfferReply struct {
-	// Revision is what the receiver has after it.
+	// Revision is the receiver's revision after it.
 	Revision config.Revision
 }
 
-// WantArgs asks for a configuration above Revision. Whole asks for the whole
-// head: the changes alone did not lead there.
+// WantArgs requests a configuration above Revision. Whole requests the whole head,
+// because the delta did not apply.
 type WantArgs struct {
 	Revision config.Revision
 	Whole    bool
 }
 
-// WantReply is empty when the asked has nothing newer.
+// WantReply is empty if the callee has nothing newer.
 type WantReply struct {
 	Revision config.Revision
 	Update   *HeadUpdate
 }
 
-// DigestArgs asks another failure domain for its digest.
+// DigestArgs requests another failure domain's digest.
 type DigestArgs struct {
-	// Domain is who asks.
+	// Domain is the caller's failure domain.
 	Domain string
-	// Revision is the asker's configuration: a newer one comes with the reply,
-	// whole when Whole is set.
+	// Revision is the caller's configuration: a newer one comes with the reply, whole
+	// if Whole is set.
 	Revision config.Revision
 	Whole    bool
-	// EntriesSum is the hash of the entries that the asker has.
+	// EntriesSum is the hash of the entries that the caller has.
 	EntriesSum uint64
-	// Seen is the hash of what the asker saw last; the reply is held back until
-	// that has changed, or for Wait.
+	// Seen is the hash of the urgent state that the caller received last; the reply
+	// is held back until that has changed, or for Wait.
 	Seen uint64
 	Wait time.Duration
 }
 
 // DigestReply is a domain's digest.
 type DigestReply struct {
-	// Digest has Entries only when EntriesSum differs from the asked one.
+	// Digest has Entries only when EntriesSum differs from the one in DigestArgs.
 	Digest     board.DomainDigest
 	EntriesSum uint64
 	// Seen is for the next DigestArgs.
 	Seen uint64
-	// Revision is the newest configuration there; Update brings it when the
-	// asker's is lower.
+	// Revision is the newest configuration there; Update carries it when the caller's
+	// is lower.
 	Revision config.Revision
 	Update   *HeadUpdate
 }
 
-// AskArgs passes an operator's question on to the instance that can answer.
+// AskArgs passes an operator's command on to an instance of another failure domain.
 type AskArgs struct{ Operator, Line string }
 
-// AskReply is the answer.
+// AskReply is the reply to the operator.
 type AskReply struct {
 	Verdict string
 	Text    string
--- a/pkg/control/meter.go
+++ b/pkg/control/meter.go
@@ -6,11 +6,11 @@
 	"sync/atomic"
 )
 
-// ErrNotTCP: the connection is not a TCP connection.
+// ErrNotTCP means that the connection is not a TCP connection.
 var ErrNotTCP = errors.New("not a TCP connection")
 
-// Meter counts the bytes that a Network's connections carry, TLS included and
-// TCP headers not. The zero value is ready for use.
+// Meter counts the bytes on a Network's connections, TLS included and TCP headers
+// excluded. The zero value is ready for use.
 type Meter struct{ sent, received atomic.Int64 }
 
 // Sent returns the bytes written so far.
@@ -19,7 +19,7 @@
 // Received returns the bytes read so far.
 func (m *Meter) Received() int64 { return m.received.Load() }
 
-// Meter returns the counts of all connections that the network made or accepted.
+// Meter returns the counts of all connections that the network dialed or accepted.
 func (n *Network) Meter() *Meter { return &n.meter }
 
 func (m *Meter) conn(conn net.Conn) net.Conn { return &meteredConn{Conn: conn, meter: m} }
@@ -33,7 +33,7 @@
 	meter *Meter
 }
 
-// SetLinger sets what closing does with unsent data; see net.TCPConn.
+// SetLinger sets how closing treats unsent data; see net.TCPConn.
 func (c *meteredConn) SetLinger(seconds int) error {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
--- a/pkg/control/server.go
+++ b/pkg/control/server.go
@@ -15,21 +15,21 @@
 	"github.com/lilacweir/lilacweir/pkg/credential"
 )
 
-// Bounds of what another process may send to a Server.
+// Bounds of requests and connections to a Server.
 const (
-	// MaxMessage bounds one request in bytes: a head of a megabyte, uncompressed,
-	// with room to spare.
+	// MaxMessage bounds one request in bytes: an uncompressed head of a megabyte,
+	// with a wide margin.
 	MaxMessage = 16 << 20
-	// maxConnections bounds open connections; a node of the largest deployment
-	// that is planned for has fewer than a hundred control peers.
+	// maxConnections bounds open connections; a node of the largest planned
+	// deployment has fewer than a hundred control peers.
 	maxConnections = 1024
 )
 
-// ErrMessageTooLarge: a peer sent a request above MaxMessage.
+// ErrMessageTooLarge means that a peer sent a request above MaxMessage.
 var ErrMessageTooLarge = errors.New("control message too large")
 
-// Server serves net/rpc to lilacweir processes: requests are bounded in size,
-// connections in number, and Close ends them all.
+// Server serves net/rpc to lilacweir processes with bounds on request size and
+// number of connections; Close closes all connections.
 type Server struct {
 	listener net.Listener
 	rpc      *rpc.Server
@@ -47,10 +47,10 @@
 	return &Server{listener: listener, rpc: rpc.NewServer(), conns: make(map[net.Conn]struct{})}, nil
 }
 
-// Address is where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Register offers a service's methods under the name.
+// Register registers a service's methods under the name.
 func (s *Server) Register(name string, service any) error {
 	if err := s.rpc.RegisterName(name, service); err != nil {
 		return fmt.Errorf("control: %w", err)
@@ -72,7 +72,7 @@
 	}
 }
 
-// Close stops listening and ends every connection.
+// Close stops listening and closes every connection.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +148,7 @@
 func (c *serverCodec) ReadRequestBody(body any) error { return c.decoder.Decode(body) }
 
 // WriteResponse implements rpc.ServerCodec. A response that cannot be encoded
-// ends the connection, so that the caller does not wait for it.
+// closes the connection, so that the caller does not wait for it.
 func (c *serverCodec) WriteResponse(response *rpc.Response, body any) error {
 	err := c.encoder.Encode(response)
 	if err == nil {
@@ -166,7 +166,7 @@
 // Close implements rpc.ServerCodec.
 func (c *serverCodec) Close() error { return c.conn.Close() }
 
-// boundedReader fails once more than left bytes are read. It implements
+// boundedReader fails once remaining bytes have been read. It implements
 // io.ByteReader so that gob does not buffer past a message.
 type boundedReader struct {
 	reader    *bufio.Reader
--- a/pkg/control/transport.go
+++ b/pkg/control/transport.go
@@ -17,17 +17,17 @@
 	"github.com/lilacweir/lilacweir/pkg/settings"
 )
 
-// DialTimeout bounds the making of a connection between processes.
+// DialTimeout bounds dialing another process.
 const DialTimeout = 2 * time.Second
 
-// ErrClosed: the client was closed.
+// ErrClosed means that the client was closed.
 var ErrClosed = errors.New("control client closed")
 
-// CallError is a control call that failed before a reply came.
+// CallError reports a control call that failed.
 type CallError struct {
-	// Address and Method name what was called.
+	// Address and Method identify the call.
 	Address, Method string
-	// Err is the cause. context.DeadlineExceeded leaves open whether it ran.
+	// Err is the cause. After context.DeadlineExceeded the call may have run.
 	Err error
 }
 
@@ -44,9 +44,10 @@
 }
 
 // Network dials and listens for links between lilacweir's own processes, with
-// mutual TLS unless plain text on loopback was asked for and no certificate named.
+// mutual TLS unless the settings allow plain text on loopback and name no
+// certificate.
 type Network struct {
-	// medium carries the connections; nil: TCP.
+	// medium carries the connections; nil means TCP.
 	medium      Medium
 	via         map[string]string
 	credentials *credential.Store
@@ -55,13 +56,13 @@
 	meter       Meter
 }
 
-// NewNetwork reads the certificates that the settings name, with a store of its own.
+// NewNetwork reads the certificates that the settings name into a store of its own.
 func NewNetwork(security settings.Security, via map[string]string) (*Network, error) {
 	return NewNetworkWith(credential.NewStore(clock.System{}), security, via)
 }
 
-// NewNetworkWith reads the certificates that the settings name. Connections that
-// are made later use what the store holds by then.
+// NewNetworkWith reads the certificates that the settings name into the given
+// store. Later connections use what the store holds by then.
 func NewNetworkWith(store *credential.Store, security settings.Security, via map[string]string) (*Network, error) {
 	network := &Network{via: via, credentials: store}
 	if security.Plaintext() {
@@ -83,10 +84,10 @@
 // NewNetworkOver returns a network of plain connections over a medium.
 func NewNetworkOver(medium Medium) *Network { return &Network{medium: medium} }
 
-// Credentials returns the store that the network's certificates are in.
+// Credentials returns the store of the network's certificates.
 func (n *Network) Credentials() *credential.Store { return n.credentials }
 
-// Translate returns the address that is dialed in place of the given one.
+// Translate returns the address that is dialed instead of the given one.
 func (n *Network) Translate(address string) string {
 	if via, ok := n.via[address]; ok {
 		return via
@@ -132,8 +133,8 @@
 	return tls.NewListener(listener, n.server), nil
 }
 
-// ListenPublic listens for callers or operators, who need no certificate: with TLS
-// when a pair is named. At most limit connections are open, further ones wait to be
+// ListenPublic listens for callers or operators, who need no certificate, with TLS
+// if a pair is named. At most limit connections are open; further ones wait to be
 // accepted. The error may be a *credential.FileError.
 func (n *Network) ListenPublic(address string, pair settings.Pair, limit int) (net.Listener, error) {
 	if pair == (settings.Pair{}) {
@@ -171,9 +172,9 @@
 	return &Clients{network: network, byAddr: make(map[string]*rpc.Client)}
 }
 
-// Call calls a method and waits for the reply until ctx ends. The context must
-// have a deadline. A connection that a call timed out on is dropped, so that a
-// frozen peer does not hold later calls.
+// Call calls a method and waits for the reply until ctx ends. The context must have
+// a deadline. A connection on which a call timed out is dropped, so that an
+// unresponsive peer does not delay later calls.
 func (c *Clients) Call(ctx context.Context, address, method string, args, reply any) error {
 	client, err := c.client(ctx, address)
 	if err != nil {
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/control/transport_test.go
+++ b/pkg/control/transport_test.go
@@ -128,8 +128,8 @@
 			defer conn.Close()
 			is.NoErr(send(conn))
 			reply, _ := io.ReadAll(conn)                          // ends when the server closes
-			is.True(!bytes.Contains(reply, []byte(huge[:1<<20]))) // the message was not answered
-			clients := control.NewClients(network)                // others are served on
+			is.True(!bytes.Contains(reply, []byte(huge[:1<<20]))) // the message got no reply
+			clients := control.NewClients(network)                // other clients are still served
 			defer clients.Close()
 			var fresh string
 			is.NoErr(clients.Call(t.Context(), address, "Echo.Say", "fresh", &fresh))
@@ -172,7 +172,7 @@
 	}
 }
 
-// While one authority takes the place of another, files name both.
+// While one authority replaces another, the authority files hold both.
 func TestTwoAuthorities(t *testing.T) {
 	is := is.New(t)
 	server, client := newAuthority(t).issue(t), newAuthority(t).issue(t)
