--- a/pkg/board/board.go
+++ b/pkg/board/board.go
@@ -8,8 +8,8 @@
 
 // Board is the blackboard of one process.
 type Board struct {
-	// Config is the accepted configuration that is in force here. Written by the
-	// configuration controller alone; its revision never goes down.
+	// Config is the accepted configuration that is in force here. Only the
+	// configuration controller writes it; its revision never goes down.
 	Config Section[config.Head]
 	// Members is the own failure domain's view of its instances.
 	Members Section[Members]
@@ -17,11 +17,11 @@
 	Upstreams Section[Upstreams]
 	// Domains holds the digests of the other failure domains.
 	Domains Section[Domains]
-	// Platform says how the platform's services answer.
+	// Platform is the state of the platform's services.
 	Platform Section[PlatformHealth]
 }
 
-// InstanceState is what the domain knows of an instance.
+// InstanceState is an instance's state as known to the domain.
 type InstanceState string
 
 // States of an instance.
@@ -45,20 +45,20 @@
 	Name   string
 	Domain string
 	Region string
-	// Incarnation is drawn anew at each start of the instance's gateway, and
-	// grows from start to start (nanoseconds of its clock). Zero: no gateway.
+	// Incarnation identifies a start of the instance's gateway, and grows from start
+	// to start (nanoseconds of its clock); zero if it has no gateway.
 	Incarnation uint64
 	State       InstanceState
 	Addresses   Addresses
 	// Revision is the lower of its agent's and its gateway's configuration.
 	Revision config.Revision
-	// LastHeard is by this process's clock.
+	// LastHeard is the time of the last message, by this process's clock.
 	LastHeard time.Time
-	// Load is what the instance's gateway last said of itself.
+	// Load is the last reported load of the instance's gateway.
 	Load GatewayLoad
 }
 
-// Serves says whether callers and peers may be sent to the instance: it is live,
+// Serves reports whether callers and peers may be sent to the instance: it is live,
 // its gateway runs and has a configuration.
 func (i *Instance) Serves() bool {
 	return i.State == InstanceLive && i.Incarnation != 0 && i.Revision != 0
@@ -66,9 +66,9 @@
 
 // Addresses of an instance, each an IP number and a port.
 type Addresses struct {
-	// Callers is where callers' HTTP is served.
+	// Callers is the address for callers' HTTP requests.
 	Callers string
-	// Peers is where other gateways' forwarded HTTP requests are served.
+	// Peers is the address for HTTP requests forwarded by other gateways.
 	Peers string
 	// Control is the gateway's net/rpc address.
 	Control string
@@ -78,36 +78,37 @@
 	Operators string
 }
 
-// GatewayLoad is the work that one gateway has in hand.
+// GatewayLoad is the current work of one gateway.
 type GatewayLoad struct {
-	// InFlight counts requests now at upstreams, by upstream name.
+	// InFlight counts requests currently at upstreams, by upstream name.
 	InFlight map[string]int
 	// Waiting counts queued requests by model or service name.
 	Waiting map[string]int
-	// Requests and Forwarded count requests since the gateway started: all, and
-	// those sent to another region.
+	// Requests and Forwarded count requests since the gateway started: all, and those
+	// sent to another region.
 	Requests, Forwarded uint64
 	// Refused counts refusals since the gateway started.
 	Refused uint64
-	// Successor is the instance to which a leaving gateway handed its
+	// Successor is the instance to which a leaving gateway handed over its
 	// idempotency keys; empty otherwise.
 	Successor string
-	// Demand is what callers with limits ask of the gateway, sorted by caller;
-	// only the largest demands are told.
+	// Demand is the demand of callers with limits at the gateway, sorted by caller;
+	// only the largest demands are published.
 	Demand []CallerDemand
 }
 
-// CallerDemand is what one caller asks for, let in or refused.
+// CallerDemand is one caller's demand: requests admitted and refused.
 type CallerDemand struct {
 	Caller string
-	// Demand is in thousandths of the caller's limit, of the one that it uses most.
+	// Demand is in thousandths of the caller's limit; with several limits, of the one
+	// that it uses most.
 	Demand int
 }
 
-// UpstreamState is what is known of an upstream.
+// UpstreamState is an upstream's state as known to the domain.
 type UpstreamState string
 
-// States of an upstream. Leaving from any source wins over an older live mark.
+// States of an upstream. Leaving from any source overrides an older live mark.
 const (
 	UpstreamLive    UpstreamState = "live"
 	UpstreamLeaving UpstreamState = "leaving"
@@ -124,41 +125,44 @@
 type UpstreamLoad struct {
 	Name  string
 	State UpstreamState
-	// Marked is true when State is leaving by a mark of the platform's list or of
-	// a gateway, while the upstream's own report says that it is live.
+	// Marked is true if State is leaving because of a mark by the platform's list or
+	// a gateway, while the upstream's own report is live.
 	Marked bool
 	// Running and Queued count requests at the upstream.
 	Running, Queued int
-	// DecodeRate is tokens a second for one stream at the present batch; zero
-	// when the upstream has not said.
+	// DecodeRate is in tokens per second for one stream at the current batch size;
+	// zero if the upstream did not report it.
 	DecodeRate float64
-	// PrefillRate is prompt tokens a second; zero when not said.
+	// PrefillRate is in prompt tokens per second; zero if not reported.
 	PrefillRate float64
 	// Version is the model version that is loaded.
 	Version string
 	// ReportedAt is when the report was made, by this process's clock.
 	ReportedAt time.Time
-	// Prefixes holds hashes of cached prompt prefixes, as hints: late, with gaps.
+	// Prefixes holds hashes of cached prompt prefixes. They are hints: delayed and
+	// incomplete.
 	Prefixes []uint64
 }
 
-// DomainSilentAfter is the age of its digest at which a failure domain counts as
-// one that cannot be heard, wherever that is shown.
+// DomainSilentAfter is the age of its digest at which a failure domain is reported
+// as silent, wherever that is shown.
 const DomainSilentAfter = 5 * time.Second
 
-// Domains holds what is known of the other failure domains.
+// Domains holds the digests of the other failure domains.
 type Domains struct {
 	// Remote is sorted by domain name.
 	Remote []DomainDigest
 }
 
-// DomainDigest is the few hundred bytes that one failure domain tells the others.
+// DomainDigest is the summary of a few hundred bytes that one failure domain sends
+// to the others.
 type DomainDigest struct {
 	Domain string
 	Region string
-	// Sequence orders the digests of one domain (nanoseconds of the maker's clock).
+	// Sequence orders the digests of one domain (nanoseconds of the sender's clock).
 	Sequence uint64
-	// HeardAt is when this process's domain received it, by this process's clock.
+	// HeardAt is the time at which this process's domain received it, by this
+	// process's clock.
 	HeardAt time.Time
 	// Nodes and Silent count entry instances; Silent is part of Nodes.
 	Nodes, Silent int
@@ -166,12 +170,12 @@
 	Revisions []RevisionCount
 	// Pools describes each model's and service's capacity there.
 	Pools []PoolDigest
-	// Entries lists the live instances' addresses.
+	// Entries holds the live instances' addresses.
 	Entries []Instance
-	// Platform says whether the domain sees the platform's key-value service.
+	// Platform is whether the domain reaches the platform's key-value service.
 	Platform bool
-	// Demand adds up what callers with limits ask of the domain's gateways, sorted
-	// by caller; only the largest demands are told.
+	// Demand is the total demand of callers with limits at the domain's gateways,
+	// sorted by caller; only the largest demands are published.
 	Demand []CallerDemand
 }
 
@@ -187,20 +191,20 @@
 	Serves string
 	// Version is the model version; empty for services.
 	Version string
-	// Slots counts the requests that may run at once, Busy those that do,
-	// Waiting those in queues.
+	// Slots counts the requests that may run at once, Busy those that run, Waiting
+	// those in queues.
 	Slots, Busy, Waiting int
-	// Spare is how many requests the domain offers to take from all others
-	// together, beyond its own reserve.
+	// Spare is the number of requests that the domain offers to accept from all
+	// others together, beyond its own reserve.
 	Spare int
-	// DecodeRate and PrefillRate are the pool's mean rates, tokens a second.
+	// DecodeRate and PrefillRate are the pool's mean rates in tokens per second.
 	DecodeRate, PrefillRate float64
 }
 
-// PlatformHealth says how the platform's services answer.
+// PlatformHealth is the state of the platform's services.
 type PlatformHealth struct {
 	// KeyValue is whether the last call to the key-value service succeeded.
 	KeyValue bool
-	// Since is when that last changed.
+	// Since is the time at which that last changed.
 	Since time.Time
 }
--- a/pkg/board/section.go
+++ b/pkg/board/section.go
@@ -1,5 +1,5 @@
 // Package board is the blackboard of a process: immutable typed snapshots that
-// controllers swap and the request path reads without a lock.
+// controllers replace and the request path reads without a lock.
 //
 // Each section has one writing controller. A stored value must not be modified.
 package board
@@ -17,10 +17,10 @@
 	changed chan struct{}
 }
 
-// Load returns the current snapshot, or nil when none has been stored.
+// Load returns the current snapshot, or nil if none has been stored.
 func (s *Section[T]) Load() *T { return s.value.Load() }
 
-// Store swaps the snapshot and wakes those who wait on Changed.
+// Store replaces the snapshot and closes the channel returned by Changed.
 func (s *Section[T]) Store(value *T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,8 +31,8 @@
 	}
 }
 
-// Changed returns a channel that is closed at the next Store. Take the channel
-// before loading, so that no change is missed.
+// Changed returns a channel that is closed at the next Store. Get the channel
+// before calling Load, so that no change is missed.
 func (s *Section[T]) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
