--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -79,7 +79,7 @@
 	gateway  gatewayState
 	calls    calls
 	updates  updates
-	// updating is held while a received configuration is read.
+	// updating is held while a received configuration is decoded.
 	updating sync.Mutex
 	// published is used by the reconcile loop alone.
 	published published
--- a/pkg/agent/beat.go
+++ b/pkg/agent/beat.go
@@ -168,9 +168,9 @@
 	held := a.keeper.Revision()
 	ahead := a.mesh.ahead(held, time.Now())
 	for _, peer := range ahead {
-		err := a.want(ctx, peer.Mesh, control.WantArgs{Revision: held})
+		err := a.requestHead(ctx, peer.Mesh, control.WantArgs{Revision: held})
 		if err != nil {
-			err = a.want(ctx, peer.Mesh, control.WantArgs{Revision: held, Whole: true})
+			err = a.requestHead(ctx, peer.Mesh, control.WantArgs{Revision: held, Whole: true})
 		}
 		if err == nil && a.keeper.Revision() > held {
 			return true
@@ -179,7 +179,7 @@
 	return len(ahead) == 0
 }
 
-func (a *Agent) want(ctx context.Context, address string, args control.WantArgs) error {
+func (a *Agent) requestHead(ctx context.Context, address string, args control.WantArgs) error {
 	ctx, cancel := context.WithTimeout(ctx, BeatTimeout)
 	defer cancel()
 	var reply control.WantReply
--- a/pkg/agent/exchange.go
+++ b/pkg/agent/exchange.go
@@ -153,14 +153,14 @@
 		earlier = &before.Load
 	}
 	a.mesh.setLoad(reply.Load, earlier)
-	a.observe(reply.Observations)
+	a.applyObservations(reply.Observations)
 	if reply.Revision < a.keeper.Revision() {
 		a.exchange.raise()
 	}
 }
 
-// observe turns the gateway's observations into leaving marks.
-func (a *Agent) observe(seen map[string]control.Observation) {
+// applyObservations turns the gateway's observations into leaving marks.
+func (a *Agent) applyObservations(seen map[string]control.Observation) {
 	if a.gateway.marked == nil {
 		a.gateway.marked = make(map[string]bool)
 	}
--- a/pkg/agent/jobs.go
+++ b/pkg/agent/jobs.go
@@ -28,9 +28,9 @@
 		if _, ok := d.running[name]; ok {
 			continue
 		}
-		own, cancel := context.WithCancel(ctx)
+		jobContext, cancel := context.WithCancel(ctx)
 		d.running[name] = cancel
-		d.group.Go(func() { run(own) })
+		d.group.Go(func() { run(jobContext) })
 	}
 }
 
--- a/pkg/agent/mesh_test.go
+++ b/pkg/agent/mesh_test.go
@@ -34,13 +34,13 @@
 	is := is.New(t)
 	now := time.Now()
 	one, two := testMesh("lar-1", 1, now), testMesh("lar-2", 2, now)
-	late := one.compose("lar-2", now)
+	older := one.compose("lar-2", now)
 	one.setGateway(77, false, now)
 	one.setRevisions(5, 5, now)
-	early := one.compose("lar-2", now)
-	is.True(two.receive(&early, now))
+	newer := one.compose("lar-2", now)
+	is.True(two.receive(&newer, now))
 	is.Equal(incarnation(two, "lar-1", now), uint64(77))
-	is.True(two.receive(&late, now))
+	is.True(two.receive(&older, now))
 	is.Equal(incarnation(two, "lar-1", now), uint64(77))
 	is.Equal(len(two.ahead(4, now)), 1) // the revision does not fall either
 
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -154,7 +154,7 @@
 	is.Equal(h.runs(), 1)
 }
 
-func TestLeavingUpstreamGetsNoNewWorkAtOnce(t *testing.T) {
+func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t)
 	h.set("nurse-n1", "leave", "")
@@ -323,10 +323,10 @@
 func TestAdmittedRequestWaitsAfterTheLimitsFell(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t)
-	var held []func()
+	var releases []func()
 	for _, pool := range h.north.table.Load().Pools() {
 		for _, name := range pool.Upstreams {
-			held = append(held, h.fillSlots(pool.Key, name)...)
+			releases = append(releases, h.fillSlots(pool.Key, name)...)
 		}
 	}
 	answered := make(chan answer, 1)
@@ -340,7 +340,7 @@
 		got := <-answered
 		t.Fatalf("answered at once: %d %s %s", got.status, h.reported(got), got.body)
 	}
-	for _, release := range held {
+	for _, release := range releases {
 		release()
 	}
 	is.Equal(h.reported(<-answered), complete)
@@ -360,15 +360,15 @@
 			}
 		}
 	}
-	var held []func()
+	var releases []func()
 	for range h.north.tracker.Load(upstream).Limit {
 		leave, refusal := h.north.queue.Acquire(h.t.Context(), admission.Ticket{Caller: &config.Caller{Name: "holder"}, Serves: pool, Cost: 1})
 		is.True(refusal == nil)
 		flight, ok := h.north.tracker.Start(upstream, 0, 0)
 		is.True(ok)
-		held = append(held, func() { flight.Done(limit.Succeeded); leave() })
+		releases = append(releases, func() { flight.Done(limit.Succeeded); leave() })
 	}
-	return held
+	return releases
 }
 
 // Once a request has found a domain's link broken, the domain gets no request that
--- a/pkg/gateway/path_test.go
+++ b/pkg/gateway/path_test.go
@@ -143,10 +143,10 @@
 	is.Equal(whole.header.Get(header.RequestID), "same")
 	south := twoInstanceDomain(h, newTruncatingProxy(t, h.southPeers, -1, 1500), h.southPeers)
 	h.north.Exchange(south)
-	cut := h.send(ctx, review.method, review.path, roamerKey, review.body, http.Header{header.RequestID: {"same"}})
-	is.NoErr(cut.err)
+	resumed := h.send(ctx, review.method, review.path, roamerKey, review.body, http.Header{header.RequestID: {"same"}})
+	is.NoErr(resumed.err)
 	ids := regexp.MustCompile(`roamer~same~[0-9a-z]+`)
-	one := ids.FindString(cut.body)
-	is.Equal(strings.Count(cut.body, one), strings.Count(cut.body, `"id"`))                   // one request ID throughout
-	is.Equal(strings.ReplaceAll(cut.body, one, "ID"), ids.ReplaceAllString(whole.body, "ID")) // byte for byte, across two gateways
+	one := ids.FindString(resumed.body)
+	is.Equal(strings.Count(resumed.body, one), strings.Count(resumed.body, `"id"`))               // one request ID throughout
+	is.Equal(strings.ReplaceAll(resumed.body, one, "ID"), ids.ReplaceAllString(whole.body, "ID")) // byte for byte, across two gateways
 }
--- a/pkg/gateway/suspects.go
+++ b/pkg/gateway/suspects.go
@@ -91,12 +91,13 @@
 	before := s.names[name]
 	s.names[name] = max(before, level)
 	if before == 0 {
-		go s.watch(name, address)
+		go s.probeUntilReached(name, address)
 	}
 }
 
-// watch probes a gateway until it answers.
-func (s *suspects) watch(name, address string) {
+// probeUntilReached probes a gateway until it answers, and then clears its
+// suspicion.
+func (s *suspects) probeUntilReached(name, address string) {
 	for !s.reached(address) {
 		s.setUnreachable(name)
 		select {
--- a/pkg/member/rank_test.go
+++ b/pkg/member/rank_test.go
@@ -37,11 +37,11 @@
 		names[i] = fmt.Sprintf("node-%d", i)
 	}
 	const jobs = 1000
-	rest := names[1:]
+	others := names[1:]
 	owned := make(map[string]int)
 	for job := range jobs {
 		key := Key("job", fmt.Sprint(job))
-		before, after := Rank(key, names), Rank(key, rest)
+		before, after := Rank(key, names), Rank(key, others)
 		owned[before[0]]++
 		if before[0] == names[0] {
 			is.Equal(after[0], before[1]) // the second takes over
