--- a/pkg/gateway/path_test.go
+++ b/pkg/gateway/path_test.go
@@ -41,24 +41,24 @@
 		{"upload mid-body", upload, residentKey, func(h *harness) { h.truncateUpstream("log-n1", 30, -1) }, unknown, 0, 1},
 		{"upload after the body", upload, residentKey, func(h *harness) { h.set("log-n1", "die", "1") }, unknown, 1, 1},
 		{"upload not started", upload, residentKey, func(h *harness) { h.set("log-n1", "refuse", "1") }, notRun, 0, 0},
-		{"upload answer cut", upload, residentKey, func(h *harness) { h.truncateUpstream("log-n1", -1, 120) }, unknown, 1, 1},
+		{"upload answer truncated", upload, residentKey, func(h *harness) { h.truncateUpstream("log-n1", -1, 120) }, unknown, 1, 1},
 		{"upload refused by the service itself", upload, residentKey, func(h *harness) { h.set("log-n1", "fail", "1") }, complete, 1, 1},
 		{"export before connect", export, residentKey, func(h *harness) { h.changeAddress("log-n1", closedAddress(t)) }, notRun, 0, 0},
-		{"export answer cut", export, residentKey, func(h *harness) { h.truncateUpstream("log-n1", -1, 120) }, unknown, 1, 4},
+		{"export answer truncated", export, residentKey, func(h *harness) { h.truncateUpstream("log-n1", -1, 120) }, unknown, 1, 4},
 		{"review whole", review, residentKey, func(*harness) {}, complete, 1, 1},
 		{"review before connect of one engine", review, residentKey, func(h *harness) { h.changeAddress("nurse-n1", closedAddress(t)) }, complete, 1, 1},
 		{"review before the first byte", review, residentKey, func(h *harness) { h.set("nurse-n1", "die-after", "0") }, complete, 1, 2},
 		{"review after the first byte", review, residentKey, func(h *harness) { h.set("nurse-n1", "die-after", "3"); h.set("nurse-n2", "die-after", "9") }, complete, 2, 4},
-		{"review cut off without its end", review, residentKey, func(h *harness) { h.set("nurse-n1", "truncate", ""); h.set("nurse-n2", "truncate", "") }, unknown, 1, 4},
-		{"review crossed everywhere", review, residentKey, func(h *harness) { h.set("nurse-n1", "cross", ""); h.set("nurse-n2", "cross", "") }, unknown, 1, 4},
+		{"review truncated without its end", review, residentKey, func(h *harness) { h.set("nurse-n1", "truncate", ""); h.set("nurse-n2", "truncate", "") }, unknown, 1, 4},
+		{"review with crossed answers from every engine", review, residentKey, func(h *harness) { h.set("nurse-n1", "cross", ""); h.set("nurse-n2", "cross", "") }, unknown, 1, 4},
 		{"forwarded upload whole", upload, roamerKey, func(*harness) {}, complete, 1, 1},
 		{"forwarded upload, link down", upload, roamerKey, func(h *harness) { h.connect(closedAddress(t)) }, notRun, 0, 0},
-		{"forwarded upload, link cut in the request", upload, roamerKey, func(h *harness) { h.truncateLink(30, -1) }, unknown, 0, 1},
+		{"forwarded upload, link broken in the request", upload, roamerKey, func(h *harness) { h.truncateLink(30, -1) }, unknown, 0, 1},
 		{"forwarded upload, answer lost", upload, roamerKey, func(h *harness) { h.truncateLink(-1, 1) }, unknown, 1, 1},
-		{"forwarded upload, upstream gone", upload, roamerKey, func(h *harness) { h.changeAddress("log-s1", closedAddress(t)) }, notRun, 0, 0},
-		{"forwarded upload, upstream breaks off", upload, roamerKey, func(h *harness) { h.set("log-s1", "die", "1") }, unknown, 1, 1},
+		{"forwarded upload, upstream unreachable", upload, roamerKey, func(h *harness) { h.changeAddress("log-s1", closedAddress(t)) }, notRun, 0, 0},
+		{"forwarded upload, upstream crashes", upload, roamerKey, func(h *harness) { h.set("log-s1", "die", "1") }, unknown, 1, 1},
 		{"forwarded review whole", review, roamerKey, func(*harness) {}, complete, 1, 1},
-		{"forwarded review, engine breaks off", review, roamerKey, func(h *harness) { h.set("nurse-s1", "die-after", "5") }, complete, 2, 16}, // four attempts at each gateway
+		{"forwarded review, engine crashes", review, roamerKey, func(h *harness) { h.set("nurse-s1", "die-after", "5") }, complete, 2, 16}, // four attempts at each gateway
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -95,7 +95,7 @@
 	case strings.HasSuffix(got.body, "data: [DONE]\n\n"):
 		return complete
 	default:
-		return "cut off silently"
+		return "truncated without an error"
 	}
 }
 
