--- a/pkg/gateway/path_test.go
+++ b/pkg/gateway/path_test.go
@@ -72,7 +72,7 @@
 			runs := h.runs()
 			t.Logf("status %d, ran %d, error %v, answer %q", got.status, runs, got.err, got.body)
 			is.Equal(reported, test.want)
-			is.True(runs >= test.least && runs <= test.most) // as the journal has it
+			is.True(runs >= test.least && runs <= test.most) // as recorded in the journal
 			if reported == complete && test.call == review {
 				is.Equal(texts(got.body), texts(newHarness(t).send(ctx, http.MethodPost, review.path, residentKey, review.body, nil).body))
 			}
--- a/pkg/gateway/suspects.go
+++ b/pkg/gateway/suspects.go
@@ -38,7 +38,7 @@
 type suspicion int
 
 const (
-	// suspected means that another gateway of its domain stopped answering. It gets
+	// suspected means that another gateway of its domain became unresponsive. It gets
 	// only requests that have been attempted before.
 	suspected suspicion = iota + 1
 	// unreachable means that it did not answer.
@@ -68,8 +68,8 @@
 	s.excluded.Store(&names)
 }
 
-// failed marks a gateway that did not answer. If it stopped answering mid-request,
-// the other gateways of its domain become suspected: the link may be broken.
+// failed marks a gateway that did not answer. If it became unresponsive, the other
+// gateways of its domain become suspected: the link may be broken.
 func (s *suspects) failed(target string, digest *board.DomainDigest, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/gateway/table.go
+++ b/pkg/gateway/table.go
@@ -61,7 +61,8 @@
 	g.setCapacities(table, table)
 }
 
-// updateQuota passes to the callers' limits which other gateways admit requests.
+// updateQuota informs the callers' limits of the other gateways that admit
+// requests.
 func (g *Gateway) updateQuota() {
 	view := quota.View{
 		Self:    g.settings.Instance,
--- a/pkg/member/rank.go
+++ b/pkg/member/rank.go
@@ -3,8 +3,8 @@
 // shared job.
 //
 // Guarantees: a leaving mark overrides an older live mark; a silent instance stays
-// listed until it says goodbye or has long been missing from the platform's list.
-// The package does no input or output; the caller passes the time.
+// in the view until it says goodbye or has long been missing from the platform's
+// list. The package does no input or output; the caller passes the time.
 package member
 
 import (
--- a/pkg/member/view.go
+++ b/pkg/member/view.go
@@ -13,8 +13,8 @@
 	// SilentAfter is the time without a heartbeat after which an instance's jobs pass
 	// to others: two missed heartbeats and a margin for a busy machine.
 	SilentAfter = 2500 * time.Millisecond
-	// ForgetAfter is the time that an instance missing from the platform's list stays
-	// listed as silent.
+	// ForgetAfter is the time that a silent instance missing from the platform's list
+	// stays in the view.
 	ForgetAfter = 10 * time.Minute
 	// TombstoneTTL is the time that a goodbye is kept as a tombstone, so that a late
 	// message does not restore the instance.
@@ -231,8 +231,8 @@
 	}
 }
 
-// Instances returns the listed instances, sorted by name, and also those that left
-// and named a successor for their idempotency keys.
+// Instances returns the instances in the view, sorted by name, and also those that
+// left and named a successor for their idempotency keys.
 func (v *View) Instances(now time.Time) []board.Instance {
 	list := make([]board.Instance, 0, len(v.entries))
 	for name, e := range v.entries {
