--- a/pkg/member/view_test.go
+++ b/pkg/member/view_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestSilentInstanceIsListedButOwnsNoJobs(t *testing.T) {
+func TestSilentInstanceStaysInTheViewButOwnsNoJobs(t *testing.T) {
 	is := is.New(t)
 	v := NewView(identity("lar-1", 1, 1, false), start)
 	identify(1, 1, false)(v, start)
