--- a/pkg/agent/exchange.go
+++ b/pkg/agent/exchange.go
@@ -22,12 +22,13 @@
 	ExchangeSpacing  = 20 * time.Millisecond
 	// ExchangeTimeout bounds one exchange.
 	ExchangeTimeout = time.Second
-	// GatewayLost is how long the gateway may be out of reach before the instance
-	// counts as one without a gateway.
-	GatewayLost = 2 * time.Second
+	// GatewayLostAfter is the time without contact to the gateway after which the
+	// instance counts as one without a gateway.
+	GatewayLostAfter = 2 * time.Second
 )
 
-// gatewayState is what the gateway said last. Safe for concurrent use.
+// gatewayState is the gateway's last reply and what was sent to it. Safe for
+// concurrent use.
 type gatewayState struct {
 	mu      sync.Mutex
 	reached time.Time
@@ -37,7 +38,7 @@
 	marked  map[string]bool
 }
 
-// sentSections are the snapshots that the gateway's incarnation has got.
+// sentSections holds the snapshots that the gateway's incarnation has received.
 type sentSections struct {
 	incarnation uint64
 	members     *board.Members
@@ -55,14 +56,14 @@
 	return g.reply.Revision
 }
 
-// state returns whether the gateway is up, and its last reply.
+// state reports whether the gateway is up, and returns its last reply.
 func (g *gatewayState) state() (bool, control.ExchangeReply) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.up, g.reply
 }
 
-// exchangeLoop teaches the gateway and learns from it.
+// exchangeLoop exchanges state with the gateway.
 func (a *Agent) exchangeLoop(ctx context.Context) {
 	for {
 		a.exchangeOnce(ctx)
@@ -91,16 +92,17 @@
 		a.gatewayFailed(err)
 		return
 	}
-	a.gatewayAnswered(reply, sections)
+	a.gatewayReplied(reply, sections)
 }
 
-// exchangeArgs holds what the gateway is not known to have.
+// exchangeArgs returns the arguments with what the gateway is not known to have,
+// and the sections that they are made from.
 func (a *Agent) exchangeArgs() (*control.ExchangeArgs, sentSections) {
 	up, reply := a.gateway.state()
 	a.gateway.mu.Lock()
 	sent := a.gateway.sent
 	a.gateway.mu.Unlock()
-	now := sentSections{
+	current := sentSections{
 		members:   a.board.Members.Load(),
 		upstreams: a.board.Upstreams.Load(),
 		domains:   a.board.Domains.Load(),
@@ -110,72 +112,73 @@
 	if head := a.keeper.Head(); head != nil && (!up || head.Revision > reply.Revision) {
 		args.Head = head
 	}
-	args.Members = unlessSame(now.members, sent.members)
-	args.Upstreams = unlessSame(now.upstreams, sent.upstreams)
-	args.Domains = unlessSame(now.domains, sent.domains)
-	args.Platform = unlessSame(now.platform, sent.platform)
-	return args, now
+	args.Members = nilIfSame(current.members, sent.members)
+	args.Upstreams = nilIfSame(current.upstreams, sent.upstreams)
+	args.Domains = nilIfSame(current.domains, sent.domains)
+	args.Platform = nilIfSame(current.platform, sent.platform)
+	return args, current
 }
 
-func unlessSame[T any](now, sent *T) *T {
+func nilIfSame[T any](now, sent *T) *T {
 	if now == sent {
 		return nil
 	}
 	return now
 }
 
-func (a *Agent) gatewayAnswered(reply control.ExchangeReply, sections sentSections) {
+func (a *Agent) gatewayReplied(reply control.ExchangeReply, sections sentSections) {
 	a.gateway.mu.Lock()
-	before, was := a.gateway.reply, a.gateway.up
+	before, wasUp := a.gateway.reply, a.gateway.up
 	sections.incarnation = reply.Incarnation
-	renewed := a.gateway.sent.incarnation != reply.Incarnation
-	if renewed {
-		// What was left out of this exchange belonged to another incarnation.
+	restarted := a.gateway.sent.incarnation != reply.Incarnation
+	if restarted {
+		// The sections left out of this exchange had been sent to another
+		// incarnation.
 		sections = sentSections{incarnation: reply.Incarnation}
 	}
 	a.gateway.sent = sections
 	a.gateway.reply, a.gateway.up, a.gateway.reached = reply, true, time.Now()
 	a.gateway.mu.Unlock()
-	if renewed {
+	if restarted {
 		a.Log.Info().Uint64("incarnation", reply.Incarnation).Msg("gateway-met")
 		a.exchange.raise()
 	}
 	a.keeper.Offer(reply.Head, spread.SourceGateway)
-	a.revise()
+	a.updateRevisions()
 	if a.mesh.setGateway(reply.Incarnation, reply.Leaving, time.Now()) {
 		a.beat.raise()
 	}
 	var earlier *board.GatewayLoad
-	if was && !renewed {
+	if wasUp && !restarted {
 		earlier = &before.Load
 	}
 	a.mesh.setLoad(reply.Load, earlier)
-	a.observe(reply.Observations)
+	a.applyObservations(reply.Observations)
 	if reply.Revision < a.keeper.Revision() {
 		a.exchange.raise()
 	}
 }
 
-// observe turns the gateway's observations into leaving marks.
-func (a *Agent) observe(seen map[string]control.Observation) {
+// applyObservations turns the gateway's observations into leaving marks.
+func (a *Agent) applyObservations(seen map[string]control.Observation) {
 	if a.gateway.marked == nil {
 		a.gateway.marked = make(map[string]bool)
 	}
 	for name, observation := range seen {
 		if observation.Leaving {
 			a.gateway.marked[name] = true
-			a.tellMark(name, true)
+			a.publishMark(name, true)
 		}
 	}
 	for name := range a.gateway.marked {
 		if !seen[name].Leaving {
 			delete(a.gateway.marked, name)
-			a.tellMark(name, false)
+			a.publishMark(name, false)
 		}
 	}
 }
 
-func (a *Agent) tellMark(upstream string, leaving bool) {
+func (a *Agent) publishMark(upstream string, leaving bool) {
 	if a.mesh.setMark(upstream, leaving) {
 		a.beat.raise()
 	}
@@ -183,9 +186,10 @@
 
 func (a *Agent) gatewayFailed(err error) {
 	a.gateway.mu.Lock()
-	// One that said that it was leaving and refuses connections has left.
-	gone := a.gateway.reply.Leaving && errors.Is(err, syscall.ECONNREFUSED)
-	lost := a.gateway.up && (gone || time.Since(a.gateway.reached) > GatewayLost)
+	// A gateway that reported that it was leaving and refuses connections has
+	// stopped.
+	stopped := a.gateway.reply.Leaving && errors.Is(err, syscall.ECONNREFUSED)
+	lost := a.gateway.up && (stopped || time.Since(a.gateway.reached) > GatewayLostAfter)
 	if lost {
 		a.gateway.up = false
 		a.gateway.sent = sentSections{}
@@ -196,6 +200,6 @@
 	}
 	a.Log.Warn().Err(err).Msg("gateway-lost")
 	a.mesh.setGateway(0, false, time.Now())
-	a.revise()
+	a.updateRevisions()
 	a.beat.raise()
 }
--- a/pkg/agent/rig_test.go
+++ b/pkg/agent/harness_test.go
@@ -25,20 +25,20 @@
 	testWait = 30 * time.Second
 )
 
-// write accepts a head.
-func (r *rig) write(head *config.Head) {
+// write stores an accepted head in the key-value service.
+func (r *harness) write(head *config.Head) {
 	data, err := config.EncodeHead(head)
 	is.New(r.t).NoErr(err)
 	r.store.Set(testKey, data)
 }
 
-// fakeGateway is an instance's gateway as its agent sees it.
+// fakeGateway is the gateway side of the exchange with an agent.
 type fakeGateway struct {
-	mu      sync.Mutex
-	head    *config.Head
-	reply   control.ExchangeReply
-	members int
-	fell    bool
+	mu         sync.Mutex
+	head       *config.Head
+	reply      control.ExchangeReply
+	members    int
+	downgraded bool
 }
 
 // Exchange is Gateway.Exchange.
@@ -47,7 +47,7 @@
 	defer g.mu.Unlock()
 	if args.Head != nil {
 		if args.Head.Revision < g.reply.Revision {
-			g.fell = true
+			g.downgraded = true
 		}
 		g.head, g.reply.Revision = args.Head, max(args.Head.Revision, g.reply.Revision)
 	}
@@ -67,7 +67,7 @@
 	change(&g.reply)
 }
 
-// fakeDirectory is the platform's directory.
+// fakeDirectory is an in-memory directory of the platform.
 type fakeDirectory struct {
 	mu      sync.Mutex
 	entries map[string]platform.DirectoryEntry
@@ -96,8 +96,8 @@
 	return ok
 }
 
-// rig runs agents of several failure domains over loopback TCP.
-type rig struct {
+// harness runs agents of several failure domains over loopback TCP.
+type harness struct {
 	t         *testing.T
 	store     *platformtest.Service
 	directory *fakeDirectory
@@ -108,7 +108,7 @@
 	epoch     uint64
 }
 
-// node is one entry instance of a rig.
+// node is one entry instance of a harness.
 type node struct {
 	settings settings.Instance
 	gateway  *fakeGateway
@@ -117,11 +117,11 @@
 	ended    chan error
 }
 
-// newRig lays out domains "a", "b", … with the given counts of instances; each
-// test has addresses of its own, and runs beside the others.
-func newRig(t *testing.T, test int, counts ...int) *rig {
+// newHarness declares domains "a", "b", … with the given numbers of instances; each
+// test has its own addresses and runs in parallel with the others.
+func newHarness(t *testing.T, test int, counts ...int) *harness {
 	t.Parallel()
-	r := &rig{
+	r := &harness{
 		t: t, store: platformtest.New(clock.System{}), directory: &fakeDirectory{entries: make(map[string]platform.DirectoryEntry)},
 		prefix: fmt.Sprintf("127.%d.%d", 130+os.Getpid()%100, 10*test),
 		names:  make(map[string][]string), nodes: make(map[string]*node),
@@ -153,13 +153,13 @@
 	return r
 }
 
-func (r *rig) network(n *node) *control.Network {
+func (r *harness) network(n *node) *control.Network {
 	network, err := control.NewNetwork(n.settings.Security, nil)
 	is.New(r.t).NoErr(err)
 	return network
 }
 
-func (r *rig) startGateway(n *node) {
+func (r *harness) startGateway(n *node) {
 	server, err := control.NewServer(r.network(n), n.settings.Gateway.Control)
 	is.New(r.t).NoErr(err)
 	is.New(r.t).NoErr(server.Register(control.GatewayService, n.gateway))
@@ -170,7 +170,7 @@
 }
 
 // start starts an instance's agent.
-func (r *rig) start(names ...string) {
+func (r *harness) start(names ...string) {
 	for _, name := range names {
 		n := r.nodes[name]
 		r.epoch++
@@ -189,14 +189,14 @@
 	}
 }
 
-func (r *rig) startAll() {
+func (r *harness) startAll() {
 	for _, names := range r.names {
 		r.start(names...)
 	}
 }
 
 // stop stops an agent as SIGTERM does.
-func (r *rig) stop(name string) {
+func (r *harness) stop(name string) {
 	n := r.nodes[name]
 	if n.cancel == nil {
 		return
@@ -206,9 +206,9 @@
 	is.New(r.t).NoErr(<-n.ended)
 }
 
-// wait waits until the condition holds, looking at it whenever the agent's
-// blackboard changes, which it does once a second at least.
-func (r *rig) wait(name, what string, holds func(a *Agent) bool) {
+// wait waits until the condition holds, checking it whenever the agent's blackboard
+// changes, which happens at least once a second.
+func (r *harness) wait(name, what string, holds func(a *Agent) bool) {
 	r.t.Helper()
 	a := r.nodes[name].agent
 	limit := time.After(testWait)
@@ -229,8 +229,8 @@
 	}
 }
 
-// inForce counts the nodes of the whole system that an agent knows to have the
-// revision in force.
+// inForce counts the nodes of the whole system that have the revision in force, as
+// known to an agent.
 func inForce(a *Agent, revision config.Revision) int {
 	own := a.ownDigest()
 	total := atRevision(own.Revisions, revision)
--- a/pkg/agent/mesh.go
+++ b/pkg/agent/mesh.go
@@ -13,12 +13,13 @@
 	"github.com/lilacweir/lilacweir/pkg/member"
 )
 
-// MarkHold is how long a leaving mark on an upstream outlives the last word of
-// the instance that set it.
-const MarkHold = 30 * time.Second
+// MarkTTL is the time that a leaving mark on an upstream remains valid after the
+// last heartbeat of the instance that set it.
+const MarkTTL = 30 * time.Second
 
-// mesh is what this instance knows and tells in its failure domain. Every
-// method takes the time, and none does input or output.
+// mesh is the state that this instance receives and publishes in its failure
+// domain. Methods take the current time where they need it, and do no input or
+// output.
 type mesh struct {
 	mu      sync.Mutex
 	self    member.Identity
@@ -28,9 +29,9 @@
 	remote  *digest.Table
 	own     *journal
 	links   map[string]*link
-	// numbers are those of upstreams in the loads that are told.
+	// numbers maps upstream names to their numbers in the published loads.
 	numbers map[string]int
-	// hints are the cached prefixes that were told, by upstream.
+	// hints holds the cached prefixes that were published last, by upstream.
 	hints     map[string]hint
 	upstreams map[string]*upstreamEntry
 	digests   map[string]*digestEntry
@@ -43,26 +44,26 @@
 	behind    func()
 }
 
-// link is what two instances have told each other.
+// link is the heartbeat state of one peer.
 type link struct {
-	epoch     uint64
-	sequence  uint64
-	have      uint64
-	theirHave uint64
-	heard     time.Time
-	revision  config.Revision
-	viewSum   uint64
-	// names are the upstreams that the peer's counts mean, by its numbers.
+	epoch        uint64
+	sequence     uint64
+	received     uint64
+	acknowledged uint64
+	lastReceived time.Time
+	revision     config.Revision
+	viewSum      uint64
+	// names maps the upstream numbers in the peer's counts to names.
 	names map[int]string
 }
 
-// upstreamEntry is the last report of an upstream and who made it.
+// upstreamEntry is the last report of an upstream and its source.
 type upstreamEntry struct {
 	from string
 	load board.UpstreamLoad
 }
 
-// digestEntry is who shared a remote domain's digest last.
+// digestEntry is the last source of a remote domain's digest.
 type digestEntry struct {
 	from      string
 	reachable bool
@@ -85,16 +86,17 @@
 		changed:   func() {},
 		behind:    func() {},
 	}
-	m.tellIdentity()
+	m.publishIdentity()
 	return m
 }
 
-func (m *mesh) tellIdentity() {
+func (m *mesh) publishIdentity() {
 	id := m.self
 	m.own.set(keyIdentity, func(f *control.Facts) { f.Identity = &id })
 }
 
-// compose makes the heartbeat for a peer; an empty name is a peer not yet met.
+// compose builds the heartbeat for a peer; the name is empty for a peer that is not
+// known yet.
 func (m *mesh) compose(to string, now time.Time) control.Beat {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,8 +106,8 @@
 		From: m.self.Name, Epoch: m.self.Epoch, Sequence: m.sequence,
 		Revision: m.agent, InForce: m.inForce,
 		ViewSum: m.viewSum(now), UpTo: m.own.change,
-		Facts:     m.own.since(l.theirHave),
-		HaveEpoch: l.epoch, Have: l.have,
+		Facts:     m.own.since(l.acknowledged),
+		HaveEpoch: l.epoch, Have: l.received,
 	}
 	if l.viewSum != beat.ViewSum {
 		beat.Peers = m.view.Peers(now)
@@ -113,8 +115,8 @@
 	return beat
 }
 
-// receive takes a peer's heartbeat and returns whether the sender may be
-// answered: it is of this domain, and not of an epoch that is over.
+// receive applies a peer's heartbeat and reports whether the sender may be
+// answered: it is of this domain, and not of an earlier epoch.
 func (m *mesh) receive(b *control.Beat, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,28 +137,29 @@
 	if b.Sequence <= l.sequence {
 		return true
 	}
-	news := false
+	updated := false
 	if b.Facts.Identity != nil {
-		news = m.view.Identify(*b.Facts.Identity, now)
+		updated = m.view.ApplyIdentity(*b.Facts.Identity, now)
 	}
 	if m.view.Epoch(b.From) != b.Epoch {
-		// Its identity has not come yet: have stays 0, so it is sent next time.
+		// Its identity has not arrived yet: received stays 0, so it is sent next
+		// time.
 		return true
 	}
-	l.sequence, l.heard, l.revision = b.Sequence, now, b.Revision
+	l.sequence, l.lastReceived, l.revision = b.Sequence, now, b.Revision
 	l.viewSum = b.ViewSum
-	l.theirHave = 0
+	l.acknowledged = 0
 	if b.HaveEpoch == m.self.Epoch {
-		l.theirHave = b.Have
+		l.acknowledged = b.Have
 	}
-	l.have = max(l.have, b.UpTo)
-	news = m.view.Heard(b.From, b.Epoch, b.InForce, now) || news
-	news = m.applyFacts(b, now) || news
+	l.received = max(l.received, b.UpTo)
+	updated = m.view.RecordHeartbeat(b.From, b.Epoch, b.InForce, now) || updated
+	updated = m.applyFacts(b, now) || updated
 	for _, peer := range b.Peers {
-		m.view.Propose(peer, now)
+		m.view.AddPeer(peer, now)
 	}
 	m.confirm(b.From, now)
-	if news || before != m.view.State(b.From, now) {
+	if updated || before != m.view.State(b.From, now) {
 		m.changed()
 	}
 	if b.Revision > m.agent {
@@ -167,40 +170,41 @@
 
 func (m *mesh) applyFacts(b *control.Beat, now time.Time) bool {
 	f := &b.Facts
-	news := false
+	updated := false
 	l := m.link(b.From)
-	l.takeNames(f.Names)
+	l.applyNames(f.Names)
 	if f.Load != nil {
-		m.view.Load(b.From, b.Epoch, l.takeLoad(f))
-		news = true
+		m.view.SetLoad(b.From, b.Epoch, l.decodeLoad(f))
+		updated = true
 	}
 	for i := range f.Upstreams {
-		m.takeReport(b.From, &f.Upstreams[i], now)
-		news = true
+		m.applyReport(b.From, &f.Upstreams[i], now)
+		updated = true
 	}
 	for i := range f.Prefixes {
-		m.takePrefixes(&f.Prefixes[i])
-		news = true
+		m.applyPrefixes(&f.Prefixes[i])
+		updated = true
 	}
 	for _, mark := range f.Marks {
 		m.mark(b.From, mark.Upstream, mark.Leaving)
-		news = true
+		updated = true
 	}
 	for i := range f.Digests {
-		news = m.takeDigest(b.From, &f.Digests[i], now) || news
+		updated = m.applyDigest(b.From, &f.Digests[i], now) || updated
 	}
 	if f.Platform != nil {
 		m.platform[b.From] = *f.Platform
-		news = true
+		updated = true
 	}
 	if f.List != nil {
-		m.takeList(f.List, now)
-		news = true
+		m.applyList(f.List, now)
+		updated = true
 	}
-	return news
+	return updated
 }
 
-// confirm keeps alive what a peer vouches for: it says nothing while nothing changes.
+// confirm refreshes what a peer publishes, as a peer sends nothing while nothing
+// changes.
 func (m *mesh) confirm(from string, now time.Time) {
 	for domain, entry := range m.digests {
 		if entry.from == from && entry.reachable {
@@ -225,7 +229,7 @@
 	m.marks[from][upstream] = true
 }
 
-func (m *mesh) takeList(list *control.ListFact, now time.Time) {
+func (m *mesh) applyList(list *control.ListFact, now time.Time) {
 	m.list = list
 	listed := make([]member.Listed, 0, len(list.Lines))
 	for _, line := range list.Lines {
@@ -235,10 +239,10 @@
 		peer := member.Peer{Name: line.Name, Mesh: line.Mesh}
 		listed = append(listed, member.Listed{Peer: peer, Leaving: line.Leaving})
 	}
-	m.view.List(listed, now)
+	m.view.ApplyList(listed, now)
 }
 
-// goodbye takes a peer's goodbye.
+// goodbye records that a peer left.
 func (m *mesh) goodbye(name string, epoch uint64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -256,12 +260,13 @@
 	return l
 }
 
-// viewSum is a hash of the instances that may be spoken to, self included.
+// viewSum returns a hash of the instances that may be called, self included.
 func (m *mesh) viewSum(now time.Time) uint64 {
 	peers := append(m.view.Peers(now), member.Peer{Name: m.self.Name, Mesh: m.self.Addresses.Mesh, Epoch: m.self.Epoch})
 	var sum uint64
 	for _, peer := range peers {
-		// A sum does not depend on the order, which differs between instances.
+		// Adding makes the result independent of the order, which differs between
+		// instances.
 		sum += xxhash.Sum64String(peer.Name + " " + peer.Mesh)
 	}
 	return sum
--- a/pkg/agent/mesh_load.go
+++ b/pkg/agent/mesh_load.go
@@ -9,13 +9,13 @@
 	"github.com/lilacweir/lilacweir/pkg/control"
 )
 
-// maxNames bounds the numbered names that are kept of one peer.
-const maxNames = 4096
+// maxNumberedNames bounds the numbered names that are kept for one peer.
+const maxNumberedNames = 4096
 
-// tellLoad makes the own gateway's load a fact. Upstreams go by number, as their
-// names would be most of what a heartbeat carries; each name is a fact of its own
-// and travels to each peer once.
-func (m *mesh) tellLoad(load board.GatewayLoad) {
+// publishLoad publishes the own gateway's load. Upstreams are identified by number,
+// as their names would be most of a heartbeat; each name is a fact of its own and
+// is sent to each peer once.
+func (m *mesh) publishLoad(load board.GatewayLoad) {
 	counts := make([]control.LoadCount, 0, len(load.InFlight))
 	for _, name := range slices.Sorted(maps.Keys(load.InFlight)) {
 		counts = append(counts, control.LoadCount{Number: m.numberOf(name), InFlight: load.InFlight[name]})
@@ -24,8 +24,8 @@
 	m.own.set(keyLoad, func(f *control.Facts) { f.Load, f.Counts = &load, counts })
 }
 
-// numberOf returns the number of a name, and tells the domain a new one. Numbers
-// hold for this instance's epoch.
+// numberOf returns the number of a name, and assigns and publishes a new one if
+// needed. Numbers are valid for this instance's epoch.
 func (m *mesh) numberOf(name string) int {
 	if number, ok := m.numbers[name]; ok {
 		return number
@@ -37,8 +37,9 @@
 	return number
 }
 
-// takeLoad takes a peer's load. Counts whose name has not come are left out.
-func (l *link) takeLoad(f *control.Facts) board.GatewayLoad {
+// decodeLoad returns a peer's load. Counts with a number that has no name yet are
+// left out.
+func (l *link) decodeLoad(f *control.Facts) board.GatewayLoad {
 	load := *f.Load
 	if len(f.Counts) == 0 {
 		return load
@@ -52,13 +53,13 @@
 	return load
 }
 
-// takeNames takes the names that a peer has numbered in its epoch.
-func (l *link) takeNames(names []control.NameFact) {
+// applyNames records the names that a peer has numbered in its epoch.
+func (l *link) applyNames(names []control.NameFact) {
 	if l.names == nil {
 		l.names = make(map[int]string, len(names))
 	}
 	for _, fact := range names {
-		if len(l.names) < maxNames {
+		if len(l.names) < maxNumberedNames {
 			l.names[fact.Number] = fact.Name
 		}
 	}
--- a/pkg/agent/mesh_tell.go
+++ b/pkg/agent/mesh_publish.go
@@ -9,7 +9,7 @@
 	"github.com/lilacweir/lilacweir/pkg/control"
 )
 
-// setRevisions notes the configuration here; it returns whether that is news.
+// setRevisions records the own revisions, and reports whether they changed.
 func (m *mesh) setRevisions(agent, inForce config.Revision, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -17,12 +17,13 @@
 		return false
 	}
 	m.agent, m.inForce = agent, inForce
-	m.view.Heard(m.self.Name, m.self.Epoch, inForce, now)
+	m.view.RecordHeartbeat(m.self.Name, m.self.Epoch, inForce, now)
 	m.changed()
 	return true
 }
 
-// setGateway notes the own gateway's incarnation and whether it is leaving.
+// setGateway records the own gateway's incarnation and whether it is leaving. It
+// reports whether that changed.
 func (m *mesh) setGateway(incarnation uint64, leaving bool, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -31,14 +32,14 @@
 		return false
 	}
 	m.self.Incarnation, m.self.Leaving = incarnation, leaving
-	m.view.Identify(m.self, now)
-	m.tellIdentity()
+	m.view.ApplyIdentity(m.self, now)
+	m.publishIdentity()
 	m.changed()
 	return true
 }
 
-// leaving marks this instance as leaving for good.
-func (m *mesh) leaving(now time.Time) {
+// setLeaving marks this instance as leaving for good.
+func (m *mesh) setLeaving(now time.Time) {
 	m.mu.Lock()
 	incarnation := m.self.Incarnation
 	m.stopping = true
@@ -46,20 +47,20 @@
 	m.setGateway(incarnation, true, now)
 }
 
-// setLoad notes the own gateway's load.
+// setLoad records and publishes the own gateway's load if it changed.
 func (m *mesh) setLoad(load board.GatewayLoad, before *board.GatewayLoad) {
 	if before != nil && reflect.DeepEqual(load, *before) {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Load(m.self.Name, m.self.Epoch, load)
-	m.tellLoad(load)
+	m.view.SetLoad(m.self.Name, m.self.Epoch, load)
+	m.publishLoad(load)
 	m.changed()
 }
 
-// setMark notes that this instance saw, or no longer sees, an upstream leaving,
-// and says whether that is news.
+// setMark records and publishes whether this instance saw an upstream leaving. It
+// reports whether that changed.
 func (m *mesh) setMark(upstream string, leaving bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,34 +74,34 @@
 	return true
 }
 
-// setUpstream notes a poll of an upstream that this instance owns, and says
-// whether the upstream's state is another than before.
+// setUpstream records and publishes a poll of an upstream that this instance owns.
+// It reports whether the upstream's state changed.
 func (m *mesh) setUpstream(load board.UpstreamLoad) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	before, ok := m.upstreams[load.Name]
 	m.upstreams[load.Name] = &upstreamEntry{from: m.self.Name, load: load}
-	m.tellPrefixes(&load)
+	m.publishPrefixes(&load)
 	if ok && before.from == m.self.Name && sameLoad(before.load, load) {
 		return false
 	}
-	made := load.ReportedAt
+	reportedAt := load.ReportedAt
 	fact := load
 	fact.ReportedAt, fact.Prefixes = time.Time{}, nil
 	m.own.set("upstream/"+load.Name, func(f *control.Facts) {
-		f.Upstreams = append(f.Upstreams, control.UpstreamFact{Load: fact, Age: max(time.Since(made), 0)})
+		f.Upstreams = append(f.Upstreams, control.UpstreamFact{Load: fact, Age: max(time.Since(reportedAt), 0)})
 	})
 	m.changed()
 	return !ok || before.load.State != load.State
 }
 
-// dropUpstream takes back what this instance vouched for: it does not own the
-// upstream's poll any more.
-func (m *mesh) dropUpstream(name string) {
+// withdrawUpstream withdraws a report when this instance no longer owns the
+// upstream's poll.
+func (m *mesh) withdrawUpstream(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.own.remove("upstream/" + name)
-	m.dropPrefixes(name)
+	m.withdrawPrefixes(name)
 }
 
 func sameLoad(a, b board.UpstreamLoad) bool {
--- a/pkg/agent/mesh_test.go
+++ b/pkg/agent/mesh_test.go
@@ -28,23 +28,23 @@
 	return 0
 }
 
-// An answer that was composed before a call of the other direction may arrive
-// after it: what it says is old.
-func TestHeartbeatsThatOvertakeEachOther(t *testing.T) {
+// A reply that was composed before a call of the other direction may arrive after
+// it; its older content must be ignored.
+func TestReorderedHeartbeatsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	one, two := testMesh("lar-1", 1, now), testMesh("lar-2", 2, now)
-	late := one.compose("lar-2", now)
+	older := one.compose("lar-2", now)
 	one.setGateway(77, false, now)
 	one.setRevisions(5, 5, now)
-	early := one.compose("lar-2", now)
-	is.True(two.receive(&early, now))
+	newer := one.compose("lar-2", now)
+	is.True(two.receive(&newer, now))
 	is.Equal(incarnation(two, "lar-1", now), uint64(77))
-	is.True(two.receive(&late, now))
+	is.True(two.receive(&older, now))
 	is.Equal(incarnation(two, "lar-1", now), uint64(77))
-	is.Equal(len(two.ahead(4, now)), 1) // nor does the revision fall
+	is.Equal(len(two.ahead(4, now)), 1) // the revision does not fall either
 
-	// Only what is new travels from here on.
+	// From here on only changes are sent.
 	answer := two.compose("lar-1", now)
 	is.True(one.receive(&answer, now))
 	is.True(one.compose("lar-2", now).Facts.Identity == nil)
@@ -52,34 +52,36 @@
 	again := one.compose("lar-2", now)
 	is.Equal(len(again.Facts.Marks), 1)
 
-	// A receiver that was started anew has nothing, and says so.
-	anew := testMesh("lar-2", 3, now)
-	is.True(anew.receive(&again, now)) // without an identity it is not yet known
-	answer = anew.compose("lar-1", now)
+	// A restarted receiver has nothing and reports that.
+	restarted := testMesh("lar-2", 3, now)
+	is.True(restarted.receive(&again, now)) // without an identity the sender is not known yet
+	answer = restarted.compose("lar-1", now)
 	is.True(one.receive(&answer, now))
 	whole := one.compose("lar-2", now)
 	is.True(whole.Facts.Identity != nil)
-	is.True(anew.receive(&whole, now))
-	is.Equal(incarnation(anew, "lar-1", now), uint64(77))
+	is.True(restarted.receive(&whole, now))
+	is.Equal(incarnation(restarted, "lar-1", now), uint64(77))
 }
 
-// A peer's new revision is published at once, and not only at the next look.
-func TestRevisionOfAPeerIsNews(t *testing.T) {
+// A peer's new revision is published at once, and not only at the next
+// reconciliation.
+func TestPeerRevisionChangeIsPublishedAtOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	one, two := testMesh("lar-1", 1, now), testMesh("lar-2", 2, now)
-	tell(t, one, two, now)
-	news := 0
-	two.changed = func() { news++ }
-	tell(t, one, two, now)
-	is.Equal(news, 0)
+	exchangeBeats(t, one, two, now)
+	changes := 0
+	two.changed = func() { changes++ }
+	exchangeBeats(t, one, two, now)
+	is.Equal(changes, 0)
 	one.setRevisions(5, 5, now)
-	tell(t, one, two, now)
-	is.Equal(news, 1)
+	exchangeBeats(t, one, two, now)
+	is.Equal(changes, 1)
 }
 
-// tell brings what one instance vouches for to another, and the answer back.
-func tell(t *testing.T, from, to *mesh, now time.Time) {
+// exchangeBeats delivers a heartbeat from one instance to another, and the reply
+// back.
+func exchangeBeats(t *testing.T, from, to *mesh, now time.Time) {
 	is := is.New(t)
 	beat := from.compose(to.self.Name, now)
 	is.True(to.receive(&beat, now))
@@ -92,9 +94,9 @@
 	return upstreams.ByName["nurse-1"].State
 }
 
-// A leaving mark from any source wins over a live report, for as long as its
-// source stands by it.
-func TestLeavingUpstreamWins(t *testing.T) {
+// A leaving mark from any source overrides a live report until its source withdraws
+// it.
+func TestLeavingMarkOverridesLiveReport(t *testing.T) {
 	start := time.Now()
 	report := func(state board.UpstreamState) board.UpstreamLoad {
 		return board.UpstreamLoad{Name: "nurse-1", State: state, ReportedAt: start}
@@ -134,44 +136,44 @@
 			is := is.New(t)
 			one, two := testMesh("lar-1", 1, start), testMesh("lar-2", 2, start)
 			one.setUpstream(report(board.UpstreamLive))
-			tell(t, one, two, start)
+			exchangeBeats(t, one, two, start)
 			c.do(one, two)
-			tell(t, one, two, start)
+			exchangeBeats(t, one, two, start)
 			is.Equal(upstreamState(one, start), c.want)
 			is.Equal(upstreamState(two, start), c.want)
 		})
 	}
 }
 
-func TestMarkEndsAfterItsSourceWasLost(t *testing.T) {
+func TestMarkExpiresAfterItsSourceIsLost(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
 	one, two := testMesh("lar-1", 1, start), testMesh("lar-2", 2, start)
 	two.setUpstream(board.UpstreamLoad{Name: "nurse-1", State: board.UpstreamLive, ReportedAt: start})
 	one.setMark("nurse-1", true)
-	tell(t, one, two, start)
-	is.Equal(upstreamState(two, start.Add(MarkHold)), board.UpstreamLeaving)
-	is.Equal(upstreamState(two, start.Add(MarkHold+1)), board.UpstreamLive)
+	exchangeBeats(t, one, two, start)
+	is.Equal(upstreamState(two, start.Add(MarkTTL)), board.UpstreamLeaving)
+	is.Equal(upstreamState(two, start.Add(MarkTTL+1)), board.UpstreamLive)
 }
 
-// What a former owner vouched for does not reach an instance that joins later.
-func TestFormerOwnerVouchesNoMore(t *testing.T) {
+// Reports that a former owner withdrew do not reach an instance that joins later.
+func TestFormerOwnerWithdrawsItsReports(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	one, two := testMesh("lar-1", 1, now), testMesh("lar-2", 2, now)
 	one.setUpstream(board.UpstreamLoad{Name: "nurse-1", State: board.UpstreamSilent, ReportedAt: now})
-	tell(t, one, two, now)
-	one.dropUpstream("nurse-1")
+	exchangeBeats(t, one, two, now)
+	one.withdrawUpstream("nurse-1")
 	two.setUpstream(board.UpstreamLoad{Name: "nurse-1", State: board.UpstreamLive, ReportedAt: now})
-	tell(t, two, one, now)
+	exchangeBeats(t, two, one, now)
 	joined := testMesh("lar-3", 3, now)
-	tell(t, two, joined, now)
-	tell(t, one, joined, now)
+	exchangeBeats(t, two, joined, now)
+	exchangeBeats(t, one, joined, now)
 	is.Equal(upstreamState(joined, now), board.UpstreamLive)
 }
 
-// FuzzBeat: whatever a peer sends, this instance neither fails nor changes its
-// mind about itself.
+// FuzzBeat checks that no heartbeat makes this instance fail, changes its own
+// state, or sets a digest of its own domain.
 func FuzzBeat(f *testing.F) {
 	f.Add("lar-2", "larisa-hall", uint64(2), uint64(1), uint64(9), "lar-1", true)
 	f.Add("lar-1", "larisa-hall", uint64(9), uint64(1), uint64(9), "nurse-1", false)
@@ -196,14 +198,14 @@
 			t.Fatalf("this instance became %s", state)
 		}
 		if _, ok := m.digest("larisa-hall"); ok {
-			t.Fatal("took a digest of the own domain")
+			t.Fatal("a digest of the own domain was accepted")
 		}
 	})
 }
 
-// The gateway that marked an upstream as leaving lifts the mark by the upstream's
+// The gateway that marked an upstream as leaving clears the mark by the upstream's
 // own report, which the mark must not hide.
-func TestMarkLeavesTheOwnReportVisible(t *testing.T) {
+func TestMarkDoesNotHideTheUpstreamsOwnReport(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	m := testMesh("lar-1", 1, now)
@@ -214,61 +216,61 @@
 	is.True(upstreams.ByName["nurse-1"].Marked)
 	m.setUpstream(board.UpstreamLoad{Name: "nurse-1", State: board.UpstreamLeaving, ReportedAt: now})
 	_, upstreams, _ = m.snapshot(now, []string{"nurse-1"})
-	is.True(!upstreams.ByName["nurse-1"].Marked) // it says so itself
+	is.True(!upstreams.ByName["nurse-1"].Marked) // the upstream reports it itself
 }
 
-// Loads name upstreams by numbers whose names travel once; a peer that was started
-// anew, or has lost a heartbeat, still understands them.
-func TestLoadsKeepTheirNames(t *testing.T) {
+// Loads identify upstreams by numbers, and the names are sent once. A peer that
+// restarted or lost a heartbeat must still resolve them.
+func TestNumberedLoadsResolveAfterRestartOrLoss(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	one, two := testMesh("lar-1", 1, now), testMesh("lar-2", 2, now)
 	first := board.GatewayLoad{InFlight: map[string]int{"nurse-1": 3, "nurse-2": 1}, Requests: 9}
 	second := board.GatewayLoad{InFlight: map[string]int{"nurse-2": 4, "nurse-3": 2}, Requests: 11}
-	heard := func(by *mesh) board.GatewayLoad {
+	received := func(by *mesh) board.GatewayLoad {
 		members, _, _ := by.snapshot(now, nil)
 		return members.Instances[0].Load
 	}
-	tell(t, one, two, now)
+	exchangeBeats(t, one, two, now)
 	one.setLoad(first, nil)
-	tell(t, one, two, now)
-	is.Equal(heard(two), first)
+	exchangeBeats(t, one, two, now)
+	is.Equal(received(two), first)
 	one.setLoad(second, &first)
-	one.compose("lar-2", now) // lost on its way
-	tell(t, one, two, now)
-	is.Equal(heard(two), second)
-	tell(t, one, two, now)
-	is.Equal(len(one.own.since(one.link("lar-2").theirHave).Names), 0) // nothing is told twice
+	one.compose("lar-2", now) // lost in transit
+	exchangeBeats(t, one, two, now)
+	is.Equal(received(two), second)
+	exchangeBeats(t, one, two, now)
+	is.Equal(len(one.own.since(one.link("lar-2").acknowledged).Names), 0) // nothing is sent twice
 
-	anew := testMesh("lar-2", 3, now)
-	tell(t, one, anew, now)
-	tell(t, one, anew, now)
-	is.Equal(heard(anew), second)
+	restarted := testMesh("lar-2", 3, now)
+	exchangeBeats(t, one, restarted, now)
+	exchangeBeats(t, one, restarted, now)
+	is.Equal(received(restarted), second)
 }
 
-// Cached prefixes are told apart from the load, now and then; a report between does
-// not take them away.
-func TestPrefixesAreToldNowAndThen(t *testing.T) {
+// Cached prefixes are published separately from the load, at most once in
+// PrefixInterval; a report in between does not remove them.
+func TestPrefixesArePublishedAtIntervals(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	one, two := testMesh("lar-1", 1, now), testMesh("lar-2", 2, now)
 	report := func(running int, after time.Duration, prefixes ...uint64) {
 		load := board.UpstreamLoad{Name: "nurse-1", State: board.UpstreamLive, Running: running, ReportedAt: now.Add(after), Prefixes: prefixes}
 		one.setUpstream(load)
-		tell(t, one, two, now.Add(after))
+		exchangeBeats(t, one, two, now.Add(after))
 	}
-	heard := func() board.UpstreamLoad {
+	received := func() board.UpstreamLoad {
 		_, upstreams, _ := two.snapshot(now, []string{"nurse-1"})
 		return upstreams.ByName["nurse-1"]
 	}
-	tell(t, one, two, now)
+	exchangeBeats(t, one, two, now)
 	report(1, 0, 7, 8)
-	is.Equal(heard().Prefixes, []uint64{7, 8})
+	is.Equal(received().Prefixes, []uint64{7, 8})
 	report(2, PrefixInterval/2, 9)
-	is.Equal(heard().Running, 2)
-	is.Equal(heard().Prefixes, []uint64{7, 8}) // too soon to be told
+	is.Equal(received().Running, 2)
+	is.Equal(received().Prefixes, []uint64{7, 8}) // too soon to be published
 	report(2, PrefixInterval, 9)
-	is.Equal(heard().Prefixes, []uint64{9})
+	is.Equal(received().Prefixes, []uint64{9})
 	report(3, 2*PrefixInterval)
-	is.Equal(len(heard().Prefixes), 0) // the engine has forgotten them
+	is.Equal(len(received().Prefixes), 0) // the engine has evicted them
 }
--- a/pkg/agent/operators_test.go
+++ b/pkg/agent/operators_test.go
@@ -18,15 +18,16 @@
 	"github.com/lilacweir/lilacweir/pkg/header"
 )
 
-// refusals is how many connections must have been refused for the agent to have
-// had the time to end, had it not waited.
-const refusals = 2000
+// minRefusals is the number of refused connections after which an agent that did
+// not wait for open requests would have stopped.
+const minRefusals = 2000
 
-// A request that an operator has begun is answered although the agent stops.
-func TestStoppingAgentAnswersWhatWasBegun(t *testing.T) {
+// A request that an operator has begun to send is answered although the agent
+// stops.
+func TestStoppingAgentAnswersRequestsInProgress(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 7, 1)
-	r.write(accepted(1))
+	r := newHarness(t, 7, 1)
+	r.write(acceptedHead(1))
 	r.start("a-1")
 	r.wait("a-1", "revision 1 in force", func(a *Agent) bool { return inForce(a, 1) == 1 })
 	address := r.nodes["a-1"].settings.Agent.Operators
@@ -39,12 +40,12 @@
 	reader := bufio.NewReader(conn)
 	line, err := reader.ReadString('\n')
 	is.NoErr(err)
-	is.Equal(line, "HTTP/1.1 100 Continue\r\n") // the handler reads
+	is.Equal(line, "HTTP/1.1 100 Continue\r\n") // the handler reads the body
 	_, err = reader.ReadString('\n')
 	is.NoErr(err)
 
 	r.nodes["a-1"].cancel()
-	for refused := 0; refused < refusals; {
+	for refused := 0; refused < minRefusals; {
 		probe, err := net.Dial("tcp", address)
 		if err != nil {
 			refused++
@@ -52,7 +53,7 @@
 		}
 		_ = probe.Close()
 	}
-	is.Equal(len(r.nodes["a-1"].ended), 0) // it waits for what was begun
+	is.Equal(len(r.nodes["a-1"].ended), 0) // the agent waits for the open request
 	_, err = fmt.Fprint(conn, "st")
 	is.NoErr(err)
 	response, err := http.ReadResponse(reader, nil)
@@ -61,11 +62,11 @@
 	is.NoErr(response.Body.Close())
 }
 
-// What a stranger sends to apply is not waited for, nor held in memory.
-func TestStrangersDeclarationIsNotRead(t *testing.T) {
+// The body of an unauthenticated apply is neither waited for nor held in memory.
+func TestUnauthenticatedDeclarationIsNotRead(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 8, 1)
-	r.write(accepted(1))
+	r := newHarness(t, 8, 1)
+	r.write(acceptedHead(1))
 	r.start("a-1")
 	r.wait("a-1", "revision 1 in force", func(a *Agent) bool { return inForce(a, 1) == 1 })
 	conn, err := net.Dial("tcp", r.nodes["a-1"].settings.Agent.Operators)
@@ -80,7 +81,7 @@
 	is.NoErr(response.Body.Close())
 }
 
-func TestBodyOfALineIsReadWhole(t *testing.T) {
+func TestCommandBodyMustBeReadWhole(t *testing.T) {
 	tests := []struct {
 		name string
 		body io.Reader
--- a/pkg/agent/tend.go
+++ b/pkg/agent/reconcile.go
@@ -14,20 +14,20 @@
 	"github.com/lilacweir/lilacweir/pkg/settings"
 )
 
-// Timing of the end.
+// Timing of the shutdown.
 const (
-	// LeaveTimeout bounds what is said when leaving.
+	// LeaveTimeout bounds the goodbye calls to peers.
 	LeaveTimeout = time.Second
-	// GatewayNotice is how long a stopping agent waits to see whether its gateway
-	// is stopping too.
-	GatewayNotice = 2 * time.Second
+	// GatewayLeavingWait is the time that a stopping agent waits to see whether its
+	// gateway is stopping too.
+	GatewayLeavingWait = 2 * time.Second
 )
 
-// tend keeps the blackboard up to date and the sets of jobs right.
-func (a *Agent) tend(ctx context.Context) {
-	jobs := newDuties()
+// reconcileLoop keeps the blackboard and the set of running jobs up to date.
+func (a *Agent) reconcileLoop(ctx context.Context) {
+	jobs := newJobSet()
 	defer jobs.stop()
-	ticker := time.NewTicker(TendInterval)
+	ticker := time.NewTicker(ReconcileInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -42,41 +42,41 @@
 		now := time.Now()
 		a.publish(now)
 		workers := a.mesh.workers(now)
-		wanted := make(map[string]duty)
-		addDuties(wanted, "beat ", a.beatDuties(now))
-		addDuties(wanted, "digest ", a.digestDuties(workers))
-		addDuties(wanted, "poll ", a.pollDuties(workers))
+		wanted := make(map[string]job)
+		addJobs(wanted, "beat ", a.beatJobs(now))
+		addJobs(wanted, "digest ", a.digestJobs(workers))
+		addJobs(wanted, "poll ", a.pollJobs(workers))
 		jobs.sync(ctx, wanted)
 	}
 }
 
-func addDuties(all map[string]duty, kind string, some map[string]duty) {
+func addJobs(all map[string]job, kind string, some map[string]job) {
 	for name, run := range some {
 		all[kind+name] = run
 	}
 }
 
-// publish writes the sections that have changed. The gateway is told at once of
-// who is there and who is leaving; loads change all the time, its own with each
-// request, and go with the next exchange that is due.
+// publish stores the sections that have changed. Changes of membership and of
+// states trigger an exchange with the gateway at once; loads change with each
+// request, and are sent with the next exchange that is due.
 func (a *Agent) publish(now time.Time) {
 	a.publishPlatform(now)
 	members, upstreams, domains := a.mesh.snapshot(now, a.ownUpstreams())
-	urgent := !sameStanding(a.board.Members.Load(), members) || !sameStates(a.board.Upstreams.Load(), upstreams)
-	store(&a.board.Members, members, sameMembers, a.stale(now, &a.published.members))
-	store(&a.board.Upstreams, upstreams, sameUpstreams, a.stale(now, &a.published.upstreams))
-	store(&a.board.Domains, domains, sameDomains, a.stale(now, &a.published.domains))
+	urgent := !sameMembership(a.board.Members.Load(), members) || !sameStates(a.board.Upstreams.Load(), upstreams)
+	store(&a.board.Members, members, sameMembers, a.refreshDue(now, &a.published.members))
+	store(&a.board.Upstreams, upstreams, sameUpstreams, a.refreshDue(now, &a.published.upstreams))
+	store(&a.board.Domains, domains, sameDomains, a.refreshDue(now, &a.published.domains))
 	if urgent {
 		a.exchange.raise()
 	}
 }
 
-// published is when each section was stored last.
+// published holds the time at which each section was last stored.
 type published struct{ members, upstreams, domains time.Time }
 
-// stale says whether a section is due to be stored even when nothing but its
-// ages changed.
-func (a *Agent) stale(now time.Time, last *time.Time) func(stored bool) bool {
+// refreshDue returns a function that reports whether a section is due to be stored
+// although only its timestamps changed.
+func (a *Agent) refreshDue(now time.Time, last *time.Time) func(stored bool) bool {
 	return func(stored bool) bool {
 		if stored {
 			*last = now
@@ -85,7 +85,7 @@
 	}
 }
 
-// store swaps a section when its content changed, or when it is due.
+// store replaces a section if its content changed or it is due.
 func store[T any](section *board.Section[T], value *T, same func(a, b *T) bool, due func(stored bool) bool) {
 	before := section.Load()
 	if before == nil || !same(before, value) || due(false) {
@@ -94,9 +94,9 @@
 	}
 }
 
-// sameStanding says whether the same instances are there, in the same state and
-// the same lives.
-func sameStanding(a, b *board.Members) bool {
+// sameMembership reports whether both sections have the same instances, equal in
+// all but their last heartbeat and load; of the load only the successor counts.
+func sameMembership(a, b *board.Members) bool {
 	return a != nil && slices.EqualFunc(a.Instances, b.Instances, func(x, y board.Instance) bool {
 		x.LastHeard, y.LastHeard = time.Time{}, time.Time{}
 		successor := x.Load.Successor == y.Load.Successor
@@ -105,7 +105,8 @@
 	})
 }
 
-// sameStates says whether the same upstreams are there, in the same state.
+// sameStates reports whether both sections have the same upstreams in the same
+// states.
 func sameStates(a, b *board.Upstreams) bool {
 	return a != nil && maps.EqualFunc(a.ByName, b.ByName, func(x, y board.UpstreamLoad) bool { return x.State == y.State })
 }
@@ -139,7 +140,7 @@
 	return true
 }
 
-// ownUpstreams names the upstreams of the own domain.
+// ownUpstreams returns the names of the own domain's upstreams.
 func (a *Agent) ownUpstreams() []string {
 	head := a.keeper.Head()
 	if head == nil {
@@ -154,23 +155,23 @@
 	return names
 }
 
-// leave takes the instance out: it is marked as leaving everywhere, a gateway
-// that is leaving too is given the time to end its streams, and then the domain
-// is told goodbye.
+// leave takes the instance out of service: it is marked as leaving everywhere, a
+// gateway that is leaving too is given the time to end its streams, and then the
+// agent says goodbye to its peers.
 func (a *Agent) leave(ctx context.Context) {
 	a.Log.Info().Msg("leaving")
-	a.mesh.leaving(time.Now())
+	a.mesh.setLeaving(time.Now())
 	a.wakePeers()
 	if a.Directory != nil {
-		if err := a.tellDirectory(ctx, false); err != nil {
+		if err := a.updateDirectory(ctx, false); err != nil {
 			a.Log.Warn().Err(err).Msg("deregistration-failed")
 		}
 	}
 	a.awaitGateway(ctx)
-	a.sayGoodbye(ctx)
+	a.sendGoodbye(ctx)
 }
 
-// drainLimit is how long the gateway may take to end its streams.
+// drainLimit returns the time that the gateway may take to end its streams.
 func (a *Agent) drainLimit() time.Duration {
 	if drain := a.Settings.Gateway.Drain; drain > 0 {
 		return drain
@@ -180,17 +181,17 @@
 
 // awaitGateway waits while the own gateway is leaving.
 func (a *Agent) awaitGateway(ctx context.Context) {
-	notice := time.Now().Add(GatewayNotice)
-	limit := time.Now().Add(a.drainLimit())
-	for time.Now().Before(limit) && clock.Sleep(ctx, ReadinessCheck) {
+	leaveDeadline := time.Now().Add(GatewayLeavingWait)
+	drainDeadline := time.Now().Add(a.drainLimit())
+	for time.Now().Before(drainDeadline) && clock.Sleep(ctx, ReadinessCheck) {
 		up, reply := a.gateway.state()
-		if !up || (!reply.Leaving && time.Now().After(notice)) {
+		if !up || (!reply.Leaving && time.Now().After(leaveDeadline)) {
 			return
 		}
 	}
 }
 
-func (a *Agent) sayGoodbye(ctx context.Context) {
+func (a *Agent) sendGoodbye(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, LeaveTimeout)
 	defer cancel()
 	args := &control.Goodbye{From: a.Settings.Instance, Epoch: a.Epoch}
--- a/pkg/agent/ask.go
+++ b/pkg/agent/remote.go
@@ -18,29 +18,29 @@
 	"github.com/lilacweir/lilacweir/pkg/spread"
 )
 
-// Bounds of questions that are passed on.
+// Bounds of operators' commands that are passed on.
 const (
-	// AskTimeout bounds a question to another failure domain, WhyTimeout one to a
-	// gateway about a request.
+	// AskTimeout bounds a command passed to another failure domain, WhyTimeout the
+	// lookup of a request at a gateway.
 	AskTimeout = 3 * time.Second
 	WhyTimeout = 2 * time.Second
-	// whyAtOnce bounds the gateways that are asked at the same time.
-	whyAtOnce = 32
+	// maxConcurrentWhy bounds the gateways that are queried concurrently.
+	maxConcurrentWhy = 32
 )
 
-// CutOffError: no agent of a failure domain answered.
-type CutOffError struct {
+// UnreachableError means that no agent of a failure domain answered.
+type UnreachableError struct {
 	Domain string
 	Err    error
 }
 
 // Error implements error.
-func (e *CutOffError) Error() string { return e.Domain + " is cut off from here" }
+func (e *UnreachableError) Error() string { return e.Domain + " is cut off from here" }
 
-// Unwrap returns the last cause; nil when no address is known.
-func (e *CutOffError) Unwrap() error { return e.Err }
+// Unwrap returns the last cause, or nil if no address is known.
+func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// newExecutor returns what answers operators' lines.
+// newExecutor returns the executor of operators' commands.
 func (a *Agent) newExecutor() *command.Executor {
 	pause := func(ctx context.Context, wait time.Duration) error {
 		clock.Sleep(ctx, wait)
@@ -60,7 +60,7 @@
 	}
 }
 
-// remote asks other instances.
+// remote passes operators' commands to other instances.
 type remote struct{ agent *Agent }
 
 // Ask implements command.Remote.
@@ -68,7 +68,7 @@
 	a := r.agent
 	ctx, cancel := context.WithTimeout(ctx, AskTimeout)
 	defer cancel()
-	cut := &CutOffError{Domain: domain}
+	unreachable := &UnreachableError{Domain: domain}
 	for _, address := range a.addressesOf(domain) {
 		var reply control.AskReply
 		args := control.AskArgs{Operator: operator, Line: line}
@@ -76,22 +76,22 @@
 		if err == nil {
 			return command.Reply{Verdict: command.Verdict(reply.Verdict), Text: reply.Text}, nil
 		}
-		cut.Err = err
+		unreachable.Err = err
 	}
-	return command.Reply{}, cut
+	return command.Reply{}, unreachable
 }
 
-// Why implements command.Remote. Every gateway is asked, as a request may have
+// Why implements command.Remote. It queries every gateway, as a request may have
 // passed through several.
 func (r *remote) Why(ctx context.Context, requestID string) ([]string, int, error) {
 	ctx, cancel := context.WithTimeout(ctx, WhyTimeout)
 	defer cancel()
 	var group errgroup.Group
-	group.SetLimit(whyAtOnce)
+	group.SetLimit(maxConcurrentWhy)
 	var mu sync.Mutex
 	var lines []string
 	unreached := 0
-	for _, instance := range r.agent.everyInstance() {
+	for _, instance := range r.agent.allInstances() {
 		group.Go(func() error {
 			var reply control.WhyReply
 			args := control.WhyArgs{RequestID: requestID}
@@ -111,8 +111,8 @@
 	return lines, unreached, group.Wait()
 }
 
-// everyInstance returns all instances whose addresses are known here.
-func (a *Agent) everyInstance() []board.Instance {
+// allInstances returns all instances that have a known address.
+func (a *Agent) allInstances() []board.Instance {
 	var all []board.Instance
 	if members := a.board.Members.Load(); members != nil {
 		for i := range members.Instances {
@@ -129,10 +129,10 @@
 	return all
 }
 
-// operatorService answers operators' questions that another instance passes on.
+// operatorService runs operators' commands that another instance passes on.
 type operatorService struct{ agent *Agent }
 
-// Ask answers a question; changes are made where the operator is.
+// Ask runs a query; changes are made by the instance that the operator called.
 func (s *operatorService) Ask(args *control.AskArgs, reply *control.AskReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), AskTimeout)
 	defer cancel()
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -1,9 +1,9 @@
-// Package gateway puts the data path of one entry instance together: the
-// blackboard that its agent fills, the routing table compiled from it, and the
-// listeners for callers, other gateways and control calls.
+// Package gateway assembles the data path of one entry instance: the blackboard
+// that its agent fills, the routing table compiled from it, and the listeners for
+// callers, other gateways and control calls.
 //
-// Guarantees: the configuration's revision never goes down; requests read
-// snapshots without a lock; a graceful shutdown cuts no request.
+// Guarantees: the configuration's revision never goes down; requests read snapshots
+// without a lock; a graceful shutdown interrupts no request.
 package gateway
 
 import (
@@ -42,7 +42,7 @@
 	"github.com/lilacweir/lilacweir/pkg/trace"
 )
 
-// traceSize is how many requests Why can tell of.
+// traceSize is the number of requests that Why can look up.
 const traceSize = 4096
 
 // Gateway is the data path of one entry instance.
@@ -73,21 +73,24 @@
 	suspects *suspects
 	client   *relay.Client
 
-	// running ends when the gateway stops, by calling halt.
+	// running is cancelled by halt when the gateway stops.
 	running context.Context
 	halt    context.CancelFunc
 
 	phase atomic.Int32
-	// toldLeaving and toldSuccessor are closed once the agent was told so.
-	toldLeaving, toldSuccessor signal
+	// leavingReported and successorReported are set once a reply to the agent has
+	// carried that.
+	leavingReported, successorReported signal
 }
 
-// Phases of a gateway's life.
+// Phases of a gateway.
 const (
 	phaseServing int32 = iota
-	// phaseLeaving: the domain is being told; requests are still taken.
+	// phaseLeaving is the time in which the domain is notified and requests are still
+	// accepted.
 	phaseLeaving
-	// phaseDraining: new requests are refused, running ones end.
+	// phaseDraining is the time in which new requests are refused and running ones
+	// end.
 	phaseDraining
 )
 
@@ -114,8 +117,8 @@
 		quota:       quota.NewGate(system),
 		client:      relay.NewClient(network.DialPlain, network.Dial),
 
-		toldLeaving:   newSignal(),
-		toldSuccessor: newSignal(),
+		leavingReported:   newSignal(),
+		successorReported: newSignal(),
 	}
 	g.running, g.halt = context.WithCancel(context.Background())
 	g.suspects = newSuspects(g.running, g.client.Probe)
@@ -126,7 +129,7 @@
 	return g
 }
 
-// claimOptions says how this gateway decides idempotency keys.
+// claimOptions returns the options by which this gateway decides idempotency keys.
 func (g *Gateway) claimOptions(keyValue platform.KeyValue) claim.Options {
 	return claim.Options{
 		Self:     claim.Origin{Domain: g.settings.Domain, Instance: g.settings.Instance, Incarnation: g.incarnation},
@@ -140,7 +143,7 @@
 	}
 }
 
-// keyTTL is how long an idempotency key may be used.
+// keyTTL returns the lifetime of an idempotency key.
 func (g *Gateway) keyTTL() time.Duration {
 	head := g.board.Config.Load()
 	if head == nil || head.Declaration.Policy.KeyTTL == 0 {
@@ -149,40 +152,40 @@
 	return head.Declaration.Policy.KeyTTL.Std()
 }
 
-// listeners are the three doors of a gateway.
+// listeners holds the three listeners of a gateway.
 type listeners struct {
 	callers, peers net.Listener
 	control        *control.Server
 }
 
-// Run serves until ctx ends, then leaves gracefully. It returns nil after a
-// graceful end.
+// Run serves until ctx ends, then shuts down gracefully. It returns nil after a
+// graceful shutdown.
 func (g *Gateway) Run(ctx context.Context) error {
-	doors, err := g.listen()
+	sockets, err := g.listen()
 	if err != nil {
 		return err
 	}
-	if err := g.register(doors.control); err != nil {
-		return errors.Join(err, doors.close())
+	if err := g.register(sockets.control); err != nil {
+		return errors.Join(err, sockets.close())
 	}
 	server := g.newServer()
 	callers, peers := server.Callers(), server.Peers()
 	callers.ErrorLog, peers.ErrorLog = logging.ServerErrors(g.log), logging.ServerErrors(g.log)
 	defer g.halt()
 	group, failed := errgroup.WithContext(g.running)
-	group.Go(func() error { return serve(callers, doors.callers) })
-	group.Go(func() error { return serve(peers, doors.peers) })
-	group.Go(func() error { doors.control.Serve(); return nil })
+	group.Go(func() error { return serve(callers, sockets.callers) })
+	group.Go(func() error { return serve(peers, sockets.peers) })
+	group.Go(func() error { sockets.control.Serve(); return nil })
 	group.Go(func() error { g.compileLoop(failed); return nil })
 	group.Go(func() error { g.network.Credentials().Run(failed, g.log); return nil })
-	g.log.Info().Str("callers", doors.callers.Addr().String()).Msg("ready")
+	g.log.Info().Str("callers", sockets.callers.Addr().String()).Msg("ready")
 	select {
 	case <-ctx.Done():
 	case <-failed.Done():
 	}
 	g.leave(callers, peers)
 	g.halt()
-	err = doors.control.Close()
+	err = sockets.control.Close()
 	g.peers.Close()
 	g.client.Close()
 	g.log.Info().Msg("stopped")
@@ -196,23 +199,23 @@
 	return nil
 }
 
-func (g *Gateway) listen() (doors listeners, err error) {
+func (g *Gateway) listen() (sockets listeners, err error) {
 	addresses := g.settings.Gateway
-	if doors.callers, err = g.network.ListenPublic(addresses.Callers, addresses.CallersTLS, maxConnections); err != nil {
-		return doors, fmt.Errorf("listen for callers: %w", err)
+	if sockets.callers, err = g.network.ListenPublic(addresses.Callers, addresses.CallersTLS, maxConnections); err != nil {
+		return sockets, fmt.Errorf("listen for callers: %w", err)
 	}
-	if doors.peers, err = g.network.Listen(addresses.Peers); err != nil {
-		return doors, errors.Join(fmt.Errorf("listen for gateways: %w", err), doors.close())
+	if sockets.peers, err = g.network.Listen(addresses.Peers); err != nil {
+		return sockets, errors.Join(fmt.Errorf("listen for gateways: %w", err), sockets.close())
 	}
-	if doors.control, err = control.NewServer(g.network, addresses.Control); err != nil {
-		return doors, errors.Join(fmt.Errorf("listen for control: %w", err), doors.close())
+	if sockets.control, err = control.NewServer(g.network, addresses.Control); err != nil {
+		return sockets, errors.Join(fmt.Errorf("listen for control: %w", err), sockets.close())
 	}
-	doors.peers = netutil.LimitListener(doors.peers, maxConnections)
-	return doors, nil
+	sockets.peers = netutil.LimitListener(sockets.peers, maxConnections)
+	return sockets, nil
 }
 
 // maxConnections bounds the open connections of callers, and of other gateways.
-// Further ones wait to be accepted; idle and slow ones are closed in time.
+// Further ones wait to be accepted; idle and slow ones are closed by timeouts.
 const maxConnections = 8192
 
 func (l listeners) close() error {
--- a/pkg/gateway/leave.go
+++ b/pkg/gateway/leave.go
@@ -12,19 +12,19 @@
 
 // Times of a graceful shutdown.
 const (
-	// drainPoll is how often the end of running requests is looked for.
+	// drainPoll is how often the number of running requests is checked.
 	drainPoll = 20 * time.Millisecond
-	// closeTimeout bounds the closing of connections once requests have ended.
+	// closeTimeout bounds the closing of connections after requests have ended.
 	closeTimeout = 2 * time.Second
 )
 
-// leave takes the gateway out of service: the domain and callers are told first,
-// while requests are still taken; then new requests are refused as not run, and
+// leave takes the gateway out of service: it notifies the domain and callers while
+// requests are still accepted; then new requests are refused as not run, and
 // running ones end.
 func (g *Gateway) leave(servers ...*http.Server) {
 	g.phase.Store(phaseLeaving)
 	g.log.Info().Msg("leaving")
-	g.awaitNotice()
+	g.awaitPropagation()
 	g.phase.Store(phaseDraining)
 	g.log.Info().Int64("active", g.metrics.Active.Count()).Msg("draining")
 	g.awaitRequests()
@@ -39,39 +39,39 @@
 	}
 }
 
-// awaitNotice waits until the lists that callers hold have run out, and for the
-// agent to have learned of the leaving, if it asks at all.
-func (g *Gateway) awaitNotice() {
+// awaitPropagation waits until the lists that callers hold have expired, and until
+// the agent has learned that the gateway is leaving, if it calls at all.
+func (g *Gateway) awaitPropagation() {
 	<-time.After(instancesValid)
-	g.toldLeaving.await(agentTimeout)
+	g.leavingReported.wait(agentTimeout)
 }
 
-// agentTimeout bounds the wait for an agent that may be gone.
+// agentTimeout bounds the wait for an agent that may have stopped.
 const agentTimeout = 500 * time.Millisecond
 
-// noteTold records what a reply tells the agent.
-func (g *Gateway) noteTold(reply *control.ExchangeReply) {
+// recordReported records what a reply reports to the agent.
+func (g *Gateway) recordReported(reply *control.ExchangeReply) {
 	if reply.Leaving {
-		g.toldLeaving.give()
+		g.leavingReported.set()
 	}
 	if reply.Load.Successor != "" {
-		g.toldSuccessor.give()
+		g.successorReported.set()
 	}
 }
 
-// signal is given once.
+// signal can be set once and waited for.
 type signal struct {
-	once  *sync.Once
-	given chan struct{}
+	once *sync.Once
+	done chan struct{}
 }
 
-func newSignal() signal { return signal{once: new(sync.Once), given: make(chan struct{})} }
+func newSignal() signal { return signal{once: new(sync.Once), done: make(chan struct{})} }
 
-func (s signal) give() { s.once.Do(func() { close(s.given) }) }
+func (s signal) set() { s.once.Do(func() { close(s.done) }) }
 
-func (s signal) await(bound time.Duration) {
+func (s signal) wait(bound time.Duration) {
 	select {
-	case <-s.given:
+	case <-s.done:
 	case <-time.After(bound):
 	}
 }
@@ -95,11 +95,11 @@
 	}
 }
 
-// handoverTimeout bounds the passing on of idempotency keys.
+// handoverTimeout bounds the handover of idempotency keys.
 const handoverTimeout = 5 * time.Second
 
-// handOver passes the idempotency keys on to a peer. Without one, repeats are
-// answered from copies, or as unknown.
+// handOver transfers the idempotency keys to a peer. Without one, repeated requests
+// are answered from copies, or as unknown.
 func (g *Gateway) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
@@ -109,5 +109,5 @@
 		return
 	}
 	g.log.Info().Str("successor", successor.Instance).Msg("keys-handed-over")
-	g.toldSuccessor.await(agentTimeout)
+	g.successorReported.wait(agentTimeout)
 }
--- a/pkg/gateway/suspects.go
+++ b/pkg/gateway/suspects.go
@@ -11,7 +11,7 @@
 	"github.com/lilacweir/lilacweir/pkg/board"
 )
 
-// Times of looking for a way to other domains' gateways.
+// Timing of probes of other domains' gateways.
 const (
 	// probeTimeout bounds one probe: several round trips between regions.
 	probeTimeout = time.Second
@@ -19,29 +19,29 @@
 	probeInterval = 500 * time.Millisecond
 )
 
-// suspects holds the gateways of other domains that did not answer from here. They
-// get no requests until a probe has reached them: a digest can be fresh although
-// the link to its domain is cut, when a third domain passes it on, and a request
+// suspects holds the gateways of other domains that did not answer this gateway.
+// They get no requests until a probe has succeeded: a digest can be fresh although
+// the link to its domain is broken, when a third domain passes it on, and a request
 // that may not be repeated must not serve as the probe.
 type suspects struct {
 	mu sync.Mutex
-	// names maps target names to what is thought of them.
+	// names maps target names to their suspicion.
 	names map[string]suspicion
-	// out is a copy of names for requests, which take no lock; nil when empty.
-	out   atomic.Pointer[map[string]suspicion]
-	probe func(ctx context.Context, address string) error
-	// running is done when the gateway stops.
+	// excluded is a copy of names for requests, which take no lock; nil if empty.
+	excluded atomic.Pointer[map[string]suspicion]
+	probe    func(ctx context.Context, address string) error
+	// running is cancelled when the gateway stops.
 	running context.Context
 }
 
-// suspicion is what is thought of a gateway that is being probed.
+// suspicion is the state of a gateway that is being probed.
 type suspicion int
 
 const (
-	// doubted: another gateway of its domain fell silent. Only requests that were
-	// tried there already are sent.
-	doubted suspicion = iota + 1
-	// unreachable: it did not answer.
+	// suspected means that another gateway of its domain became unresponsive. It gets
+	// only requests that have been attempted before.
+	suspected suspicion = iota + 1
+	// unreachable means that it did not answer.
 	unreachable
 )
 
@@ -49,27 +49,27 @@
 	return &suspects{names: make(map[string]suspicion), probe: probe, running: running}
 }
 
-// of returns what is thought of a gateway; zero when nothing speaks against it.
-func (s *suspects) of(target string) suspicion {
-	out := s.out.Load()
-	if out == nil {
+// suspicionOf returns a gateway's suspicion; zero if there is none.
+func (s *suspects) suspicionOf(target string) suspicion {
+	excluded := s.excluded.Load()
+	if excluded == nil {
 		return 0
 	}
-	return (*out)[target]
+	return (*excluded)[target]
 }
 
 // publish makes names visible to requests. Callers hold s.mu.
 func (s *suspects) publish() {
 	if len(s.names) == 0 {
-		s.out.Store(nil)
+		s.excluded.Store(nil)
 		return
 	}
 	names := maps.Clone(s.names)
-	s.out.Store(&names)
+	s.excluded.Store(&names)
 }
 
-// failed marks a gateway that did not answer. One that fell silent casts doubt on
-// its whole domain: the link may be cut.
+// failed marks a gateway that did not answer. If it became unresponsive, the other
+// gateways of its domain become suspected: the link may be broken.
 func (s *suspects) failed(target string, digest *board.DomainDigest, silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,26 +79,27 @@
 		case name == target:
 			s.suspect(name, entry.Addresses.Peers, unreachable)
 		case silent:
-			s.suspect(name, entry.Addresses.Peers, doubted)
+			s.suspect(name, entry.Addresses.Peers, suspected)
 		}
 	}
 	s.publish()
 }
 
-// suspect raises what is thought against a gateway, and sees that it is probed.
-// Callers hold s.mu.
+// suspect raises a gateway's suspicion to at least level, and starts probing it if
+// it was not suspected before. Callers hold s.mu.
 func (s *suspects) suspect(name, address string, level suspicion) {
 	before := s.names[name]
 	s.names[name] = max(before, level)
 	if before == 0 {
-		go s.watch(name, address)
+		go s.probeUntilReached(name, address)
 	}
 }
 
-// watch probes a gateway until it answers.
-func (s *suspects) watch(name, address string) {
+// probeUntilReached probes a gateway until it answers, and then clears its
+// suspicion.
+func (s *suspects) probeUntilReached(name, address string) {
 	for !s.reached(address) {
-		s.set(name)
+		s.setUnreachable(name)
 		select {
 		case <-time.After(probeInterval):
 		case <-s.running.Done():
@@ -111,7 +112,7 @@
 	s.publish()
 }
 
-func (s *suspects) set(name string) {
+func (s *suspects) setUnreachable(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.names[name] = unreachable
@@ -124,27 +125,28 @@
 	return s.probe(ctx, address) == nil
 }
 
-// entriesLeft returns the instances of a domain that a request may be sent to.
+// entriesLeft returns the instances of a domain to which a request may still be
+// sent.
 func (s *suspects) entriesLeft(digest *board.DomainDigest, tried []string) []board.Instance {
 	var left []board.Instance
 	for _, entry := range digest.Entries {
 		name := targetName(digest.Domain, entry.Name)
-		thought := s.of(name)
-		out := thought == unreachable || (thought == doubted && len(tried) == 0)
-		if !out && !slices.Contains(tried, name) {
+		level := s.suspicionOf(name)
+		excluded := level == unreachable || (level == suspected && len(tried) == 0)
+		if !excluded && !slices.Contains(tried, name) {
 			left = append(left, entry)
 		}
 	}
 	return left
 }
 
-// exhausted returns the tried targets, and the failure domains that cannot be
-// tried: two of their instances have failed the request, or none is left.
+// exhausted returns the tried targets, and the failure domains that are excluded:
+// two of their instances have failed the request, or none is left.
 func (s *suspects) exhausted(domains *board.Domains, tried []string) []string {
-	if domains == nil || (len(tried) == 0 && s.out.Load() == nil) {
+	if domains == nil || (len(tried) == 0 && s.excluded.Load() == nil) {
 		return tried
 	}
-	out := tried
+	excluded := tried
 	for i := range domains.Remote {
 		digest := &domains.Remote[i]
 		failed := 0
@@ -154,11 +156,12 @@
 			}
 		}
 		if failed >= maxEntriesTried || len(s.entriesLeft(digest, tried)) == 0 {
-			out = append(slices.Clip(out), digest.Domain)
+			excluded = append(slices.Clip(excluded), digest.Domain)
 		}
 	}
-	return out
+	return excluded
 }
 
-// maxEntriesTried is how many instances of one domain a request is sent to.
+// maxEntriesTried is the number of instances of one domain to which a request is
+// sent.
 const maxEntriesTried = 2
--- a/pkg/member/rank_test.go
+++ b/pkg/member/rank_test.go
@@ -30,24 +30,24 @@
 	})
 }
 
-func TestLossMovesOnlyTheLostJobs(t *testing.T) {
+func TestLosingANameMovesOnlyItsJobs(t *testing.T) {
 	is := is.New(t)
 	names := make([]string, 9)
 	for i := range names {
 		names[i] = fmt.Sprintf("node-%d", i)
 	}
 	const jobs = 1000
-	rest := names[1:]
+	others := names[1:]
 	owned := make(map[string]int)
 	for job := range jobs {
 		key := Key("job", fmt.Sprint(job))
-		before, after := Rank(key, names), Rank(key, rest)
+		before, after := Rank(key, names), Rank(key, others)
 		owned[before[0]]++
 		if before[0] == names[0] {
 			is.Equal(after[0], before[1]) // the second takes over
 			continue
 		}
-		is.Equal(after[0], before[0]) // the others keep theirs
+		is.Equal(after[0], before[0]) // the other owners keep their jobs
 	}
 	for _, name := range names {
 		fair := jobs / len(names)
--- a/pkg/member/view_test.go
+++ b/pkg/member/view_test.go
@@ -27,22 +27,22 @@
 
 func identify(epoch, incarnation uint64, leaving bool) func(*View, time.Time) {
 	return func(v *View, now time.Time) {
-		v.Identify(identity("lar-2", epoch, incarnation, leaving), now)
-		v.Heard("lar-2", epoch, 1, now)
+		v.ApplyIdentity(identity("lar-2", epoch, incarnation, leaving), now)
+		v.RecordHeartbeat("lar-2", epoch, 1, now)
 	}
 }
 
 func listed(lines ...Listed) func(*View, time.Time) {
-	return func(v *View, now time.Time) { v.List(lines, now) }
+	return func(v *View, now time.Time) { v.ApplyList(lines, now) }
 }
 
 func TestStates(t *testing.T) {
 	here := Peer{Name: "lar-2", Mesh: "lar-2:8090"}
-	said := func(epoch uint64) func(*View, time.Time) {
+	goodbye := func(epoch uint64) func(*View, time.Time) {
 		return func(v *View, now time.Time) { v.Goodbye("lar-2", epoch, now) }
 	}
 	proposed := func(quiet time.Duration) func(*View, time.Time) {
-		return func(v *View, now time.Time) { v.Propose(Peer{Name: "lar-2", Mesh: "x", Quiet: quiet}, now) }
+		return func(v *View, now time.Time) { v.AddPeer(Peer{Name: "lar-2", Mesh: "x", Quiet: quiet}, now) }
 	}
 	cases := []struct {
 		name  string
@@ -50,12 +50,12 @@
 		at    time.Duration
 		want  board.InstanceState
 	}{
-		{"unheard of", nil, 0, board.InstanceLeft},
+		{"never named", nil, 0, board.InstanceLeft},
 		{"named by the list only", []step{{0, listed(Listed{Peer: here})}}, 0, board.InstanceSilent},
 		{"named by a peer only", []step{{0, proposed(0)}}, 0, board.InstanceSilent},
 		{"heard", []step{{0, identify(1, 1, false)}}, SilentAfter, board.InstanceLive},
-		{"not heard for long", []step{{0, identify(1, 1, false)}}, SilentAfter + 1, board.InstanceSilent},
-		{"heard again", []step{{0, identify(1, 1, false)}, {time.Minute, identify(1, 1, false)}}, time.Minute, board.InstanceLive},
+		{"no heartbeat for too long", []step{{0, identify(1, 1, false)}}, SilentAfter + 1, board.InstanceSilent},
+		{"heartbeat received after silence", []step{{0, identify(1, 1, false)}, {time.Minute, identify(1, 1, false)}}, time.Minute, board.InstanceLive},
 		{"silent for an hour but listed", []step{
 			{0, listed(Listed{Peer: here})}, {0, identify(1, 1, false)},
 		}, time.Hour, board.InstanceSilent},
@@ -65,34 +65,34 @@
 		{"silent and not listed, after the bound", []step{
 			{0, identify(1, 1, false)}, {time.Second, listed()},
 		}, ForgetAfter, board.InstanceLeft},
-		{"forgotten and then named by one that has not yet", []step{
+		{"removed and then named by a peer that has not removed it", []step{
 			{0, identify(1, 1, false)}, {time.Second, listed()}, {ForgetAfter, proposed(ForgetAfter)},
 		}, ForgetAfter, board.InstanceLeft},
-		{"leaving by its own word", []step{{0, identify(1, 1, true)}}, 0, board.InstanceLeaving},
-		{"a live word after the leaving mark", []step{
+		{"leaving by its own report", []step{{0, identify(1, 1, true)}}, 0, board.InstanceLeaving},
+		{"a live report after the leaving mark", []step{
 			{0, identify(1, 1, true)}, {1, identify(1, 1, false)},
 		}, 1, board.InstanceLeaving},
 		{"leaving by the list", []step{
 			{0, identify(1, 1, false)}, {1, listed(Listed{Peer: here, Leaving: true})}, {2, identify(1, 1, false)},
 		}, 2, board.InstanceLeaving},
-		{"started anew while the list lags", []step{
+		{"restarted while the list lags", []step{
 			{0, identify(1, 1, false)}, {1, listed(Listed{Peer: here, Leaving: true})},
 			{2, identify(2, 2, false)}, {3, listed(Listed{Peer: here, Leaving: true})},
 		}, 3, board.InstanceLive},
-		{"only its gateway started anew", []step{
+		{"only its gateway restarted", []step{
 			{0, identify(1, 1, true)}, {1, identify(1, 0, false)}, {2, identify(1, 2, false)},
 		}, 2, board.InstanceLive},
-		{"goodbye", []step{{0, identify(1, 1, true)}, {1, said(1)}}, 1, board.InstanceLeft},
+		{"goodbye", []step{{0, identify(1, 1, true)}, {1, goodbye(1)}}, 1, board.InstanceLeft},
 		{"a late message after the goodbye", []step{
-			{0, identify(1, 1, true)}, {1, said(1)}, {2, identify(1, 1, false)}, {2, proposed(0)},
+			{0, identify(1, 1, true)}, {1, goodbye(1)}, {2, identify(1, 1, false)}, {2, proposed(0)},
 		}, 2, board.InstanceLeft},
-		{"started anew after the goodbye", []step{
-			{0, identify(1, 1, true)}, {1, said(1)}, {2, identify(2, 2, false)},
+		{"restarted after the goodbye", []step{
+			{0, identify(1, 1, true)}, {1, goodbye(1)}, {2, identify(2, 2, false)},
 		}, 2, board.InstanceLive},
-		{"a late goodbye of a former life", []step{
-			{0, identify(1, 1, false)}, {1, identify(2, 2, false)}, {2, said(1)},
+		{"a late goodbye of an earlier epoch", []step{
+			{0, identify(1, 1, false)}, {1, identify(2, 2, false)}, {2, goodbye(1)},
 		}, 2, board.InstanceLive},
-		{"a late message of a former life", []step{
+		{"a late message of an earlier epoch", []step{
 			{0, identify(2, 2, false)}, {SilentAfter + 1, identify(1, 1, false)},
 		}, SilentAfter + 1, board.InstanceSilent},
 	}
@@ -107,12 +107,12 @@
 			now := start.Add(c.at)
 			v.Forget(now)
 			is.Equal(v.State("lar-2", now), c.want)
-			is.Equal(v.State("lar-1", now), board.InstanceLive) // self is not forgotten
+			is.Equal(v.State("lar-1", now), board.InstanceLive) // self is not removed
 		})
 	}
 }
 
-func TestSilentInstanceStaysCounted(t *testing.T) {
+func TestSilentInstanceStaysInTheViewButOwnsNoJobs(t *testing.T) {
 	is := is.New(t)
 	v := NewView(identity("lar-1", 1, 1, false), start)
 	identify(1, 1, false)(v, start)
@@ -121,9 +121,8 @@
 	is.Equal(v.Workers(later), []string{"lar-1"}) // but owns no job
 }
 
-// Whatever is heard in whatever order, a mark that was set for a life of the
-// instance is not lost while that life lasts.
-func TestLeavingWinsInAnyOrder(t *testing.T) {
+// Messages in any order do not clear a mark within the epoch for which it was set.
+func TestLeavingMarkHoldsForItsEpochInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewView(identity("lar-1", 1, 1, false), start)
 		marked := uint64(0)
