--- a/pkg/edge/job.go
+++ b/pkg/edge/job.go
@@ -118,7 +118,7 @@
 			return j.giveUp(refusal)
 		}
 		next, refusal := j.next()
-		if refusal != nil && j.starting() && j.gossip.Unheard() {
+		if refusal != nil && j.starting() && j.gossip.HasUnreachableDomain() {
 			next = j.nextAtStart(ctx)
 		}
 		if next == nil && j.awaitRoom(ctx, refusal) {
--- a/pkg/edge/start.go
+++ b/pkg/edge/start.go
@@ -60,7 +60,7 @@
 // just begun and does not hear all others.
 func (j *job) nextAtStart(ctx context.Context) (chosen *target) {
 	j.await(ctx, func() bool {
-		if !j.gossip.Unheard() {
+		if !j.gossip.HasUnreachableDomain() {
 			return true
 		}
 		chosen, _ = j.next()
--- a/pkg/edge/start_test.go
+++ b/pkg/edge/start_test.go
@@ -43,7 +43,7 @@
 	view := &fleet.View{Instances: []fleet.Instance{{Name: "s-1", Domain: "s-a", Region: "south"}}}
 	view.Index()
 	b.edge.board.Fleet.Store(view)
-	b.is.True(b.edge.gossip.Unheard())
+	b.is.True(b.edge.gossip.HasUnreachableDomain())
 	replies := b.pending()
 	b.eventually("it waits for the other region", func() bool { return b.edge.active.Load() == 1 })
 	empty := &fleet.View{}
--- a/pkg/peer/gossip.go
+++ b/pkg/peer/gossip.go
@@ -212,7 +212,7 @@
 		}
 		g.leads.Store(!g.large() || g.hub() == g.options.Self.Name)
 		g.exchangeNear(ctx)
-		if regions := g.farWanted.Swap(false) || g.Unheard(); (regions || !early) && g.hub() == g.options.Self.Name {
+		if regions := g.farWanted.Swap(false) || g.HasUnreachableDomain(); (regions || !early) && g.hub() == g.options.Self.Name {
 			regions = regions || !now.Before(far)
 			if regions {
 				far = now.Add(farPause)
@@ -224,11 +224,11 @@
 	}
 }
 
-// Unheard says whether there is a registered domain that is not heard. It is asked in each
+// HasUnreachableDomain says whether there is a registered domain that is not heard. It is asked in each
 // round: an instance that begins far from the store is told where the others are after
 // its first rounds, and a further 0.6 s until the next round for other regions cost half
 // of the requests that came meanwhile for want of a region that might process them.
-func (g *Gossip) Unheard() bool {
+func (g *Gossip) HasUnreachableDomain() bool {
 	others := g.registered()
 	now := g.options.Clock.Now()
 	g.mu.Lock()
--- a/pkg/peer/gossip_test.go
+++ b/pkg/peer/gossip_test.go
@@ -400,9 +400,9 @@
 	view := &fleet.View{Instances: []fleet.Instance{{Name: "south-a-0", Domain: "south-a", Region: "south", Gossip: "127.0.0.1:1"}}}
 	view.Index()
 	m.nodes["north-a-0"].fleet.Store(view)
-	m.is.True(g.Unheard())
+	m.is.True(g.HasUnreachableDomain())
 	g.takeDigest(Digest{Domain: "south-a", Region: "south"}, time.Now())
-	m.is.True(!g.Unheard())
+	m.is.True(!g.HasUnreachableDomain())
 }
 
 // TestWhatAnInstanceOfALargeDomainIsToldStaysSmall: sixteen instances have work at each of
