--- a/pkg/edge/warmth.go
+++ b/pkg/edge/warmth.go
@@ -101,6 +101,6 @@
 // isCutOff says whether neither the store nor another region was heard lately. An instance that
 // has never heard another region cannot tell.
 func (e *Edge) isCutOff(now time.Time) bool {
-	abroad := e.gossip.View().Load().HeardAbroad()
+	abroad := e.gossip.View().Load().OtherRegionHeardAt()
 	return !abroad.IsZero() && now.Sub(abroad) > cutOffAfter && now.Sub(e.store.Reached()) > cutOffAfter
 }
--- a/pkg/peer/state.go
+++ b/pkg/peer/state.go
@@ -219,9 +219,9 @@
 	return loads
 }
 
-// HeardAbroad is when another region was last heard of, directly or through a hub, by this process's
+// OtherRegionHeardAt is when another region was last heard of, directly or through a hub, by this process's
 // clock; zero: never.
-func (v *View) HeardAbroad() time.Time {
+func (v *View) OtherRegionHeardAt() time.Time {
 	if v == nil {
 		return time.Time{}
 	}
