--- a/pkg/peer/state.go
+++ b/pkg/peer/state.go
@@ -138,9 +138,9 @@
 	at   time.Time
 }
 
-// Near returns how many other instances the own region has, and how old on the average
+// RegionPeers returns how many other instances the own region has, and how old on the average
 // what they told of their work is by now.
-func (v *View) Near(now time.Time) (others int, age time.Duration) {
+func (v *View) RegionPeers(now time.Time) (others int, age time.Duration) {
 	if v == nil {
 		return 0, 0
 	}
--- a/pkg/steer/plain.go
+++ b/pkg/steer/plain.go
@@ -86,7 +86,7 @@
 	if here.Usable <= 1 {
 		return 1
 	}
-	others, age := w.Peers.Near(w.Now)
+	others, age := w.Peers.RegionPeers(w.Now)
 	own := 1 / float64(1+others)
 	return own + (1-own)*stays(age, w.Pace.Of(service))
 }
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -161,7 +161,7 @@
 	forecast := w.Estimates.Forecast(req.Service.Name, w.Now)
 	unseen := w.unseen(req.Service.Name, len(upstreams))
 	others, mean := w.told(upstreams)
-	_, age := w.Peers.Near(w.Now)
+	_, age := w.Peers.RegionPeers(w.Now)
 	for i, upstream := range upstreams {
 		survey.Known++
 		if !w.usable(upstream) {
@@ -265,7 +265,7 @@
 	if engines == 0 {
 		return 0
 	}
-	others, age := w.Peers.Near(w.Now)
+	others, age := w.Peers.RegionPeers(w.Now)
 	return w.Flow.Of(service, w.Now) * float64(others) / float64(engines) * age.Seconds()
 }
 
