--- a/pkg/edge/leave.go
+++ b/pkg/edge/leave.go
@@ -48,7 +48,7 @@
 	e.leaving.Store(leaving)
 	e.log.Info().Int64(event.KeyActive, e.active.Load()).Msg(string(event.Leaving))
 	deregister()
-	e.gossip.Tell(context.Background())
+	e.gossip.ReportNow(context.Background())
 	clock.Sleep(context.Background(), leaving.accept.Sub(e.now()))
 	for e.active.Load() > 0 && e.now().Before(leaving.cut) {
 		clock.Sleep(context.Background(), drainPoll)
--- a/pkg/peer/exchange.go
+++ b/pkg/peer/exchange.go
@@ -66,9 +66,9 @@
 	_ = all.Wait()
 }
 
-// Tell tells everyone of the own domain, and the other domains' hubs, at once: a
+// ReportNow tells everyone of the own domain, and the other domains' hubs, at once: a
 // leaving mark must not wait.
-func (g *Gossip) Tell(ctx context.Context) {
+func (g *Gossip) ReportNow(ctx context.Context) {
 	var all errgroup.Group
 	for _, instance := range g.domain() {
 		all.Go(func() error { g.exchange(ctx, instance, nearTimeout); return nil })
--- a/pkg/peer/gossip_test.go
+++ b/pkg/peer/gossip_test.go
@@ -216,7 +216,7 @@
 		return observer.view() != nil && observer.view().Find("north-a-1") != nil
 	})
 	leaver.leaving.Store(true)
-	leaver.gossip.Tell(t.Context())
+	leaver.gossip.ReportNow(t.Context())
 	observer.gossip.publish()
 	m.is.True(observer.view().Find("north-a-1").Leaving)
 }
