--- a/pkg/edge/quarantine.go
+++ b/pkg/edge/quarantine.go
@@ -16,7 +16,7 @@
 
 // quarantined returns the refusal of a request that is quarantined; nil: it may run.
 func (j *job) quarantined() *outcome.Refusal {
-	if !j.quarantine.Concerns(len(j.body)) {
+	if !j.quarantine.MayContain(len(j.body)) {
 		return nil
 	}
 	retryAfter, refused := j.quarantine.Refuses(j.fingerprint())
@@ -28,7 +28,7 @@
 
 // ranWell clears a request that upstreams had ended under and that has run to a good end.
 func (j *job) ranWell() {
-	if j.quarantine.Concerns(len(j.body)) {
+	if j.quarantine.MayContain(len(j.body)) {
 		j.observe(quarantine.Observation{Request: j.fingerprint()})
 	}
 }
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -97,9 +97,9 @@
 	return &Table{clock: c, entries: make(map[Fingerprint]*entry), lengths: make(map[int]int), explained: make(map[Upstream]time.Time)}
 }
 
-// Concerns says whether a request with a body of a length may be in the table. It costs
+// MayContain says whether a request with a body of a length may be in the table. It costs
 // nothing while the table is empty.
-func (t *Table) Concerns(length int) bool {
+func (t *Table) MayContain(length int) bool {
 	if t.size.Load() == 0 {
 		return false
 	}
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -66,7 +66,7 @@
 	is := is.New(t)
 	table := quarantine.NewTable(clock.System{})
 	is.Equal(table.Observe(quarantine.Observation{Request: request("a")}), quarantine.Known)
-	is.True(!table.Concerns(1)) // a good end alone takes no memory
+	is.True(!table.MayContain(1)) // a good end alone takes no memory
 	for upstream := 1; upstream <= quarantine.EndsToQuarantine; upstream++ {
 		end(table, "a", upstream)
 	}
@@ -153,11 +153,11 @@
 		is := is.New(t)
 		table := quarantine.NewTable(clock.System{})
 		end(table, "a", 1)
-		is.True(table.Concerns(1))
-		is.True(!table.Concerns(2))
+		is.True(table.MayContain(1))
+		is.True(!table.MayContain(2))
 		clock.Sleep(t.Context(), 2*time.Hour)
 		table.Sweep()
-		is.True(!table.Concerns(1))
+		is.True(!table.MayContain(1))
 	})
 }
 
@@ -165,7 +165,7 @@
 	table := quarantine.NewTable(clock.System{})
 	b.ReportAllocs()
 	for b.Loop() {
-		table.Concerns(700)
+		table.MayContain(700)
 	}
 }
 
@@ -174,7 +174,7 @@
 	end(table, "a", 1)
 	b.ReportAllocs()
 	for b.Loop() {
-		table.Concerns(700)
+		table.MayContain(700)
 	}
 }
 
