--- a/pkg/edge/quarantine.go
+++ b/pkg/edge/quarantine.go
@@ -35,7 +35,7 @@
 
 // observe notes what this instance saw of a request, and tells the others if it is news.
 func (e *Edge) observe(seen quarantine.Observation) {
-	change := e.quarantine.Witness(seen)
+	change := e.quarantine.ObserveLocally(seen)
 	if change == quarantine.Known {
 		return
 	}
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -129,8 +129,8 @@
 	return cmp.Or(e.retryAfter, RetryAfter), true
 }
 
-// Witness takes what this instance itself saw.
-func (t *Table) Witness(seen Observation) Change {
+// ObserveLocally takes what this instance itself saw.
+func (t *Table) ObserveLocally(seen Observation) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change := t.observe(seen)
--- a/pkg/quarantine/trials_test.go
+++ b/pkg/quarantine/trials_test.go
@@ -90,7 +90,7 @@
 				third = now
 			}
 			seen := quarantine.Observation{Request: content, Ended: quarantine.UpstreamOf(fmt.Sprint(ends))}
-			g.tables[n].Witness(seen)
+			g.tables[n].ObserveLocally(seen)
 			g.told = append(g.told, heardLater{at: now.Add(heardAfter), from: n, seen: seen})
 		}
 		g.disturb(random, content)
