--- a/pkg/edge/quarantine.go
+++ b/pkg/edge/quarantine.go
@@ -54,7 +54,7 @@
 // an upstream end under it, or run it to a good end.
 func (e *Edge) changed(request quarantine.Fingerprint, change quarantine.Change) {
 	e.noteQuarantine(request, change)
-	if (change == quarantine.Quarantined || change == quarantine.Cleared) && e.quarantine.Witnessed(request) {
+	if (change == quarantine.Quarantined || change == quarantine.Cleared) && e.quarantine.ObservedLocally(request) {
 		e.keepQuarantine(keeping{request: request})
 	}
 }
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -140,8 +140,8 @@
 	return change
 }
 
-// Witnessed says whether this instance itself saw something of what is known of a request.
-func (t *Table) Witnessed(request Fingerprint) bool {
+// ObservedLocally says whether this instance itself saw something of what is known of a request.
+func (t *Table) ObservedLocally(request Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[request]
