--- a/pkg/edge/quarantine.go
+++ b/pkg/edge/quarantine.go
@@ -36,7 +36,7 @@
 // observe notes what this instance saw of a request, and tells the others if it is news.
 func (e *Edge) observe(seen quarantine.Observation) {
 	change := e.quarantine.ObserveLocally(seen)
-	if change == quarantine.Known {
+	if change == quarantine.Unchanged {
 		return
 	}
 	e.changed(seen.Request, change)
@@ -66,7 +66,7 @@
 		e.log.Warn().Stringer(event.KeyContent, request).Msg(string(event.RequestQuarantined))
 	case quarantine.Cleared:
 		e.log.Info().Stringer(event.KeyContent, request).Msg(string(event.RequestCleared))
-	case quarantine.Known, quarantine.Suspected:
+	case quarantine.Unchanged, quarantine.Suspected:
 	}
 }
 
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -53,8 +53,8 @@
 
 // Changes of a request.
 const (
-	// Known: nothing new.
-	Known Change = iota
+	// Unchanged: nothing new.
+	Unchanged Change = iota
 	// Suspected: one more upstream has ended under it.
 	Suspected
 	// Quarantined: it is refused until an operator clears it, or a send that was under way runs
@@ -134,7 +134,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change := t.observe(seen)
-	if e := t.entries[seen.Request]; e != nil && change != Known {
+	if e := t.entries[seen.Request]; e != nil && change != Unchanged {
 		e.witnessed = true
 	}
 	return change
@@ -205,18 +205,18 @@
 		return clearEntry(e, now)
 	}
 	if _, explained := t.explained[seen.Ended]; explained && (e == nil || !e.held) {
-		return Known
+		return Unchanged
 	}
 	if e == nil {
 		e = t.add(seen.Request, now)
 	}
 	if slices.Contains(e.ends, seen.Ended) || now.Sub(e.cleared) < clearedFor {
-		return Known
+		return Unchanged
 	}
 	e.last = now
 	if e.held {
 		t.explain(seen.Request, seen.Ended, now)
-		return Known
+		return Unchanged
 	}
 	e.ends = append(e.ends, seen.Ended)
 	if len(e.ends) < EndsToQuarantine {
@@ -232,7 +232,7 @@
 // clearEntry takes a good end of a request that is in the table.
 func clearEntry(e *entry, now time.Time) Change {
 	if e == nil || (len(e.ends) == 0 && !e.held) {
-		return Known
+		return Unchanged
 	}
 	released := e.released
 	if e.held {
@@ -296,7 +296,7 @@
 		e = t.add(request, now)
 	}
 	if e.held || now.Sub(e.cleared) < clearedFor {
-		return Known
+		return Unchanged
 	}
 	e.last, e.held, e.retryAfter = now, true, retryAfter
 	return Quarantined
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -34,7 +34,7 @@
 	is := is.New(t)
 	table := quarantine.NewTable(clock.System{})
 	is.Equal(end(table, "a", 1), quarantine.Suspected)
-	is.Equal(end(table, "a", 1), quarantine.Known)
+	is.Equal(end(table, "a", 1), quarantine.Unchanged)
 	is.Equal(end(table, "a", 2), quarantine.Suspected)
 	is.True(!refuses(table, "a"))
 	is.Equal(end(table, "a", 3), quarantine.Quarantined)
@@ -54,7 +54,7 @@
 		end(table, "beside", upstream)
 	}
 	is.Equal(end(table, "cause", 3), quarantine.Quarantined)
-	is.Equal(end(table, "beside", 3), quarantine.Known)
+	is.Equal(end(table, "beside", 3), quarantine.Unchanged)
 	is.Equal(end(table, "beside", 4), quarantine.Suspected)
 	is.True(!refuses(table, "beside"))
 	is.True(refuses(table, "cause"))
@@ -65,14 +65,14 @@
 func TestAGoodEndClearsARequest(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable(clock.System{})
-	is.Equal(table.Observe(quarantine.Observation{Request: request("a")}), quarantine.Known)
+	is.Equal(table.Observe(quarantine.Observation{Request: request("a")}), quarantine.Unchanged)
 	is.True(!table.MayContain(1)) // a good end alone takes no memory
 	for upstream := 1; upstream <= quarantine.EndsToQuarantine; upstream++ {
 		end(table, "a", upstream)
 	}
 	is.Equal(table.Observe(quarantine.Observation{Request: request("a")}), quarantine.Cleared)
 	is.True(!refuses(table, "a"))
-	is.Equal(end(table, "a", 9), quarantine.Known) // seen before the good end, and told late
+	is.Equal(end(table, "a", 9), quarantine.Unchanged) // seen before the good end, and told late
 }
 
 // TestOnlyAnActEndsAQuarantine guards against a request that is tried again because time has passed,
@@ -85,7 +85,7 @@
 			end(saw, "a", upstream)
 		}
 		is.Equal(told.Hold(request("a"), time.Minute), quarantine.Quarantined)
-		is.Equal(told.Hold(request("a"), time.Hour), quarantine.Known)
+		is.Equal(told.Hold(request("a"), time.Hour), quarantine.Unchanged)
 		for range 10 {
 			clock.Sleep(t.Context(), 24*time.Hour)
 			for _, table := range []*quarantine.Table{saw, told} {
@@ -97,7 +97,7 @@
 		is.Equal(retryAfter, time.Minute) // as it was told
 		for _, table := range []*quarantine.Table{saw, told} {
 			is.Equal(table.Release(request("a")), quarantine.Cleared)
-			is.Equal(table.Release(request("a")), quarantine.Known)
+			is.Equal(table.Release(request("a")), quarantine.Unchanged)
 			is.True(!refuses(table, "a"))
 		}
 	})
@@ -109,11 +109,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := quarantine.NewTable(clock.System{})
-		is.Equal(table.Release(request("a")), quarantine.Known) // before the ends are told
+		is.Equal(table.Release(request("a")), quarantine.Unchanged) // before the ends are told
 		for upstream := 1; upstream <= quarantine.EndsToQuarantine; upstream++ {
-			is.Equal(end(table, "a", upstream), quarantine.Known)
+			is.Equal(end(table, "a", upstream), quarantine.Unchanged)
 		}
-		is.Equal(table.Hold(request("a"), 0), quarantine.Known)
+		is.Equal(table.Hold(request("a"), 0), quarantine.Unchanged)
 		is.True(!refuses(table, "a"))
 		is.Equal(table.AllReleased(), []quarantine.Fingerprint{request("a")})
 		clock.Sleep(t.Context(), time.Minute)
