--- a/pkg/edge/warmth.go
+++ b/pkg/edge/warmth.go
@@ -59,7 +59,7 @@
 	if view == nil {
 		return time.Time{}
 	}
-	since := view.InDoubt(upstream, now)
+	since := view.UncertainSince(upstream, now)
 	if since.IsZero() || now.Sub(since) > warmUpOf(service) {
 		return time.Time{}
 	}
--- a/pkg/fleet/doubt.go
+++ b/pkg/fleet/doubt.go
@@ -37,12 +37,12 @@
 	}
 }
 
-// InDoubt returns since when it is not known whether an upstream is cold; zero: it is known. That is
+// UncertainSince returns since when it is not known whether an upstream is cold; zero: it is known. That is
 // so since the store lacks its entry; since its domain is back from an evacuation, which may leave
 // upstreams cold, as long as its entry is older, or since such an evacuation may have come and gone
 // unseen; and since the end of a cold time of which it has
 // said nothing for longer than it is silent at that time.
-func (v *View) InDoubt(upstream *Upstream, now time.Time) time.Time {
+func (v *View) UncertainSince(upstream *Upstream, now time.Time) time.Time {
 	since := upstream.Missing
 	if len(v.Returned) == 0 {
 		// The usual case.
