--- a/pkg/edge/world_test.go
+++ b/pkg/edge/world_test.go
@@ -240,7 +240,7 @@
 		}
 	}
 	view.Index()
-	view.Follow(w.view, time.Now())
+	view.InheritHistory(w.view, time.Now())
 	if w.historyLost.After(view.HistoryLost) {
 		view.HistoryLost = w.historyLost
 	}
--- a/pkg/fleet/doubt.go
+++ b/pkg/fleet/doubt.go
@@ -10,9 +10,9 @@
 	heardEvery = 1500 * time.Millisecond
 )
 
-// Follow takes over what the view before this one tells of the past; last may be nil. It must be
+// InheritHistory takes over what the view before this one tells of the past; last may be nil. It must be
 // called before the view is shared.
-func (v *View) Follow(last *View, now time.Time) {
+func (v *View) InheritHistory(last *View, now time.Time) {
 	v.Returned = make(map[string]time.Time)
 	if last == nil {
 		return
