--- a/pkg/mirror/entries.go
+++ b/pkg/mirror/entries.go
@@ -127,7 +127,7 @@
 // tell keeps in mind that a key was removed at a position, if removals of such keys are told, and
 // says whether that is news. The caller holds m.mu.
 func (m *Mirror) tell(key string, removed Position) bool {
-	told := slices.ContainsFunc(m.options.Told, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
+	told := slices.ContainsFunc(m.options.TrackedRemovals, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 	if before, known := m.removals[key]; !told || (known && !before.Before(removed)) {
 		return false
 	}
--- a/pkg/mirror/history.go
+++ b/pkg/mirror/history.go
@@ -30,7 +30,7 @@
 
 // lookBack reads what came and went between two positions.
 func (m *Mirror) lookBack(ctx context.Context, from, to Position) {
-	if len(m.options.Told) == 0 || !from.Before(to) {
+	if len(m.options.TrackedRemovals) == 0 || !from.Before(to) {
 		return
 	}
 	if from.Era != to.Era {
@@ -39,7 +39,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, longestCall)
 	defer cancel()
-	for _, prefix := range m.options.Told {
+	for _, prefix := range m.options.TrackedRemovals {
 		changes, err := m.options.Source.Changes(ctx, prefix, from.Revision, lookBackWait)
 		if err == nil && m.heard(changes.Era) != to.Era {
 			err = errRestored
--- a/pkg/mirror/history_test.go
+++ b/pkg/mirror/history_test.go
@@ -33,7 +33,7 @@
 }
 
 func newTold(s *store) *mirror.Mirror {
-	return mirror.New(mirror.Options{Source: s, Told: []string{"declared/evacuated/"}, Clock: clock.System{}, Log: zerolog.Nop()})
+	return mirror.New(mirror.Options{Source: s, TrackedRemovals: []string{"declared/evacuated/"}, Clock: clock.System{}, Log: zerolog.Nop()})
 }
 
 // evacuateUnseen has an evacuation come and go while the store answers nobody.
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -62,9 +62,9 @@
 	Prefix string
 	// Leased are the prefixes below it whose entries vanish with their owners.
 	Leased []string
-	// Told are the prefixes below it whose removals are told, be it that an entry came and went
+	// TrackedRemovals are the prefixes below it whose removals are told, be it that an entry came and went
 	// between two looks.
-	Told []string
+	TrackedRemovals []string
 	// Prompt is the prefix below it whose changes are read at once, however many others there are;
 	// empty: none is.
 	Prompt string
