--- a/pkg/edge/world_store_test.go
+++ b/pkg/edge/world_store_test.go
@@ -73,7 +73,7 @@
 	s.mu.Unlock()
 	s.publish()
 	for _, i := range s.up() {
-		i.edge.store.Heard(era)
+		i.edge.store.ObserveEpoch(era)
 	}
 }
 
--- a/pkg/mirror/delta.go
+++ b/pkg/mirror/delta.go
@@ -75,7 +75,7 @@
 // and takes what that one holds over from former eras and is newer than what is known here. It
 // says whether there was any of that. The delta must be since the own position.
 func (m *Mirror) Adopt(delta *Delta) bool {
-	m.Heard(delta.Era)
+	m.ObserveEpoch(delta.Era)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	present, now := m.snapshot.Load(), m.options.Clock.Now()
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -212,9 +212,9 @@
 // Eras returns the section that holds the highest of the store's eras that was heard.
 func (m *Mirror) Eras() *board.Section[uint64] { return &m.eras }
 
-// Heard takes the era that an answer of the store tells, to this instance or to another one. A
+// ObserveEpoch takes the era that an answer of the store tells, to this instance or to another one. A
 // further one ends the call that waits for changes: what it waits for may not come any more.
-func (m *Mirror) Heard(era uint64) {
+func (m *Mirror) ObserveEpoch(era uint64) {
 	if era == 0 {
 		return
 	}
@@ -241,7 +241,7 @@
 	if era == 0 {
 		return m.Era()
 	}
-	m.Heard(era)
+	m.ObserveEpoch(era)
 	return era
 }
 
--- a/pkg/mirror/restore_random_test.go
+++ b/pkg/mirror/restore_random_test.go
@@ -63,7 +63,7 @@
 	for _, f := range h.mirrors {
 		other := h.mirrors[h.random.IntN(len(h.mirrors))]
 		if snapshot := other.mirror.Snapshot().Load(); other != f && snapshot != nil {
-			f.mirror.Heard(snapshot.Era)
+			f.mirror.ObserveEpoch(snapshot.Era)
 			delta := snapshot.Since(f.mirror.Position(), time.Now())
 			f.mirror.Adopt(&delta)
 		}
--- a/pkg/mirror/restore_test.go
+++ b/pkg/mirror/restore_test.go
@@ -63,7 +63,7 @@
 				time.Sleep(time.Second)
 				s.put("declared/config", "2")
 				s.put("servers/a", "draining")
-				m.Heard(1) // as by the renewal of a lease
+				m.ObserveEpoch(1) // as by the renewal of a lease
 				time.Sleep(time.Second)
 				is.Equal(value(m, "declared/config"), "2")
 				is.Equal(value(m, "servers/a"), "draining")
--- a/pkg/peer/service.go
+++ b/pkg/peer/service.go
@@ -320,7 +320,7 @@
 		g.totals = nil
 	}
 	g.note(before, &report)
-	g.options.Store.Heard(report.Era)
+	g.options.Store.ObserveEpoch(report.Era)
 	delete(g.avoided, report.Name)
 	g.placed(report.Placed, true, at)
 	g.reports[report.Name] = &heard[Report]{value: report, at: at}
@@ -345,7 +345,7 @@
 	if before != nil && len(digest.Marks) == 0 {
 		digest.Marks, digest.Roster = before.value.Marks, before.value.Roster
 	}
-	g.options.Store.Heard(digest.Era)
+	g.options.Store.ObserveEpoch(digest.Era)
 	g.placed(digest.Placed, false, at)
 	g.digests[digest.Domain] = &heard[Digest]{value: digest, at: at, taken: now}
 	g.hear(domainTeller(digest.Domain), digest.Counter, digest.Used)
