--- a/pkg/peer/bench_test.go
+++ b/pkg/peer/bench_test.go
@@ -30,15 +30,15 @@
 			hub := newSampleHub(size)
 			sink := &counter{}
 			encoder := gob.NewEncoder(sink)
-			tell := func() {
-				if err := encoder.Encode(hub.tell()); err != nil {
+			encode := func() {
+				if err := encoder.Encode(hub.nextReply()); err != nil {
 					b.Fatal(err)
 				}
 			}
-			tell()
+			encode()
 			sink.n = 0
 			for b.Loop() {
-				tell()
+				encode()
 			}
 			b.ReportMetric(float64(sink.n)/float64(b.N), "bytes/round")
 		})
@@ -60,7 +60,7 @@
 	service := &Service{gossip: hub.gossip}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		now = now.Add(round / 50)
+		now = now.Add(roundInterval / 50)
 		ask := &asks[n%len(asks)]
 		ask.Report.Sequence++
 		if err := service.Exchange(*ask, &Reply{}); err != nil {
@@ -87,23 +87,23 @@
 	h := &sampleHub{gossip: g, sample: s}
 	now := g.options.Clock.Now()
 	for i := range s.domain - 1 {
-		g.takeReport(sampleReport(i), now)
+		g.applyReport(sampleReport(i), now)
 	}
 	for i := range s.near + s.far {
-		g.takeDigest(sampleDigest(i, s, i < s.near), now)
+		g.applyDigest(sampleDigest(i, s, i < s.near), now)
 	}
 	h.ask = Ask{
 		Domain: "some-hall", Region: "region", Report: sampleReport(0),
 		Sums: s.domain > smallDomain, Dictionary: g.dictionary().fingerprint,
 	}
-	for _, told := range h.tell().Digests {
+	for _, told := range h.nextReply().Digests {
 		h.ask.Rosters = append(h.ask.Rosters, Roster{Domain: told.Domain, Fingerprint: told.Roster})
 	}
 	return h
 }
 
 // tell is the reply of one round, with the digests and placements that are new in it.
-func (h *sampleHub) tell() *Reply {
+func (h *sampleHub) nextReply() *Reply {
 	reply := &Reply{}
 	h.ask.Report.Sequence++
 	if err := (&Service{gossip: h.gossip}).Exchange(h.ask, reply); err != nil {
@@ -113,14 +113,14 @@
 		return reply
 	}
 	// Digests of other regions come every farPause, and are told once.
-	far := math.Ceil(float64(h.sample.far) * round.Seconds() / farPause.Seconds())
+	far := math.Ceil(float64(h.sample.far) * roundInterval.Seconds() / crossRegionInterval.Seconds())
 	for i := range h.sample.near + int(far) {
 		digest := sampleDigest(i, h.sample, false)
-		digest.leaveOut(h.ask.Rosters)
+		digest.omitKnownMarks(h.ask.Rosters)
 		reply.Digests = append(reply.Digests[:1+i], digest)
 	}
 	// Each of the other instances places one long prompt a second.
-	reply.Placed = samplePlaced(int(float64(h.sample.domain*(1+h.sample.near+h.sample.far)) * round.Seconds()))
+	reply.Placed = samplePlaced(int(float64(h.sample.domain*(1+h.sample.near+h.sample.far)) * roundInterval.Seconds()))
 	return reply
 }
 
--- a/pkg/peer/bytes_test.go
+++ b/pkg/peer/bytes_test.go
@@ -24,7 +24,7 @@
 // TestWhatIsToldOfLeavingAndErasIsShort guards against messages that grow for what hardly ever
 // happens: nothing where no upstream leaves and the store never came back from a copy, and one ID
 // and two numbers at the most otherwise.
-func TestWhatIsToldOfLeavingAndErasIsShort(t *testing.T) {
+func TestDeparturesAndEpochsAddFewBytes(t *testing.T) {
 	const id = "i-5b298c74da@1796298365277"
 	is := is.New(t)
 	plain := Ask{Report: Report{Name: "n", Store: 70}}
--- a/pkg/peer/columns.go
+++ b/pkg/peer/columns.go
@@ -18,13 +18,13 @@
 	view *fleet.View
 	ids  []string
 	// places holds each one's index.
-	places map[string]int
+	indexes map[string]int
 	// fingerprint is the same for the same IDs; zero: there is none.
 	fingerprint uint64
 }
 
 func newDictionary(view *fleet.View, region string) *dictionary {
-	d := &dictionary{view: view, places: make(map[string]int)}
+	d := &dictionary{view: view, indexes: make(map[string]int)}
 	if view == nil {
 		return d
 	}
@@ -34,7 +34,7 @@
 		if upstream.Region != region {
 			continue
 		}
-		d.places[upstream.ID] = len(d.ids)
+		d.indexes[upstream.ID] = len(d.ids)
 		d.ids = append(d.ids, upstream.ID)
 		// A Digest of package xxhash takes all that is written.
 		_, _ = sum.WriteString(upstream.ID)
@@ -71,7 +71,7 @@
 	c := Columns{Dictionary: d.fingerprint}
 	var rest []Load
 	for _, load := range loads {
-		place, ok := d.places[load.Name]
+		place, ok := d.indexes[load.Name]
 		if !ok {
 			rest = append(rest, load)
 			continue
@@ -97,14 +97,14 @@
 // DictionaryError: columns that do not fit the dictionary that was asked for.
 type DictionaryError struct {
 	// Told and Asked are fingerprints.
-	Told, Asked uint64
+	Received, Expected uint64
 	// Length is that of a column that is neither empty nor one of Upstreams values.
 	Length, Upstreams int
 }
 
 // Error implements error.
 func (e *DictionaryError) Error() string {
-	return fmt.Sprintf("told of dictionary %x with a column of %d, asked for %x of %d upstreams", e.Told, e.Length, e.Asked, e.Upstreams)
+	return fmt.Sprintf("told of dictionary %x with a column of %d, asked for %x of %d upstreams", e.Received, e.Length, e.Expected, e.Upstreams)
 }
 
 // loads is what columns say. The error is a *DictionaryError.
@@ -114,14 +114,14 @@
 	}
 	for _, column := range [...][]int{c.InFlight, c.Prefill, c.Flowing, c.Silent} {
 		if c.Dictionary != d.fingerprint || (len(column) != 0 && len(column) != len(d.ids)) {
-			return nil, &DictionaryError{Told: c.Dictionary, Asked: d.fingerprint, Length: len(column), Upstreams: len(d.ids)}
+			return nil, &DictionaryError{Received: c.Dictionary, Expected: d.fingerprint, Length: len(column), Upstreams: len(d.ids)}
 		}
 	}
 	loads := make([]Load, 0, len(d.ids))
 	for place, id := range d.ids {
 		load := Load{
-			InFlight: at(c.InFlight, place), Prefill: at(c.Prefill, place),
-			Flowing: at(c.Flowing, place), Silent: at(c.Silent, place),
+			InFlight: valueAt(c.InFlight, place), Prefill: valueAt(c.Prefill, place),
+			Flowing: valueAt(c.Flowing, place), Silent: valueAt(c.Silent, place),
 		}
 		if load == (Load{}) {
 			continue
@@ -133,7 +133,7 @@
 }
 
 // at is a value of a column that may be empty.
-func at(column []int, place int) int {
+func valueAt(column []int, place int) int {
 	if len(column) == 0 {
 		return 0
 	}
--- a/pkg/peer/columns_test.go
+++ b/pkg/peer/columns_test.go
@@ -16,7 +16,7 @@
 
 // TestWorkIsToldWithoutIDsWhereBothKnowTheSameUpstreams, and all of it in either case: an
 // upstream may have left the list while requests run there.
-func TestWorkIsToldWithoutIDsWhereBothKnowTheSameUpstreams(t *testing.T) {
+func TestColumnsOmitIDsWhenUpstreamListsMatch(t *testing.T) {
 	is := is.New(t)
 	loads := sampleLoads(30, sampleUpstream)
 	hub, member := newHub("north-a", "region"), newHub("north-a", "region")
@@ -37,7 +37,7 @@
 }
 
 // TestNoWorkIsToldInNoColumn.
-func TestNoWorkIsToldInNoColumn(t *testing.T) {
+func TestColumnsWithoutValuesAreOmitted(t *testing.T) {
 	is := is.New(t)
 	l := newDictionary(sampleFleet(3), "region")
 	c, rest := l.columns([]Load{{Name: l.ids[1], InFlight: 2}})
@@ -49,7 +49,7 @@
 }
 
 // TestADictionaryHoldsOneRegion.
-func TestADictionaryHoldsOneRegion(t *testing.T) {
+func TestDictionaryHoldsOneRegion(t *testing.T) {
 	is := is.New(t)
 	view := sampleFleet(2)
 	view.Upstreams = append(view.Upstreams, fleet.Upstream{ID: "z", Region: "other"})
@@ -59,7 +59,7 @@
 }
 
 // TestColumnsThatDoNotFitAreNotTaken: what was known before counts on.
-func TestColumnsThatDoNotFitAreNotTaken(t *testing.T) {
+func TestMismatchedColumnsAreRejected(t *testing.T) {
 	is := is.New(t)
 	l := newDictionary(sampleFleet(3), "region")
 	var wrong *DictionaryError
@@ -69,22 +69,22 @@
 	is.True(errors.As(err, &wrong))
 
 	g := newHub("north-a", "region")
-	g.sums = &heard[[]Load]{value: sampleLoads(1, sampleUpstream)}
-	g.take(&fleet.Instance{}, &Reply{Summed: true, Columns: Columns{Dictionary: 7, InFlight: []int{1}}}, l)
+	g.sums = &received[[]Load]{value: sampleLoads(1, sampleUpstream)}
+	g.applyReply(&fleet.Instance{}, &Reply{Summed: true, Columns: Columns{Dictionary: 7, InFlight: []int{1}}}, l)
 	is.Equal(g.sums.value, sampleLoads(1, sampleUpstream))
 }
 
 // TestAnUpstreamCostsFewBytesInARound: 1,000 upstreams in 14 regions are 71 in one, and an
 // instance is told of their work ten times a second.
-func TestAnUpstreamCostsFewBytesInARound(t *testing.T) {
+func TestReplySizePerUpstreamIsBounded(t *testing.T) {
 	is := is.New(t)
 	told := func(upstreams int) int {
 		hub := newSampleHub(sample{9, 2, 38, upstreams})
 		sink := &counter{}
 		encoder := gob.NewEncoder(sink)
-		is.NoErr(encoder.Encode(hub.tell()))
+		is.NoErr(encoder.Encode(hub.nextReply()))
 		sink.n = 0
-		is.NoErr(encoder.Encode(hub.tell()))
+		is.NoErr(encoder.Encode(hub.nextReply()))
 		return sink.n
 	}
 	few, many := told(24), told(71)
@@ -93,7 +93,7 @@
 }
 
 // TestOtherDomainsAreNotToldOfTheOwnWorkInAnAsk.
-func TestOtherDomainsAreNotToldOfTheOwnWorkInAnAsk(t *testing.T) {
+func TestAsksToOtherDomainsOmitLoads(t *testing.T) {
 	is := is.New(t)
 	g := newHub("north-a", "north")
 	report := sampleReport(0)
@@ -107,7 +107,7 @@
 }
 
 // TestAHubAddsUpOnceForAllThatAskTogether: it tells each the work of the others alone.
-func TestAHubAddsUpOnceForAllThatAskTogether(t *testing.T) {
+func TestHubCachesTotalsBetweenAsks(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
 	hub := newHub("north-a", "north")
@@ -126,23 +126,23 @@
 	for i := range 50 {
 		ask(i)
 	}
-	now = now.Add(round)
+	now = now.Add(roundInterval)
 	before := made
 	for i := range 50 {
 		ask(i)
 	}
 	is.Equal(made, before+1)
 	is.Equal(ask(0), []Load{{Name: "u-0", InFlight: 240, Prefill: 24 * 25, Silent: 24}, {Name: "u-1", InFlight: 251, Prefill: 25 * 25, Silent: 25}})
-	now = now.Add(totalsFor)
+	now = now.Add(totalsTTL)
 	ask(0)
 	is.Equal(made, before+2)
 }
 
 // TestWhoAloneHasWorkIsToldOfNone.
-func TestWhoAloneHasWorkIsToldOfNone(t *testing.T) {
+func TestTotalsExcludeTheAskingInstance(t *testing.T) {
 	is := is.New(t)
 	load := Load{Name: "u", InFlight: 3, Prefill: 100, Flowing: 2, Silent: 1}
-	all := totals{sums: []Load{load}, parts: map[string][]Load{"n": {load}}}
+	all := totals{sums: []Load{load}, byInstance: map[string][]Load{"n": {load}}}
 	is.Equal(len(all.without("n")), 0)
 	is.Equal(all.without("m"), []Load{load})
 	is.Equal(all.sums, []Load{load})
--- a/pkg/peer/copy.go
+++ b/pkg/peer/copy.go
@@ -30,10 +30,10 @@
 	since := store.Position()
 	var from *fleet.Instance
 	if !store.Current() {
-		from = g.newest(since)
+		from = g.newestSource(since)
 	}
 	if from == nil && since.Era > 0 {
-		from = g.holder(store.Held())
+		from = g.retainedSource(store.Held())
 	}
 	if from == nil {
 		return
@@ -51,7 +51,7 @@
 // copyFailed has the store followed for a while.
 func (g *Gossip) copyFailed(from *fleet.Instance, err error) {
 	g.options.Log.Warn().Err(err).Str(event.KeyPeer, from.Name).Msg(string(event.CopyFailed))
-	g.followUntil.Store(g.options.Clock.Now().Add(followAfter).UnixNano())
+	g.followUntil.Store(g.options.Clock.Now().Add(followAfterFailure).UnixNano())
 }
 
 // copy asks an instance for what changed in its copy of the store since a position.
@@ -67,20 +67,20 @@
 
 // holder returns a live instance that holds something over from before the store's last return
 // which this one does not know, and was not asked for it yet; nil when there is none.
-func (g *Gossip) holder(held uint64) *fleet.Instance {
+func (g *Gossip) retainedSource(held uint64) *fleet.Instance {
 	now := g.options.Clock.Now()
 	others := g.registered()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for i := range others {
 		name := others[i].Name
-		told := g.heldBy(&others[i], now)
-		if told == 0 {
-			delete(g.askedFor, name)
+		advertised := g.retainedBy(&others[i], now)
+		if advertised == 0 {
+			delete(g.requestedRetained, name)
 			continue
 		}
-		if told != held && g.askedFor[name] != told && !now.Before(g.avoided[name]) {
-			g.askedFor[name] = told
+		if advertised != held && g.requestedRetained[name] != advertised && !now.Before(g.avoidedUntil[name]) {
+			g.requestedRetained[name] = advertised
 			return &others[i]
 		}
 	}
@@ -89,7 +89,7 @@
 
 // heldBy is the fingerprint of what an instance holds over, as far as it was heard lately. Of
 // another domain its hub tells it. The caller holds g.mu.
-func (g *Gossip) heldBy(instance *fleet.Instance, now time.Time) uint64 {
+func (g *Gossip) retainedBy(instance *fleet.Instance, now time.Time) uint64 {
 	if instance.Domain == g.options.Self.Domain {
 		if report := g.reports[instance.Name]; report != nil && now.Sub(report.at) <= SilentAfter {
 			return report.value.Held
@@ -104,7 +104,7 @@
 
 // newest returns the live instance with the newest copy above a position, of the own
 // domain if there is one; nil when there is none.
-func (g *Gossip) newest(above mirror.Position) *fleet.Instance {
+func (g *Gossip) newestSource(above mirror.Position) *fleet.Instance {
 	now := g.options.Clock.Now()
 	others := g.registered()
 	g.mu.Lock()
@@ -112,7 +112,7 @@
 	var best *fleet.Instance
 	for i := range others {
 		report := g.reports[others[i].Name]
-		if report != nil && above.Before(report.value.position()) && now.Sub(report.at) <= SilentAfter && !now.Before(g.avoided[others[i].Name]) {
+		if report != nil && above.Before(report.value.position()) && now.Sub(report.at) <= SilentAfter && !now.Before(g.avoidedUntil[others[i].Name]) {
 			above, best = report.value.position(), &others[i]
 		}
 	}
@@ -124,7 +124,7 @@
 			continue
 		}
 		for i := range others {
-			if others[i].Domain == domain && !now.Before(g.avoided[others[i].Name]) {
+			if others[i].Domain == domain && !now.Before(g.avoidedUntil[others[i].Name]) {
 				above, best = digest.value.position(), &others[i]
 			}
 		}
@@ -132,8 +132,8 @@
 	if best != nil {
 		return best
 	}
-	for _, offered := range g.askers {
-		if offer := &offered.value; above.Before(offer.store) && now.Sub(offered.at) <= SilentAfter && !now.Before(g.avoided[offer.instance.Name]) {
+	for _, offered := range g.replicaOffers {
+		if offer := &offered.value; above.Before(offer.store) && now.Sub(offered.at) <= SilentAfter && !now.Before(g.avoidedUntil[offer.instance.Name]) {
 			above, best = offer.store, &offer.instance
 		}
 	}
@@ -142,7 +142,7 @@
 
 // hasCopy says whether an instance, or one of its domain, is known to have a copy of the
 // store.
-func (g *Gossip) hasCopy(instance *fleet.Instance) bool {
+func (g *Gossip) hasReplica(instance *fleet.Instance) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if instance.Domain != g.options.Self.Domain {
@@ -155,17 +155,17 @@
 
 // noteAsker remembers who offers a copy, as long as this instance has none. The caller
 // holds g.mu.
-func (g *Gossip) noteAsker(ask *Ask, own *Report, now time.Time) {
+func (g *Gossip) recordReplicaOffer(ask *Ask, own *Report, now time.Time) {
 	if own.Store > 0 {
-		clear(g.askers)
+		clear(g.replicaOffers)
 		return
 	}
 	if ask.Gossip == "" || ask.Report.Store == 0 {
 		return
 	}
-	offers := asker{
+	offer := replicaOffer{
 		instance: fleet.Instance{Name: ask.Report.Name, Domain: ask.Domain, Region: ask.Region, Gossip: ask.Gossip},
 		store:    ask.Report.position(),
 	}
-	g.askers[ask.Report.Name] = &heard[asker]{value: offers, at: now}
+	g.replicaOffers[ask.Report.Name] = &received[replicaOffer]{value: offer, at: now}
 }
--- a/pkg/peer/evidence.go
+++ b/pkg/peer/evidence.go
@@ -15,13 +15,13 @@
 const (
 	// evidenceFor is for how long a piece is told to those who do not have it; what it led to
 	// is in the platform's store by then.
-	evidenceFor = 10 * time.Minute
+	evidenceTTL = 10 * time.Minute
 	// evidenceAgain is for how long the same piece is no news.
-	evidenceAgain = 10 * time.Second
+	evidenceDedupWindow = 10 * time.Second
 	// mostEvidence bounds the pieces that are kept, mostTold those of one message, which is
 	// then about 40 KB (BenchmarkEvidence).
-	mostEvidence = 4096
-	mostTold     = 1024
+	maxEvidence           = 4096
+	maxEvidencePerMessage = 1024
 )
 
 // Cursor is a place in what one start of an instance tells.
@@ -32,9 +32,9 @@
 
 const (
 	// seenHere, by this instance; seenNear, by one of its failure domain; seenFar.
-	seenHere origin = iota
-	seenNear
-	seenFar
+	seenLocally origin = iota
+	seenInDomain
+	seenRemotely
 )
 
 // evidence holds the pieces that are told. The Gossip's lock guards it.
@@ -46,8 +46,8 @@
 	known map[quarantine.Observation]time.Time
 	// taken is up to where this instance has each other's pieces, by name; given up to which
 	// of its own pieces each other has them.
-	taken map[string]Cursor
-	given map[string]Cursor
+	receivedUpTo map[string]Cursor
+	ackedUpTo    map[string]Cursor
 }
 
 type piece struct {
@@ -56,25 +56,25 @@
 	at     time.Time
 	origin origin
 	// teller told it; zero: this instance saw it.
-	teller teller
+	sender sender
 }
 
 // teller is one start of an instance.
-type teller struct {
+type sender struct {
 	name        string
 	incarnation uint64
 }
 
 func newEvidence() *evidence {
-	return &evidence{known: make(map[quarantine.Observation]time.Time), taken: make(map[string]Cursor), given: make(map[string]Cursor)}
+	return &evidence{known: make(map[quarantine.Observation]time.Time), receivedUpTo: make(map[string]Cursor), ackedUpTo: make(map[string]Cursor)}
 }
 
 // add takes a piece, and says whether it is news.
-func (v *evidence) add(seen quarantine.Observation, from origin, by teller, now time.Time) bool {
-	if at, ok := v.known[seen]; ok && now.Sub(at) < evidenceAgain {
+func (v *evidence) add(seen quarantine.Observation, from origin, by sender, now time.Time) bool {
+	if at, ok := v.known[seen]; ok && now.Sub(at) < evidenceDedupWindow {
 		return false
 	}
-	v.shrink(now)
+	v.expire(now)
 	v.last++
 	v.known[seen] = now
 	v.pieces = append(v.pieces, piece{seen, v.last, now, from, by})
@@ -82,9 +82,9 @@
 }
 
 // shrink forgets what is old, or the oldest.
-func (v *evidence) shrink(now time.Time) {
+func (v *evidence) expire(now time.Time) {
 	old := 0
-	for old < len(v.pieces) && (now.Sub(v.pieces[old].at) > evidenceFor || len(v.pieces)-old >= mostEvidence) {
+	for old < len(v.pieces) && (now.Sub(v.pieces[old].at) > evidenceTTL || len(v.pieces)-old >= maxEvidence) {
 		if seen := v.pieces[old].Observation; v.known[seen].Equal(v.pieces[old].at) {
 			delete(v.known, seen)
 		}
@@ -95,98 +95,98 @@
 
 // since returns the pieces after a number that were seen no farther away than told and that
 // the other side did not tell itself, and the number up to which that is all.
-func (v *evidence) since(number uint64, farthest origin, other teller) (told []quarantine.Observation, last uint64) {
+func (v *evidence) since(number uint64, farthest origin, other sender) (observations []quarantine.Observation, last uint64) {
 	for i := range v.pieces {
-		if v.pieces[i].number <= number || v.pieces[i].origin > farthest || v.pieces[i].teller == other {
+		if v.pieces[i].number <= number || v.pieces[i].origin > farthest || v.pieces[i].sender == other {
 			continue
 		}
-		if len(told) == mostTold {
-			return told, v.pieces[i].number - 1
+		if len(observations) == maxEvidencePerMessage {
+			return observations, v.pieces[i].number - 1
 		}
-		told = append(told, v.pieces[i].Observation)
+		observations = append(observations, v.pieces[i].Observation)
 	}
-	return told, v.last
+	return observations, v.last
 }
 
 // Observe tells the other instances what this one saw of a request.
 func (g *Gossip) Observe(seen quarantine.Observation) {
 	g.mu.Lock()
-	news := g.evidence.add(seen, seenHere, teller{}, g.options.Clock.Now())
+	isNew := g.evidence.add(seen, seenLocally, sender{}, g.options.Clock.Now())
 	g.mu.Unlock()
-	if news {
+	if isNew {
 		g.RequestRound()
 	}
 }
 
 // askEvidence adds to an ask what the asked instance does not have of what this one saw. The
 // caller does not hold g.mu.
-func (g *Gossip) askEvidence(ask *Ask, instance *fleet.Instance) {
+func (g *Gossip) attachEvidence(ask *Ask, instance *fleet.Instance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ask.Have = g.evidence.taken[instance.Name]
+	ask.Have = g.evidence.receivedUpTo[instance.Name]
 	if instance.Domain == g.options.Self.Domain {
-		ask.Evidence, ask.Last = g.evidence.since(g.evidence.given[instance.Name].Number, seenHere, teller{name: instance.Name})
+		ask.Evidence, ask.Last = g.evidence.since(g.evidence.ackedUpTo[instance.Name].Number, seenLocally, sender{name: instance.Name})
 	}
 }
 
 // tellEvidence takes the asking instance's evidence, and tells it what it does not have: all
 // to the own domain, what the own domain saw to others. The caller holds g.mu.
-func (g *Gossip) tellEvidence(ask *Ask, own *Report, reply *Reply, now time.Time) {
-	farthest, asker := seenNear, teller{ask.Report.Name, ask.Report.Incarnation}
+func (g *Gossip) answerEvidence(ask *Ask, own *Report, reply *Reply, now time.Time) {
+	farthest, sender := seenInDomain, sender{ask.Report.Name, ask.Report.Incarnation}
 	if ask.Domain == g.options.Self.Domain {
-		farthest = seenFar
-		g.learn(ask.Evidence, seenNear, asker, now)
+		farthest = seenRemotely
+		g.mergeEvidence(ask.Evidence, seenInDomain, sender, now)
 		reply.Given = ask.Last
 	}
 	after := ask.Have.Number
 	if ask.Have.Incarnation != own.Incarnation {
 		after = 0
 	}
-	reply.Evidence, reply.Told.Number = g.evidence.since(after, farthest, asker)
+	reply.Evidence, reply.Told.Number = g.evidence.since(after, farthest, sender)
 	reply.Told.Incarnation = own.Incarnation
 }
 
 // takeEvidence learns from a reply of an instance. The caller holds g.mu.
-func (g *Gossip) takeEvidence(instance *fleet.Instance, reply *Reply, now time.Time) {
-	from := seenFar
+func (g *Gossip) applyEvidence(instance *fleet.Instance, reply *Reply, now time.Time) {
+	from := seenRemotely
 	if instance.Domain == g.options.Self.Domain {
-		from = seenNear
+		from = seenInDomain
 		// One that has started again has nothing of what was given to its former start.
-		if given := g.evidence.given[instance.Name]; given.Incarnation != 0 && given.Incarnation != reply.Told.Incarnation {
+		if acked := g.evidence.ackedUpTo[instance.Name]; acked.Incarnation != 0 && acked.Incarnation != reply.Told.Incarnation {
 			reply.Given = 0
 		}
-		g.evidence.given[instance.Name] = Cursor{reply.Told.Incarnation, reply.Given}
+		g.evidence.ackedUpTo[instance.Name] = Cursor{reply.Told.Incarnation, reply.Given}
 	}
-	g.learn(reply.Evidence, from, teller{instance.Name, reply.Told.Incarnation}, now)
-	g.evidence.taken[instance.Name] = reply.Told
+	g.mergeEvidence(reply.Evidence, from, sender{instance.Name, reply.Told.Incarnation}, now)
+	g.evidence.receivedUpTo[instance.Name] = reply.Told
 }
 
 // learn passes pieces on that are news. The caller holds g.mu.
-func (g *Gossip) learn(told []quarantine.Observation, from origin, by teller, now time.Time) {
-	var news []quarantine.Observation
-	for _, seen := range told {
+func (g *Gossip) mergeEvidence(observations []quarantine.Observation, from origin, by sender, now time.Time) {
+	var fresh []quarantine.Observation
+	for _, seen := range observations {
 		if g.evidence.add(seen, from, by, now) {
-			news = append(news, seen)
+			fresh = append(fresh, seen)
 		}
 	}
-	if len(news) > 0 && g.options.Evidence != nil {
-		g.options.Evidence(news)
+	if len(fresh) > 0 && g.options.Evidence != nil {
+		g.options.Evidence(fresh)
 	}
 }
 
 // forgetEvidence drops the places of instances that are gone. The caller holds g.mu.
 func (g *Gossip) forgetEvidence(instances []fleet.Instance) {
-	if len(g.evidence.taken) <= 2*len(instances)+2 {
+	if len(g.evidence.receivedUpTo) <= 2*len(instances)+2 {
 		return
 	}
-	still := make(map[string]bool, len(instances))
+	present := make(map[string]bool, len(instances))
 	for i := range instances {
-		still[instances[i].Name] = true
+		present[instances[i].Name] = true
 	}
-	for _, places := range [...]map[string]Cursor{g.evidence.taken, g.evidence.given} {
-		for name := range places {
-			if !still[name] {
-				delete(places, name)
+	for _, cursors := range [...]map[string]Cursor{g.evidence.receivedUpTo, g.evidence.ackedUpTo} {
+		for name := range cursors {
+			if !present[name] {
+				delete(cursors, name)
 			}
 		}
 	}
--- a/pkg/peer/exchange.go
+++ b/pkg/peer/exchange.go
@@ -24,14 +24,14 @@
 const jobHub = "hub"
 
 // exchangeNear reports to the hub, or to everyone in a small domain.
-func (g *Gossip) exchangeNear(ctx context.Context) {
+func (g *Gossip) exchangeWithinDomain(ctx context.Context) {
 	others := g.domain()
 	hub := g.hub()
-	small := !g.large()
+	small := !g.usesHub()
 	var all errgroup.Group
 	for _, instance := range others {
 		if small || instance.Name == hub {
-			all.Go(func() error { g.exchange(ctx, instance, nearTimeout); return nil })
+			all.Go(func() error { g.exchange(ctx, instance, sameRegionTimeout); return nil })
 		}
 	}
 	// Failures are logged and remembered by exchange.
@@ -39,14 +39,14 @@
 }
 
 // exchangeFar asks the hubs of other domains.
-func (g *Gossip) exchangeFar(ctx context.Context, regions bool) {
+func (g *Gossip) exchangeWithDomains(ctx context.Context, regions bool) {
 	others := g.registered()
 	byName := make(map[string]fleet.Instance, len(others))
 	domains := make(map[string]bool)
 	for _, instance := range others {
 		byName[instance.Name] = instance
-		near := instance.Region == g.options.Self.Region
-		if instance.Domain != g.options.Self.Domain && (near || regions) {
+		sameRegion := instance.Region == g.options.Self.Region
+		if instance.Domain != g.options.Self.Domain && (sameRegion || regions) {
 			domains[instance.Domain] = true
 		}
 	}
@@ -57,9 +57,9 @@
 			continue
 		}
 		instance := byName[ranked[0]]
-		timeout := nearTimeout
+		timeout := sameRegionTimeout
 		if instance.Region != g.options.Self.Region {
-			timeout = farTimeout
+			timeout = crossRegionTimeout
 		}
 		all.Go(func() error { g.exchange(ctx, instance, timeout); return nil })
 	}
@@ -71,7 +71,7 @@
 func (g *Gossip) ReportNow(ctx context.Context) {
 	var all errgroup.Group
 	for _, instance := range g.domain() {
-		all.Go(func() error { g.exchange(ctx, instance, nearTimeout); return nil })
+		all.Go(func() error { g.exchange(ctx, instance, sameRegionTimeout); return nil })
 	}
 	_ = all.Wait()
 }
@@ -87,10 +87,10 @@
 		return
 	}
 	if err != nil {
-		g.unreached(instance, err)
+		g.recordFailure(instance, err)
 		return
 	}
-	g.take(&instance, &reply, dict)
+	g.applyReply(&instance, &reply, dict)
 }
 
 // ask is what an instance is asked. One of another domain hears of this one's work through
@@ -99,15 +99,15 @@
 func (g *Gossip) ask(instance *fleet.Instance, dict *dictionary) Ask {
 	ask := Ask{
 		Domain: g.options.Self.Domain, Region: g.options.Self.Region, Report: g.options.Report(),
-		Sums: g.large(), Rosters: g.rosters(), Dictionary: dict.fingerprint,
+		Sums: g.usesHub(), Rosters: g.rosters(), Dictionary: dict.fingerprint,
 	}
 	if instance.Domain != g.options.Self.Domain {
 		ask.Report.Upstreams, ask.Report.Placed, ask.Report.Used = nil, nil, nil
 	}
-	if !g.hasCopy(instance) {
+	if !g.hasReplica(instance) {
 		ask.Gossip = g.options.Self.Gossip
 	}
-	g.askEvidence(&ask, instance)
+	g.attachEvidence(&ask, instance)
 	ask.Departures = g.departures()
 	if instance.Region == g.options.Self.Region {
 		ask.Limits = g.limits()
@@ -116,12 +116,12 @@
 }
 
 // unreached remembers that an instance did not answer.
-func (g *Gossip) unreached(instance fleet.Instance, err error) {
+func (g *Gossip) recordFailure(instance fleet.Instance, err error) {
 	now := g.options.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, before := g.avoided[instance.Name]; !before {
+	if _, before := g.avoidedUntil[instance.Name]; !before {
 		g.options.Log.Info().Err(err).Str(event.KeyPeer, instance.Name).Msg(string(event.PeerLost))
 	}
-	g.avoided[instance.Name] = now.Add(avoidFor)
+	g.avoidedUntil[instance.Name] = now.Add(avoidDuration)
 }
--- a/pkg/peer/gossip.go
+++ b/pkg/peer/gossip.go
@@ -30,12 +30,12 @@
 	Evidence func(seen []quarantine.Observation)
 	// Limits is what this instance tells of the limits of upstreams, LearnLimits is told what
 	// others of the region tell; nil: they are not needed.
-	Limits      LimitTeller
+	Limits      LimitSource
 	LearnLimits func(told []limit.ToldLimit)
 	// Departures is what this instance tells of upstreams that have said that they leave,
 	// LearnDepartures is told what another one tells; nil: they are not needed.
 	Departures      func() []string
-	LearnDepartures func(upstreams []string, teller string)
+	LearnDepartures func(upstreams []string, sender string)
 	// Usage learns what limited callers have used elsewhere; nil: it is not needed.
 	Usage UsageListener
 	Fleet *board.Section[fleet.View]
@@ -51,36 +51,36 @@
 // UsageListener learns what a teller, an instance or a failure domain, has counted of
 // limited callers since it began to count.
 type UsageListener interface {
-	Hear(teller string, start uint64, used []quota.Usage)
+	AddRemoteUsage(sender string, start uint64, used []quota.Usage)
 }
 
 // LimitTeller tells which limits upstreams name.
-type LimitTeller interface{ Told() []limit.ToldLimit }
+type LimitSource interface{ Told() []limit.ToldLimit }
 
 // Times and sizes of the exchange.
 const (
 	// round passes between exchanges. An answer takes 0.3 s to begin, and what is told
 	// later than that says little of it.
-	round = 100 * time.Millisecond
+	roundInterval = 100 * time.Millisecond
 	// smallDomain is up to how many instances of a domain report to each other; in
 	// larger ones all report to the hub.
 	smallDomain = 5
 	// urgentPause keeps rounds apart that were asked for.
-	urgentPause = 20 * time.Millisecond
+	minUrgentInterval = 20 * time.Millisecond
 	// farPause is at least between two times that a hub asks the domains of other regions;
 	// bytes between regions are dear, and what is asked for there changes slowly.
-	farPause = 600 * time.Millisecond
+	crossRegionInterval = 600 * time.Millisecond
 	// nearTimeout and farTimeout bound an exchange inside a region, and between regions:
 	// a connection's and a call's round trip, and some work.
-	nearTimeout = 300 * time.Millisecond
-	farTimeout  = 600 * time.Millisecond
+	sameRegionTimeout  = 300 * time.Millisecond
+	crossRegionTimeout = 600 * time.Millisecond
 	// copyTimeout bounds the copying of what changed in the store: a large configuration
 	// over a slow link, beside others that copy it.
 	copyTimeout = 2 * time.Second
 	// followAfter is for how long an instance follows the store itself after a copy failed.
-	followAfter = 5 * time.Second
+	followAfterFailure = 5 * time.Second
 	// avoidFor is for how long an instance that did not answer is not asked again.
-	avoidFor = time.Second
+	avoidDuration = time.Second
 	// forgetAfter is when a silent instance is dropped.
 	forgetAfter = 30 * time.Second
 	// watchers is how many instances of a domain follow the store: a second takes over
@@ -94,20 +94,20 @@
 	view    board.Section[View]
 	mu      sync.Mutex
 	// reports holds the own domain's, digests the other domains'.
-	reports map[string]*heard[Report]
-	digests map[string]*heard[Digest]
+	reports map[string]*received[Report]
+	digests map[string]*received[Digest]
 	// abroad is when another region was last heard of; zero: never.
-	abroad time.Time
+	otherRegionAt time.Time
 	// sums is the work of the others of the own region, as the hub told it; nil: never.
-	sums *heard[[]Load]
+	sums *received[[]Load]
 	// ownRoster is who the own domain holds, as its hub told it.
 	ownRoster Digest
 	// askedAt is when each instance of a large domain last asked: it is told of the digests
 	// that were taken since. In a region of two domains and with rounds of 0.1 s most of
 	// what other regions tell is the same in six rounds.
-	askedAt map[string]time.Time
+	lastAskedAt map[string]time.Time
 	// news holds the placements that those who ask may not know yet.
-	news *news
+	placementLog *placementLog
 	// evidence holds what is told of requests that may end upstreams.
 	evidence *evidence
 	// reachable is the newest list of the instances that can be reached.
@@ -119,11 +119,11 @@
 	// addresses holds the instances that were registered, and where to reach them.
 	addresses map[string]fleet.Instance
 	// askers holds who said where to get a copy of the store.
-	askers map[string]*heard[asker]
+	replicaOffers map[string]*received[replicaOffer]
 	// askedFor holds what each instance held over when it was last asked for that.
-	askedFor map[string]uint64
+	requestedRetained map[string]uint64
 	// avoided holds the instances that did not answer, and until when.
-	avoided map[string]time.Time
+	avoidedUntil map[string]time.Time
 	// urgent holds one value while a round should come early.
 	urgent chan struct{}
 	// copies has connections of its own: a large copy must not hold up reports.
@@ -137,43 +137,43 @@
 	used *quota.Sums
 	// leads is true while this instance hears each of its domain itself: it is the hub, or
 	// the domain is small.
-	leads atomic.Bool
+	receivesAllReports atomic.Bool
 	// farWanted is true when an instance of a domain has asked that is not heard of yet: it
 	// can be asked in turn at once.
-	farWanted atomic.Bool
+	remoteRoundWanted atomic.Bool
 }
 
 // asker is an instance that has a copy of the store and offers it.
-type asker struct {
+type replicaOffer struct {
 	instance fleet.Instance
 	// store is the position of its copy.
 	store mirror.Position
 }
 
 // heard is something with the time at which it was true, by this process's clock.
-type heard[T any] struct {
+type received[T any] struct {
 	value T
 	at    time.Time
 	// taken is when this instance was told, where that matters.
-	taken time.Time
+	receivedAt time.Time
 }
 
 // New returns a Gossip that knows nobody.
 func New(options Options) *Gossip {
 	return &Gossip{
-		options:   options,
-		reports:   make(map[string]*heard[Report]),
-		digests:   make(map[string]*heard[Digest]),
-		addresses: make(map[string]fleet.Instance),
-		askers:    make(map[string]*heard[asker]),
-		askedFor:  make(map[string]uint64),
-		avoided:   make(map[string]time.Time),
-		urgent:    make(chan struct{}, 1),
-		news:      newNews(),
-		evidence:  newEvidence(),
-		askedAt:   make(map[string]time.Time),
-		copies:    options.Copies,
-		used:      quota.NewSums(),
+		options:           options,
+		reports:           make(map[string]*received[Report]),
+		digests:           make(map[string]*received[Digest]),
+		addresses:         make(map[string]fleet.Instance),
+		replicaOffers:     make(map[string]*received[replicaOffer]),
+		requestedRetained: make(map[string]uint64),
+		avoidedUntil:      make(map[string]time.Time),
+		urgent:            make(chan struct{}, 1),
+		placementLog:      newPlacementLog(),
+		evidence:          newEvidence(),
+		lastAskedAt:       make(map[string]time.Time),
+		copies:            options.Copies,
+		used:              quota.NewSums(),
 	}
 }
 
@@ -197,27 +197,27 @@
 	defer copies.Wait()
 	var due time.Time
 	// met is true once there was somebody to ask.
-	met := false
-	var far time.Time
+	hadPeers := false
+	var crossRegionDue time.Time
 	for ctx.Err() == nil {
 		now := g.options.Clock.Now()
 		early := now.Before(due)
-		first := !met && g.options.Fleet.Load() != nil
+		first := !hadPeers && g.options.Fleet.Load() != nil
 		if early && !first && !g.waitUrgent(ctx, due.Sub(now)) {
 			continue
 		}
-		met = met || first
+		hadPeers = hadPeers || first
 		if !early {
-			due = now.Add(round)
+			due = now.Add(roundInterval)
 		}
-		g.leads.Store(!g.large() || g.hub() == g.options.Self.Name)
-		g.exchangeNear(ctx)
-		if regions := g.farWanted.Swap(false) || g.HasUnreachableDomain(); (regions || !early) && g.hub() == g.options.Self.Name {
-			regions = regions || !now.Before(far)
+		g.receivesAllReports.Store(!g.usesHub() || g.hub() == g.options.Self.Name)
+		g.exchangeWithinDomain(ctx)
+		if regions := g.remoteRoundWanted.Swap(false) || g.HasUnreachableDomain(); (regions || !early) && g.hub() == g.options.Self.Name {
+			regions = regions || !now.Before(crossRegionDue)
 			if regions {
-				far = now.Add(farPause)
+				crossRegionDue = now.Add(crossRegionInterval)
 			}
-			g.exchangeFar(ctx, regions)
+			g.exchangeWithDomains(ctx, regions)
 		}
 		g.publish()
 		g.startCatchUp(ctx, &copies)
@@ -257,7 +257,7 @@
 	}
 	select {
 	case <-g.urgent:
-		return clock.Sleep(ctx, urgentPause-g.options.Clock.Now().Sub(last))
+		return clock.Sleep(ctx, minUrgentInterval-g.options.Clock.Now().Sub(last))
 	case <-changed:
 		return true
 	case <-timer.C:
--- a/pkg/peer/gossip_test.go
+++ b/pkg/peer/gossip_test.go
@@ -26,13 +26,13 @@
 )
 
 // silentStore never answers, so that copies come from peers alone.
-type silentStore struct{}
+type unavailableStore struct{}
 
-func (silentStore) List(context.Context, string, string) (platform.Page, error) {
+func (unavailableStore) List(context.Context, string, string) (platform.Page, error) {
 	return platform.Page{}, platform.ErrUnavailable
 }
 
-func (silentStore) Changes(context.Context, string, int64, time.Duration) (platform.Changes, error) {
+func (unavailableStore) Changes(context.Context, string, int64, time.Duration) (platform.Changes, error) {
 	return platform.Changes{}, platform.ErrUnavailable
 }
 
@@ -102,11 +102,11 @@
 func (m *mesh) newNode(network *control.Network, name, domain string) *node {
 	server, err := control.NewServer(network, "127.0.0.1:0")
 	m.is.NoErr(err)
-	region, _, _ := cut(domain)
+	region, _, _ := splitDomain(domain)
 	n := &node{server: server, instance: fleet.Instance{
 		Name: name, Domain: domain, Region: region, Incarnation: 1, Gossip: server.Address(),
 	}}
-	n.store = mirror.New(mirror.Options{Source: silentStore{}, Order: byValue{}, Clock: clock.System{}, Log: zerolog.Nop()})
+	n.store = mirror.New(mirror.Options{Source: unavailableStore{}, Order: byValue{}, Clock: clock.System{}, Log: zerolog.Nop()})
 	n.gossip = New(Options{
 		Self: n.instance, Report: n.report, Fleet: &n.fleet, Store: n.store,
 		Client: control.NewClients(network), Copies: control.NewClients(network), Clock: clock.System{}, Log: zerolog.Nop(),
@@ -115,7 +115,7 @@
 	return n
 }
 
-func cut(domain string) (region, rest string, ok bool) {
+func splitDomain(domain string) (region, rest string, ok bool) {
 	for i := range domain {
 		if domain[i] == '-' {
 			return domain[:i], domain[i+1:], true
@@ -158,7 +158,7 @@
 
 func (n *node) view() *View { return n.gossip.View().Load() }
 
-func TestLoadsAddUpInsideARegionAndByServiceBeyond(t *testing.T) {
+func TestLoadsAreSummedByUpstreamInRegionAndByServiceAcrossRegions(t *testing.T) {
 	m := newMesh(t, 2, "north-a", "north-b", "south-a")
 	m.nodes["north-a-0"].load(Load{Name: "u-1", InFlight: 3, Prefill: 100})
 	m.nodes["north-b-1"].load(Load{Name: "u-1", InFlight: 4, Prefill: 10})
@@ -174,7 +174,7 @@
 }
 
 // TestADomainLargerThanAMeshLearnsThroughItsHub: only the hub is asked, and all know all.
-func TestADomainLargerThanAMeshLearnsThroughItsHub(t *testing.T) {
+func TestLargeDomainLearnsThroughItsHub(t *testing.T) {
 	m := newMesh(t, 9, "north-a", "south-a")
 	for _, n := range m.nodes {
 		n.load(Load{Name: "u-1", InFlight: 1})
@@ -187,7 +187,7 @@
 }
 
 // TestWhenTheHubIsGoneAnotherTakesItsPlace.
-func TestWhenTheHubIsGoneAnotherTakesItsPlace(t *testing.T) {
+func TestAnotherInstanceReplacesACrashedHub(t *testing.T) {
 	m := newMesh(t, 8, "north-a", "south-a")
 	observer := m.nodes["north-a-0"]
 	hub := m.nodes[observer.gossip.hub()]
@@ -209,7 +209,7 @@
 	})
 }
 
-func TestALeavingMarkIsToldAtOnce(t *testing.T) {
+func TestLeavingIsReportedAtOnce(t *testing.T) {
 	m := newMesh(t, 3, "north-a")
 	observer, leaver := m.nodes["north-a-0"], m.nodes["north-a-1"]
 	m.eventually("they know each other", func() bool {
@@ -222,9 +222,9 @@
 }
 
 // TestACopyOfTheStoreReachesWhoDoesNotHearIt: by what changed, over domains and regions.
-func TestACopyOfTheStoreReachesWhoDoesNotHearIt(t *testing.T) {
+func TestStoreReplicaReachesInstancesWithoutTheStore(t *testing.T) {
 	m := newMesh(t, 3, "north-a", "south-a")
-	give := func(revision int64, value string) {
+	setStore := func(revision int64, value string) {
 		snapshot := &mirror.Snapshot{Revision: revision, Entries: map[string]platform.Entry{
 			"declared/config": {Key: "declared/config", Value: []byte(value), ModRevision: revision},
 		}}
@@ -233,7 +233,7 @@
 	}
 	large := strings.Repeat(`{"name":"r","hostname":"a.example","prefix":"/x/"},`, 20_000)
 	for i, value := range []string{"one", "two", large} {
-		give(int64(10+i), value)
+		setStore(int64(10+i), value)
 		for _, n := range m.nodes {
 			m.eventually(n.instance.Name+" has it", func() bool {
 				copied := n.store.Snapshot().Load()
@@ -246,27 +246,27 @@
 // TestWhoKnowsNobodyLearnsFromWhoAsksIt: an instance that began while the store does not
 // answer has no list of instances, but those that know where it is registered ask it, of
 // its domain and of others.
-func TestWhoKnowsNobodyLearnsFromWhoAsksIt(t *testing.T) {
+func TestInstanceWithoutAListCopiesFromThoseThatAskIt(t *testing.T) {
 	for name, domains := range map[string][]string{"from its domain": {"north-a"}, "from another region": {"north-a", "south-a"}} {
 		t.Run(name, func(t *testing.T) {
 			each := 3 - len(domains)
 			m := newMesh(t, each, domains...)
-			began := m.nodes["north-a-0"]
-			began.fleet.Store(nil)
+			restarted := m.nodes["north-a-0"]
+			restarted.fleet.Store(nil)
 			knows := m.nodes[fmt.Sprintf("%s-%d", domains[len(domains)-1], each-1)]
 			snapshot := &mirror.Snapshot{Revision: 10, Entries: map[string]platform.Entry{
 				"declared/config": {Key: "declared/config", Value: []byte("one"), ModRevision: 10},
 			}}
 			delta := snapshot.Since(mirror.Position{}, time.Now())
 			m.is.True(knows.store.Adopt(&delta))
-			m.eventually("it has the copy", func() bool { return began.store.Revision() == 10 })
+			m.eventually("it has the copy", func() bool { return restarted.store.Revision() == 10 })
 		})
 	}
 }
 
 // TestInstancesWhoseEntriesAreTakenAwayAreStillReached for as long as they are heard of:
 // in the own domain and beyond.
-func TestInstancesWhoseEntriesAreTakenAwayAreStillReached(t *testing.T) {
+func TestDeregisteredInstancesStayReachableWhileLive(t *testing.T) {
 	m := newMesh(t, 2, "north-a", "south-a")
 	observer := m.nodes["north-a-0"]
 	live := func() int {
@@ -299,7 +299,7 @@
 }
 
 // TestTwoOfADomainFollowTheStore, and one that hears neither of them does so as well.
-func TestTwoOfADomainFollowTheStore(t *testing.T) {
+func TestTwoInstancesOfADomainFollowTheStore(t *testing.T) {
 	m := newMesh(t, 7, "north-a")
 	watching := func() (names []string) {
 		for name, n := range m.nodes {
@@ -318,7 +318,7 @@
 }
 
 // TestAnInstanceWhoseCopyFailedFollowsTheStoreItself.
-func TestAnInstanceWhoseCopyFailedFollowsTheStoreItself(t *testing.T) {
+func TestFailedCopyMakesAnInstanceFollowTheStore(t *testing.T) {
 	m := newMesh(t, 7, "north-a")
 	var idle *node
 	m.eventually("some do not follow the store", func() bool {
@@ -337,7 +337,7 @@
 	m.is.True(idle.gossip.Watches())
 }
 
-func TestACopyThatCannotBeReadIsAnError(t *testing.T) {
+func TestUnreadableCopyIsAnError(t *testing.T) {
 	is := is.New(t)
 	_, err := unpack([]byte("no copy"))
 	var failure *PackError
@@ -347,7 +347,7 @@
 // TestWhoAsksFromADomainThatIsNotHeardOfIsAskedInTurnAtOnce: after a start of everything,
 // the first asks meet instances that do not run yet. A domain that is heard of is asked
 // in the usual rounds.
-func TestWhoAsksFromADomainThatIsNotHeardOfIsAskedInTurnAtOnce(t *testing.T) {
+func TestAskFromAnUnknownDomainTriggersARemoteRound(t *testing.T) {
 	m := newMesh(t, 1, "north-a")
 	asked := m.nodes["north-a-0"].gossip
 	m.kill(m.nodes["north-a-0"])
@@ -356,18 +356,18 @@
 	wanted := func() bool {
 		var reply Reply
 		m.is.NoErr(service.Exchange(ask, &reply))
-		return asked.farWanted.Swap(false)
+		return asked.remoteRoundWanted.Swap(false)
 	}
 	m.is.True(wanted())
 	m.is.Equal(len(asked.urgent), 1)
-	asked.takeDigest(Digest{Domain: "south-a", Region: "south"}, time.Now())
+	asked.applyDigest(Digest{Domain: "south-a", Region: "south"}, time.Now())
 	m.is.True(!wanted())
 }
 
 // TestOtherRegionsAreAskedAsSoonAsTheyAreKnown: an instance that begins far from the store
 // learns where others are only after its first rounds; until it hears other regions it can
 // send nobody there. The usual round for them is the third.
-func TestOtherRegionsAreAskedAsSoonAsTheyAreKnown(t *testing.T) {
+func TestNewlyKnownRegionsAreAskedAtOnce(t *testing.T) {
 	m := newMesh(t, 1, "south-a")
 	network, err := control.NewNetwork(settings.Security{PlaintextLoopback: true}, nil)
 	m.is.NoErr(err)
@@ -376,38 +376,38 @@
 	m.eventually("its first round is over", func() bool { return late.view() != nil })
 	view := &fleet.View{Instances: []fleet.Instance{late.instance, m.nodes["south-a-0"].instance}}
 	view.Index()
-	heard := func() bool {
+	received := func() bool {
 		known := late.view().Find("south-a-0")
 		return known != nil && known.Live(time.Now())
 	}
 	// Each round publishes a view, whatever it took.
 	rounds, published := 0, late.gossip.View().Changed()
 	late.fleet.Store(view)
-	for !heard() && rounds < 6 {
+	for !received() && rounds < 6 {
 		<-published
 		published = late.gossip.View().Changed()
 		rounds++
 	}
 	t.Logf("heard after %d rounds", rounds)
-	m.is.True(heard())
+	m.is.True(received())
 	m.is.True(rounds <= 2)
 }
 
 // TestARegionThatIsNotHeardIsAskedInEachRound, one that is heard in each third.
-func TestARegionThatIsNotHeardIsAskedInEachRound(t *testing.T) {
+func TestUnreachableRegionIsAskedInEachRound(t *testing.T) {
 	m := newMesh(t, 1, "north-a")
 	g := m.nodes["north-a-0"].gossip
 	view := &fleet.View{Instances: []fleet.Instance{{Name: "south-a-0", Domain: "south-a", Region: "south", Gossip: "127.0.0.1:1"}}}
 	view.Index()
 	m.nodes["north-a-0"].fleet.Store(view)
 	m.is.True(g.HasUnreachableDomain())
-	g.takeDigest(Digest{Domain: "south-a", Region: "south"}, time.Now())
+	g.applyDigest(Digest{Domain: "south-a", Region: "south"}, time.Now())
 	m.is.True(!g.HasUnreachableDomain())
 }
 
 // TestWhatAnInstanceOfALargeDomainIsToldStaysSmall: sixteen instances have work at each of
 // 28 upstreams and have just made 64 placements each, in all six domains.
-func TestWhatAnInstanceOfALargeDomainIsToldStaysSmall(t *testing.T) {
+func TestRepliesInLargeDomainsStaySmall(t *testing.T) {
 	is := is.New(t)
 	g := newHub("north-a", "north")
 	report := func(n int) Report {
@@ -422,7 +422,7 @@
 	}
 	now := time.Now()
 	for n := range 15 {
-		g.takeReport(report(n), now)
+		g.applyReport(report(n), now)
 	}
 	for d := range 5 {
 		digest := Digest{Domain: fmt.Sprint("d-", d), Region: "north", Upstreams: report(0).Upstreams}
@@ -430,7 +430,7 @@
 			digest.Placed = append(digest.Placed, report(100+16*d+n).Placed...)
 			digest.Marks = append(digest.Marks, Mark{Name: fmt.Sprint("d-", d, "-", n), Incarnation: 1, Ready: true})
 		}
-		g.takeDigest(digest, now)
+		g.applyDigest(digest, now)
 	}
 	ask := Ask{Domain: "north-a", Region: "north", Report: Report{Name: "n-0", Incarnation: 1, Sequence: 2}, Sums: true}
 	told := func() (Reply, int) {
@@ -449,35 +449,35 @@
 	is.Equal(len(again.Placed), 0)
 	is.Equal(len(again.Digests), 1) // that of the own domain
 	is.True(size < 3000)
-	g.takeDigest(Digest{Domain: "d-0", Region: "north"}, time.Now())
+	g.applyDigest(Digest{Domain: "d-0", Region: "north"}, time.Now())
 	newer, _ := told()
 	is.Equal(len(newer.Digests), 2)
 }
 
 // TestEachPlacementIsToldOnce, and other domains are told only of the own one's.
-func TestEachPlacementIsToldOnce(t *testing.T) {
+func TestEachPlacementIsSentOnce(t *testing.T) {
 	is := is.New(t)
-	n, now := newNews(), time.Now()
+	n, now := newPlacementLog(), time.Now()
 	near, far := Placement{"p", "u"}, Placement{"q", "v"}
 	n.add([]Placement{near}, true, now)
 	n.add([]Placement{far, near}, false, now)
 	is.Equal(n.since("n-1", false, now), []Placement{near, far})
 	is.Equal(len(n.since("n-1", false, now)), 0)
 	is.Equal(n.since("s-1", true, now), []Placement{near})
-	n.add([]Placement{near}, true, now.Add(newsFor/2))
+	n.add([]Placement{near}, true, now.Add(placementTTL/2))
 	is.Equal(len(n.since("n-1", false, now)), 0)
-	n.add([]Placement{near}, true, now.Add(2*newsFor))
+	n.add([]Placement{near}, true, now.Add(2*placementTTL))
 	is.Equal(n.since("n-1", false, now), []Placement{near})
 }
 
 // lateWriter is a log that takes a while over a line.
-type lateWriter struct {
-	begun   chan struct{}
+type slowWriter struct {
+	started chan struct{}
 	written atomic.Bool
 }
 
-func (w *lateWriter) Write(line []byte) (int, error) {
-	close(w.begun)
+func (w *slowWriter) Write(line []byte) (int, error) {
+	close(w.started)
 	time.Sleep(50 * time.Millisecond)
 	w.written.Store(true)
 	return len(line), nil
@@ -485,20 +485,20 @@
 
 // TestRunEndsAfterItsCopy: who stops the loop closes what a copy uses next. The copy here
 // has failed and still writes its line when the loop is told to end.
-func TestRunEndsAfterItsCopy(t *testing.T) {
+func TestRunWaitsForARunningCopy(t *testing.T) {
 	m := newMesh(t, 0)
 	network, err := control.NewNetwork(settings.Security{PlaintextLoopback: true}, nil)
 	m.is.NoErr(err)
 	n := m.newNode(network, "north-a-0", "north-a")
 	defer n.server.Close()
-	log := &lateWriter{begun: make(chan struct{})}
+	log := &slowWriter{started: make(chan struct{})}
 	n.gossip.options.Log = zerolog.New(log)
-	offered := asker{instance: fleet.Instance{Name: "south-a-0", Domain: "south-a", Gossip: "127.0.0.1:1"}, store: mirror.Position{Revision: 5}}
-	n.gossip.askers["south-a-0"] = &heard[asker]{value: offered, at: time.Now()}
+	offered := replicaOffer{instance: fleet.Instance{Name: "south-a-0", Domain: "south-a", Gossip: "127.0.0.1:1"}, store: mirror.Position{Revision: 5}}
+	n.gossip.replicaOffers["south-a-0"] = &received[replicaOffer]{value: offered, at: time.Now()}
 	ctx, stop := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() { n.gossip.Run(ctx) })
-	<-log.begun
+	<-log.started
 	stop()
 	running.Wait()
 	m.is.True(log.written.Load())
--- a/pkg/peer/hub.go
+++ b/pkg/peer/hub.go
@@ -14,7 +14,7 @@
 	defer g.mu.Unlock()
 	var names []string
 	for _, instance := range instances {
-		if instance.Domain == domain && !g.avoid(instance.Name, now) {
+		if instance.Domain == domain && !g.shouldAvoid(instance.Name, now) {
 			names = append(names, instance.Name)
 		}
 	}
@@ -26,8 +26,8 @@
 
 // avoid says whether an instance should not be asked: it did not answer, fell silent,
 // or leaves.
-func (g *Gossip) avoid(name string, now time.Time) bool {
-	if now.Before(g.avoided[name]) {
+func (g *Gossip) shouldAvoid(name string, now time.Time) bool {
+	if now.Before(g.avoidedUntil[name]) {
 		return true
 	}
 	report := g.reports[name]
@@ -64,7 +64,7 @@
 
 // large says whether the own domain has a hub through which its instances learn of each
 // other.
-func (g *Gossip) large() bool { return len(g.domain()) >= smallDomain }
+func (g *Gossip) usesHub() bool { return len(g.domain()) >= smallDomain }
 
 // reachable is the instances that can be reached, as they were worked out from a view.
 type reachable struct {
@@ -75,7 +75,7 @@
 
 // reachableFor is for how long such a list counts: several steps of a round ask for it, and
 // with 295 instances it takes 0.06 ms and 46 KB to make.
-const reachableFor = round / 2
+const reachableTTL = roundInterval / 2
 
 // registered returns the instances that can be reached, this one left out: those that
 // are registered, and those that were and are still heard of. An entry may be taken
@@ -88,7 +88,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.options.Clock.Now()
-	if g.reachable.view != view || now.Sub(g.reachable.at) >= reachableFor {
+	if g.reachable.view != view || now.Sub(g.reachable.at) >= reachableTTL {
 		g.reachable = reachable{view: view, at: now, others: g.listRegistered(view, now)}
 	}
 	return g.reachable.others
--- a/pkg/peer/publish.go
+++ b/pkg/peer/publish.go
@@ -26,9 +26,9 @@
 			addLoads(view.upstreams, report.value.Upstreams)
 		}
 	}
-	for name, at := range g.askedAt {
+	for name, at := range g.lastAskedAt {
 		if now.Sub(at) > forgetAfter {
-			delete(g.askedAt, name)
+			delete(g.lastAskedAt, name)
 		}
 	}
 	for domain, digest := range g.digests {
@@ -37,13 +37,13 @@
 		} else if now.Sub(digest.at) <= SilentAfter {
 			view.addDigest(&digest.value, g.options.Self.Region)
 		}
-		if digest.value.Region != g.options.Self.Region && digest.at.After(g.abroad) {
-			g.abroad = digest.at
+		if digest.value.Region != g.options.Self.Region && digest.at.After(g.otherRegionAt) {
+			g.otherRegionAt = digest.at
 		}
 	}
-	view.abroad = g.abroad
+	view.otherRegionAt = g.otherRegionAt
 	g.forgetEvidence(others)
-	view.near, view.age = g.newsAge(now)
+	view.regionPeers, view.reportAge = g.averageReportAge(now)
 	view.at = now
 	for i := range others {
 		if known, ok := g.known(&others[i]); ok {
@@ -58,26 +58,26 @@
 // newsAge returns how many other instances of the own region are heard, and how old their
 // news is on the average. What a digest adds up was itself told up to a round before. The
 // caller holds g.mu.
-func (g *Gossip) newsAge(now time.Time) (heard int, age time.Duration) {
+func (g *Gossip) averageReportAge(now time.Time) (instances int, average time.Duration) {
 	total := time.Duration(0)
 	for _, report := range g.reports {
-		if told := now.Sub(report.at); told <= SilentAfter {
-			heard++
-			total += told
+		if reportAge := now.Sub(report.at); reportAge <= SilentAfter {
+			instances++
+			total += reportAge
 		}
 	}
 	for _, digest := range g.digests {
-		told := now.Sub(digest.at)
-		if digest.value.Region != g.options.Self.Region || told > SilentAfter {
+		reportAge := now.Sub(digest.at)
+		if digest.value.Region != g.options.Self.Region || reportAge > SilentAfter {
 			continue
 		}
-		heard += len(digest.value.Marks)
-		total += time.Duration(len(digest.value.Marks)) * (told + round/2)
+		instances += len(digest.value.Marks)
+		total += time.Duration(len(digest.value.Marks)) * (reportAge + roundInterval/2)
 	}
-	if heard == 0 {
+	if instances == 0 {
 		return 0, 0
 	}
-	return heard, total / time.Duration(heard)
+	return instances, total / time.Duration(instances)
 }
 
 func (v *View) addDigest(digest *Digest, region string) {
--- a/pkg/peer/restore_test.go
+++ b/pkg/peer/restore_test.go
@@ -21,7 +21,7 @@
 const restoredKey = "declared/config"
 
 // give has a node hold a value at a position, as if it had read it there.
-func (n *node) give(at mirror.Position, value string) bool {
+func (n *node) setStore(at mirror.Position, value string) bool {
 	snapshot := &mirror.Snapshot{Era: at.Era, Revision: at.Revision, Entries: map[string]platform.Entry{
 		restoredKey: {Key: restoredKey, Value: []byte(value), ModRevision: at.Revision, Era: at.Era},
 	}}
@@ -40,13 +40,13 @@
 
 // TestARestoredStoreIsFollowedThroughOtherInstances guards against instances that take a copy for old
 // because its revision is lower, though the store has come back from a copy meanwhile.
-func TestARestoredStoreIsFollowedThroughOtherInstances(t *testing.T) {
+func TestRestoredStoreIsFollowedThroughPeers(t *testing.T) {
 	m := newMesh(t, 3, "north-a", "south-a")
 	for _, given := range []struct {
 		at    mirror.Position
 		value string
 	}{{mirror.Position{Era: 1, Revision: 50}, "a"}, {mirror.Position{Era: 2, Revision: 10}, "b"}, {mirror.Position{Era: 3, Revision: 10}, "c"}} {
-		m.is.True(m.nodes["north-a-0"].give(given.at, given.value))
+		m.is.True(m.nodes["north-a-0"].setStore(given.at, given.value))
 		for _, n := range m.nodes {
 			m.eventually(n.instance.Name+" has it", func() bool { return n.holds() == given.value && n.store.Position() == given.at })
 		}
@@ -55,15 +55,15 @@
 
 // TestWhoBeginsWithARestoredCopyIsToldWhatIsNewer guards against an instance that reads the old copy
 // itself, and so takes nothing from those who know what the copy lacks.
-func TestWhoBeginsWithARestoredCopyIsToldWhatIsNewer(t *testing.T) {
-	for name, began := range map[string]string{"in their domain": "north-a-1", "in another region": "south-a-1"} {
+func TestInstanceStartedFromARestoredStoreReceivesNewerEntries(t *testing.T) {
+	for name, restarted := range map[string]string{"in their domain": "north-a-1", "in another region": "south-a-1"} {
 		t.Run(name, func(t *testing.T) {
 			m := newMesh(t, 2, "north-a", "south-a")
-			m.is.True(m.nodes["north-a-0"].give(mirror.Position{Era: 1, Revision: 50}, "newer"))
-			m.is.True(m.nodes["south-a-0"].give(mirror.Position{Era: 1, Revision: 50}, "newer"))
-			m.is.True(m.nodes[began].give(mirror.Position{Era: 2, Revision: 12}, "known before"))
-			m.is.True(m.nodes["north-a-0"].give(mirror.Position{Era: 2, Revision: 10}, "known before"))
-			m.eventually("it is told", func() bool { return m.nodes[began].holds() == "newer" })
+			m.is.True(m.nodes["north-a-0"].setStore(mirror.Position{Era: 1, Revision: 50}, "newer"))
+			m.is.True(m.nodes["south-a-0"].setStore(mirror.Position{Era: 1, Revision: 50}, "newer"))
+			m.is.True(m.nodes[restarted].setStore(mirror.Position{Era: 2, Revision: 12}, "known before"))
+			m.is.True(m.nodes["north-a-0"].setStore(mirror.Position{Era: 2, Revision: 10}, "known before"))
+			m.eventually("it is told", func() bool { return m.nodes[restarted].holds() == "newer" })
 		})
 	}
 }
--- a/pkg/peer/roster.go
+++ b/pkg/peer/roster.go
@@ -24,10 +24,10 @@
 const (
 	// quietAfter is when an instance of a large domain that its hub does not hear counts
 	// as quiet: some rounds. The others hold it for live SilentAfter longer.
-	quietAfter = 5 * round
+	quietAfter = 5 * roundInterval
 	// rosterAge is how old the reports behind a roster are on the average where it is
 	// told: instances report once a round.
-	rosterAge = round / 2
+	rosterAge = roundInterval / 2
 )
 
 // fingerprint is the same for the same marks, whichever instance works it out.
@@ -76,7 +76,7 @@
 }
 
 // leaveOut leaves the marks out where they are known to who is told.
-func (d *Digest) leaveOut(known []Roster) {
+func (d *Digest) omitKnownMarks(known []Roster) {
 	if slices.Contains(known, Roster{Domain: d.Domain, Fingerprint: d.Roster}) {
 		d.Marks = nil
 	}
@@ -99,21 +99,21 @@
 }
 
 // takeRoster learns from the hub who the own domain holds. The caller holds g.mu.
-func (g *Gossip) takeRoster(told *Digest, now time.Time) {
+func (g *Gossip) applyRoster(told *Digest, now time.Time) {
 	if len(told.Marks) > 0 {
 		g.ownRoster = *told
 	}
 	at := now.Add(-rosterAge)
 	for _, mark := range g.ownRoster.Marks {
 		if mark.Name != g.options.Self.Name {
-			g.takeMark(mark, at)
+			g.applyMark(mark, at)
 		}
 	}
 }
 
 // takeMark learns of an instance of the own domain that it was heard at a time. What it
 // said itself, of leaving above all, may be newer. The caller holds g.mu.
-func (g *Gossip) takeMark(mark Mark, at time.Time) {
+func (g *Gossip) applyMark(mark Mark, at time.Time) {
 	before := g.reports[mark.Name]
 	if before != nil && before.value.Incarnation > mark.Incarnation {
 		return
@@ -122,7 +122,7 @@
 		if mark.Quiet {
 			return
 		}
-		g.reports[mark.Name] = &heard[Report]{value: Report{
+		g.reports[mark.Name] = &received[Report]{value: Report{
 			Name: mark.Name, Incarnation: mark.Incarnation, Leaving: mark.Leaving, Ready: mark.Ready,
 		}, at: at}
 		g.options.Log.Info().Str(event.KeyPeer, mark.Name).Msg(string(event.PeerFound))
--- a/pkg/peer/roster_test.go
+++ b/pkg/peer/roster_test.go
@@ -37,22 +37,22 @@
 	reply := &Reply{}
 	ask := Ask{Domain: from.options.Self.Domain, Region: from.options.Self.Region, Report: report, Sums: true, Rosters: from.rosters(), Dictionary: from.dictionary().fingerprint}
 	is.NoErr((&Service{gossip: to}).Exchange(ask, reply))
-	from.take(&fleet.Instance{}, reply, from.dictionary())
+	from.applyReply(&fleet.Instance{}, reply, from.dictionary())
 	return reply
 }
 
 // TestWhatAnInstanceIsToldDoesNotGrowWithItsDomain: hundreds of instances, most of them
 // behind 20 Mbit/s, learn of each other through their domains' hubs. In a quiet round only
 // the work at engines is told, whose number does not depend on theirs.
-func TestWhatAnInstanceIsToldDoesNotGrowWithItsDomain(t *testing.T) {
+func TestReplySizeDoesNotGrowWithTheDomain(t *testing.T) {
 	is := is.New(t)
 	told := func(instances int) int {
 		hub := newSampleHub(sample{instances, 1, 4, 24})
 		sink := &counter{}
 		encoder := gob.NewEncoder(sink)
-		is.NoErr(encoder.Encode(hub.tell()))
+		is.NoErr(encoder.Encode(hub.nextReply()))
 		sink.n = 0
-		reply := hub.tell()
+		reply := hub.nextReply()
 		reply.Placed = nil
 		is.NoErr(encoder.Encode(reply))
 		return sink.n
@@ -65,20 +65,20 @@
 }
 
 // TestARosterIsToldWhenItChanges.
-func TestARosterIsToldWhenItChanges(t *testing.T) {
+func TestRosterIsSentOnlyWhenItChanges(t *testing.T) {
 	is := is.New(t)
 	hub, member := newHub("north-a", "north"), newHub("north-a", "north")
 	member.options.Self.Name = "north-a-member"
 	member.options.Report = func() Report { return Report{Name: "north-a-member", Incarnation: 1, Ready: true} }
 	now := hub.options.Clock.Now()
 	for i := range 10 {
-		hub.takeReport(Report{Name: fmt.Sprint("n-", i), Incarnation: 1, Sequence: 1, Ready: true}, now)
+		hub.applyReport(Report{Name: fmt.Sprint("n-", i), Incarnation: 1, Sequence: 1, Ready: true}, now)
 	}
 	is.Equal(len(exchange(is, member, hub, 1).Digests[0].Marks), 12)
 	// The member's own mark is in it now.
 	is.Equal(len(exchange(is, member, hub, 2).Digests[0].Marks), 0)
 	is.True(member.reports["n-3"].value.Ready)
-	hub.takeReport(Report{Name: "n-3", Incarnation: 1, Sequence: 2, Ready: true, Leaving: true}, now)
+	hub.applyReport(Report{Name: "n-3", Incarnation: 1, Sequence: 2, Ready: true, Leaving: true}, now)
 	is.Equal(len(exchange(is, member, hub, 3).Digests[0].Marks), 12)
 	is.True(member.reports["n-3"].value.Leaving)
 	is.Equal(len(exchange(is, member, hub, 4).Digests[0].Marks), 0)
@@ -90,7 +90,7 @@
 
 // TestASilentInstanceIsNotHeldForLiveByItsRoster: a member counts an instance as gone
 // soon after its hub stops hearing it, though nothing was told of it.
-func TestASilentInstanceIsNotHeldForLiveByItsRoster(t *testing.T) {
+func TestRosterDoesNotKeepASilentInstanceLive(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
 	hub, member := newHub("north-a", "north"), newHub("north-a", "north")
@@ -99,18 +99,18 @@
 		g.options.Clock = clock.Func(func() time.Time { return now })
 	}
 	died := now
-	hub.takeReport(Report{Name: "n-1", Incarnation: 1, Sequence: 1, Ready: true}, now)
+	hub.applyReport(Report{Name: "n-1", Incarnation: 1, Sequence: 1, Ready: true}, now)
 	sequence := uint64(0)
 	for now.Sub(died) < 4*time.Second {
 		sequence++
 		exchange(is, member, hub, sequence)
 		live := now.Sub(member.reports["n-1"].at) <= SilentAfter
-		if now.Sub(died) > SilentAfter+quietAfter+2*round {
+		if now.Sub(died) > SilentAfter+quietAfter+2*roundInterval {
 			is.True(!live)
 		}
-		if now.Sub(died) < SilentAfter-2*round {
+		if now.Sub(died) < SilentAfter-2*roundInterval {
 			is.True(live)
 		}
-		now = now.Add(round)
+		now = now.Add(roundInterval)
 	}
 }
--- a/pkg/peer/service.go
+++ b/pkg/peer/service.go
@@ -106,31 +106,31 @@
 	own := g.ownReport(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.avoided, ask.Report.Name)
-	g.noteAsker(&ask, &own, now)
-	g.news.add(own.Placed, true, now)
-	g.tellEvidence(&ask, &own, reply, now)
-	g.learnDepartures(ask.Departures, ask.Report.Name)
+	delete(g.avoidedUntil, ask.Report.Name)
+	g.recordReplicaOffer(&ask, &own, now)
+	g.placementLog.add(own.Placed, true, now)
+	g.answerEvidence(&ask, &own, reply, now)
+	g.forwardDepartures(ask.Departures, ask.Report.Name)
 	reply.Departures = g.departures()
 	if ask.Region == g.options.Self.Region {
-		g.learnLimits(ask.Limits)
+		g.forwardLimits(ask.Limits)
 		reply.Limits = g.limits()
 	}
 	if ask.Domain != g.options.Self.Domain {
 		digest := g.digest(&own, now, ask.Region)
-		digest.Placed = g.news.since(ask.Report.Name, true, now)
-		digest.leaveOut(ask.Rosters)
+		digest.Placed = g.placementLog.since(ask.Report.Name, true, now)
+		digest.omitKnownMarks(ask.Rosters)
 		reply.Digests = []Digest{digest}
 		if digest := g.digests[ask.Domain]; digest == nil || now.Sub(digest.at) > SilentAfter {
-			g.farWanted.Store(true)
+			g.remoteRoundWanted.Store(true)
 			g.RequestRound()
 		}
 		return nil
 	}
-	g.takeReport(ask.Report, now)
+	g.applyReport(ask.Report, now)
 	reply.Reports = []AgedReport{{Report: own}}
 	if ask.Sums {
-		g.tellSums(&ask, reply, now)
+		g.answerSums(&ask, reply, now)
 		return nil
 	}
 	for name, report := range g.reports {
@@ -142,7 +142,7 @@
 		told := digest.value
 		told.Age = now.Sub(digest.at)
 		if told.Age <= SilentAfter {
-			told.leaveOut(ask.Rosters)
+			told.omitKnownMarks(ask.Rosters)
 			reply.Digests = append(reply.Digests, told)
 		}
 	}
@@ -154,26 +154,26 @@
 // 16 instances that send 600 requests a second a reply took 180 KB; with each instance's
 // name in it, 5 KB in a domain of 50, which a hub sends 480 times a second: its link of
 // 20 Mbit/s was full, and what it told of loads was seconds old. The caller holds g.mu.
-func (g *Gossip) tellSums(ask *Ask, reply *Reply, now time.Time) {
+func (g *Gossip) answerSums(ask *Ask, reply *Reply, now time.Time) {
 	own := &reply.Reports[0].Report
 	g.used.Take(own.Name, own.Incarnation, own.Used, now)
 	total := g.total(own, now)
 	reply.Digests = []Digest{total.roster}
-	before := g.askedAt[ask.Report.Name]
-	g.askedAt[ask.Report.Name] = now
+	before := g.lastAskedAt[ask.Report.Name]
+	g.lastAskedAt[ask.Report.Name] = now
 	for _, digest := range g.digests {
 		told := digest.value
 		told.Age = now.Sub(digest.at)
 		if told.Age > SilentAfter {
 			continue
 		}
-		if !digest.taken.Before(before) {
+		if !digest.receivedAt.Before(before) {
 			told.Upstreams, told.Placed = nil, nil
 			reply.Digests = append(reply.Digests, told)
 		}
 	}
 	for i := range reply.Digests {
-		reply.Digests[i].leaveOut(ask.Rosters)
+		reply.Digests[i].omitKnownMarks(ask.Rosters)
 	}
 	own.Upstreams, own.Placed, own.Used = nil, nil, nil
 	reply.Used, reply.Counter = g.used.Tell(ask.Report.Name, now), own.Incarnation
@@ -181,7 +181,7 @@
 	if dict := g.dictionary(); dict.fingerprint == ask.Dictionary {
 		reply.Columns, reply.Sums = dict.columns(reply.Sums)
 	}
-	reply.Placed = g.news.since(ask.Report.Name, false, now)
+	reply.Placed = g.placementLog.since(ask.Report.Name, false, now)
 }
 
 // Copy returns what has changed in this instance's copy of the store.
@@ -232,28 +232,28 @@
 }
 
 // take learns from an instance's reply to an ask that named a dictionary.
-func (g *Gossip) take(instance *fleet.Instance, reply *Reply, asked *dictionary) {
+func (g *Gossip) applyReply(instance *fleet.Instance, reply *Reply, asked *dictionary) {
 	now := g.options.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.takeEvidence(instance, reply, now)
-	g.learnLimits(reply.Limits)
-	g.learnDepartures(reply.Departures, instance.Name)
+	g.applyEvidence(instance, reply, now)
+	g.forwardLimits(reply.Limits)
+	g.forwardDepartures(reply.Departures, instance.Name)
 	for i := range reply.Reports {
 		told := &reply.Reports[i]
-		g.takeReport(told.Report, now.Add(-told.Age))
+		g.applyReport(told.Report, now.Add(-told.Age))
 	}
 	for i := range reply.Digests {
 		if reply.Digests[i].Domain == g.options.Self.Domain {
-			g.takeRoster(&reply.Digests[i], now)
+			g.applyRoster(&reply.Digests[i], now)
 			continue
 		}
-		g.takeDigest(reply.Digests[i], now)
+		g.applyDigest(reply.Digests[i], now)
 	}
 	if reply.Summed {
-		g.takeSums(reply, asked, now)
-		g.placed(reply.Placed, false, now)
-		g.hear(domainTeller(g.options.Self.Domain), reply.Counter, reply.Used)
+		g.applySums(reply, asked, now)
+		g.handlePlacements(reply.Placed, false, now)
+		g.recordUsage(domainSource(g.options.Self.Domain), reply.Counter, reply.Used)
 	}
 }
 
@@ -266,7 +266,7 @@
 }
 
 // learnLimits passes limits on.
-func (g *Gossip) learnLimits(told []limit.ToldLimit) {
+func (g *Gossip) forwardLimits(told []limit.ToldLimit) {
 	if len(told) > 0 && g.options.LearnLimits != nil {
 		g.options.LearnLimits(told)
 	}
@@ -281,34 +281,34 @@
 }
 
 // learnDepartures passes departures on.
-func (g *Gossip) learnDepartures(upstreams []string, teller string) {
+func (g *Gossip) forwardDepartures(upstreams []string, from string) {
 	if len(upstreams) > 0 && g.options.LearnDepartures != nil {
-		g.options.LearnDepartures(upstreams, teller)
+		g.options.LearnDepartures(upstreams, from)
 	}
 }
 
 // instanceTeller and domainTeller name who tells usage.
-func instanceTeller(name string) string { return "instance " + name }
-func domainTeller(name string) string   { return "domain " + name }
+func instanceSource(name string) string { return "instance " + name }
+func domainSource(name string) string   { return "domain " + name }
 
 // hear passes usage on.
-func (g *Gossip) hear(teller string, start uint64, used []quota.Usage) {
+func (g *Gossip) recordUsage(source string, start uint64, used []quota.Usage) {
 	if g.options.Usage != nil {
-		g.options.Usage.Hear(teller, start, used)
+		g.options.Usage.AddRemoteUsage(source, start, used)
 	}
 }
 
 // takeSums learns the others' work. The caller holds g.mu.
-func (g *Gossip) takeSums(reply *Reply, asked *dictionary, now time.Time) {
+func (g *Gossip) applySums(reply *Reply, asked *dictionary, now time.Time) {
 	loads, err := asked.loads(&reply.Columns)
 	if err != nil {
 		g.options.Log.Warn().Err(err).Msg(string(event.SumsRejected))
 		return
 	}
-	g.sums = &heard[[]Load]{value: append(loads, reply.Sums...), at: now}
+	g.sums = &received[[]Load]{value: append(loads, reply.Sums...), at: now}
 }
 
-func (g *Gossip) takeReport(report Report, at time.Time) {
+func (g *Gossip) applyReport(report Report, at time.Time) {
 	if report.Name == g.options.Self.Name {
 		return
 	}
@@ -319,18 +319,18 @@
 	if before == nil || before.value.mark() != report.mark() {
 		g.totals = nil
 	}
-	g.note(before, &report)
+	g.logChange(before, &report)
 	g.options.Store.ObserveEpoch(report.Era)
-	delete(g.avoided, report.Name)
-	g.placed(report.Placed, true, at)
-	g.reports[report.Name] = &heard[Report]{value: report, at: at}
+	delete(g.avoidedUntil, report.Name)
+	g.handlePlacements(report.Placed, true, at)
+	g.reports[report.Name] = &received[Report]{value: report, at: at}
 	g.used.Take(report.Name, report.Incarnation, report.Used, g.options.Clock.Now())
-	if g.leads.Load() {
-		g.hear(instanceTeller(report.Name), report.Incarnation, report.Used)
+	if g.receivesAllReports.Load() {
+		g.recordUsage(instanceSource(report.Name), report.Incarnation, report.Used)
 	}
 }
 
-func (g *Gossip) takeDigest(digest Digest, now time.Time) {
+func (g *Gossip) applyDigest(digest Digest, now time.Time) {
 	if digest.Domain == g.options.Self.Domain || digest.Age > SilentAfter {
 		return
 	}
@@ -346,14 +346,14 @@
 		digest.Marks, digest.Roster = before.value.Marks, before.value.Roster
 	}
 	g.options.Store.ObserveEpoch(digest.Era)
-	g.placed(digest.Placed, false, at)
-	g.digests[digest.Domain] = &heard[Digest]{value: digest, at: at, taken: now}
-	g.hear(domainTeller(digest.Domain), digest.Counter, digest.Used)
+	g.handlePlacements(digest.Placed, false, at)
+	g.digests[digest.Domain] = &received[Digest]{value: digest, at: at, receivedAt: now}
+	g.recordUsage(domainSource(digest.Domain), digest.Counter, digest.Used)
 }
 
 // placed passes placements on, to this instance and to those that ask it.
-func (g *Gossip) placed(placements []Placement, own bool, at time.Time) {
-	g.news.add(placements, own, g.options.Clock.Now())
+func (g *Gossip) handlePlacements(placements []Placement, own bool, at time.Time) {
+	g.placementLog.add(placements, own, g.options.Clock.Now())
 	if g.options.Placed == nil {
 		return
 	}
@@ -363,7 +363,7 @@
 }
 
 // note logs what is new of an instance.
-func (g *Gossip) note(before *heard[Report], report *Report) {
+func (g *Gossip) logChange(before *received[Report], report *Report) {
 	switch {
 	case before == nil, before.value.Incarnation != report.Incarnation:
 		g.options.Log.Info().Str(event.KeyPeer, report.Name).Msg(string(event.PeerFound))
--- a/pkg/peer/state.go
+++ b/pkg/peer/state.go
@@ -129,28 +129,28 @@
 	// work by region and service.
 	upstreams map[string]Load
 	// abroad is when another region was last heard of.
-	abroad   time.Time
-	services map[regionService]Load
+	otherRegionAt time.Time
+	services      map[regionService]Load
 	// near counts the live others of the own region; age is how old their news was on the
 	// average at the time at.
-	near int
-	age  time.Duration
-	at   time.Time
+	regionPeers int
+	reportAge   time.Duration
+	at          time.Time
 }
 
 // RegionPeers returns how many other instances the own region has, and how old on the average
 // what they told of their work is by now.
-func (v *View) RegionPeers(now time.Time) (others int, age time.Duration) {
+func (v *View) RegionPeers(now time.Time) (others int, reportAge time.Duration) {
 	if v == nil {
 		return 0, 0
 	}
-	return v.near, v.age + max(0, now.Sub(v.at))
+	return v.regionPeers, v.reportAge + max(0, now.Sub(v.at))
 }
 
 // NewView is a view of the others' work at the upstreams of the own region as it was at a
 // time, for who emulates a deployment.
 func NewView(others []Known, upstreams []Load, at time.Time) *View {
-	view := &View{Others: others, upstreams: make(map[string]Load), services: make(map[regionService]Load), near: len(others), at: at}
+	view := &View{Others: others, upstreams: make(map[string]Load), services: make(map[regionService]Load), regionPeers: len(others), at: at}
 	addLoads(view.upstreams, upstreams)
 	return view
 }
@@ -225,5 +225,5 @@
 	if v == nil {
 		return time.Time{}
 	}
-	return v.abroad
+	return v.otherRegionAt
 }
--- a/pkg/peer/totals.go
+++ b/pkg/peer/totals.go
@@ -10,7 +10,7 @@
 // it 500 times a second, and each has reported once a round. To add up 50 reports for each
 // that asked took 84 µs, a fifth of what a small machine has of a core; it takes 18 µs
 // (BenchmarkExchange).
-const totalsFor = round / 5
+const totalsTTL = roundInterval / 5
 
 // totals is who the own domain holds and the work of the own region, as a hub tells them to
 // those that ask.
@@ -21,8 +21,8 @@
 	roster Digest
 	// sums is the work by upstream, sorted by ID, parts what each instance of the own
 	// domain that is heard has of it.
-	sums  []Load
-	parts map[string][]Load
+	sums       []Load
+	byInstance map[string][]Load
 }
 
 // ownReport returns this instance's report, made lately.
@@ -30,7 +30,7 @@
 	g.mu.Lock()
 	held := g.totals
 	g.mu.Unlock()
-	if held != nil && now.Sub(held.at) < totalsFor {
+	if held != nil && now.Sub(held.at) < totalsTTL {
 		return held.own
 	}
 	return g.options.Report()
@@ -38,16 +38,16 @@
 
 // total adds up the region's work, unless that was done lately. The caller holds g.mu.
 func (g *Gossip) total(own *Report, now time.Time) *totals {
-	if g.totals != nil && now.Sub(g.totals.at) < totalsFor {
+	if g.totals != nil && now.Sub(g.totals.at) < totalsTTL {
 		return g.totals
 	}
-	t := &totals{at: now, own: *own, roster: g.roster(own, now), parts: make(map[string][]Load, len(g.reports))}
+	t := &totals{at: now, own: *own, roster: g.roster(own, now), byInstance: make(map[string][]Load, len(g.reports))}
 	sums := make(map[string]Load)
 	addLoads(sums, own.Upstreams)
 	for name, report := range g.reports {
 		if now.Sub(report.at) <= SilentAfter {
 			addLoads(sums, report.value.Upstreams)
-			t.parts[name] = report.value.Upstreams
+			t.byInstance[name] = report.value.Upstreams
 		}
 	}
 	for _, digest := range g.digests {
@@ -63,17 +63,17 @@
 // without is the work of all but one instance.
 func (t *totals) without(instance string) []Load {
 	loads := slices.Clone(t.sums)
-	for _, part := range t.parts[instance] {
-		i, _ := slices.BinarySearchFunc(loads, part.Name, func(l Load, name string) int { return strings.Compare(l.Name, name) })
-		loads[i] = loads[i].less(part)
+	for _, own := range t.byInstance[instance] {
+		i, _ := slices.BinarySearchFunc(loads, own.Name, func(l Load, name string) int { return strings.Compare(l.Name, name) })
+		loads[i] = loads[i].minus(own)
 	}
 	return slices.DeleteFunc(loads, func(l Load) bool { return l == Load{Name: l.Name} })
 }
 
 // less is a load without a part of it.
-func (l Load) less(part Load) Load {
+func (l Load) minus(other Load) Load {
 	return Load{
-		Name: l.Name, InFlight: l.InFlight - part.InFlight, Prefill: l.Prefill - part.Prefill,
-		Flowing: l.Flowing - part.Flowing, Silent: l.Silent - part.Silent,
+		Name: l.Name, InFlight: l.InFlight - other.InFlight, Prefill: l.Prefill - other.Prefill,
+		Flowing: l.Flowing - other.Flowing, Silent: l.Silent - other.Silent,
 	}
 }
--- a/pkg/peer/usage_test.go
+++ b/pkg/peer/usage_test.go
@@ -33,7 +33,7 @@
 // TestWhatIsUsedIsChargedEverywhereOnce: an instance of a large domain lets a request in; its
 // hub, another instance of the domain, the hub of another region and an instance there
 // charge the same, however often the sums are told.
-func TestWhatIsUsedIsChargedEverywhereOnce(t *testing.T) {
+func TestUsageIsChargedOnceEverywhere(t *testing.T) {
 	is := is.New(t)
 	// The limit refills so slowly that it does not count here.
 	limit := quota.Limit{Rate: 1e-3, Burst: 1e6}
@@ -41,8 +41,8 @@
 	user, other := newLimited("north-a-1", "north-a", "north", limits), newLimited("north-a-2", "north-a", "north", limits)
 	hub, far := newLimited("north-a-0", "north-a", "north", limits), newLimited("south-a-0", "south-a", "south", limits)
 	farther := newLimited("south-a-1", "south-a", "south", limits)
-	hub.leads.Store(true)
-	far.leads.Store(true)
+	hub.receivesAllReports.Store(true)
+	far.receivesAllReports.Store(true)
 	round := func() {
 		exchange(is, user.Gossip, hub.Gossip, user.sequence+1)
 		exchange(is, other.Gossip, hub.Gossip, other.sequence+1)
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -234,7 +234,7 @@
 }
 
 // Hear takes what a teller has counted since its start.
-func (l *Limiter) Hear(teller string, start uint64, list []Usage) {
+func (l *Limiter) AddRemoteUsage(teller string, start uint64, list []Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
--- a/pkg/quota/limiter_test.go
+++ b/pkg/quota/limiter_test.go
@@ -144,7 +144,7 @@
 		}
 		sums := s.sums[domain]
 		sums.Take(fmt.Sprint(i), s.starts[i], limiter.Told(), s.now)
-		limiter.Hear(fmt.Sprint("domain ", domain), 1, sums.Tell(fmt.Sprint(i), s.now))
+		limiter.AddRemoteUsage(fmt.Sprint("domain ", domain), 1, sums.Tell(fmt.Sprint(i), s.now))
 		s.tellFar(i, domain)
 	}
 	s.deliver()
@@ -183,7 +183,7 @@
 		case p.due.After(s.now):
 			kept = append(kept, p)
 		case !s.cut[p.instance]:
-			s.limiters[p.instance].Hear(p.teller, 1, p.list)
+			s.limiters[p.instance].AddRemoteUsage(p.teller, 1, p.list)
 		}
 	}
 	s.posts = kept
