--- a/pkg/peer/bench_test.go
+++ b/pkg/peer/bench_test.go
@@ -30,15 +30,15 @@
 			hub := newSampleHub(size)
 			sink := &counter{}
 			encoder := gob.NewEncoder(sink)
-			encode := func() {
+			nextReply := func() {
 				if err := encoder.Encode(hub.nextReply()); err != nil {
 					b.Fatal(err)
 				}
 			}
-			encode()
+			nextReply()
 			sink.n = 0
 			for b.Loop() {
-				encode()
+				nextReply()
 			}
 			b.ReportMetric(float64(sink.n)/float64(b.N), "bytes/round")
 		})
--- a/pkg/peer/evidence.go
+++ b/pkg/peer/evidence.go
@@ -132,17 +132,17 @@
 // tellEvidence takes the asking instance's evidence, and tells it what it does not have: all
 // to the own domain, what the own domain saw to others. The caller holds g.mu.
 func (g *Gossip) answerEvidence(ask *Ask, own *Report, reply *Reply, now time.Time) {
-	farthest, sender := seenInDomain, sender{ask.Report.Name, ask.Report.Incarnation}
+	farthest, from := seenInDomain, sender{ask.Report.Name, ask.Report.Incarnation}
 	if ask.Domain == g.options.Self.Domain {
 		farthest = seenRemotely
-		g.mergeEvidence(ask.Evidence, seenInDomain, sender, now)
+		g.mergeEvidence(ask.Evidence, seenInDomain, from, now)
 		reply.Given = ask.Last
 	}
 	after := ask.Have.Number
 	if ask.Have.Incarnation != own.Incarnation {
 		after = 0
 	}
-	reply.Evidence, reply.Told.Number = g.evidence.since(after, farthest, sender)
+	reply.Evidence, reply.Told.Number = g.evidence.since(after, farthest, from)
 	reply.Told.Incarnation = own.Incarnation
 }
 
@@ -152,7 +152,7 @@
 	if instance.Domain == g.options.Self.Domain {
 		from = seenInDomain
 		// One that has started again has nothing of what was given to its former start.
-		if acked := g.evidence.ackedUpTo[instance.Name]; acked.Incarnation != 0 && acked.Incarnation != reply.Told.Incarnation {
+		if ackedUpTo := g.evidence.ackedUpTo[instance.Name]; ackedUpTo.Incarnation != 0 && ackedUpTo.Incarnation != reply.Told.Incarnation {
 			reply.Given = 0
 		}
 		g.evidence.ackedUpTo[instance.Name] = Cursor{reply.Told.Incarnation, reply.Given}
