--- a/pkg/peer/columns.go
+++ b/pkg/peer/columns.go
@@ -104,7 +104,7 @@
 
 // Error implements error.
 func (e *DictionaryError) Error() string {
-	return fmt.Sprintf("told of dictionary %x with a column of %d, asked for %x of %d upstreams", e.Received, e.Length, e.Expected, e.Upstreams)
+	return fmt.Sprintf("reply uses dictionary %x with a column of %d values, expected dictionary %x of %d upstreams", e.Received, e.Length, e.Expected, e.Upstreams)
 }
 
 // loads decodes columns. The error is a *DictionaryError.
