--- a/pkg/mirror/history_test.go
+++ b/pkg/mirror/history_test.go
@@ -133,7 +133,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &counted{store: newStore()}
-		m := mirror.New(mirror.Options{Source: s, Prompt: "declared/", Clock: clock.System{}, Log: zerolog.Nop()})
+		m := mirror.New(mirror.Options{Source: s, UrgentPrefix: "declared/", Clock: clock.System{}, Log: zerolog.Nop()})
 		go m.Run(t.Context())
 		time.Sleep(time.Second)
 		s.calls.Store(0)
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -65,9 +65,9 @@
 	// TrackedRemovals are the prefixes below it whose removals are told, be it that an entry came and went
 	// between two looks.
 	TrackedRemovals []string
-	// Prompt is the prefix below it whose changes are read at once, however many others there are;
+	// UrgentPrefix is the prefix below it whose changes are read at once, however many others there are;
 	// empty: none is.
-	Prompt string
+	UrgentPrefix string
 	// Order tells what counts of a former era; nil: the store's word alone does.
 	Order Order
 	Clock clock.Clock
--- a/pkg/mirror/prompt.go
+++ b/pkg/mirror/prompt.go
@@ -20,7 +20,7 @@
 
 // watchPrompt waits for changes below Options.Prompt after a position until it is stopped.
 func (m *Mirror) watchPrompt(ctx context.Context, after Position) (stop func()) {
-	if m.options.Prompt == "" {
+	if m.options.UrgentPrefix == "" {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -40,7 +40,7 @@
 func (m *Mirror) waitPrompt(ctx context.Context, after int64) int64 {
 	bounded, cancel := context.WithTimeout(ctx, promptWait+longestCall)
 	defer cancel()
-	changes, err := m.options.Source.Changes(bounded, m.options.Prompt, after, promptWait)
+	changes, err := m.options.Source.Changes(bounded, m.options.UrgentPrefix, after, promptWait)
 	if errors.Is(err, platform.ErrCompacted) {
 		after = max(after, m.revision())
 	}
