--- a/pkg/mirror/delta.go
+++ b/pkg/mirror/delta.go
@@ -47,7 +47,7 @@
 	if s.Position().Before(from) {
 		return Delta{}
 	}
-	delta := Delta{Era: s.Era, Revision: s.Revision, Held: s.held()}
+	delta := Delta{Era: s.Era, Revision: s.Revision, Held: s.retained()}
 	for key, end := range s.Lapsed {
 		delta.Lapsed = append(delta.Lapsed, Lapse{Key: key, Left: end.Sub(now)})
 	}
@@ -57,8 +57,8 @@
 		}
 		return delta
 	}
-	for _, held := range s.hidden {
-		delta.Hidden = append(delta.Hidden, Hidden{Entry: held.entry, Left: held.until.Sub(now)})
+	for _, retained := range s.hidden {
+		delta.Hidden = append(delta.Hidden, Hidden{Entry: retained.entry, Left: retained.until.Sub(now)})
 	}
 	delta.Removals, delta.Gap = s.Removals, s.Gap
 	delta.Keys = make([]string, 0, len(s.Entries))
@@ -80,30 +80,30 @@
 	defer m.mu.Unlock()
 	present, now := m.snapshot.Load(), m.options.Clock.Now()
 	if len(delta.Keys) == 0 || !present.Position().Before(delta.position()) {
-		return m.adoptHeld(present, delta, now)
+		return m.mergeRetained(present, delta, now)
 	}
 	entries, ok := delta.entries(present)
 	if !ok {
 		return false
 	}
-	m.keepNewer(present, delta, entries)
+	m.preferNewer(present, delta, entries)
 	for key, removed := range delta.Removals {
-		m.tell(key, removed)
+		m.recordRemoval(key, removed)
 	}
-	m.adoptGap(present, delta)
+	m.mergeGap(present, delta)
 	if present != nil && present.Era < delta.Era {
-		m.beginEra(delta.position(), now)
+		m.beginEpoch(delta.position(), now)
 	}
-	m.lapsed, m.told = make(map[string]time.Time, len(delta.Lapsed)), true
+	m.expiring, m.expiryFromPeer = make(map[string]time.Time, len(delta.Lapsed)), true
 	for _, lapse := range delta.Lapsed {
-		m.lapsed[lapse.Key] = now.Add(min(lapse.Left, max(lapseGrace, m.options.Order.Kept(lapse.Key))))
+		m.expiring[lapse.Key] = now.Add(min(lapse.Left, max(leaseGrace, m.options.Order.Kept(lapse.Key))))
 	}
 	m.hidden = make(map[string]hidden, len(delta.Hidden))
-	for _, told := range delta.Hidden {
-		m.hidden[told.Entry.Key] = hidden{entry: told.Entry, until: now.Add(min(told.Left, m.options.Order.Gone(told.Entry.Key)))}
+	for _, expiryFromPeer := range delta.Hidden {
+		m.hidden[expiryFromPeer.Entry.Key] = hidden{entry: expiryFromPeer.Entry, until: now.Add(min(expiryFromPeer.Left, m.options.Order.Gone(expiryFromPeer.Entry.Key)))}
 	}
 	if present != nil {
-		m.noteRemoved(present, entries, now)
+		m.recordMissing(present, entries, now)
 		m.carryOver(present, delta.position(), entries, now)
 	}
 	m.publish(delta.position(), entries, now)
@@ -120,7 +120,7 @@
 		entries[d.Held[i].Key] = d.Held[i]
 	}
 	for _, key := range d.Keys {
-		if _, told := entries[key]; told {
+		if _, sent := entries[key]; sent {
 			continue
 		}
 		if present == nil {
@@ -137,57 +137,57 @@
 
 // keepNewer puts what is known here in the place of what the other copy holds over from a former
 // era, where that is older, be it that it was removed. The caller holds m.mu.
-func (m *Mirror) keepNewer(present *Snapshot, delta *Delta, entries map[string]platform.Entry) {
+func (m *Mirror) preferNewer(present *Snapshot, delta *Delta, entries map[string]platform.Entry) {
 	if present == nil {
 		return
 	}
 	for i := range delta.Held {
-		held := &delta.Held[i]
-		known, there := present.Entries[held.Key]
+		retained := &delta.Held[i]
+		known, there := present.Entries[retained.Key]
 		switch {
-		case there && m.options.Order.Older(held, &known):
-			entries[held.Key] = known
-		case !there && m.removedSince(held):
-			delete(entries, held.Key)
+		case there && m.options.Order.Older(retained, &known):
+			entries[retained.Key] = known
+		case !there && m.removedSince(retained):
+			delete(entries, retained.Key)
 		}
 	}
 }
 
 // removedSince says whether an entry, or a later state of it, was removed lately. The caller holds
 // m.mu.
-func (m *Mirror) removedSince(held *platform.Entry) bool {
-	removed, known := m.removed[held.Key]
-	return known && !m.options.Order.Older(&removed.entry, held)
+func (m *Mirror) removedSince(retained *platform.Entry) bool {
+	removed, known := m.removed[retained.Key]
+	return known && !m.options.Order.Older(&removed.entry, retained)
 }
 
 // noteRemoved remembers what a newer copy lacks. The caller holds m.mu.
-func (m *Mirror) noteRemoved(present *Snapshot, entries map[string]platform.Entry, now time.Time) {
+func (m *Mirror) recordMissing(present *Snapshot, entries map[string]platform.Entry, now time.Time) {
 	for key, entry := range present.Entries {
 		if _, there := entries[key]; !there {
-			m.remember(entry, now)
+			m.recordRemoved(entry, now)
 		}
 	}
 }
 
 // adoptHeld takes what another instance's copy of the same era holds over, where it is newer than
 // what is known here. The caller holds m.mu.
-func (m *Mirror) adoptHeld(present *Snapshot, delta *Delta, now time.Time) bool {
+func (m *Mirror) mergeRetained(present *Snapshot, delta *Delta, now time.Time) bool {
 	if present == nil || present.Era != delta.Era {
 		return false
 	}
 	entries, news := maps.Clone(present.Entries), false
 	for i := range delta.Held {
-		held := delta.Held[i]
-		known, there := entries[held.Key]
-		left := delta.left(held.Key)
+		retained := delta.Held[i]
+		known, there := entries[retained.Key]
+		left := delta.left(retained.Key)
 		switch {
-		case there && m.options.Order.Older(&known, &held):
-		case !there && left > 0 && !m.removedSince(&held):
-			m.lapse(held.Key, now.Add(left))
+		case there && m.options.Order.Older(&known, &retained):
+		case !there && left > 0 && !m.removedSince(&retained):
+			m.retainUntil(retained.Key, now.Add(left))
 		default:
 			continue
 		}
-		entries[held.Key], news = held, true
+		entries[retained.Key], news = retained, true
 	}
 	if news {
 		m.publish(present.Position(), entries, now)
--- a/pkg/mirror/entries.go
+++ b/pkg/mirror/entries.go
@@ -22,7 +22,7 @@
 
 // graceEnd is until when a leased entry that is found missing now still counts.
 func (m *Mirror) graceEnd(now time.Time) (time.Time, bool) {
-	end := m.returned.Add(lapseGrace)
+	end := m.returned.Add(leaseGrace)
 	return end, !m.returned.IsZero() && now.Before(end)
 }
 
@@ -32,27 +32,27 @@
 	defer m.mu.Unlock()
 	now, present := m.options.Clock.Now(), m.snapshot.Load()
 	if present != nil && position.Before(present.Position()) {
-		m.leftOut(len(entries), position.Revision)
+		m.logIgnored(len(entries), position.Revision)
 		return
 	}
-	maps.DeleteFunc(m.lapsed, func(key string, _ time.Time) bool {
+	maps.DeleteFunc(m.expiring, func(key string, _ time.Time) bool {
 		_, listed := entries[key]
 		return listed
 	})
 	clear(m.hidden)
 	if present != nil {
 		if present.Era < position.Era {
-			m.beginEra(position, now)
+			m.beginEpoch(position, now)
 		}
 		m.carryOver(present, position, entries, now)
-		m.keepLapsed(present, position, entries, now)
+		m.retainMissing(present, position, entries, now)
 	}
 	m.publish(position, entries, now)
 }
 
 // keepLapsed keeps the entries of the present era that are missing in a listing, and that their
 // owners may be about to write again. The caller holds m.mu.
-func (m *Mirror) keepLapsed(present *Snapshot, position Position, entries map[string]platform.Entry, now time.Time) {
+func (m *Mirror) retainMissing(present *Snapshot, position Position, entries map[string]platform.Entry, now time.Time) {
 	end, grace := m.graceEnd(now)
 	for key, entry := range present.Entries {
 		if _, listed := entries[key]; listed || entry.Era != position.Era {
@@ -60,17 +60,17 @@
 		}
 		if grace && m.leased(key) {
 			entries[key] = entry
-			m.lapse(key, end)
+			m.retainUntil(key, end)
 			continue
 		}
-		m.remember(entry, now)
+		m.recordRemoved(entry, now)
 	}
 }
 
 // lapse keeps a missing entry until end, or as long as was said before.
-func (m *Mirror) lapse(key string, end time.Time) {
-	if _, ok := m.lapsed[key]; !ok {
-		m.lapsed[key], m.told = end, false
+func (m *Mirror) retainUntil(key string, end time.Time) {
+	if _, ok := m.expiring[key]; !ok {
+		m.expiring[key], m.expiryFromPeer = end, false
 		m.options.Log.Info().Str(event.KeyKey, key).Msg(string(event.EntryLapsed))
 	}
 }
@@ -81,21 +81,21 @@
 	defer m.mu.Unlock()
 	present := m.snapshot.Load()
 	now := m.options.Clock.Now()
-	if present == nil || present.Era != changes.Era || (len(changes.Entries) == 0 && !m.due(now)) {
+	if present == nil || present.Era != changes.Era || (len(changes.Entries) == 0 && !m.anyDue(now)) {
 		return
 	}
 	entries := maps.Clone(present.Entries)
 	old := 0
 	for _, change := range changes.Entries {
 		change.Era = changes.Era
-		if known, ok := entries[change.Key]; ok && !at(&known).Before(at(&change.Entry)) {
+		if known, ok := entries[change.Key]; ok && !positionOf(&known).Before(positionOf(&change.Entry)) {
 			old++
 			continue
 		}
 		m.change(entries, change, now)
 	}
 	if old > 0 && changes.Revision < present.Revision {
-		m.leftOut(old, changes.Revision)
+		m.logIgnored(old, changes.Revision)
 	}
 	m.publish(Position{Era: present.Era, Revision: max(present.Revision, changes.Revision)}, entries, now)
 }
@@ -104,21 +104,21 @@
 	before, known := entries[change.Key]
 	delete(m.hidden, change.Key)
 	if change.Removed {
-		m.tell(change.Key, at(&change.Entry))
+		m.recordRemoval(change.Key, positionOf(&change.Entry))
 	}
 	if !change.Removed {
 		if known && before.Era != change.Era && m.options.Order.Older(&change.Entry, &before) {
 			return
 		}
 		entries[change.Key] = change.Entry
-		delete(m.lapsed, change.Key)
+		delete(m.expiring, change.Key)
 		return
 	}
 	if !known {
 		return
 	}
 	if end, grace := m.graceEnd(now); grace && m.leased(change.Key) {
-		m.lapse(change.Key, end)
+		m.retainUntil(change.Key, end)
 		return
 	}
 	m.remove(entries, change.Key, now)
@@ -126,9 +126,9 @@
 
 // tell keeps in mind that a key was removed at a position, if removals of such keys are told, and
 // says whether that is news. The caller holds m.mu.
-func (m *Mirror) tell(key string, removed Position) bool {
-	told := slices.ContainsFunc(m.options.TrackedRemovals, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
-	if before, known := m.removals[key]; !told || (known && !before.Before(removed)) {
+func (m *Mirror) recordRemoval(key string, removed Position) bool {
+	tracked := slices.ContainsFunc(m.options.TrackedRemovals, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
+	if before, known := m.removals[key]; !tracked || (known && !before.Before(removed)) {
 		return false
 	}
 	next := make(map[string]Position, len(m.removals)+1)
@@ -140,19 +140,19 @@
 
 // publish stores a copy without the lapsed entries whose time is over.
 func (m *Mirror) publish(position Position, entries map[string]platform.Entry, now time.Time) {
-	m.reveal(entries, now)
-	for key, end := range m.lapsed {
+	m.unhideExpired(entries, now)
+	for key, end := range m.expiring {
 		if !now.Before(end) {
 			m.remove(entries, key, now)
-			delete(m.lapsed, key)
+			delete(m.expiring, key)
 			m.options.Log.Info().Str(event.KeyKey, key).Msg(string(event.EntryGone))
 		}
 	}
 	snapshot := &Snapshot{
 		Era: position.Era, Revision: position.Revision, Entries: entries,
-		Lapsed: maps.Clone(m.lapsed), hidden: maps.Clone(m.hidden), Removals: m.removals, Gap: m.gap,
+		Lapsed: maps.Clone(m.expiring), hidden: maps.Clone(m.hidden), Removals: m.removals, Gap: m.gap,
 	}
-	snapshot.Held = fingerprint(snapshot.held())
+	snapshot.Held = fingerprint(snapshot.retained())
 	m.snapshot.Store(snapshot)
 }
 
@@ -163,20 +163,20 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	present, now := m.snapshot.Load(), m.options.Clock.Now()
-	if present == nil || !m.due(now) || (m.lost && !m.told) {
+	if present == nil || !m.anyDue(now) || (m.lost && !m.expiryFromPeer) {
 		return
 	}
 	m.publish(present.Position(), maps.Clone(present.Entries), now)
 }
 
-func (m *Mirror) due(now time.Time) bool {
-	for _, end := range m.lapsed {
+func (m *Mirror) anyDue(now time.Time) bool {
+	for _, end := range m.expiring {
 		if !now.Before(end) {
 			return true
 		}
 	}
-	for _, held := range m.hidden {
-		if !now.Before(held.until) {
+	for _, suppressed := range m.hidden {
+		if !now.Before(suppressed.until) {
 			return true
 		}
 	}
@@ -189,14 +189,14 @@
 	defer m.mu.Unlock()
 	left := watchWait
 	now := m.options.Clock.Now()
-	for _, end := range m.lapsed {
-		left = min(left, max(leastWait, end.Sub(now)))
+	for _, end := range m.expiring {
+		left = min(left, max(minWait, end.Sub(now)))
 	}
-	for _, held := range m.hidden {
-		left = min(left, max(leastWait, held.until.Sub(now)))
+	for _, suppressed := range m.hidden {
+		left = min(left, max(minWait, suppressed.until.Sub(now)))
 	}
 	return left
 }
 
 // leastWait keeps calls apart while an entry's time runs out.
-const leastWait = 50 * time.Millisecond
+const minWait = 50 * time.Millisecond
--- a/pkg/mirror/history.go
+++ b/pkg/mirror/history.go
@@ -15,51 +15,51 @@
 const (
 	// lookBackFar is how many revisions before its first listing a copy reads: others that copy
 	// from it are behind it by no more, unless they were out of reach.
-	lookBackFar = 200
+	historyDepth = 200
 	// lookBackWait is what the store is asked to wait for history: it has it, or has not.
-	lookBackWait = time.Millisecond
+	historyWait = time.Millisecond
 )
 
 // beginHistory returns from where on the history is read at the first listing.
 func (m *Mirror) beginHistory(first Position) Position {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.gap = Position{Era: first.Era, Revision: min(first.Revision, max(1, first.Revision-lookBackFar))}
+	m.gap = Position{Era: first.Era, Revision: min(first.Revision, max(1, first.Revision-historyDepth))}
 	return m.gap
 }
 
 // lookBack reads what came and went between two positions.
-func (m *Mirror) lookBack(ctx context.Context, from, to Position) {
+func (m *Mirror) readHistory(ctx context.Context, from, to Position) {
 	if len(m.options.TrackedRemovals) == 0 || !from.Before(to) {
 		return
 	}
 	if from.Era != to.Era {
-		m.noteGap(to, errRestored)
+		m.recordGap(to, errRestored)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, longestCall)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for _, prefix := range m.options.TrackedRemovals {
-		changes, err := m.options.Source.Changes(ctx, prefix, from.Revision, lookBackWait)
-		if err == nil && m.heard(changes.Era) != to.Era {
+		changes, err := m.options.Source.Changes(ctx, prefix, from.Revision, historyWait)
+		if err == nil && m.observeAnswer(changes.Era) != to.Era {
 			err = errRestored
 		}
 		if err != nil {
-			m.noteGap(to, err)
+			m.recordGap(to, err)
 			return
 		}
-		m.tellAll(changes, to.Era)
+		m.recordRemovals(changes, to.Era)
 	}
 }
 
 // tellAll takes the removals among changes of an era.
-func (m *Mirror) tellAll(changes platform.Changes, era uint64) {
+func (m *Mirror) recordRemovals(changes platform.Changes, epoch uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	news := false
 	for i := range changes.Entries {
 		if change := &changes.Entries[i]; change.Removed {
-			news = m.tell(change.Key, Position{Era: era, Revision: change.ModRevision}) || news
+			news = m.recordRemoval(change.Key, Position{Era: epoch, Revision: change.ModRevision}) || news
 		}
 	}
 	if news {
@@ -68,7 +68,7 @@
 }
 
 // noteGap notes that the history up to a position is lost.
-func (m *Mirror) noteGap(to Position, err error) {
+func (m *Mirror) recordGap(to Position, err error) {
 	m.options.Log.Warn().Err(err).Uint64(event.KeyEra, to.Era).Int64(event.KeyRevision, to.Revision).Msg(string(event.StoreHistoryMissed))
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -89,7 +89,7 @@
 
 // adoptGap takes over what another copy does not know of the history, unless the own one has followed
 // that itself. The caller holds m.mu.
-func (m *Mirror) adoptGap(present *Snapshot, delta *Delta) {
+func (m *Mirror) mergeGap(present *Snapshot, delta *Delta) {
 	gap := delta.Gap
 	if present != nil && present.Era < delta.Era && gap.Era < delta.Era {
 		gap = delta.position()
--- a/pkg/mirror/history_test.go
+++ b/pkg/mirror/history_test.go
@@ -17,11 +17,11 @@
 const evacuation = "declared/evacuated/x"
 
 // followTold is follow with a mirror that tells removals of evacuations.
-func followTold(t *testing.T, check func(is *is.I, s *store, m *mirror.Mirror)) {
+func followTracked(t *testing.T, check func(is *is.I, s *store, m *mirror.Mirror)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		s.put("servers/a", "ready")
-		m := newTold(s)
+		m := newTracked(s)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() { m.Run(ctx); close(ended) }()
@@ -32,7 +32,7 @@
 	})
 }
 
-func newTold(s *store) *mirror.Mirror {
+func newTracked(s *store) *mirror.Mirror {
 	return mirror.New(mirror.Options{Source: s, TrackedRemovals: []string{"declared/evacuated/"}, Clock: clock.System{}, Log: zerolog.Nop()})
 }
 
@@ -46,8 +46,8 @@
 
 // TestWhatCameAndWentUnseenIsReadInTheHistory guards against an evacuation that is over before a copy is
 // listed anew, and of which nobody hears.
-func TestWhatCameAndWentUnseenIsReadInTheHistory(t *testing.T) {
-	followTold(t, func(is *is.I, s *store, m *mirror.Mirror) {
+func TestUnseenChangesAreReadFromTheHistory(t *testing.T) {
+	followTracked(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		before := m.Snapshot().Load().Gap
 		evacuateUnseen(s)
 		s.set(func() { s.down = false })
@@ -61,18 +61,18 @@
 // TestLostHistoryIsAGap guards against a state that is believed although the store has lost the history
 // since: it was compacted, or the store has come back from a copy. A copy of the copy has the gap as
 // well, unless it has followed the history itself.
-func TestLostHistoryIsAGap(t *testing.T) {
+func TestLostHistoryIsRecordedAsAGap(t *testing.T) {
 	for name, lose := range map[string]func(s *store){
 		"compacted":          func(s *store) { s.compact() },
-		"back from a copy":   func(s *store) { s.restore(s.copied()) },
-		"back from the past": func(s *store) { s.restore(image{revision: 2, entries: s.copied().entries}) },
+		"back from a copy":   func(s *store) { s.restore(s.backup()) },
+		"back from the past": func(s *store) { s.restore(image{revision: 2, entries: s.backup().entries}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			followTold(t, func(is *is.I, s *store, m *mirror.Mirror) {
-				behind := newTold(newStore())
+			followTracked(t, func(is *is.I, s *store, m *mirror.Mirror) {
+				behind := newTracked(newStore())
 				delta := m.Snapshot().Load().Since(behind.Position(), time.Now())
 				is.True(behind.Adopt(&delta))
-				began := behind.Snapshot().Load().Gap
+				initialGap := behind.Snapshot().Load().Gap
 				evacuateUnseen(s)
 				lose(s)
 				s.set(func() { s.down = false })
@@ -86,7 +86,7 @@
 				delta = m.Snapshot().Load().Since(behind.Position(), time.Now())
 				is.True(behind.Adopt(&delta))
 				is.Equal(behind.Snapshot().Load().Gap, gap)
-				is.True(began.Before(gap))
+				is.True(initialGap.Before(gap))
 			})
 		})
 	}
@@ -94,20 +94,20 @@
 
 // TestACopyOfOneThatHasJustBegunHasNoGap guards against doubts at each restart of an instance from which
 // others copy.
-func TestACopyOfOneThatHasJustBegunHasNoGap(t *testing.T) {
-	followTold(t, func(is *is.I, s *store, m *mirror.Mirror) {
+func TestCopyOfARestartedReplicaHasNoGap(t *testing.T) {
+	followTracked(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put(evacuation, "{}")
 		s.remove(evacuation)
 		s.put("servers/b", "ready")
-		began := newTold(s)
+		restarted := newTracked(s)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		go began.Run(ctx)
+		go restarted.Run(ctx)
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(began.Snapshot().Load().Removals[evacuation].Revision, int64(4))
-		behind := newTold(newStore())
+		is.Equal(restarted.Snapshot().Load().Removals[evacuation].Revision, int64(4))
+		behind := newTracked(newStore())
 		is.True(behind.Adopt(&mirror.Delta{Revision: 2, Keys: []string{"servers/a"}, Changed: s.entry("servers/a")}))
-		delta := began.Snapshot().Load().Since(behind.Position(), time.Now())
+		delta := restarted.Snapshot().Load().Since(behind.Position(), time.Now())
 		is.True(behind.Adopt(&delta))
 		is.True(behind.Snapshot().Load().Gap.Before(mirror.Position{Revision: 2}))
 	})
@@ -115,10 +115,10 @@
 
 // TestAReturnThatACopySkipsIsAGap guards against an instance that copies, across the store's return, from one
 // that has begun after it and knows of no gap.
-func TestAReturnThatACopySkipsIsAGap(t *testing.T) {
-	followTold(t, func(is *is.I, s *store, m *mirror.Mirror) {
+func TestRestoreSkippedByACopyIsAGap(t *testing.T) {
+	followTracked(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		newer := &mirror.Snapshot{Era: 1, Revision: 2, Entries: m.Snapshot().Load().Entries}
-		copier := newTold(newStore())
+		copier := newTracked(newStore())
 		delta := m.Snapshot().Load().Since(copier.Position(), time.Now())
 		is.True(copier.Adopt(&delta))
 		delta = newer.Since(copier.Position(), time.Now())
@@ -129,7 +129,7 @@
 
 // TestAnEvacuationIsReadAtOnceAmongManyChanges guards against one that is known only once the changes of hundreds
 // of servers have been gathered, and against a call for each of those.
-func TestAnEvacuationIsReadAtOnceAmongManyChanges(t *testing.T) {
+func TestUrgentChangesAreReadAtOnceAmongManyOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &counted{store: newStore()}
@@ -150,7 +150,7 @@
 		is.True(s.calls.Load() <= 40)
 		s.set(func() { s.down = true })
 		time.Sleep(time.Second)
-		s.restore(s.copied())
+		s.restore(s.backup())
 		s.set(func() { s.down = false })
 		time.Sleep(time.Second)
 		s.put(evacuation, "after a return")
--- a/pkg/mirror/internal_test.go
+++ b/pkg/mirror/internal_test.go
@@ -13,14 +13,14 @@
 
 // TestAListingThatIsLeftOutChangesNothing guards against one that is older than the copy, and all the
 // same makes it forget which entries are about to end, or to count again.
-func TestAListingThatIsLeftOutChangesNothing(t *testing.T) {
+func TestIgnoredListingChangesNothing(t *testing.T) {
 	is := is.New(t)
 	m := New(Options{Clock: clock.System{}, Log: zerolog.Nop()})
 	m.replace(Position{Era: 1, Revision: 50}, map[string]platform.Entry{})
 	until := time.Now().Add(time.Minute)
 	m.hidden["a"] = hidden{entry: platform.Entry{Key: "a"}, until: until}
-	m.lapsed["b"] = until
+	m.expiring["b"] = until
 	m.replace(Position{Era: 1, Revision: 40}, map[string]platform.Entry{"a": {Key: "a"}, "b": {Key: "b"}})
 	is.Equal(len(m.hidden), 1)
-	is.Equal(len(m.lapsed), 1)
+	is.Equal(len(m.expiring), 1)
 }
--- a/pkg/mirror/lease.go
+++ b/pkg/mirror/lease.go
@@ -23,7 +23,7 @@
 }
 
 // errFormerEra: the lease was granted before the store's return from a copy.
-var errFormerEra = errors.Join(platform.ErrLeaseLost, errors.New("granted in a former era of the store"))
+var errFormerEpoch = errors.Join(platform.ErrLeaseLost, errors.New("granted in a former era of the store"))
 
 // Grant makes a lease. The caller's answer to errors is to try again.
 func (l Leases) Grant(ctx context.Context, ttl time.Duration) (Lease, error) {
@@ -32,9 +32,9 @@
 	if err != nil {
 		return Lease{}, err
 	}
-	if era := l.Era(); era != before && before != 0 {
+	if epoch := l.Era(); epoch != before && before != 0 {
 		// Whether it was granted before or after the return is not known.
-		return Lease{}, errFormerEra
+		return Lease{}, errFormerEpoch
 	}
 	return Lease{ID: id, Era: l.Era()}, nil
 }
@@ -42,14 +42,14 @@
 // Renew renews a lease once; platform.ErrLeaseLost when it has ended, or is one of a former era.
 func (l Leases) Renew(ctx context.Context, lease Lease) error {
 	if lease.Era != l.Era() {
-		return errFormerEra
+		return errFormerEpoch
 	}
 	if _, err := l.Store.KeepAlive(ctx, lease.ID); err != nil {
 		return err
 	}
 	// The answer tells the era. One that was renewed for another owner lasts a little longer.
 	if lease.Era != l.Era() {
-		return errFormerEra
+		return errFormerEpoch
 	}
 	return nil
 }
--- a/pkg/mirror/lease_test.go
+++ b/pkg/mirror/lease_test.go
@@ -45,7 +45,7 @@
 
 // TestLeasesAreFencedByTheEra guards against a lease that is taken for one's own because the store
 // gave its number out again, whichever call the store's return comes before.
-func TestLeasesAreFencedByTheEra(t *testing.T) {
+func TestLeasesAreFencedByTheEpoch(t *testing.T) {
 	for restores, c := range map[int]struct{ granted, renewed, ended bool }{
 		1: {}, // with the grant: nobody knows before or after
 		2: {granted: true},
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -53,7 +53,7 @@
 }
 
 // Passing says whether the copy holds entries that count, or do not, for a while only.
-func (s *Snapshot) Passing() bool { return len(s.Lapsed) > 0 || len(s.hidden) > 0 }
+func (s *Snapshot) HasTemporary() bool { return len(s.Lapsed) > 0 || len(s.hidden) > 0 }
 
 // Options of a Mirror.
 type Options struct {
@@ -88,18 +88,18 @@
 	// hundreds of entries, and a call for each few of them was a third of all calls to
 	// the store. A configuration is in force that much later then, of the 3 s that it may
 	// take.
-	leastPause = 100 * time.Millisecond
-	mostPause  = 800 * time.Millisecond
+	minPause = 100 * time.Millisecond
+	maxPause = 800 * time.Millisecond
 	// longestCall is what a call may take beyond its waiting: a configuration of half a
 	// megabyte over a link of 10 Mbit/s that others use as well. The store's client ends
 	// calls sooner that make no progress.
-	longestCall = 5 * time.Second
+	callTimeout = 5 * time.Second
 	// firstRetry and longestRetry bound the pause after a failed call.
-	firstRetry   = 50 * time.Millisecond
-	longestRetry = 400 * time.Millisecond
+	firstRetryPause = 50 * time.Millisecond
+	maxRetryPause   = 400 * time.Millisecond
 	// lapseGrace is for how long after the store's return a missing leased entry
 	// still counts: its owner writes it again within about two seconds.
-	lapseGrace = 2300 * time.Millisecond
+	leaseGrace = 2300 * time.Millisecond
 	// restoredPause passes before the store is listed after its return from a copy: the one that
 	// told of it may be another than the one that is asked.
 	restoredPause = 100 * time.Millisecond
@@ -108,7 +108,7 @@
 	idlePause = 250 * time.Millisecond
 	// currentFor is for how long after an answer of the store the copy counts as
 	// current: a little more than a waiting call that was told nothing.
-	currentFor = watchWait + 200*time.Millisecond
+	currentWindow = watchWait + 200*time.Millisecond
 )
 
 // errRestored: the store has come back from a copy, so that the present call's answer says nothing
@@ -119,7 +119,7 @@
 type Mirror struct {
 	options  Options
 	snapshot board.Section[Snapshot]
-	eras     board.Section[uint64]
+	epochs   board.Section[uint64]
 
 	mu sync.Mutex
 	// lost is true while the store does not answer; returned is when it last came
@@ -131,12 +131,12 @@
 	reached   time.Time
 	following bool
 	// era is the highest that was heard, heardAny whether any was.
-	era      uint64
-	heardAny bool
+	epoch       uint64
+	observedAny bool
 	// lapsed holds the entries that are missing and still counted, and until when.
-	lapsed map[string]time.Time
+	expiring map[string]time.Time
 	// told is true while lapsed is as another instance told it.
-	told bool
+	expiryFromPeer bool
 	// removed holds the entries that were removed lately, hidden those that the store holds and
 	// that count as removed.
 	removed map[string]removal
@@ -149,7 +149,7 @@
 	// pause follows the next call that brings changes. Run alone uses it.
 	pause time.Duration
 	// prompted receives the revision of each change below Options.Prompt.
-	prompted chan int64
+	urgent chan int64
 }
 
 // New returns a Mirror that holds nothing yet.
@@ -158,8 +158,8 @@
 		options.Order = noOrder{}
 	}
 	return &Mirror{
-		options: options, pause: leastPause, prompted: make(chan int64, 1),
-		lapsed: make(map[string]time.Time), removed: make(map[string]removal), hidden: make(map[string]hidden),
+		options: options, pause: minPause, urgent: make(chan int64, 1),
+		expiring: make(map[string]time.Time), removed: make(map[string]removal), hidden: make(map[string]hidden),
 	}
 }
 
@@ -171,7 +171,7 @@
 func (m *Mirror) Current() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.following && !m.lost && m.era == m.Position().Era && !m.reached.IsZero() && m.options.Clock.Now().Sub(m.reached) < currentFor
+	return m.following && !m.lost && m.epoch == m.Position().Era && !m.reached.IsZero() && m.options.Clock.Now().Sub(m.reached) < currentWindow
 }
 
 // Lost says whether the store's last call failed.
@@ -206,48 +206,48 @@
 func (m *Mirror) Era() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.era
+	return m.epoch
 }
 
 // Eras returns the section that holds the highest of the store's eras that was heard.
-func (m *Mirror) Eras() *board.Section[uint64] { return &m.eras }
+func (m *Mirror) Eras() *board.Section[uint64] { return &m.epochs }
 
 // ObserveEpoch takes the era that an answer of the store tells, to this instance or to another one. A
 // further one ends the call that waits for changes: what it waits for may not come any more.
-func (m *Mirror) ObserveEpoch(era uint64) {
-	if era == 0 {
+func (m *Mirror) ObserveEpoch(epoch uint64) {
+	if epoch == 0 {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	first := !m.heardAny
-	m.heardAny = true
-	if era <= m.era {
+	first := !m.observedAny
+	m.observedAny = true
+	if epoch <= m.epoch {
 		return
 	}
-	m.era = era
-	m.eras.Store(&era)
+	m.epoch = epoch
+	m.epochs.Store(&epoch)
 	if m.interrupt != nil {
 		m.interrupt()
 	}
 	if !first {
-		m.options.Log.Warn().Uint64(event.KeyEra, era).Int64(event.KeyKnownRevision, m.revision()).Msg(string(event.StoreRestored))
+		m.options.Log.Warn().Uint64(event.KeyEra, epoch).Int64(event.KeyKnownRevision, m.revision()).Msg(string(event.StoreRestored))
 	}
 }
 
 // heard takes the era that an answer tells, and returns in which it was given: one that tells none
 // says nothing of a return.
-func (m *Mirror) heard(era uint64) uint64 {
-	if era == 0 {
+func (m *Mirror) observeAnswer(epoch uint64) uint64 {
+	if epoch == 0 {
 		return m.Era()
 	}
-	m.ObserveEpoch(era)
-	return era
+	m.ObserveEpoch(epoch)
+	return epoch
 }
 
 // leftOut logs that the store told something that is not taken.
-func (m *Mirror) leftOut(entries int, revision int64) {
-	m.options.Log.Warn().Int(event.KeyEntries, entries).Uint64(event.KeyEra, m.era).
+func (m *Mirror) logIgnored(entries int, revision int64) {
+	m.options.Log.Warn().Int(event.KeyEntries, entries).Uint64(event.KeyEra, m.epoch).
 		Int64(event.KeyRevision, revision).Int64(event.KeyKnownRevision, m.revision()).Msg(string(event.EntriesLeftOut))
 }
 
@@ -259,7 +259,7 @@
 
 // Run copies until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
-	pause := firstRetry
+	pause := firstRetryPause
 	for ctx.Err() == nil {
 		if !m.active() {
 			m.sweep()
@@ -271,7 +271,7 @@
 			return
 		}
 		if err == nil {
-			pause = firstRetry
+			pause = firstRetryPause
 			continue
 		}
 		if errors.Is(err, errRestored) {
@@ -282,26 +282,26 @@
 			m.options.Log.Warn().Int64(event.KeyRevision, m.revision()).Msg(string(event.StoreHistoryGone))
 			continue
 		}
-		pause = m.failed(err, pause)
+		pause = m.recordFailure(err, pause)
 		m.sweep()
 		clock.Sleep(ctx, pause)
 	}
 }
 
 // failed notes an unanswered call and returns the pause before the next.
-func (m *Mirror) failed(err error, pause time.Duration) time.Duration {
+func (m *Mirror) recordFailure(err error, pause time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.lost {
 		m.lost = true
 		m.options.Log.Warn().Err(err).Msg(string(event.StoreLost))
-		return firstRetry
+		return firstRetryPause
 	}
-	return min(longestRetry, 2*pause)
+	return min(maxRetryPause, 2*pause)
 }
 
 // answered notes that the store answered.
-func (m *Mirror) answered() {
+func (m *Mirror) recordAnswer() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.options.Clock.Now()
@@ -323,7 +323,7 @@
 	defer m.setFollowing(false)
 	after, err := m.list(ctx)
 	if err == nil {
-		defer m.watchPrompt(ctx, after)()
+		defer m.watchUrgent(ctx, after)()
 	}
 	for err == nil && m.active() {
 		after, err = m.changes(ctx, after)
@@ -346,16 +346,16 @@
 		if err != nil {
 			return Position{}, err
 		}
-		m.answered()
-		era := m.heard(page.Era)
+		m.recordAnswer()
+		epoch := m.observeAnswer(page.Era)
 		if first.Revision == 0 {
-			first = Position{Era: era, Revision: page.Revision}
+			first = Position{Era: epoch, Revision: page.Revision}
 		}
-		if era != first.Era || era < m.Era() {
+		if epoch != first.Era || epoch < m.Era() {
 			return Position{}, errRestored
 		}
 		for _, entry := range page.Entries {
-			entry.Era = era
+			entry.Era = epoch
 			entries[entry.Key] = entry
 			after = entry.Key
 		}
@@ -367,28 +367,28 @@
 		before = m.beginHistory(first)
 	}
 	m.replace(first, entries)
-	m.lookBack(ctx, before, first)
+	m.readHistory(ctx, before, first)
 	return first, nil
 }
 
 func (m *Mirror) page(ctx context.Context, after string) (platform.Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, longestCall)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return m.options.Source.List(ctx, m.options.Prefix, after)
 }
 
 // changes waits for what changed after a position, and returns from where on to go on.
 func (m *Mirror) changes(ctx context.Context, after Position) (Position, error) {
-	ctx, cancel := context.WithTimeout(ctx, watchWait+longestCall)
+	ctx, cancel := context.WithTimeout(ctx, watchWait+callTimeout)
 	defer cancel()
-	if !m.wait(after, cancel) {
+	if !m.beginWait(after, cancel) {
 		return Position{}, errRestored
 	}
-	defer m.waited()
+	defer m.endWait()
 	changes, err := m.options.Source.Changes(ctx, m.options.Prefix, after.Revision, min(watchWait, m.untilSweep()))
 	if err == nil {
-		m.answered()
-		changes.Era = m.heard(changes.Era)
+		m.recordAnswer()
+		changes.Era = m.observeAnswer(changes.Era)
 	}
 	if after.Era != m.Era() {
 		// Also where the copy has caught up meanwhile: the revision is one of a former era.
@@ -398,21 +398,21 @@
 		return Position{}, err
 	}
 	m.apply(changes)
-	m.rest(ctx, len(changes.Entries) > 0)
+	m.pauseAfterChanges(ctx, len(changes.Entries) > 0)
 	after.Revision = max(after.Revision, changes.Revision)
 	return after, nil
 }
 
 // wait notes how the call that is about to wait can be ended; false: it would wait for a
 // revision of a former era.
-func (m *Mirror) wait(after Position, interrupt context.CancelFunc) bool {
+func (m *Mirror) beginWait(after Position, interrupt context.CancelFunc) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.interrupt = interrupt
-	return after.Era == m.era
+	return after.Era == m.epoch
 }
 
-func (m *Mirror) waited() {
+func (m *Mirror) endWait() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.interrupt = nil
@@ -420,13 +420,13 @@
 
 // rest waits after a call that brought changes, longer each time, unless there is one that is to be
 // read at once.
-func (m *Mirror) rest(ctx context.Context, changed bool) {
+func (m *Mirror) pauseAfterChanges(ctx context.Context, changed bool) {
 	if !changed {
-		m.pause = leastPause
+		m.pause = minPause
 		return
 	}
-	m.sleepUnlessPrompted(ctx, m.pause)
-	m.pause = min(mostPause, 2*m.pause)
+	m.sleepUnlessUrgent(ctx, m.pause)
+	m.pause = min(maxPause, 2*m.pause)
 }
 
 func (m *Mirror) revision() int64 {
--- a/pkg/mirror/mirror_test.go
+++ b/pkg/mirror/mirror_test.go
@@ -31,11 +31,11 @@
 	from int64
 	down bool
 	// deaf watches hear nothing.
-	deaf bool
+	watchesStalled bool
 	// era counts the returns from a copy. Watches from a revision that is still to come wait for
 	// it where silent is true, and are refused otherwise.
-	era    uint64
-	silent bool
+	era               uint64
+	futureWatchesWait bool
 }
 
 // image is a copy of what a store holds.
@@ -45,7 +45,7 @@
 }
 
 // copied returns a copy of what the store holds now.
-func (s *store) copied() image {
+func (s *store) backup() image {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return image{revision: s.revision, entries: maps.Clone(s.entries)}
@@ -127,7 +127,7 @@
 func (s *store) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (platform.Changes, error) {
 	for end := time.Now().Add(wait); ; {
 		s.mu.Lock()
-		down, deaf, gone := s.down, s.deaf, after < s.from || (after > s.revision && !s.silent)
+		down, watchesStalled, gone := s.down, s.watchesStalled, after < s.from || (after > s.revision && !s.futureWatchesWait)
 		changes := platform.Changes{Revision: s.revision, Era: s.era}
 		for _, change := range s.history {
 			if change.Era = s.era; change.ModRevision > after && strings.HasPrefix(change.Key, prefix) {
@@ -140,7 +140,7 @@
 			return platform.Changes{}, s.unavailable()
 		case gone:
 			return platform.Changes{}, &platform.Error{Service: "key-value", Call: "test", Err: platform.ErrCompacted}
-		case !deaf && (len(changes.Entries) > 0 || !time.Now().Before(end)):
+		case !watchesStalled && (len(changes.Entries) > 0 || !time.Now().Before(end)):
 			return changes, nil
 		}
 		if !clock.Sleep(ctx, 10*time.Millisecond) {
@@ -190,7 +190,7 @@
 // TestLapsedEntriesAreKeptUntilTheirOwnersCanReturn takes the store away while leases
 // run out: what its owner writes again within two seconds was never gone, the rest is
 // gone soon after, and what hangs on no lease is gone at once.
-func TestLapsedEntriesAreKeptUntilTheirOwnersCanReturn(t *testing.T) {
+func TestExpiredEntriesAreRetainedUntilTheirOwnersCanReturn(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/back", "1")
 		s.put("servers/dead", "1")
@@ -217,7 +217,7 @@
 // TestALapsedEntryIsGoneFromCopiesOfTheCopyToo: it goes without a new revision of the store,
 // so that nobody would ask for a newer copy. It is kept no longer than where it was
 // copied from, also by an instance that hears nothing of the store.
-func TestALapsedEntryIsGoneFromCopiesOfTheCopyToo(t *testing.T) {
+func TestRetainedEntriesExpireInCopiesToo(t *testing.T) {
 	for name, active := range map[string]bool{"does not follow the store": false, "does not reach the store": true} {
 		t.Run(name, func(t *testing.T) {
 			follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
@@ -233,21 +233,21 @@
 
 				unreached := newStore()
 				unreached.down = true
-				copied := mirror.New(mirror.Options{
+				follower := mirror.New(mirror.Options{
 					Source: unreached, Leased: []string{"servers/"}, Clock: clock.System{}, Log: zerolog.Nop(),
 					Active: func() bool { return active },
 				})
 				ctx, cancel := context.WithCancel(context.Background())
 				ended := make(chan struct{})
-				go func() { copied.Run(ctx); close(ended) }()
+				go func() { follower.Run(ctx); close(ended) }()
 				delta := m.Snapshot().Load().Since(mirror.Position{}, time.Now())
-				is.True(copied.Adopt(&delta))
-				is.True(has(copied, "servers/a"))
+				is.True(follower.Adopt(&delta))
+				is.True(has(follower, "servers/a"))
 				time.Sleep(2 * time.Second)
 				is.True(!has(m, "servers/a"))
-				is.True(!has(copied, "servers/a"))
-				is.True(has(copied, "servers/b"))
-				is.Equal(len(copied.Snapshot().Load().Lapsed), 0)
+				is.True(!has(follower, "servers/a"))
+				is.True(has(follower, "servers/b"))
+				is.Equal(len(follower.Snapshot().Load().Lapsed), 0)
 				cancel()
 				<-ended
 			})
@@ -256,7 +256,7 @@
 }
 
 // TestEntriesRemovedWhileTheStoreAnswersAreGoneAtOnce: no grace in calm times.
-func TestEntriesRemovedWhileTheStoreAnswersAreGoneAtOnce(t *testing.T) {
+func TestEntriesDeletedWhileTheStoreAnswersDisappearAtOnce(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "1")
 		time.Sleep(5 * time.Second)
@@ -268,21 +268,21 @@
 
 // TestHistoryLostWhileWatchesAreDeafIsReadAnew: changes that no watch told are found
 // by the next listing.
-func TestHistoryLostWhileWatchesAreDeafIsReadAnew(t *testing.T) {
+func TestMissedChangesAreFoundByTheNextListing(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "ready")
 		time.Sleep(5 * time.Second)
-		s.set(func() { s.deaf = true })
+		s.set(func() { s.watchesStalled = true })
 		s.put("servers/a", "draining")
 		time.Sleep(time.Second)
 		s.compact()
-		s.set(func() { s.deaf = false })
+		s.set(func() { s.watchesStalled = false })
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(string(m.Snapshot().Load().Entries["servers/a"].Value), "draining")
 	})
 }
 
-func TestAMirrorNeverGoesBack(t *testing.T) {
+func TestReplicaNeverGoesBack(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("declared/config", "old")
 		time.Sleep(time.Second)
@@ -317,7 +317,7 @@
 // written every 20 ms. A call a second and a half are enough, and none of the entries is
 // known later than a second after it was written; once nothing changes, the next change is
 // known at once.
-func TestAStreamOfChangesIsReadByFewCalls(t *testing.T) {
+func TestManyChangesAreReadByFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &counted{store: newStore()}
@@ -342,7 +342,7 @@
 }
 
 // TestAQuietStoreIsAskedSeldom: a call that waits is paid for as any other.
-func TestAQuietStoreIsAskedSeldom(t *testing.T) {
+func TestIdleStoreIsPolledSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &counted{store: newStore()}
 		m := mirror.New(mirror.Options{Source: s, Clock: clock.System{}, Log: zerolog.Nop()})
@@ -355,7 +355,7 @@
 // TestAMirrorThatNoLongerFollowsIsNotCurrent: an instance follows the store while a watcher
 // of its domain is restarted, and stops when that one is back. From then on it must take
 // others' copies at once, not when its own last answer is old.
-func TestAMirrorThatNoLongerFollowsIsNotCurrent(t *testing.T) {
+func TestReplicaThatStoppedFollowingIsNotCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newStore()
@@ -381,7 +381,7 @@
 
 // TestAnEntryThatIsListedAgainDoesNotLapse guards against one that was missing at the store's return,
 // is back in a later listing, and is dropped all the same when its grace is over.
-func TestAnEntryThatIsListedAgainDoesNotLapse(t *testing.T) {
+func TestEntryThatIsListedAgainDoesNotExpire(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "1")
 		time.Sleep(time.Second)
@@ -391,10 +391,10 @@
 		s.set(func() { s.down = false })
 		time.Sleep(time.Second)
 		is.True(has(m, "servers/a")) // its owner may be about to return
-		s.set(func() { s.deaf = true })
+		s.set(func() { s.watchesStalled = true })
 		s.put("servers/a", "2")
 		s.compact()
-		s.set(func() { s.deaf = false })
+		s.set(func() { s.watchesStalled = false })
 		time.Sleep(5 * time.Second)
 		is.Equal(string(m.Snapshot().Load().Entries["servers/a"].Value), "2")
 	})
--- a/pkg/mirror/position.go
+++ b/pkg/mirror/position.go
@@ -28,7 +28,7 @@
 }
 
 // at is the position of an entry's last write.
-func at(entry *platform.Entry) Position {
+func positionOf(entry *platform.Entry) Position {
 	return Position{Era: entry.Era, Revision: entry.ModRevision}
 }
 
@@ -55,8 +55,8 @@
 // Removals are remembered for removedFor, longer than a copy of the store is old; mostRemoved
 // bounds them.
 const (
-	removedFor  = time.Minute
-	mostRemoved = 5000
+	removalTTL  = time.Minute
+	maxRemovals = 5000
 )
 
 // removal is an entry that was removed, and when.
@@ -74,27 +74,27 @@
 // remove takes an entry out. The caller holds m.mu.
 func (m *Mirror) remove(entries map[string]platform.Entry, key string, now time.Time) {
 	if entry, known := entries[key]; known {
-		m.remember(entry, now)
+		m.recordRemoved(entry, now)
 		delete(entries, key)
 	}
 }
 
 // remember keeps a removed entry in mind, for a store that comes back from a copy that holds it.
 // The caller holds m.mu.
-func (m *Mirror) remember(entry platform.Entry, now time.Time) {
+func (m *Mirror) recordRemoved(entry platform.Entry, now time.Time) {
 	if m.options.Order.Gone(entry.Key) == 0 {
 		return
 	}
-	if len(m.removed) >= mostRemoved {
-		maps.DeleteFunc(m.removed, func(_ string, r removal) bool { return now.Sub(r.at) > removedFor })
+	if len(m.removed) >= maxRemovals {
+		maps.DeleteFunc(m.removed, func(_ string, r removal) bool { return now.Sub(r.at) > removalTTL })
 	}
-	if len(m.removed) < mostRemoved {
+	if len(m.removed) < maxRemovals {
 		m.removed[entry.Key] = removal{entry: entry, at: now}
 	}
 }
 
 // beginEra notes that the store has come back from a copy. The caller holds m.mu.
-func (m *Mirror) beginEra(position Position, now time.Time) {
+func (m *Mirror) beginEpoch(position Position, now time.Time) {
 	m.returned = now
 	m.options.Log.Warn().Uint64(event.KeyEra, position.Era).Int64(event.KeyRevision, position.Revision).
 		Int64(event.KeyKnownRevision, m.revision()).Msg(string(event.StoreFollowed))
@@ -113,11 +113,11 @@
 			entries[key] = known
 		case !there && now.Before(until):
 			entries[key] = known
-			m.lapse(key, until)
+			m.retainUntil(key, until)
 		}
 	}
 	for key, listed := range entries {
-		if _, before := present.Entries[key]; before || !m.stillGone(&listed, now) {
+		if _, before := present.Entries[key]; before || !m.isSuppressed(&listed, now) {
 			continue
 		}
 		m.hidden[key] = hidden{entry: listed, until: m.returned.Add(m.options.Order.Gone(key))}
@@ -126,7 +126,7 @@
 }
 
 // stillGone says whether an entry is one that was removed in a former era.
-func (m *Mirror) stillGone(listed *platform.Entry, now time.Time) bool {
+func (m *Mirror) isSuppressed(listed *platform.Entry, now time.Time) bool {
 	removed, known := m.removed[listed.Key]
 	if !known || removed.entry.Era == listed.Era || !now.Before(m.returned.Add(m.options.Order.Gone(listed.Key))) {
 		return false
@@ -136,13 +136,13 @@
 
 // reveal brings back the hidden entries whose time is over, and forgets those that were written
 // since. The caller holds m.mu.
-func (m *Mirror) reveal(entries map[string]platform.Entry, now time.Time) {
-	for key, held := range m.hidden {
+func (m *Mirror) unhideExpired(entries map[string]platform.Entry, now time.Time) {
+	for key, suppressed := range m.hidden {
 		_, written := entries[key]
-		if !written && !now.Before(held.until) {
-			entries[key] = held.entry
+		if !written && !now.Before(suppressed.until) {
+			entries[key] = suppressed.entry
 		}
-		if written || !now.Before(held.until) {
+		if written || !now.Before(suppressed.until) {
 			delete(m.hidden, key)
 		}
 	}
@@ -150,30 +150,30 @@
 
 // held returns the entries of former eras, sorted by key: the store has not written them since
 // its return, or only older states of them.
-func (s *Snapshot) held() []platform.Entry {
+func (s *Snapshot) retained() []platform.Entry {
 	if s.Era == 0 {
 		return nil
 	}
-	var held []platform.Entry
+	var retained []platform.Entry
 	for _, entry := range s.Entries {
 		if entry.Era != s.Era {
-			held = append(held, entry)
+			retained = append(retained, entry)
 		}
 	}
-	slices.SortFunc(held, func(a, b platform.Entry) int { return bytes.Compare([]byte(a.Key), []byte(b.Key)) })
-	return held
+	slices.SortFunc(retained, func(a, b platform.Entry) int { return bytes.Compare([]byte(a.Key), []byte(b.Key)) })
+	return retained
 }
 
 // fingerprint is the same for the same held entries; zero where there are none.
-func fingerprint(held []platform.Entry) uint64 {
-	if len(held) == 0 {
+func fingerprint(retained []platform.Entry) uint64 {
+	if len(retained) == 0 {
 		return 0
 	}
 	sum := xxhash.New()
-	for i := range held {
+	for i := range retained {
 		// A Digest of package xxhash takes all that is written.
-		_, _ = sum.WriteString(held[i].Key)
-		_, _ = sum.Write(held[i].Value)
+		_, _ = sum.WriteString(retained[i].Key)
+		_, _ = sum.Write(retained[i].Value)
 	}
 	return sum.Sum64()
 }
--- a/pkg/mirror/registration.go
+++ b/pkg/mirror/registration.go
@@ -38,7 +38,7 @@
 // Times of a Registration.
 const (
 	// keepPart of the time to live passes between renewals, so that two may fail.
-	keepPart = 3
+	renewalsPerTTL = 3
 	// registerTimeout bounds each call.
 	registerTimeout = time.Second
 	// registerPause follows a first failed call; it doubles up to longestPause, of which a
@@ -46,8 +46,8 @@
 	// seventh of all calls on a day on which the store turned a third of 295 instances away
 	// and later answered nobody for 4 s; the others know an instance without an entry from
 	// its peers meanwhile.
-	registerPause = 250 * time.Millisecond
-	longestPause  = 2 * time.Second
+	registerPause    = 250 * time.Millisecond
+	maxRegisterPause = 2 * time.Second
 	// registerSpread is over which time entries are written again: what takes one instance's
 	// takes those of all, and hundreds would write within a tenth of a second.
 	registerSpread = 500 * time.Millisecond
@@ -61,22 +61,22 @@
 		if err != nil {
 			r.Log.Warn().Err(err).Str(event.KeyKey, r.Key).Msg(string(event.RegistrationFailed))
 			clock.Sleep(ctx, pause/2+rand.N(pause/2))
-			pause = min(longestPause, 2*pause)
+			pause = min(maxRegisterPause, 2*pause)
 			continue
 		}
 		pause = registerPause
-		r.keep(ctx, lease)
+		r.maintain(ctx, lease)
 		clock.Sleep(ctx, rand.N(registerSpread))
 	}
 }
 
 // leases are the store's, fenced by its era as far as a copy tells it.
 func (r *Registration) leases() Leases {
-	era := func() uint64 { return 0 }
+	epoch := func() uint64 { return 0 }
 	if r.Copy != nil {
-		era = r.Copy.Era
+		epoch = r.Copy.Era
 	}
-	return Leases{Store: r.Store, Era: era}
+	return Leases{Store: r.Store, Era: epoch}
 }
 
 func (r *Registration) register(ctx context.Context) (Lease, error) {
@@ -97,8 +97,8 @@
 }
 
 // keep renews the lease until it is lost, or ends it when ctx ends.
-func (r *Registration) keep(ctx context.Context, lease Lease) {
-	for clock.Sleep(ctx, r.TTL/keepPart) {
+func (r *Registration) maintain(ctx context.Context, lease Lease) {
+	for clock.Sleep(ctx, r.TTL/renewalsPerTTL) {
 		if r.missing() {
 			r.Log.Warn().Str(event.KeyKey, r.Key).Msg(string(event.RegistrationTaken))
 			return
--- a/pkg/mirror/restore_load_test.go
+++ b/pkg/mirror/restore_load_test.go
@@ -70,7 +70,7 @@
 
 // forget has the store come back from a copy that holds none of the instances' entries, and none of
 // their leases.
-func (r *registry) forget(from image) {
+func (r *registry) loseInstances(from image) {
 	r.mu.Lock()
 	clear(r.leases)
 	r.mu.Unlock()
@@ -78,7 +78,7 @@
 }
 
 // mostInASecond is the largest number of times within a second.
-func mostInASecond(times []time.Time) int {
+func maxPerSecond(times []time.Time) int {
 	most, first := 0, 0
 	for last := range times {
 		for times[last].Sub(times[first]) >= time.Second {
@@ -91,7 +91,7 @@
 
 // TestEntriesAreWrittenAgainWithoutARush guards against a store that comes back from a copy and gets
 // the calls of all instances at once, and against entries that are missing for longer than they count.
-func TestEntriesAreWrittenAgainWithoutARush(t *testing.T) {
+func TestRegistrationsAfterARestoreAreSpread(t *testing.T) {
 	const (
 		ttl = 4 * time.Second
 		// missingFor is for how long the others count an entry that the copy lacks.
@@ -103,7 +103,7 @@
 				is := is.New(t)
 				r := &registry{store: newStore(), leases: make(map[platform.LeaseID]bool)}
 				r.set(func() { r.era = 1 })
-				empty := r.copied()
+				empty := r.backup()
 				followed := mirror.New(mirror.Options{Source: r.store, Clock: clock.System{}, Log: zerolog.Nop()})
 				ctx, cancel := context.WithCancel(t.Context())
 				var running sync.WaitGroup
@@ -119,22 +119,22 @@
 				r.mu.Lock()
 				r.writes = nil
 				r.mu.Unlock()
-				r.forget(empty)
-				back := time.Now()
+				r.loseInstances(empty)
+				restoredAt := time.Now()
 				for {
-					entries := r.copied().entries
+					entries := r.backup().entries
 					if len(entries) == instances {
 						break
 					}
-					if time.Since(back) > missingFor {
+					if time.Since(restoredAt) > missingFor {
 						t.Fatalf("%d of %d entries are back after %v", len(entries), instances, missingFor)
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
-				took := time.Since(back)
+				took := time.Since(restoredAt)
 				cancel()
 				running.Wait()
-				most := mostInASecond(slices.Clone(r.writes))
+				most := maxPerSecond(slices.Clone(r.writes))
 				t.Logf("%d instances: %d writing calls, %d in a second at the most, all entries are back after %v", instances, len(r.writes), most, took)
 				is.True(len(r.writes) <= 2*instances+2)
 				is.True(instances < 85 || most <= 9*len(r.writes)/10) // spread over more than a second
--- a/pkg/mirror/restore_random_test.go
+++ b/pkg/mirror/restore_random_test.go
@@ -107,11 +107,11 @@
 // restore has the store come back from one of its last copies; those who wrote or removed since do
 // so again, soon.
 func (h *history) restore() {
-	away := time.Duration(h.random.IntN(3)) * time.Second
-	h.store.set(func() { h.store.down, h.store.silent = away > 0, h.random.IntN(2) == 0 })
-	time.Sleep(away)
+	outage := time.Duration(h.random.IntN(3)) * time.Second
+	h.store.set(func() { h.store.down, h.store.futureWatchesWait = outage > 0, h.random.IntN(2) == 0 })
+	time.Sleep(outage)
 	n := h.random.IntN(len(h.copies))
-	h.note("back to copy %d of %d after %v", n, len(h.copies), away)
+	h.note("back to copy %d of %d after %v", n, len(h.copies), outage)
 	h.store.restore(h.copies[n])
 	h.store.set(func() { h.store.down = false })
 	h.copies = h.copies[:0]
@@ -134,7 +134,7 @@
 
 func (h *history) step() {
 	if len(h.copies) == 0 || h.random.IntN(4) == 0 {
-		h.copies = append(h.copies, h.store.copied())
+		h.copies = append(h.copies, h.store.backup())
 	}
 	switch h.random.IntN(8) {
 	case 0:
@@ -156,7 +156,7 @@
 	for end := time.Now().Add(goneFor + 7*time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		h.gossip()
 	}
-	want := h.store.copied().entries
+	want := h.store.backup().entries
 	for n, f := range h.mirrors {
 		snapshot := f.mirror.Snapshot().Load()
 		for _, key := range historyKeys {
@@ -178,7 +178,7 @@
 // TestNoMirrorGoesBackWithARestoredStore guards against an order of eras, revisions and contents
 // that loses a number or brings an older one back, in random histories of a store that comes back
 // from copies of itself, twice in a row as well, with mirrors that begin in the midst of it.
-func TestNoMirrorGoesBackWithARestoredStore(t *testing.T) {
+func TestNoReplicaGoesBackWithARestoredStore(t *testing.T) {
 	for seed := range uint64(150) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/pkg/mirror/restore_test.go
+++ b/pkg/mirror/restore_test.go
@@ -26,39 +26,39 @@
 }
 
 // returns are the ways in which a store comes back from a copy.
-var returns = map[string]struct {
+var restoreModes = map[string]struct {
 	// silent: watches from a revision to come wait for it. away is for how long nobody is
 	// answered before.
-	silent bool
-	away   time.Duration
+	futureWatchesWait bool
+	outage            time.Duration
 }{
 	"watches are refused":               {},
-	"watches are silent":                {silent: true},
-	"after it was away":                 {away: 2 * time.Second},
-	"after it was away, watches silent": {silent: true, away: 2 * time.Second},
+	"watches are silent":                {futureWatchesWait: true},
+	"after it was away":                 {outage: 2 * time.Second},
+	"after it was away, watches silent": {futureWatchesWait: true, outage: 2 * time.Second},
 }
 
 // TestWhatARestoredStoreTellsIsFollowed guards against a store that comes back from a copy, counts
 // its revisions from there, and is taken at its word only once it has passed the revision that was
 // known before.
-func TestWhatARestoredStoreTellsIsFollowed(t *testing.T) {
-	for name, way := range returns {
+func TestRestoredStoreIsFollowed(t *testing.T) {
+	for name, mode := range restoreModes {
 		t.Run(name, func(t *testing.T) {
 			follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
-				s.set(func() { s.silent = way.silent })
+				s.set(func() { s.futureWatchesWait = mode.futureWatchesWait })
 				s.put("declared/config", "1")
 				s.put("servers/a", "ready")
 				time.Sleep(time.Second)
-				copied := s.copied()
+				backup := s.backup()
 				for n := range 10 {
 					s.put("servers/b", fmt.Sprint(n))
 				}
 				s.put("declared/config", "1b")
 				s.put("servers/a", "ready, warm")
 				time.Sleep(2 * time.Second)
-				s.set(func() { s.down = way.away > 0 })
-				time.Sleep(way.away)
-				s.restore(copied)
+				s.set(func() { s.down = mode.outage > 0 })
+				time.Sleep(mode.outage)
+				s.restore(backup)
 				s.set(func() { s.down = false })
 				time.Sleep(time.Second)
 				s.put("declared/config", "2")
@@ -114,18 +114,18 @@
 // TestWhatIsNewerThanARestoredCopyCounts guards against a version, or a leaving mark, that comes
 // back older with the store, an entry that is gone for a moment because the copy lacks it, and one
 // that had gone and is back with the copy.
-func TestWhatIsNewerThanARestoredCopyCounts(t *testing.T) {
+func TestEntriesNewerThanARestoredStoreAreRetained(t *testing.T) {
 	followInOrder(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("config", "1")
 		s.put("servers/gone", "1")
 		time.Sleep(time.Second)
-		copied := s.copied()
+		backup := s.backup()
 		s.put("config", "2")
 		s.put("servers/new", "1")
 		s.remove("servers/gone")
 		time.Sleep(time.Second)
 		is.True(!has(m, "servers/gone"))
-		s.restore(copied)
+		s.restore(backup)
 		for range 15 {
 			time.Sleep(100 * time.Millisecond)
 			is.Equal(value(m, "config"), "2")
@@ -146,14 +146,14 @@
 
 // TestWhatNobodyWritesAgainIsGoneAfterAWhile guards against entries that outlive their owners
 // because a store forgot them.
-func TestWhatNobodyWritesAgainIsGoneAfterAWhile(t *testing.T) {
+func TestRetainedEntriesWithoutAnOwnerExpire(t *testing.T) {
 	followInOrder(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("config", "1")
 		time.Sleep(time.Second)
-		copied := s.copied()
+		backup := s.backup()
 		s.put("servers/new", "1")
 		time.Sleep(time.Second)
-		s.restore(copied)
+		s.restore(backup)
 		time.Sleep(keptFor + time.Second)
 		is.True(!has(m, "servers/new"))
 		is.Equal(m.Held(), uint64(0))
@@ -162,16 +162,16 @@
 
 // TestARegressionIsOnlyBelievedFromItsOwner guards against holding a key for ever at what was known:
 // one that is removed after the return is gone, and one that is written again counts, however late.
-func TestARegressionIsOnlyBelievedFromItsOwner(t *testing.T) {
+func TestRetainedEntriesYieldToLaterWrites(t *testing.T) {
 	followInOrder(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "1")
 		s.put("servers/b", "1")
 		time.Sleep(time.Second)
-		copied := s.copied()
+		backup := s.backup()
 		s.put("servers/a", "5")
 		s.put("servers/b", "5")
 		time.Sleep(time.Second)
-		s.restore(copied)
+		s.restore(backup)
 		time.Sleep(time.Second)
 		s.put("servers/a", "2") // still older than what is known
 		time.Sleep(time.Second)
@@ -188,32 +188,32 @@
 
 // TestAnInstanceThatBeginsWithARestoredCopyLearnsWhatIsNewer guards against one that can read the
 // old copy alone, follows it, and takes nothing from those who know better.
-func TestAnInstanceThatBeginsWithARestoredCopyLearnsWhatIsNewer(t *testing.T) {
+func TestReplicaStartedFromARestoredStoreMergesNewerEntries(t *testing.T) {
 	followInOrder(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("config", "1")
 		time.Sleep(time.Second)
-		copied := s.copied()
+		backup := s.backup()
 		s.put("config", "2")
 		s.put("servers/new", "1")
 		time.Sleep(time.Second)
-		s.restore(copied)
+		s.restore(backup)
 		time.Sleep(500 * time.Millisecond)
-		began := mirror.New(mirror.Options{Source: s, Order: numbered{}, Clock: clock.System{}, Log: zerolog.Nop()})
+		restarted := mirror.New(mirror.Options{Source: s, Order: numbered{}, Clock: clock.System{}, Log: zerolog.Nop()})
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
-		go func() { began.Run(ctx); close(ended) }()
+		go func() { restarted.Run(ctx); close(ended) }()
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(value(began, "config"), "1")
-		delta := m.Snapshot().Load().Since(began.Position(), time.Now())
-		is.True(began.Adopt(&delta))
-		is.Equal(value(began, "config"), "2")
-		is.True(has(began, "servers/new"))
-		is.True(!began.Adopt(&delta))       // nothing more
+		is.Equal(value(restarted, "config"), "1")
+		delta := m.Snapshot().Load().Since(restarted.Position(), time.Now())
+		is.True(restarted.Adopt(&delta))
+		is.Equal(value(restarted, "config"), "2")
+		is.True(has(restarted, "servers/new"))
+		is.True(!restarted.Adopt(&delta))   // nothing more
 		time.Sleep(keptFor + 3*time.Second) // with the end of the call that waits
-		is.True(!has(began, "servers/new"))
+		is.True(!has(restarted, "servers/new"))
 		s.put("config", "3")
 		time.Sleep(time.Second)
-		is.Equal(value(began, "config"), "3")
+		is.Equal(value(restarted, "config"), "3")
 		cancel()
 		<-ended
 	})
--- a/pkg/mirror/prompt.go
+++ b/pkg/mirror/urgent.go
@@ -16,10 +16,10 @@
 
 // promptWait is how long one such call waits. It costs a call each time, and the store keeps
 // history for longer; one that fell silent costs no more than a pause.
-const promptWait = 9 * time.Second
+const urgentWait = 9 * time.Second
 
 // watchPrompt waits for changes below Options.Prompt after a position until it is stopped.
-func (m *Mirror) watchPrompt(ctx context.Context, after Position) (stop func()) {
+func (m *Mirror) watchUrgent(ctx context.Context, after Position) (stop func()) {
 	if m.options.UrgentPrefix == "" {
 		return func() {}
 	}
@@ -27,7 +27,7 @@
 	var running sync.WaitGroup
 	running.Go(func() {
 		for ctx.Err() == nil && after.Era == m.Era() {
-			after.Revision = m.waitPrompt(ctx, after.Revision)
+			after.Revision = m.waitUrgent(ctx, after.Revision)
 		}
 	})
 	return func() {
@@ -37,42 +37,42 @@
 }
 
 // waitPrompt makes one call, and returns the revision after which to go on.
-func (m *Mirror) waitPrompt(ctx context.Context, after int64) int64 {
-	bounded, cancel := context.WithTimeout(ctx, promptWait+longestCall)
+func (m *Mirror) waitUrgent(ctx context.Context, after int64) int64 {
+	bounded, cancel := context.WithTimeout(ctx, urgentWait+callTimeout)
 	defer cancel()
-	changes, err := m.options.Source.Changes(bounded, m.options.UrgentPrefix, after, promptWait)
+	changes, err := m.options.Source.Changes(bounded, m.options.UrgentPrefix, after, urgentWait)
 	if errors.Is(err, platform.ErrCompacted) {
 		after = max(after, m.revision())
 	}
 	if err != nil {
 		// Whoever follows all changes finds out what is wrong with the store.
-		clock.Sleep(ctx, longestRetry)
+		clock.Sleep(ctx, maxRetryPause)
 		return after
 	}
-	m.heard(changes.Era)
+	m.observeAnswer(changes.Era)
 	if len(changes.Entries) > 0 {
-		m.prompt(changes.Revision)
+		m.signalUrgent(changes.Revision)
 	}
 	return max(after, changes.Revision)
 }
 
 // prompt has changes up to a revision read at once.
-func (m *Mirror) prompt(revision int64) {
+func (m *Mirror) signalUrgent(revision int64) {
 	select {
-	case <-m.prompted:
+	case <-m.urgent:
 		// A later one covers it.
 	default:
 	}
-	m.prompted <- revision
+	m.urgent <- revision
 }
 
 // sleepUnlessPrompted waits until a time has passed, or there is a change to be read at once.
-func (m *Mirror) sleepUnlessPrompted(ctx context.Context, pause time.Duration) {
+func (m *Mirror) sleepUnlessUrgent(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	for {
 		select {
-		case revision := <-m.prompted:
+		case revision := <-m.urgent:
 			if revision > m.revision() {
 				return
 			}
--- a/pkg/peer/pack.go
+++ b/pkg/peer/pack.go
@@ -48,7 +48,7 @@
 	if err := writer.Close(); err != nil {
 		return nil, &PackError{Err: err}
 	}
-	if snapshot.Passing() {
+	if snapshot.HasTemporary() {
 		// The remaining time of a temporary entry changes continuously.
 		return buffer.Bytes(), nil
 	}
