--- a/pkg/mirror/delta.go
+++ b/pkg/mirror/delta.go
@@ -7,42 +7,42 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// Delta is what has changed in a copy since a position.
+// Delta holds the changes in a snapshot since a position.
 type Delta struct {
-	// Era and Revision are the copy's; zero: it has nothing newer, and holds nothing over.
+	// Era and Revision are the snapshot's; zero if it has nothing newer and retains nothing.
 	Era      uint64
 	Revision int64
-	// Changed holds the entries that were written since, and Keys all keys that there are; both
-	// are empty where the copy is no newer than what was asked for.
+	// Changed holds the entries that were written since, and Keys all existing keys. Both are
+	// empty if the snapshot is no newer than the requested position.
 	Changed []platform.Entry
 	Keys    []string
-	// Held are the entries that the copy holds over from former eras.
+	// Held holds the entries that the snapshot retains from former epochs.
 	Held []platform.Entry
-	// Lapsed holds those of the keys that are missing in the store and still counted, Hidden the
-	// entries that are in the store and do not count yet.
+	// Lapsed holds the keys that are missing in the store and still valid, Hidden the entries
+	// that are in the store and not valid yet.
 	Lapsed []Lapse
 	Hidden []Hidden
-	// Removals and Gap are the copy's.
+	// Removals and Gap are the snapshot's.
 	Removals map[string]Position
 	Gap      Position
 }
 
 func (d *Delta) position() Position { return Position{Era: d.Era, Revision: d.Revision} }
 
-// Hidden is an entry that does not count for a while longer.
+// Hidden is an entry that is ignored for some more time.
 type Hidden struct {
 	Entry platform.Entry
 	Left  time.Duration
 }
 
-// Lapse is a key that counts for a while longer.
+// Lapse is a key that stays valid for some more time.
 type Lapse struct {
 	Key  string
 	Left time.Duration
 }
 
-// Since returns what has changed in the copy since a position. Entries that are held over are
-// told each time: who asks may have begun with what the store came back with.
+// Since returns the changes in the snapshot since a position. Retained entries are included each
+// time, because the receiver may have started from the restored store.
 func (s *Snapshot) Since(from Position, now time.Time) Delta {
 	if s.Position().Before(from) {
 		return Delta{}
@@ -71,9 +71,9 @@
 	return delta
 }
 
-// Adopt brings the copy to what another instance's copy is, when that is newer than the own one,
-// and takes what that one holds over from former eras and is newer than what is known here. It
-// says whether there was any of that. The delta must be since the own position.
+// Adopt merges another instance's snapshot if it is newer than the local one, and the entries
+// that it retains from former epochs and that are newer than the local ones. It reports whether
+// anything changed. The delta must be since the local position.
 func (m *Mirror) Adopt(delta *Delta) bool {
 	m.ObserveEpoch(delta.Era)
 	m.mu.Lock()
@@ -110,7 +110,8 @@
 	return true
 }
 
-// entries are those of the copy that a delta was made of; false: it is not since the present one.
+// entries returns the entries of the snapshot that a delta was made of; false if it is not a
+// delta since the present one.
 func (d *Delta) entries(present *Snapshot) (entries map[string]platform.Entry, ok bool) {
 	entries = make(map[string]platform.Entry, len(d.Keys))
 	for i := range d.Changed {
@@ -135,8 +136,8 @@
 	return entries, true
 }
 
-// keepNewer puts what is known here in the place of what the other copy holds over from a former
-// era, where that is older, be it that it was removed. The caller holds m.mu.
+// preferNewer replaces entries that the other snapshot retains from a former epoch by the local
+// state where that is newer, including deletions. The caller holds m.mu.
 func (m *Mirror) preferNewer(present *Snapshot, delta *Delta, entries map[string]platform.Entry) {
 	if present == nil {
 		return
@@ -153,14 +154,14 @@
 	}
 }
 
-// removedSince says whether an entry, or a later state of it, was removed lately. The caller holds
-// m.mu.
+// removedSince reports whether an entry, or a later state of it, was deleted recently. The
+// caller holds m.mu.
 func (m *Mirror) removedSince(retained *platform.Entry) bool {
 	removed, known := m.removed[retained.Key]
 	return known && !m.options.Order.Older(&removed.entry, retained)
 }
 
-// noteRemoved remembers what a newer copy lacks. The caller holds m.mu.
+// recordMissing records the entries that a newer snapshot lacks. The caller holds m.mu.
 func (m *Mirror) recordMissing(present *Snapshot, entries map[string]platform.Entry, now time.Time) {
 	for key, entry := range present.Entries {
 		if _, there := entries[key]; !there {
@@ -169,8 +170,8 @@
 	}
 }
 
-// adoptHeld takes what another instance's copy of the same era holds over, where it is newer than
-// what is known here. The caller holds m.mu.
+// mergeRetained merges the entries that another instance's snapshot of the same epoch retains
+// and that are newer than the local ones. The caller holds m.mu.
 func (m *Mirror) mergeRetained(present *Snapshot, delta *Delta, now time.Time) bool {
 	if present == nil || present.Era != delta.Era {
 		return false
@@ -195,8 +196,8 @@
 	return news
 }
 
-// left is for how long a key still counts that is missing in the store; zero: it is not, or no
-// longer counts.
+// left returns the remaining validity of a key that is missing in the store; zero if it is not
+// missing or no longer valid.
 func (d *Delta) left(key string) time.Duration {
 	for _, lapse := range d.Lapsed {
 		if lapse.Key == key {
--- a/pkg/mirror/entries.go
+++ b/pkg/mirror/entries.go
@@ -10,7 +10,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// leased says whether a key's entry vanishes with its owner.
+// leased reports whether a key's entry is bound to its owner's lease.
 func (m *Mirror) leased(key string) bool {
 	for _, prefix := range m.options.Leased {
 		if strings.HasPrefix(key, prefix) {
@@ -20,13 +20,14 @@
 	return false
 }
 
-// graceEnd is until when a leased entry that is found missing now still counts.
+// graceEnd returns the time until which a leased entry that is found missing now stays valid,
+// and whether there is any.
 func (m *Mirror) graceEnd(now time.Time) (time.Time, bool) {
 	end := m.returned.Add(leaseGrace)
 	return end, !m.returned.IsZero() && now.Before(end)
 }
 
-// replace takes a whole listing.
+// replace applies a complete listing.
 func (m *Mirror) replace(position Position, entries map[string]platform.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,8 +51,8 @@
 	m.publish(position, entries, now)
 }
 
-// keepLapsed keeps the entries of the present era that are missing in a listing, and that their
-// owners may be about to write again. The caller holds m.mu.
+// retainMissing retains the entries of the present epoch that are missing in a listing and that
+// their owners may be about to write again. The caller holds m.mu.
 func (m *Mirror) retainMissing(present *Snapshot, position Position, entries map[string]platform.Entry, now time.Time) {
 	end, grace := m.graceEnd(now)
 	for key, entry := range present.Entries {
@@ -67,7 +68,7 @@
 	}
 }
 
-// lapse keeps a missing entry until end, or as long as was said before.
+// retainUntil retains a missing entry until end, or until the time that was set before.
 func (m *Mirror) retainUntil(key string, end time.Time) {
 	if _, ok := m.expiring[key]; !ok {
 		m.expiring[key], m.expiryFromPeer = end, false
@@ -75,7 +76,7 @@
 	}
 }
 
-// apply takes changes in order.
+// apply applies changes in order.
 func (m *Mirror) apply(changes platform.Changes) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -124,8 +125,8 @@
 	m.remove(entries, change.Key, now)
 }
 
-// tell keeps in mind that a key was removed at a position, if removals of such keys are told, and
-// says whether that is news. The caller holds m.mu.
+// recordRemoval records the position at which a key was deleted, if deletions of such keys are
+// tracked, and reports whether that is new. The caller holds m.mu.
 func (m *Mirror) recordRemoval(key string, removed Position) bool {
 	tracked := slices.ContainsFunc(m.options.TrackedRemovals, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 	if before, known := m.removals[key]; !tracked || (known && !before.Before(removed)) {
@@ -138,7 +139,7 @@
 	return true
 }
 
-// publish stores a copy without the lapsed entries whose time is over.
+// publish stores a snapshot without the retained entries that have expired.
 func (m *Mirror) publish(position Position, entries map[string]platform.Entry, now time.Time) {
 	m.unhideExpired(entries, now)
 	for key, end := range m.expiring {
@@ -156,9 +157,9 @@
 	m.snapshot.Store(snapshot)
 }
 
-// sweep drops the lapsed entries whose time is over while no answer of the store does. As
-// long as the store does not answer, the own word that one was missing may be out of
-// date; that of an instance that hears the store counts.
+// sweep drops expired retained entries while no answer of the store does. While the store does
+// not answer, the local knowledge that an entry was missing may be out of date, and only that of
+// an instance that reaches the store is used.
 func (m *Mirror) sweep() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -183,7 +184,7 @@
 	return false
 }
 
-// untilSweep is how long until the first lapsed entry's time is over.
+// untilSweep returns the time until the first retained or hidden entry is due.
 func (m *Mirror) untilSweep() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -198,5 +199,5 @@
 	return left
 }
 
-// leastWait keeps calls apart while an entry's time runs out.
+// minWait is the minimum wait of a call while an entry is about to expire.
 const minWait = 50 * time.Millisecond
--- a/pkg/mirror/history.go
+++ b/pkg/mirror/history.go
@@ -8,19 +8,19 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// A listing says what there is, not what came and went since the copy's position. Where that matters, for
-// the prefixes whose removals are told, the store's history is read as well; where the store has lost it, the
-// copy has a gap.
+// A listing contains the present state, not what was written and deleted since the replica's
+// position. For the prefixes with tracked deletions the store's history is read as well; if the
+// store has lost it, the replica has a gap.
 
 const (
-	// lookBackFar is how many revisions before its first listing a copy reads: others that copy
-	// from it are behind it by no more, unless they were out of reach.
+	// historyDepth is the number of revisions before its first listing that a replica reads.
+	// Others that copy from it are no further behind, unless they were partitioned.
 	historyDepth = 200
-	// lookBackWait is what the store is asked to wait for history: it has it, or has not.
+	// historyWait is the wait of a call for history, which the store either has or has not.
 	historyWait = time.Millisecond
 )
 
-// beginHistory returns from where on the history is read at the first listing.
+// beginHistory returns the position from which the history is read at the first listing.
 func (m *Mirror) beginHistory(first Position) Position {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -28,7 +28,7 @@
 	return m.gap
 }
 
-// lookBack reads what came and went between two positions.
+// readHistory reads the changes between two positions.
 func (m *Mirror) readHistory(ctx context.Context, from, to Position) {
 	if len(m.options.TrackedRemovals) == 0 || !from.Before(to) {
 		return
@@ -52,7 +52,7 @@
 	}
 }
 
-// tellAll takes the removals among changes of an era.
+// recordRemovals records the deletions among changes of an epoch.
 func (m *Mirror) recordRemovals(changes platform.Changes, epoch uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// noteGap notes that the history up to a position is lost.
+// recordGap records that the history up to a position is lost.
 func (m *Mirror) recordGap(to Position, err error) {
 	m.options.Log.Warn().Err(err).Uint64(event.KeyEra, to.Era).Int64(event.KeyRevision, to.Revision).Msg(string(event.StoreHistoryMissed))
 	m.mu.Lock()
@@ -78,7 +78,7 @@
 	}
 }
 
-// republish stores the present copy with what was learned of its history. The caller holds m.mu.
+// republish stores the present snapshot with the updated history. The caller holds m.mu.
 func (m *Mirror) republish() {
 	if present := m.snapshot.Load(); present != nil {
 		next := *present
@@ -87,8 +87,8 @@
 	}
 }
 
-// adoptGap takes over what another copy does not know of the history, unless the own one has followed
-// that itself. The caller holds m.mu.
+// mergeGap takes over the gap of another snapshot unless the local replica has followed that
+// part of the history itself. The caller holds m.mu.
 func (m *Mirror) mergeGap(present *Snapshot, delta *Delta) {
 	gap := delta.Gap
 	if present != nil && present.Era < delta.Era && gap.Era < delta.Era {
--- a/pkg/mirror/history_test.go
+++ b/pkg/mirror/history_test.go
@@ -16,7 +16,7 @@
 
 const evacuation = "declared/evacuated/x"
 
-// followTold is follow with a mirror that tells removals of evacuations.
+// followTracked is follow with a mirror that tracks deletions of evacuations.
 func followTracked(t *testing.T, check func(is *is.I, s *store, m *mirror.Mirror)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
@@ -36,7 +36,7 @@
 	return mirror.New(mirror.Options{Source: s, TrackedRemovals: []string{"declared/evacuated/"}, Clock: clock.System{}, Log: zerolog.Nop()})
 }
 
-// evacuateUnseen has an evacuation come and go while the store answers nobody.
+// evacuateUnseen starts and ends an evacuation while the store is unavailable.
 func evacuateUnseen(s *store) {
 	s.set(func() { s.down = true })
 	time.Sleep(time.Second)
@@ -44,8 +44,8 @@
 	s.remove(evacuation)
 }
 
-// TestWhatCameAndWentUnseenIsReadInTheHistory guards against an evacuation that is over before a copy is
-// listed anew, and of which nobody hears.
+// TestUnseenChangesAreReadFromTheHistory guards against missing an evacuation that ends before
+// the next listing.
 func TestUnseenChangesAreReadFromTheHistory(t *testing.T) {
 	followTracked(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		before := m.Snapshot().Load().Gap
@@ -58,9 +58,9 @@
 	})
 }
 
-// TestLostHistoryIsAGap guards against a state that is believed although the store has lost the history
-// since: it was compacted, or the store has come back from a copy. A copy of the copy has the gap as
-// well, unless it has followed the history itself.
+// TestLostHistoryIsRecordedAsAGap guards against trusting a state although the store has lost
+// the history since, by compaction or because it was restored from a backup. A replica that
+// copies from another has the gap as well, unless it has followed the history itself.
 func TestLostHistoryIsRecordedAsAGap(t *testing.T) {
 	for name, lose := range map[string]func(s *store){
 		"compacted":          func(s *store) { s.compact() },
@@ -82,7 +82,7 @@
 				s.put("servers/b", "ready")
 				time.Sleep(time.Second)
 				gap, position := m.Snapshot().Load().Gap, m.Position()
-				is.True(gap.Before(position)) // what follows is known
+				is.True(gap.Before(position)) // later changes are known
 				delta = m.Snapshot().Load().Since(behind.Position(), time.Now())
 				is.True(behind.Adopt(&delta))
 				is.Equal(behind.Snapshot().Load().Gap, gap)
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestACopyOfOneThatHasJustBegunHasNoGap guards against doubts at each restart of an instance from which
-// others copy.
+// TestCopyOfARestartedReplicaHasNoGap guards against gaps at each restart of an instance from
+// which others copy.
 func TestCopyOfARestartedReplicaHasNoGap(t *testing.T) {
 	followTracked(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put(evacuation, "{}")
@@ -113,8 +113,8 @@
 	})
 }
 
-// TestAReturnThatACopySkipsIsAGap guards against an instance that copies, across the store's return, from one
-// that has begun after it and knows of no gap.
+// TestRestoreSkippedByACopyIsAGap guards against an instance that copies, across a restore of
+// the store, from one that has started since and knows of no gap.
 func TestRestoreSkippedByACopyIsAGap(t *testing.T) {
 	followTracked(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		newer := &mirror.Snapshot{Era: 1, Revision: 2, Entries: m.Snapshot().Load().Entries}
@@ -127,8 +127,8 @@
 	})
 }
 
-// TestAnEvacuationIsReadAtOnceAmongManyChanges guards against one that is known only once the changes of hundreds
-// of servers have been gathered, and against a call for each of those.
+// TestUrgentChangesAreReadAtOnceAmongManyOthers guards against an evacuation that is noticed
+// only with the collected changes of hundreds of servers, and against a call for each of those.
 func TestUrgentChangesAreReadAtOnceAmongManyOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/pkg/mirror/internal_test.go
+++ b/pkg/mirror/internal_test.go
@@ -11,8 +11,8 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// TestAListingThatIsLeftOutChangesNothing guards against one that is older than the copy, and all the
-// same makes it forget which entries are about to end, or to count again.
+// TestIgnoredListingChangesNothing guards against a listing older than the replica that still
+// resets the expiry of retained or hidden entries.
 func TestIgnoredListingChangesNothing(t *testing.T) {
 	is := is.New(t)
 	m := New(Options{Clock: clock.System{}, Log: zerolog.Nop()})
--- a/pkg/mirror/lease_test.go
+++ b/pkg/mirror/lease_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// leaser counts calls by what they were for, and comes back from a copy with the call that restores
-// numbers.
+// leaser counts its calls. The store is restored from a backup during the call with the number
+// restores.
 type leaser struct {
 	era      uint64
 	restores int
@@ -43,11 +43,11 @@
 	return nil
 }
 
-// TestLeasesAreFencedByTheEra guards against a lease that is taken for one's own because the store
-// gave its number out again, whichever call the store's return comes before.
+// TestLeasesAreFencedByTheEpoch guards against using another owner's lease because the restored
+// store reused its number, for a restore before each of the calls.
 func TestLeasesAreFencedByTheEpoch(t *testing.T) {
 	for restores, c := range map[int]struct{ granted, renewed, ended bool }{
-		1: {}, // with the grant: nobody knows before or after
+		1: {}, // with the grant: unknown whether before or after
 		2: {granted: true},
 		3: {granted: true, renewed: true},
 		9: {granted: true, renewed: true, ended: true},
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -1,11 +1,10 @@
-// Package mirror keeps a copy of some prefixes of the platform's key-value store and
-// follows their changes, so that whatever waits for a request reads memory alone.
+// Package mirror keeps a local replica of some prefixes of the platform's key-value store and
+// follows their changes, so that the request path reads only memory.
 //
-// Guarantees: a copy's position never goes back; entries that hang on a lease, and
-// are missing after the store was out of reach, are kept for a while, since their
-// owners may be about to write them again; when the store comes back from a copy of its
-// past, its new revisions are followed from there, and what was known and is newer than
-// that copy by its content counts until it is written again.
+// Guarantees: a replica's position never goes back. Leased entries that are missing after the
+// store was unavailable are retained for a while, since their owners may be about to write them
+// again. When the store is restored from a backup, its new revisions are followed from there,
+// and entries whose content is newer than the backup's stay valid until they are written again.
 package mirror
 
 import (
@@ -24,27 +23,27 @@
 
 // Snapshot is an immutable copy of the store's entries.
 type Snapshot struct {
-	// Era and Revision are the store's that the copy reflects.
+	// Era and Revision are the epoch and revision of the store that the snapshot reflects.
 	Era      uint64
 	Revision int64
-	// Entries of an era below Era are held over: the store has not written them since.
+	// Entries of an epoch below Era are retained: the store has received no write of them since.
 	Entries map[string]platform.Entry
-	// Lapsed holds the entries that are missing in the store and still counted, and until
-	// when, by this process's clock.
+	// Lapsed holds the entries that are missing in the store and still valid, with their expiry
+	// by this process's clock.
 	Lapsed map[string]time.Time
-	// hidden holds the entries that are in the store and do not count yet.
+	// hidden holds the entries that are in the store and not valid yet.
 	hidden map[string]hidden
-	// Held is the fingerprint of the entries that are held over; zero: none is.
+	// Held is the fingerprint of the retained entries; zero if there are none.
 	Held uint64
-	// Removals holds at which position keys were last removed, below the prefixes whose removals are
-	// told. It must not be changed.
+	// Removals holds the position of the last deletion of each key below the prefixes with
+	// tracked deletions. It must not be changed.
 	Removals map[string]Position
-	// Gap is up to where the history of those prefixes is not known: what came and went before is in
-	// neither Entries nor Removals.
+	// Gap is the position up to which the history of those prefixes is unknown: earlier writes
+	// that were deleted again are in neither Entries nor Removals.
 	Gap Position
 }
 
-// Position is how far the copy has followed the store.
+// Position returns the position up to which the replica has followed the store.
 func (s *Snapshot) Position() Position {
 	if s == nil {
 		return Position{}
@@ -52,107 +51,108 @@
 	return Position{Era: s.Era, Revision: s.Revision}
 }
 
-// Passing says whether the copy holds entries that count, or do not, for a while only.
+// HasTemporary reports whether the snapshot holds retained entries that will expire, or hidden
+// ones.
 func (s *Snapshot) HasTemporary() bool { return len(s.Lapsed) > 0 || len(s.hidden) > 0 }
 
 // Options of a Mirror.
 type Options struct {
 	Source platform.PrefixReader
-	// Prefix is what is copied; empty: everything.
+	// Prefix selects the replicated entries; empty for all.
 	Prefix string
-	// Leased are the prefixes below it whose entries vanish with their owners.
+	// Leased are the prefixes below it with entries that are bound to their owners' leases.
 	Leased []string
-	// TrackedRemovals are the prefixes below it whose removals are told, be it that an entry came and went
-	// between two looks.
+	// TrackedRemovals are the prefixes below it for which deletions are recorded, including
+	// those of entries that were written and deleted between two reads.
 	TrackedRemovals []string
-	// UrgentPrefix is the prefix below it whose changes are read at once, however many others there are;
-	// empty: none is.
+	// UrgentPrefix is the prefix below it with changes that are read at once, however many
+	// others there are; empty for none.
 	UrgentPrefix string
-	// Order tells what counts of a former era; nil: the store's word alone does.
+	// Order decides which entries of a former epoch stay valid; nil if only the store's state
+	// counts.
 	Order Order
 	Clock clock.Clock
 	Log   zerolog.Logger
-	// Active says whether the store should be followed; while it is false, copies
-	// come by Adopt. Nil: always.
+	// Active reports whether the store should be followed; while it is false, snapshots arrive
+	// by Adopt. Nil means always.
 	Active func() bool
 }
 
 // Times of a Mirror.
 const (
-	// watchWait is how long one call waits for changes. It bounds how long a connection
-	// that fell silent goes unnoticed: keep-alive probes find that out no sooner.
+	// watchWait is the wait of one call for changes. It bounds the time until a stalled
+	// connection is noticed: keep-alive probes detect that no sooner.
 	watchWait = 3 * time.Second
-	// leastPause follows changes, so that those that come close together are read by one
-	// call. It doubles, up to mostPause, as long as each call brings some: while a
-	// deployment of hundreds starts or is replaced, its instances and servers write
-	// hundreds of entries, and a call for each few of them was a third of all calls to
-	// the store. A configuration is in force that much later then, of the 3 s that it may
-	// take.
+	// minPause follows changes, so that one call reads several that are close together. It
+	// doubles, up to maxPause, while each call returns some: while a deployment of hundreds
+	// starts or is replaced, its instances and servers write hundreds of entries, and a call for
+	// each few of them was a third of all calls to the store. A configuration then takes effect
+	// that much later, of the 3 s allowed.
 	minPause = 100 * time.Millisecond
 	maxPause = 800 * time.Millisecond
-	// longestCall is what a call may take beyond its waiting: a configuration of half a
-	// megabyte over a link of 10 Mbit/s that others use as well. The store's client ends
-	// calls sooner that make no progress.
+	// callTimeout is the time that a call may take beyond its wait: half a megabyte of
+	// configuration over a shared link of 10 Mbit/s. The store's client aborts calls without
+	// progress sooner.
 	callTimeout = 5 * time.Second
-	// firstRetry and longestRetry bound the pause after a failed call.
+	// firstRetryPause and maxRetryPause bound the pause after a failed call.
 	firstRetryPause = 50 * time.Millisecond
 	maxRetryPause   = 400 * time.Millisecond
-	// lapseGrace is for how long after the store's return a missing leased entry
-	// still counts: its owner writes it again within about two seconds.
+	// leaseGrace is the time after the store is available again for which a missing leased entry
+	// stays valid: its owner writes it again within about two seconds.
 	leaseGrace = 2300 * time.Millisecond
-	// restoredPause passes before the store is listed after its return from a copy: the one that
-	// told of it may be another than the one that is asked.
+	// restoredPause is the pause before listing a restored store: the store replica that
+	// revealed the restore may be another than the one that is asked.
 	restoredPause = 100 * time.Millisecond
-	// idlePause is how often an inactive Mirror looks whether it is active again: all but
-	// two instances of a domain do, and each look wakes a process.
+	// idlePause is the interval at which an inactive Mirror checks whether it is active again.
+	// All but two instances of a domain are inactive, and each check wakes a process.
 	idlePause = 250 * time.Millisecond
-	// currentFor is for how long after an answer of the store the copy counts as
-	// current: a little more than a waiting call that was told nothing.
+	// currentWindow is the time after an answer of the store for which the replica counts as
+	// current: a little more than a waiting call without changes.
 	currentWindow = watchWait + 200*time.Millisecond
 )
 
-// errRestored: the store has come back from a copy, so that the present call's answer says nothing
-// of what changed.
+// errRestored means that the store was restored from a backup, so that the answer of the present
+// call does not show what changed.
 var errRestored = errors.New("the store has come back from a copy")
 
-// Mirror copies a prefix. Its Run is the only writer, but for Adopt.
+// Mirror replicates a prefix. Only Run and Adopt write to it.
 type Mirror struct {
 	options  Options
 	snapshot board.Section[Snapshot]
 	epochs   board.Section[uint64]
 
 	mu sync.Mutex
-	// lost is true while the store does not answer; returned is when it last came
-	// back, zero when it was never lost.
+	// lost is true while the store does not answer; returned is the time at which it last
+	// answered again, zero if it was never lost.
 	lost     bool
 	returned time.Time
-	// reached is when the store last answered; following is true while changes are waited
-	// for, or were just taken.
+	// reached is the time of the store's last answer; following is true while changes are waited
+	// for or were just applied.
 	reached   time.Time
 	following bool
-	// era is the highest that was heard, heardAny whether any was.
+	// epoch is the highest observed, observedAny reports whether any was.
 	epoch       uint64
 	observedAny bool
-	// lapsed holds the entries that are missing and still counted, and until when.
+	// expiring holds the entries that are missing and still valid, with their expiry.
 	expiring map[string]time.Time
-	// told is true while lapsed is as another instance told it.
+	// expiryFromPeer is true while expiring was set by another instance's snapshot.
 	expiryFromPeer bool
-	// removed holds the entries that were removed lately, hidden those that the store holds and
-	// that count as removed.
+	// removed holds the recently deleted entries, hidden those that are in the store and count
+	// as deleted.
 	removed map[string]removal
 	hidden  map[string]hidden
 	// removals is Snapshot.Removals; it is replaced, not changed. gap is Snapshot.Gap.
 	removals map[string]Position
 	gap      Position
-	// interrupt ends the call that waits for changes; nil: none waits.
+	// interrupt cancels the call that waits for changes; nil if none waits.
 	interrupt context.CancelFunc
-	// pause follows the next call that brings changes. Run alone uses it.
+	// pause follows the next call that returns changes. Only Run uses it.
 	pause time.Duration
-	// prompted receives the revision of each change below Options.Prompt.
+	// urgent receives the revision of each change below Options.UrgentPrefix.
 	urgent chan int64
 }
 
-// New returns a Mirror that holds nothing yet.
+// New returns an empty Mirror.
 func New(options Options) *Mirror {
 	if options.Order == nil {
 		options.Order = noOrder{}
@@ -163,35 +163,37 @@
 	}
 }
 
-// Snapshot returns the section that holds the newest copy.
+// Snapshot returns the section that holds the newest snapshot.
 func (m *Mirror) Snapshot() *board.Section[Snapshot] { return &m.snapshot }
 
-// Current says whether the store is followed and answered lately, so that a peer's copy can
-// be newer by moments only.
+// Current reports whether the store is followed and answered recently, so that a peer's snapshot
+// can be only marginally newer.
 func (m *Mirror) Current() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.following && !m.lost && m.epoch == m.Position().Era && !m.reached.IsZero() && m.options.Clock.Now().Sub(m.reached) < currentWindow
 }
 
-// Lost says whether the store's last call failed.
+// Lost reports whether the store's last call failed.
 func (m *Mirror) Lost() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lost
 }
 
-// Reached returns when the store last answered this instance; zero: never.
+// Reached returns the time of the store's last answer to this instance; zero if there was none.
 func (m *Mirror) Reached() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.reached
 }
 
-// Position is how far the copy has followed the store; zero: there is none.
+// Position returns the position up to which the replica has followed the store; zero if it is
+// empty.
 func (m *Mirror) Position() Position { return m.snapshot.Load().Position() }
 
-// Held is the fingerprint of what the copy holds over from former eras; zero: nothing.
+// Held returns the fingerprint of the entries retained from former epochs; zero if there are
+// none.
 func (m *Mirror) Held() uint64 {
 	if present := m.snapshot.Load(); present != nil {
 		return present.Held
@@ -199,21 +201,22 @@
 	return 0
 }
 
-// Revision is the store's revision that the copy reflects; zero: there is none.
+// Revision returns the store's revision that the replica reflects; zero if it is empty.
 func (m *Mirror) Revision() int64 { return m.revision() }
 
-// Era is the highest of the store's eras that was heard; zero: none, or it does not say.
+// Era returns the highest observed epoch of the store; zero if none was observed or the store
+// does not report it.
 func (m *Mirror) Era() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.epoch
 }
 
-// Eras returns the section that holds the highest of the store's eras that was heard.
+// Eras returns the section that holds the highest observed epoch of the store.
 func (m *Mirror) Eras() *board.Section[uint64] { return &m.epochs }
 
-// ObserveEpoch takes the era that an answer of the store tells, to this instance or to another one. A
-// further one ends the call that waits for changes: what it waits for may not come any more.
+// ObserveEpoch records the epoch in an answer of the store to this or another instance. A higher
+// one cancels the call that waits for changes, because the awaited revision may never come.
 func (m *Mirror) ObserveEpoch(epoch uint64) {
 	if epoch == 0 {
 		return
@@ -235,8 +238,8 @@
 	}
 }
 
-// heard takes the era that an answer tells, and returns in which it was given: one that tells none
-// says nothing of a return.
+// observeAnswer records the epoch of an answer, and returns the epoch in which it was given. An
+// answer without one shows no restore.
 func (m *Mirror) observeAnswer(epoch uint64) uint64 {
 	if epoch == 0 {
 		return m.Era()
@@ -245,19 +248,19 @@
 	return epoch
 }
 
-// leftOut logs that the store told something that is not taken.
+// logIgnored logs that entries of the store are ignored.
 func (m *Mirror) logIgnored(entries int, revision int64) {
 	m.options.Log.Warn().Int(event.KeyEntries, entries).Uint64(event.KeyEra, m.epoch).
 		Int64(event.KeyRevision, revision).Int64(event.KeyKnownRevision, m.revision()).Msg(string(event.EntriesLeftOut))
 }
 
-// active says whether the store should be followed now. A Mirror without a copy
-// always reads one.
+// active reports whether the store should be followed now. A Mirror without a snapshot always
+// reads one.
 func (m *Mirror) active() bool {
 	return m.options.Active == nil || m.revision() == 0 || m.options.Active()
 }
 
-// Run copies until ctx ends.
+// Run replicates until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
 	pause := firstRetryPause
 	for ctx.Err() == nil {
@@ -288,7 +291,7 @@
 	}
 }
 
-// failed notes an unanswered call and returns the pause before the next.
+// recordFailure records a failed call and returns the pause before the next.
 func (m *Mirror) recordFailure(err error, pause time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -300,7 +303,7 @@
 	return min(maxRetryPause, 2*pause)
 }
 
-// answered notes that the store answered.
+// recordAnswer records that the store answered.
 func (m *Mirror) recordAnswer() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -316,8 +319,8 @@
 	}
 }
 
-// follow lists everything and then follows the changes, until a call fails or the
-// Mirror is no longer active.
+// follow lists everything and then follows the changes, until a call fails or the Mirror is no
+// longer active.
 func (m *Mirror) follow(ctx context.Context) error {
 	m.setFollowing(true)
 	defer m.setFollowing(false)
@@ -337,7 +340,7 @@
 	m.following = following
 }
 
-// list reads everything and returns from where on changes are to be followed.
+// list reads everything and returns the position from which changes are to be followed.
 func (m *Mirror) list(ctx context.Context) (Position, error) {
 	entries, before := make(map[string]platform.Entry), m.Position()
 	var first Position
@@ -377,7 +380,7 @@
 	return m.options.Source.List(ctx, m.options.Prefix, after)
 }
 
-// changes waits for what changed after a position, and returns from where on to go on.
+// changes waits for changes after a position, and returns the position from which to continue.
 func (m *Mirror) changes(ctx context.Context, after Position) (Position, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchWait+callTimeout)
 	defer cancel()
@@ -391,7 +394,8 @@
 		changes.Era = m.observeAnswer(changes.Era)
 	}
 	if after.Era != m.Era() {
-		// Also where the copy has caught up meanwhile: the revision is one of a former era.
+		// This holds even if the replica has caught up meanwhile: the revision belongs to a
+		// former epoch.
 		return Position{}, errRestored
 	}
 	if err != nil {
@@ -403,8 +407,8 @@
 	return after, nil
 }
 
-// wait notes how the call that is about to wait can be ended; false: it would wait for a
-// revision of a former era.
+// beginWait registers the cancel function of the call that is about to wait; false if it would
+// wait for a revision of a former epoch.
 func (m *Mirror) beginWait(after Position, interrupt context.CancelFunc) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -418,8 +422,8 @@
 	m.interrupt = nil
 }
 
-// rest waits after a call that brought changes, longer each time, unless there is one that is to be
-// read at once.
+// pauseAfterChanges waits after a call that returned changes, longer each time, unless an urgent
+// change has to be read.
 func (m *Mirror) pauseAfterChanges(ctx context.Context, changed bool) {
 	if !changed {
 		m.pause = minPause
--- a/pkg/mirror/mirror_test.go
+++ b/pkg/mirror/mirror_test.go
@@ -21,44 +21,44 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// store is a key-value store in memory whose answers a test can take away.
+// store is an in-memory key-value store that a test can make unavailable.
 type store struct {
 	mu       sync.Mutex
 	revision int64
 	entries  map[string]platform.Entry
 	history  []platform.Change
-	// from is the revision from which on the history is kept.
+	// from is the revision from which the history is retained.
 	from int64
 	down bool
-	// deaf watches hear nothing.
+	// watchesStalled: watches get no changes.
 	watchesStalled bool
-	// era counts the returns from a copy. Watches from a revision that is still to come wait for
-	// it where silent is true, and are refused otherwise.
+	// era counts restores from a backup. Watches from a future revision wait for it if
+	// futureWatchesWait is true, and fail otherwise.
 	era               uint64
 	futureWatchesWait bool
 }
 
-// image is a copy of what a store holds.
+// image is a backup of a store.
 type image struct {
 	revision int64
 	entries  map[string]platform.Entry
 }
 
-// copied returns a copy of what the store holds now.
+// backup returns a backup of the present entries.
 func (s *store) backup() image {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return image{revision: s.revision, entries: maps.Clone(s.entries)}
 }
 
-// entry is what the store holds under a key.
+// entry returns the store's entry of a key.
 func (s *store) entry(key string) []platform.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return []platform.Entry{s.entries[key]}
 }
 
-// restore has the store come back from a copy.
+// restore restores the store from a backup.
 func (s *store) restore(from image) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +149,7 @@
 	}
 }
 
-// follow runs a mirror of the store inside a bubble of virtual time.
+// follow runs a mirror of the store in virtual time.
 func follow(t *testing.T, check func(is *is.I, s *store, m *mirror.Mirror)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
@@ -187,9 +187,9 @@
 	})
 }
 
-// TestLapsedEntriesAreKeptUntilTheirOwnersCanReturn takes the store away while leases
-// run out: what its owner writes again within two seconds was never gone, the rest is
-// gone soon after, and what hangs on no lease is gone at once.
+// TestExpiredEntriesAreRetainedUntilTheirOwnersCanReturn makes the store unavailable while
+// leases expire. An entry that its owner writes again within two seconds never disappears, the
+// others disappear soon after, and those without a lease at once.
 func TestExpiredEntriesAreRetainedUntilTheirOwnersCanReturn(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/back", "1")
@@ -214,9 +214,9 @@
 	})
 }
 
-// TestALapsedEntryIsGoneFromCopiesOfTheCopyToo: it goes without a new revision of the store,
-// so that nobody would ask for a newer copy. It is kept no longer than where it was
-// copied from, also by an instance that hears nothing of the store.
+// TestRetainedEntriesExpireInCopiesToo: the expiry causes no new revision of the store, so that
+// no instance would request a newer snapshot. A copy retains an entry no longer than its source,
+// also on an instance that cannot reach the store.
 func TestRetainedEntriesExpireInCopiesToo(t *testing.T) {
 	for name, active := range map[string]bool{"does not follow the store": false, "does not reach the store": true} {
 		t.Run(name, func(t *testing.T) {
@@ -255,7 +255,8 @@
 	}
 }
 
-// TestEntriesRemovedWhileTheStoreAnswersAreGoneAtOnce: no grace in calm times.
+// TestEntriesDeletedWhileTheStoreAnswersDisappearAtOnce: there is no grace period without an
+// outage.
 func TestEntriesDeletedWhileTheStoreAnswersDisappearAtOnce(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "1")
@@ -266,8 +267,8 @@
 	})
 }
 
-// TestHistoryLostWhileWatchesAreDeafIsReadAnew: changes that no watch told are found
-// by the next listing.
+// TestMissedChangesAreFoundByTheNextListing: changes that no watch returned are found by the
+// next listing.
 func TestMissedChangesAreFoundByTheNextListing(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "ready")
@@ -293,7 +294,7 @@
 		delta := newer.Since(m.Position(), time.Now())
 		is.True(m.Adopt(&delta))
 		is.True(!m.Adopt(&old))
-		// The store tells again of what the copy already reflects.
+		// The store reports changes that the snapshot already reflects.
 		s.put("declared/config", "older than the copy")
 		time.Sleep(3 * time.Second)
 		is.Equal(string(m.Snapshot().Load().Entries["declared/config"].Value), "new")
@@ -313,10 +314,9 @@
 	return c.store.Changes(ctx, prefix, after, wait)
 }
 
-// TestAStreamOfChangesIsReadByFewCalls: while 300 instances are replaced an entry is
-// written every 20 ms. A call a second and a half are enough, and none of the entries is
-// known later than a second after it was written; once nothing changes, the next change is
-// known at once.
+// TestManyChangesAreReadByFewCalls: while 300 instances are replaced an entry is written every
+// 20 ms. One and a half calls a second are enough, each entry is known within a second of its
+// write, and once the writes stop the next change is known at once.
 func TestManyChangesAreReadByFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -341,7 +341,7 @@
 	})
 }
 
-// TestAQuietStoreIsAskedSeldom: a call that waits is paid for as any other.
+// TestIdleStoreIsPolledSeldom: a waiting call costs as much as any other.
 func TestIdleStoreIsPolledSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &counted{store: newStore()}
@@ -352,9 +352,9 @@
 	})
 }
 
-// TestAMirrorThatNoLongerFollowsIsNotCurrent: an instance follows the store while a watcher
-// of its domain is restarted, and stops when that one is back. From then on it must take
-// others' copies at once, not when its own last answer is old.
+// TestReplicaThatStoppedFollowingIsNotCurrent: an instance follows the store while a watcher of
+// its domain restarts, and stops when that one is back. From then on it must accept others'
+// snapshots at once, not only when its own last answer is old.
 func TestReplicaThatStoppedFollowingIsNotCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -379,8 +379,8 @@
 	})
 }
 
-// TestAnEntryThatIsListedAgainDoesNotLapse guards against one that was missing at the store's return,
-// is back in a later listing, and is dropped all the same when its grace is over.
+// TestEntryThatIsListedAgainDoesNotExpire guards against an entry that was missing when the
+// store answered again, is in a later listing, and still expires at the end of its grace period.
 func TestEntryThatIsListedAgainDoesNotExpire(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "1")
--- a/pkg/mirror/position.go
+++ b/pkg/mirror/position.go
@@ -12,14 +12,14 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// Position is how far a copy has followed the store. Revisions of two eras cannot be compared:
-// after its return from a copy the store gives them out again.
+// Position is the position in the store up to which a replica has followed it. Revisions of two
+// epochs cannot be compared: a store restored from a backup reuses them.
 type Position struct {
 	Era      uint64
 	Revision int64
 }
 
-// Before says whether p is older than other.
+// Before reports whether p is older than other.
 func (p Position) Before(other Position) bool {
 	if p.Era != other.Era {
 		return p.Era < other.Era
@@ -27,51 +27,51 @@
 	return p.Revision < other.Revision
 }
 
-// at is the position of an entry's last write.
+// positionOf returns the position of an entry's last write.
 func positionOf(entry *platform.Entry) Position {
 	return Position{Era: entry.Era, Revision: entry.ModRevision}
 }
 
-// Order tells, by what entries hold, which of two states of a key is the older one, and what
-// still counts when the store has come back from a copy that lacks it.
+// Order decides by the contents of entries which of two states of a key is older, and what stays
+// valid when the store was restored from a backup that lacks it.
 type Order interface {
-	// Older says whether entry is an earlier state of what than tells, both of one key.
+	// Older reports whether entry is an earlier state of the same key than than.
 	Older(entry, than *platform.Entry) bool
-	// Kept is for how long after the store's return an entry still counts that the copy
-	// lacks: its owner writes it again. Zero: not at all.
+	// Kept returns the time after a restore for which an entry stays valid that the backup
+	// lacks, until its owner writes it again. Zero means not at all.
 	Kept(key string) time.Duration
-	// Gone is for how long after the store's return an entry that had been removed, and that the
-	// copy still holds, counts as removed. Zero: not at all.
+	// Gone returns the time after a restore for which a deleted entry that the backup still
+	// contains is ignored. Zero means not at all.
 	Gone(key string) time.Duration
 }
 
-// noOrder takes the store's word for everything.
+// noOrder always uses the store's state.
 type noOrder struct{}
 
 func (noOrder) Older(_, _ *platform.Entry) bool { return false }
 func (noOrder) Kept(string) time.Duration       { return 0 }
 func (noOrder) Gone(string) time.Duration       { return 0 }
 
-// Removals are remembered for removedFor, longer than a copy of the store is old; mostRemoved
-// bounds them.
+// Deletions are remembered for removalTTL, longer than the age of a backup of the store;
+// maxRemovals bounds their number.
 const (
 	removalTTL  = time.Minute
 	maxRemovals = 5000
 )
 
-// removal is an entry that was removed, and when.
+// removal is a deleted entry and the time of its deletion.
 type removal struct {
 	entry platform.Entry
 	at    time.Time
 }
 
-// hidden is an entry that the store holds, and that counts as removed until a time.
+// hidden is an entry that is in the store and counts as deleted until a time.
 type hidden struct {
 	entry platform.Entry
 	until time.Time
 }
 
-// remove takes an entry out. The caller holds m.mu.
+// remove deletes an entry. The caller holds m.mu.
 func (m *Mirror) remove(entries map[string]platform.Entry, key string, now time.Time) {
 	if entry, known := entries[key]; known {
 		m.recordRemoved(entry, now)
@@ -79,8 +79,8 @@
 	}
 }
 
-// remember keeps a removed entry in mind, for a store that comes back from a copy that holds it.
-// The caller holds m.mu.
+// recordRemoved remembers a deleted entry in case the store is restored from a backup that
+// contains it. The caller holds m.mu.
 func (m *Mirror) recordRemoved(entry platform.Entry, now time.Time) {
 	if m.options.Order.Gone(entry.Key) == 0 {
 		return
@@ -93,15 +93,15 @@
 	}
 }
 
-// beginEra notes that the store has come back from a copy. The caller holds m.mu.
+// beginEpoch records that the store was restored from a backup. The caller holds m.mu.
 func (m *Mirror) beginEpoch(position Position, now time.Time) {
 	m.returned = now
 	m.options.Log.Warn().Uint64(event.KeyEra, position.Era).Int64(event.KeyRevision, position.Revision).
 		Int64(event.KeyKnownRevision, m.revision()).Msg(string(event.StoreFollowed))
 }
 
-// carryOver keeps what was known in former eras where that is newer than entries, which stand
-// at a position. The caller holds m.mu.
+// carryOver retains entries of former epochs that are newer than those in entries, which are of
+// the given position. The caller holds m.mu.
 func (m *Mirror) carryOver(present *Snapshot, position Position, entries map[string]platform.Entry, now time.Time) {
 	for key, known := range present.Entries {
 		if known.Era == position.Era {
@@ -125,7 +125,7 @@
 	}
 }
 
-// stillGone says whether an entry is one that was removed in a former era.
+// isSuppressed reports whether an entry was deleted in a former epoch.
 func (m *Mirror) isSuppressed(listed *platform.Entry, now time.Time) bool {
 	removed, known := m.removed[listed.Key]
 	if !known || removed.entry.Era == listed.Era || !now.Before(m.returned.Add(m.options.Order.Gone(listed.Key))) {
@@ -134,7 +134,7 @@
 	return bytes.Equal(listed.Value, removed.entry.Value) || m.options.Order.Older(listed, &removed.entry)
 }
 
-// reveal brings back the hidden entries whose time is over, and forgets those that were written
+// unhideExpired restores the hidden entries that are due and drops those that were written
 // since. The caller holds m.mu.
 func (m *Mirror) unhideExpired(entries map[string]platform.Entry, now time.Time) {
 	for key, suppressed := range m.hidden {
@@ -148,8 +148,8 @@
 	}
 }
 
-// held returns the entries of former eras, sorted by key: the store has not written them since
-// its return, or only older states of them.
+// retained returns the entries of former epochs, sorted by key. Since it was restored, the store
+// has received no writes of them, or only older states.
 func (s *Snapshot) retained() []platform.Entry {
 	if s.Era == 0 {
 		return nil
@@ -164,14 +164,14 @@
 	return retained
 }
 
-// fingerprint is the same for the same held entries; zero where there are none.
+// fingerprint is a hash of retained entries; zero if there are none.
 func fingerprint(retained []platform.Entry) uint64 {
 	if len(retained) == 0 {
 		return 0
 	}
 	sum := xxhash.New()
 	for i := range retained {
-		// A Digest of package xxhash takes all that is written.
+		// Writes to an xxhash.Digest never fail.
 		_, _ = sum.WriteString(retained[i].Key)
 		_, _ = sum.Write(retained[i].Value)
 	}
--- a/pkg/mirror/registration.go
+++ b/pkg/mirror/registration.go
@@ -13,43 +13,42 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// Registrar is what a Registration needs of the store.
+// Registrar is the part of the store that a Registration uses.
 type Registrar interface {
 	platform.Leaser
 	Swap(ctx context.Context, expect map[string]int64, puts []platform.Put) (int64, error)
 }
 
-// Registration keeps one entry in the store for as long as its owner runs.
+// Registration keeps one entry in the store while its owner runs.
 type Registration struct {
 	Store Registrar
-	// Key and Value are what is written.
+	// Key and Value are the entry.
 	Key   string
 	Value []byte
-	// TTL is how long the entry outlives its owner.
+	// TTL is the time for which the entry outlives its owner.
 	TTL time.Duration
-	// Copy is a copy of the store that shows whether the entry is there: it may be taken
-	// away while its lease lives on. Nil: the lease alone is looked at.
+	// Copy is a replica of the store that shows whether the entry exists, since it may be
+	// deleted while its lease is valid. If it is nil, only the lease is checked.
 	Copy *Mirror
 	Log  zerolog.Logger
-	// written is the store's position when the entry was last written.
+	// written is the store's position at the last write of the entry.
 	written Position
 }
 
 // Times of a Registration.
 const (
-	// keepPart of the time to live passes between renewals, so that two may fail.
+	// renewalsPerTTL is the number of renewals within the TTL, so that two may fail.
 	renewalsPerTTL = 3
 	// registerTimeout bounds each call.
 	registerTimeout = time.Second
-	// registerPause follows a first failed call; it doubles up to longestPause, of which a
-	// random half is left out. With tries four times a second, failed ones were a
-	// seventh of all calls on a day on which the store turned a third of 295 instances away
-	// and later answered nobody for 4 s; the others know an instance without an entry from
-	// its peers meanwhile.
+	// registerPause follows a first failed call. It doubles up to maxRegisterPause, and a random
+	// half of it is omitted. With four retries a second, failed ones were a seventh of all calls
+	// in a scenario in which the store rejected a third of 295 instances and later was
+	// unavailable for 4 s. Instances without an entry stay known through their peers meanwhile.
 	registerPause    = 250 * time.Millisecond
 	maxRegisterPause = 2 * time.Second
-	// registerSpread is over which time entries are written again: what takes one instance's
-	// takes those of all, and hundreds would write within a tenth of a second.
+	// registerSpread is the time over which entries are written again. An event that deletes one
+	// instance's entry deletes all, and hundreds would be written within a tenth of a second.
 	registerSpread = 500 * time.Millisecond
 )
 
@@ -70,7 +69,7 @@
 	}
 }
 
-// leases are the store's, fenced by its era as far as a copy tells it.
+// leases returns the store's leases, fenced by its epoch if a replica provides it.
 func (r *Registration) leases() Leases {
 	epoch := func() uint64 { return 0 }
 	if r.Copy != nil {
@@ -88,7 +87,7 @@
 	}
 	revision, err := r.Store.Swap(limited, nil, []platform.Put{{Key: r.Key, Value: r.Value, Lease: lease.ID}})
 	if err != nil {
-		// The write may have taken effect all the same: without its lease it cannot last.
+		// The write may have taken effect all the same. It expires with its lease.
 		return Lease{}, errors.Join(err, r.end(context.WithoutCancel(ctx), lease))
 	}
 	r.written = Position{Era: lease.Era, Revision: revision}
@@ -96,7 +95,7 @@
 	return lease, nil
 }
 
-// keep renews the lease until it is lost, or ends it when ctx ends.
+// maintain renews the lease until it is lost, or revokes it when ctx ends.
 func (r *Registration) maintain(ctx context.Context, lease Lease) {
 	for clock.Sleep(ctx, r.TTL/renewalsPerTTL) {
 		if r.missing() {
@@ -113,8 +112,8 @@
 	}
 }
 
-// missing says whether a copy that is newer than the entry does not hold it, or holds it over
-// from a former era.
+// missing reports whether a replica that is newer than the entry lacks it or retains it from a
+// former epoch.
 func (r *Registration) missing() bool {
 	if r.Copy == nil {
 		return false
--- a/pkg/mirror/restore_load_test.go
+++ b/pkg/mirror/restore_load_test.go
@@ -17,14 +17,14 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// registry is a store with leases that counts what registrations ask of it.
+// registry is a store with leases that counts the calls of registrations.
 type registry struct {
 	*store
-	// mu guards what follows.
+	// mu guards the following fields.
 	mu     sync.Mutex
 	leases map[platform.LeaseID]bool
 	last   platform.LeaseID
-	// writes are when leases were granted and entries written.
+	// writes holds the times at which leases were granted and entries written.
 	writes []time.Time
 }
 
@@ -68,8 +68,7 @@
 	return r.revision, nil
 }
 
-// forget has the store come back from a copy that holds none of the instances' entries, and none of
-// their leases.
+// loseInstances restores the store from a backup without the instances' entries and leases.
 func (r *registry) loseInstances(from image) {
 	r.mu.Lock()
 	clear(r.leases)
@@ -77,7 +76,7 @@
 	r.restore(from)
 }
 
-// mostInASecond is the largest number of times within a second.
+// maxPerSecond returns the largest number of times within a second.
 func maxPerSecond(times []time.Time) int {
 	most, first := 0, 0
 	for last := range times {
@@ -89,12 +88,12 @@
 	return most
 }
 
-// TestEntriesAreWrittenAgainWithoutARush guards against a store that comes back from a copy and gets
-// the calls of all instances at once, and against entries that are missing for longer than they count.
+// TestRegistrationsAfterARestoreAreSpread guards against a restored store that gets the calls of
+// all instances at once, and against entries that are missing for longer than they stay valid.
 func TestRegistrationsAfterARestoreAreSpread(t *testing.T) {
 	const (
 		ttl = 4 * time.Second
-		// missingFor is for how long the others count an entry that the copy lacks.
+		// missingFor is the time for which others retain an entry that the backup lacks.
 		missingFor = 2300 * time.Millisecond
 	)
 	for _, instances := range []int{7, 85, 380} {
--- a/pkg/mirror/restore_random_test.go
+++ b/pkg/mirror/restore_random_test.go
@@ -17,15 +17,15 @@
 	"github.com/lilacweir/lilacweir/pkg/mirror"
 )
 
-// history is a store that is written at random and comes back from copies of itself, and mirrors
-// of it: two follow it, two copy from these, and some begin anew.
+// history is a store with random writes that is restored from its own backups, and replicas of
+// it: two follow it, two copy from these, and some restart.
 type history struct {
 	*testing.T
 	random  *rand.Rand
 	store   *store
 	mirrors []*follower
-	// written is the highest number of each key that was confirmed, removed is true where its owner
-	// has taken it out since.
+	// written is the highest confirmed number of each key; removed is true if its owner has
+	// deleted it since.
 	written map[string]int
 	removed map[string]bool
 	copies  []image
@@ -46,7 +46,7 @@
 	h.notes = append(h.notes, time.Now().Format("05.000 ")+fmt.Sprintf(form, args...))
 }
 
-// begin starts a mirror, which follows the store or copies from those that do.
+// begin starts a mirror that follows the store or copies from those that do.
 func (h *history) begin(follows bool) *follower {
 	options := mirror.Options{Source: h.store, Leased: []string{"servers/"}, Order: numbered{}, Clock: clock.System{}, Log: zerolog.Nop()}
 	if !follows {
@@ -58,7 +58,7 @@
 	return f
 }
 
-// gossip lets each mirror take what another one knows, and checks what all show.
+// gossip makes each mirror merge another one's snapshot, and checks all of them.
 func (h *history) gossip() {
 	for _, f := range h.mirrors {
 		other := h.mirrors[h.random.IntN(len(h.mirrors))]
@@ -71,7 +71,7 @@
 	}
 }
 
-// check judges that a mirror does not go back.
+// check fails the test if a mirror goes back.
 func (h *history) check(f *follower) {
 	snapshot := f.mirror.Snapshot().Load()
 	if snapshot == nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// write puts the next number of a key, or removes it.
+// write puts the next number of a key, or deletes the key.
 func (h *history) write(key string) {
 	if key != "config" && h.written[key] > 0 && !h.removed[key] && h.random.IntN(4) == 0 {
 		h.note("remove %s", key)
@@ -104,8 +104,8 @@
 	h.store.put(key, strconv.Itoa(h.written[key]))
 }
 
-// restore has the store come back from one of its last copies; those who wrote or removed since do
-// so again, soon.
+// restore restores the store from one of its last backups. Owners that wrote or deleted since
+// repeat that soon after.
 func (h *history) restore() {
 	outage := time.Duration(h.random.IntN(3)) * time.Second
 	h.store.set(func() { h.store.down, h.store.futureWatchesWait = outage > 0, h.random.IntN(2) == 0 })
@@ -151,7 +151,7 @@
 	h.gossip()
 }
 
-// settled judges that all mirrors hold what the store holds, and nothing over.
+// settled checks that all mirrors hold the store's entries and retain none.
 func (h *history) settled() {
 	for end := time.Now().Add(goneFor + 7*time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		h.gossip()
@@ -175,9 +175,9 @@
 	}
 }
 
-// TestNoMirrorGoesBackWithARestoredStore guards against an order of eras, revisions and contents
-// that loses a number or brings an older one back, in random histories of a store that comes back
-// from copies of itself, twice in a row as well, with mirrors that begin in the midst of it.
+// TestNoReplicaGoesBackWithARestoredStore guards against an order of epochs, revisions and
+// contents that loses a number or reverts to an older one, in random histories of a store that
+// is restored from backups, also twice in a row, with replicas that restart meanwhile.
 func TestNoReplicaGoesBackWithARestoredStore(t *testing.T) {
 	for seed := range uint64(150) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/pkg/mirror/restore_test.go
+++ b/pkg/mirror/restore_test.go
@@ -16,7 +16,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// value returns what a copy holds under a key.
+// value returns a replica's value of a key.
 func value(m *mirror.Mirror, key string) string {
 	snapshot := m.Snapshot().Load()
 	if snapshot == nil {
@@ -25,10 +25,10 @@
 	return string(snapshot.Entries[key].Value)
 }
 
-// returns are the ways in which a store comes back from a copy.
+// restoreModes are the ways in which a store is restored from a backup.
 var restoreModes = map[string]struct {
-	// silent: watches from a revision to come wait for it. away is for how long nobody is
-	// answered before.
+	// futureWatchesWait: watches from a future revision wait for it. outage is the time without
+	// answers before the restore.
 	futureWatchesWait bool
 	outage            time.Duration
 }{
@@ -38,9 +38,8 @@
 	"after it was away, watches silent": {futureWatchesWait: true, outage: 2 * time.Second},
 }
 
-// TestWhatARestoredStoreTellsIsFollowed guards against a store that comes back from a copy, counts
-// its revisions from there, and is taken at its word only once it has passed the revision that was
-// known before.
+// TestRestoredStoreIsFollowed guards against ignoring a store that counts its revisions from
+// those of a backup until it has passed the revision known before.
 func TestRestoredStoreIsFollowed(t *testing.T) {
 	for name, mode := range restoreModes {
 		t.Run(name, func(t *testing.T) {
@@ -63,7 +62,7 @@
 				time.Sleep(time.Second)
 				s.put("declared/config", "2")
 				s.put("servers/a", "draining")
-				m.ObserveEpoch(1) // as by the renewal of a lease
+				m.ObserveEpoch(1) // as after the renewal of a lease
 				time.Sleep(time.Second)
 				is.Equal(value(m, "declared/config"), "2")
 				is.Equal(value(m, "servers/a"), "draining")
@@ -75,7 +74,7 @@
 	}
 }
 
-// numbered is an Order by which a value's number tells its age, and a removal holds for a while.
+// numbered is an Order in which a larger number is newer and deletions hold for a while.
 type numbered struct{}
 
 const (
@@ -97,7 +96,7 @@
 	return n
 }
 
-// followInOrder is follow with the order of numbers.
+// followInOrder is follow with the order numbered.
 func followInOrder(t *testing.T, check func(is *is.I, s *store, m *mirror.Mirror)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
@@ -111,9 +110,9 @@
 	})
 }
 
-// TestWhatIsNewerThanARestoredCopyCounts guards against a version, or a leaving mark, that comes
-// back older with the store, an entry that is gone for a moment because the copy lacks it, and one
-// that had gone and is back with the copy.
+// TestEntriesNewerThanARestoredStoreAreRetained guards against a version or leaving mark that
+// reverts with the store, an entry that disappears for a moment because the backup lacks it, and
+// a deleted one that reappears.
 func TestEntriesNewerThanARestoredStoreAreRetained(t *testing.T) {
 	followInOrder(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("config", "1")
@@ -139,13 +138,13 @@
 		time.Sleep(4 * time.Second)
 		is.Equal(value(m, "config"), "3")
 		is.Equal(value(m, "servers/new"), "2")
-		is.True(has(m, "servers/gone")) // nobody took it out again
+		is.True(has(m, "servers/gone")) // its owner did not delete it again
 		is.Equal(m.Held(), uint64(0))
 	})
 }
 
-// TestWhatNobodyWritesAgainIsGoneAfterAWhile guards against entries that outlive their owners
-// because a store forgot them.
+// TestRetainedEntriesWithoutAnOwnerExpire guards against entries that outlive their owners
+// because a restored store lacks them.
 func TestRetainedEntriesWithoutAnOwnerExpire(t *testing.T) {
 	followInOrder(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("config", "1")
@@ -160,8 +159,8 @@
 	})
 }
 
-// TestARegressionIsOnlyBelievedFromItsOwner guards against holding a key for ever at what was known:
-// one that is removed after the return is gone, and one that is written again counts, however late.
+// TestRetainedEntriesYieldToLaterWrites guards against retaining a key for ever: one that is
+// deleted after the restore disappears, and a later write counts, however late.
 func TestRetainedEntriesYieldToLaterWrites(t *testing.T) {
 	followInOrder(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "1")
@@ -186,8 +185,9 @@
 	})
 }
 
-// TestAnInstanceThatBeginsWithARestoredCopyLearnsWhatIsNewer guards against one that can read the
-// old copy alone, follows it, and takes nothing from those who know better.
+// TestReplicaStartedFromARestoredStoreMergesNewerEntries guards against an instance that can
+// read only the restored store, follows it, and takes nothing from those that retain newer
+// entries.
 func TestReplicaStartedFromARestoredStoreMergesNewerEntries(t *testing.T) {
 	followInOrder(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("config", "1")
@@ -209,7 +209,7 @@
 		is.Equal(value(restarted, "config"), "2")
 		is.True(has(restarted, "servers/new"))
 		is.True(!restarted.Adopt(&delta))   // nothing more
-		time.Sleep(keptFor + 3*time.Second) // with the end of the call that waits
+		time.Sleep(keptFor + 3*time.Second) // includes the end of the waiting call
 		is.True(!has(restarted, "servers/new"))
 		s.put("config", "3")
 		time.Sleep(time.Second)
--- a/pkg/mirror/urgent.go
+++ b/pkg/mirror/urgent.go
@@ -10,15 +10,15 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// While many entries change, changes are gathered, which is late for the few that matter at once: an
-// evacuation that comes and goes within a pause leaves upstreams cold that get a full load until the
-// pause is over. These few have a call of their own that waits for them, and that ends the pause.
+// Under many changes, several are read by one call, which is too late for urgent ones: an
+// evacuation that starts and ends within a pause leaves upstreams cold that get full load until
+// the pause is over. Urgent changes have a waiting call of their own, which ends the pause.
 
-// promptWait is how long one such call waits. It costs a call each time, and the store keeps
-// history for longer; one that fell silent costs no more than a pause.
+// urgentWait is the wait of one such call. Each call has a cost, and the store retains its
+// history for longer; a call on a stalled connection delays changes by no more than a pause.
 const urgentWait = 9 * time.Second
 
-// watchPrompt waits for changes below Options.Prompt after a position until it is stopped.
+// watchUrgent waits for changes below Options.UrgentPrefix after a position until it is stopped.
 func (m *Mirror) watchUrgent(ctx context.Context, after Position) (stop func()) {
 	if m.options.UrgentPrefix == "" {
 		return func() {}
@@ -36,7 +36,7 @@
 	}
 }
 
-// waitPrompt makes one call, and returns the revision after which to go on.
+// waitUrgent makes one call, and returns the revision after which to continue.
 func (m *Mirror) waitUrgent(ctx context.Context, after int64) int64 {
 	bounded, cancel := context.WithTimeout(ctx, urgentWait+callTimeout)
 	defer cancel()
@@ -45,7 +45,7 @@
 		after = max(after, m.revision())
 	}
 	if err != nil {
-		// Whoever follows all changes finds out what is wrong with the store.
+		// The loop that follows all changes handles errors of the store.
 		clock.Sleep(ctx, maxRetryPause)
 		return after
 	}
@@ -56,17 +56,17 @@
 	return max(after, changes.Revision)
 }
 
-// prompt has changes up to a revision read at once.
+// signalUrgent requests that changes up to a revision are read at once.
 func (m *Mirror) signalUrgent(revision int64) {
 	select {
 	case <-m.urgent:
-		// A later one covers it.
+		// The new revision covers the older one.
 	default:
 	}
 	m.urgent <- revision
 }
 
-// sleepUnlessPrompted waits until a time has passed, or there is a change to be read at once.
+// sleepUnlessUrgent waits for a time or until an urgent change has to be read.
 func (m *Mirror) sleepUnlessUrgent(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
