--- a/pkg/mirror/lease.go
+++ b/pkg/mirror/lease.go
@@ -23,7 +23,7 @@
 }
 
 // errFormerEpoch means that the lease was granted before the store was restored.
-var errFormerEpoch = errors.Join(platform.ErrLeaseLost, errors.New("granted in a former era of the store"))
+var errFormerEpoch = errors.Join(platform.ErrLeaseLost, errors.New("granted in a former epoch of the store"))
 
 // Grant creates a lease. The caller should retry after any error.
 func (l Leases) Grant(ctx context.Context, ttl time.Duration) (Lease, error) {
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -113,7 +113,7 @@
 
 // errRestored means that the store was restored from a backup, so that the answer of the present
 // call does not show what changed.
-var errRestored = errors.New("the store has come back from a copy")
+var errRestored = errors.New("the store was restored from a backup")
 
 // Mirror replicates a prefix. Only Run and Adopt write to it.
 type Mirror struct {
