--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -11,7 +11,7 @@
 
 // TestFingerprintsTellRequestsApart guards against refusing a request for what another did:
 // whatever part of the content differs, also where parts run into each other.
-func TestFingerprintsTellRequestsApart(t *testing.T) {
+func TestFingerprintsDistinguishRequests(t *testing.T) {
 	is := is.New(t)
 	base := quarantine.Content{Organisation: "o", Method: "POST", Host: "h", Path: "/a/b", Body: []byte("body")}
 	others := []quarantine.Content{
@@ -32,7 +32,7 @@
 }
 
 // TestKeysAreReadBack guards against a quarantine that is written and not found again.
-func TestKeysAreReadBack(t *testing.T) {
+func TestKeysRoundTrip(t *testing.T) {
 	is := is.New(t)
 	content := quarantine.Content{Method: "POST", Path: "/a", Body: []byte("body")}
 	read, err := quarantine.Parse(content.Fingerprint().Key())
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -17,21 +17,21 @@
 	// EndsToQuarantine is under how many ended upstreams a request is quarantined. One end
 	// leaves all that ran there suspect, two may still be chance for a request that is sent
 	// again when its upstream ends.
-	EndsToQuarantine = 3
+	CrashesToQuarantine = 3
 	// RetryAfter is when the caller of a quarantined request is asked to come back: nothing but
 	// an operator's act ends the refusal, which takes minutes at least.
 	RetryAfter = 10 * time.Minute
 	// suspectedFor is for how long an end counts against a request that never comes again.
-	suspectedFor = time.Hour
+	suspectTTL = time.Hour
 	// clearedFor is for how long after a good end, or an operator's act, no upstream's end
 	// counts: what others saw before may be told later.
-	clearedFor = 10 * time.Second
+	clearGrace = 10 * time.Second
 	// releasedFor is for how long it is remembered that a quarantined request was cleared, for
 	// those that come back and have not heard of it: a store from a copy, an instance from a cut.
-	releasedFor = 24 * time.Hour
+	releaseTTL = 24 * time.Hour
 	// mostRequests and mostEnds bound the table; full, it takes about 1 MB.
-	mostRequests = 4096
-	mostEnds     = 1024
+	maxRequests   = 4096
+	maxAttributed = 1024
 )
 
 // Upstream names one start of an upstream, by a hash of its ID.
@@ -75,11 +75,11 @@
 	// fingerprint needs to be worked out.
 	lengths map[int]int
 	// explained holds the upstreams that ended under quarantined requests, and when.
-	explained map[Upstream]time.Time
+	attributed map[Upstream]time.Time
 }
 
 type entry struct {
-	ends []Upstream
+	crashes []Upstream
 	// last is when something was last learned of the request.
 	last time.Time
 	held bool
@@ -89,12 +89,12 @@
 	// that last ended a quarantine.
 	cleared, released time.Time
 	// witnessed is true once this instance itself saw what is known of it, or a part.
-	witnessed bool
+	observedLocally bool
 }
 
 // NewTable returns an empty table.
 func NewTable(c clock.Clock) *Table {
-	return &Table{clock: c, entries: make(map[Fingerprint]*entry), lengths: make(map[int]int), explained: make(map[Upstream]time.Time)}
+	return &Table{clock: c, entries: make(map[Fingerprint]*entry), lengths: make(map[int]int), attributed: make(map[Upstream]time.Time)}
 }
 
 // MayContain says whether a request with a body of a length may be in the table. It costs
@@ -113,7 +113,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[request]
-	return e != nil && len(e.ends) > 0
+	return e != nil && len(e.crashes) > 0
 }
 
 // Refuses says whether a request must not be run, and when its caller should come back. An
@@ -135,7 +135,7 @@
 	defer t.mu.Unlock()
 	change := t.observe(seen)
 	if e := t.entries[seen.Request]; e != nil && change != Unchanged {
-		e.witnessed = true
+		e.observedLocally = true
 	}
 	return change
 }
@@ -145,7 +145,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[request]
-	return e != nil && e.witnessed
+	return e != nil && e.observedLocally
 }
 
 // Held says whether a request is quarantined.
@@ -158,12 +158,12 @@
 
 // AllHeld returns the requests that are quarantined.
 func (t *Table) AllHeld() []Fingerprint {
-	return t.all(func(e *entry) bool { return e.held })
+	return t.collect(func(e *entry) bool { return e.held })
 }
 
 // AllReleased returns those that were quarantined and have been cleared lately.
 func (t *Table) AllReleased() []Fingerprint {
-	return t.all(func(e *entry) bool { return !e.held && t.isReleased(e) })
+	return t.collect(func(e *entry) bool { return !e.held && t.isReleased(e) })
 }
 
 // Released says whether a request is one of AllReleased.
@@ -175,15 +175,15 @@
 }
 
 func (t *Table) isReleased(e *entry) bool {
-	return !e.released.IsZero() && t.clock.Now().Sub(e.released) < releasedFor
+	return !e.released.IsZero() && t.clock.Now().Sub(e.released) < releaseTTL
 }
 
-func (t *Table) all(which func(*entry) bool) []Fingerprint {
+func (t *Table) collect(match func(*entry) bool) []Fingerprint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var chosen []Fingerprint
 	for request, e := range t.entries {
-		if which(e) {
+		if match(e) {
 			chosen = append(chosen, request)
 		}
 	}
@@ -204,34 +204,34 @@
 	if seen.Ended == 0 {
 		return clearEntry(e, now)
 	}
-	if _, explained := t.explained[seen.Ended]; explained && (e == nil || !e.held) {
+	if _, attributed := t.attributed[seen.Ended]; attributed && (e == nil || !e.held) {
 		return Unchanged
 	}
 	if e == nil {
 		e = t.add(seen.Request, now)
 	}
-	if slices.Contains(e.ends, seen.Ended) || now.Sub(e.cleared) < clearedFor {
+	if slices.Contains(e.crashes, seen.Ended) || now.Sub(e.cleared) < clearGrace {
 		return Unchanged
 	}
 	e.last = now
 	if e.held {
-		t.explain(seen.Request, seen.Ended, now)
+		t.attribute(seen.Request, seen.Ended, now)
 		return Unchanged
 	}
-	e.ends = append(e.ends, seen.Ended)
-	if len(e.ends) < EndsToQuarantine {
+	e.crashes = append(e.crashes, seen.Ended)
+	if len(e.crashes) < CrashesToQuarantine {
 		return Suspected
 	}
 	e.held, e.retryAfter = true, 0
-	for _, end := range e.ends {
-		t.explain(seen.Request, end, now)
+	for _, crash := range e.crashes {
+		t.attribute(seen.Request, crash, now)
 	}
 	return Quarantined
 }
 
 // clearEntry takes a good end of a request that is in the table.
 func clearEntry(e *entry, now time.Time) Change {
-	if e == nil || (len(e.ends) == 0 && !e.held) {
+	if e == nil || (len(e.crashes) == 0 && !e.held) {
 		return Unchanged
 	}
 	released := e.released
@@ -258,29 +258,29 @@
 }
 
 // explain takes an end off all requests but the one that caused it.
-func (t *Table) explain(cause Fingerprint, end Upstream, now time.Time) {
-	if len(t.explained) >= mostEnds {
-		t.forgetEnds(now)
+func (t *Table) attribute(cause Fingerprint, crash Upstream, now time.Time) {
+	if len(t.attributed) >= maxAttributed {
+		t.expireAttributed(now)
 	}
-	t.explained[end] = now
+	t.attributed[crash] = now
 	for request, e := range t.entries {
 		if request != cause && !e.held {
-			e.ends = slices.DeleteFunc(e.ends, func(known Upstream) bool { return known == end })
+			e.crashes = slices.DeleteFunc(e.crashes, func(known Upstream) bool { return known == crash })
 		}
 	}
 }
 
-func (t *Table) forgetEnds(now time.Time) {
+func (t *Table) expireAttributed(now time.Time) {
 	oldest := now
-	for _, at := range t.explained {
+	for _, at := range t.attributed {
 		if at.Before(oldest) {
 			oldest = at
 		}
 	}
 	limit := oldest.Add(now.Sub(oldest) / 2)
-	for end, at := range t.explained {
+	for crash, at := range t.attributed {
 		if !at.After(limit) {
-			delete(t.explained, end)
+			delete(t.attributed, crash)
 		}
 	}
 }
@@ -295,7 +295,7 @@
 	if e == nil {
 		e = t.add(request, now)
 	}
-	if e.held || now.Sub(e.cleared) < clearedFor {
+	if e.held || now.Sub(e.cleared) < clearGrace {
 		return Unchanged
 	}
 	e.last, e.held, e.retryAfter = now, true, retryAfter
@@ -304,7 +304,7 @@
 
 // add makes room for a request. The caller holds t.mu.
 func (t *Table) add(request Fingerprint, now time.Time) *entry {
-	if len(t.entries) >= mostRequests {
+	if len(t.entries) >= maxRequests {
 		t.shrink(now)
 	}
 	e := &entry{last: now}
@@ -317,17 +317,17 @@
 // shrink forgets what is over, or else the older half of those that are not quarantined, or
 // else the older half of all.
 func (t *Table) shrink(now time.Time) {
-	t.forget(func(e *entry) bool { return !e.held && now.Sub(e.last) > suspectedFor })
-	for _, among := range [...]func(*entry) bool{
+	t.forget(func(e *entry) bool { return !e.held && now.Sub(e.last) > suspectTTL })
+	for _, eligible := range [...]func(*entry) bool{
 		func(e *entry) bool { return !e.held },
 		func(*entry) bool { return true },
 	} {
-		if len(t.entries) < mostRequests {
+		if len(t.entries) < maxRequests {
 			return
 		}
 		var times []time.Time
 		for _, e := range t.entries {
-			if among(e) {
+			if eligible(e) {
 				times = append(times, e.last)
 			}
 		}
@@ -336,13 +336,13 @@
 		}
 		slices.SortFunc(times, time.Time.Compare)
 		median := times[len(times)/2]
-		t.forget(func(e *entry) bool { return among(e) && !e.last.After(median) })
+		t.forget(func(e *entry) bool { return eligible(e) && !e.last.After(median) })
 	}
 }
 
-func (t *Table) forget(over func(*entry) bool) {
+func (t *Table) forget(expired func(*entry) bool) {
 	for request, e := range t.entries {
-		if !over(e) {
+		if !expired(e) {
 			continue
 		}
 		delete(t.entries, request)
@@ -365,7 +365,7 @@
 		if e.held || t.isReleased(e) {
 			return false
 		}
-		return now.Sub(e.last) > suspectedFor || (len(e.ends) == 0 && now.Sub(e.cleared) > clearedFor)
+		return now.Sub(e.last) > suspectTTL || (len(e.crashes) == 0 && now.Sub(e.cleared) > clearGrace)
 	})
 }
 
@@ -377,7 +377,7 @@
 		switch {
 		case e.held:
 			quarantined++
-		case len(e.ends) > 0:
+		case len(e.crashes) > 0:
 			suspected++
 		}
 	}
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -19,7 +19,7 @@
 }
 
 // end observes that an upstream ended with a request in work.
-func end(table *quarantine.Table, name string, upstream int) quarantine.Change {
+func crash(table *quarantine.Table, name string, upstream int) quarantine.Change {
 	return table.Observe(quarantine.Observation{Request: request(name), Ended: quarantine.Upstream(upstream)})
 }
 
@@ -30,14 +30,14 @@
 
 // TestThreeEndsQuarantineARequest guards against counting one end twice, as several instances
 // tell of it, and against refusing a request for fewer.
-func TestThreeEndsQuarantineARequest(t *testing.T) {
+func TestThreeCrashesQuarantineARequest(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable(clock.System{})
-	is.Equal(end(table, "a", 1), quarantine.Suspected)
-	is.Equal(end(table, "a", 1), quarantine.Unchanged)
-	is.Equal(end(table, "a", 2), quarantine.Suspected)
+	is.Equal(crash(table, "a", 1), quarantine.Suspected)
+	is.Equal(crash(table, "a", 1), quarantine.Unchanged)
+	is.Equal(crash(table, "a", 2), quarantine.Suspected)
 	is.True(!refuses(table, "a"))
-	is.Equal(end(table, "a", 3), quarantine.Quarantined)
+	is.Equal(crash(table, "a", 3), quarantine.Quarantined)
 	is.True(refuses(table, "a"))
 	retryAfter, _ := table.Refuses(request("a"))
 	is.Equal(retryAfter, quarantine.RetryAfter)
@@ -46,56 +46,56 @@
 
 // TestAQuarantineExplainsTheEndsUnderIt guards against refusing an innocent request that ran
 // beside the cause on three upstreams.
-func TestAQuarantineExplainsTheEndsUnderIt(t *testing.T) {
+func TestQuarantineAttributesItsCrashes(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable(clock.System{})
 	for upstream := 1; upstream <= 2; upstream++ {
-		end(table, "cause", upstream)
-		end(table, "beside", upstream)
+		crash(table, "cause", upstream)
+		crash(table, "beside", upstream)
 	}
-	is.Equal(end(table, "cause", 3), quarantine.Quarantined)
-	is.Equal(end(table, "beside", 3), quarantine.Unchanged)
-	is.Equal(end(table, "beside", 4), quarantine.Suspected)
+	is.Equal(crash(table, "cause", 3), quarantine.Quarantined)
+	is.Equal(crash(table, "beside", 3), quarantine.Unchanged)
+	is.Equal(crash(table, "beside", 4), quarantine.Suspected)
 	is.True(!refuses(table, "beside"))
 	is.True(refuses(table, "cause"))
 }
 
 // TestAGoodEndClearsARequest guards against refusing what many callers ask in the same words
 // and what is at work somewhere whenever an upstream ends.
-func TestAGoodEndClearsARequest(t *testing.T) {
+func TestCompletionClearsARequest(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable(clock.System{})
 	is.Equal(table.Observe(quarantine.Observation{Request: request("a")}), quarantine.Unchanged)
 	is.True(!table.MayContain(1)) // a good end alone takes no memory
-	for upstream := 1; upstream <= quarantine.EndsToQuarantine; upstream++ {
-		end(table, "a", upstream)
+	for upstream := 1; upstream <= quarantine.CrashesToQuarantine; upstream++ {
+		crash(table, "a", upstream)
 	}
 	is.Equal(table.Observe(quarantine.Observation{Request: request("a")}), quarantine.Cleared)
 	is.True(!refuses(table, "a"))
-	is.Equal(end(table, "a", 9), quarantine.Unchanged) // seen before the good end, and told late
+	is.Equal(crash(table, "a", 9), quarantine.Unchanged) // seen before the good end, and told late
 }
 
 // TestOnlyAnActEndsAQuarantine guards against a request that is tried again because time has passed,
 // by an instance that saw its ends or by one that was told; and against one that is refused for good.
-func TestOnlyAnActEndsAQuarantine(t *testing.T) {
+func TestOnlyAnOperatorEndsAQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		saw, told := quarantine.NewTable(clock.System{}), quarantine.NewTable(clock.System{})
-		for upstream := 1; upstream <= quarantine.EndsToQuarantine; upstream++ {
-			end(saw, "a", upstream)
+		observer, receiver := quarantine.NewTable(clock.System{}), quarantine.NewTable(clock.System{})
+		for upstream := 1; upstream <= quarantine.CrashesToQuarantine; upstream++ {
+			crash(observer, "a", upstream)
 		}
-		is.Equal(told.Hold(request("a"), time.Minute), quarantine.Quarantined)
-		is.Equal(told.Hold(request("a"), time.Hour), quarantine.Unchanged)
+		is.Equal(receiver.Hold(request("a"), time.Minute), quarantine.Quarantined)
+		is.Equal(receiver.Hold(request("a"), time.Hour), quarantine.Unchanged)
 		for range 10 {
 			clock.Sleep(t.Context(), 24*time.Hour)
-			for _, table := range []*quarantine.Table{saw, told} {
+			for _, table := range []*quarantine.Table{observer, receiver} {
 				table.Sweep()
 				is.True(refuses(table, "a"))
 			}
 		}
-		retryAfter, _ := told.Refuses(request("a"))
+		retryAfter, _ := receiver.Refuses(request("a"))
 		is.Equal(retryAfter, time.Minute) // as it was told
-		for _, table := range []*quarantine.Table{saw, told} {
+		for _, table := range []*quarantine.Table{observer, receiver} {
 			is.Equal(table.Release(request("a")), quarantine.Cleared)
 			is.Equal(table.Release(request("a")), quarantine.Unchanged)
 			is.True(!refuses(table, "a"))
@@ -105,13 +105,13 @@
 
 // TestWhatWasSeenBeforeAnActNoLongerCounts guards against an operator's act that is undone by ends that
 // are told late, and against one after which a request may end any number of upstreams.
-func TestWhatWasSeenBeforeAnActNoLongerCounts(t *testing.T) {
+func TestEarlierCrashesDoNotCountAfterARelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := quarantine.NewTable(clock.System{})
 		is.Equal(table.Release(request("a")), quarantine.Unchanged) // before the ends are told
-		for upstream := 1; upstream <= quarantine.EndsToQuarantine; upstream++ {
-			is.Equal(end(table, "a", upstream), quarantine.Unchanged)
+		for upstream := 1; upstream <= quarantine.CrashesToQuarantine; upstream++ {
+			is.Equal(crash(table, "a", upstream), quarantine.Unchanged)
 		}
 		is.Equal(table.Hold(request("a"), 0), quarantine.Unchanged)
 		is.True(!refuses(table, "a"))
@@ -119,8 +119,8 @@
 		clock.Sleep(t.Context(), time.Minute)
 		table.Sweep()
 		is.Equal(len(table.AllReleased()), 1) // a store that comes back from a copy is told
-		for upstream := 11; upstream <= 10+quarantine.EndsToQuarantine; upstream++ {
-			end(table, "a", upstream)
+		for upstream := 11; upstream <= 10+quarantine.CrashesToQuarantine; upstream++ {
+			crash(table, "a", upstream)
 		}
 		is.True(refuses(table, "a"))
 		is.Equal(len(table.AllReleased()), 0)
@@ -132,14 +132,14 @@
 
 // TestTheTableIsBounded guards against a caller that fills the memory with requests of its
 // own, or drives out what is quarantined.
-func TestTheTableIsBounded(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable(clock.System{})
-	for upstream := 1; upstream <= quarantine.EndsToQuarantine; upstream++ {
-		end(table, "lethal", upstream)
+	for upstream := 1; upstream <= quarantine.CrashesToQuarantine; upstream++ {
+		crash(table, "lethal", upstream)
 	}
 	for i := range 50_000 {
-		end(table, fmt.Sprint("other ", i), 10+i)
+		crash(table, fmt.Sprint("other ", i), 10+i)
 	}
 	suspected, quarantined := table.Counts()
 	is.True(suspected <= 4096)
@@ -148,11 +148,11 @@
 }
 
 // TestWhatIsOverIsForgotten guards against a table that only grows.
-func TestWhatIsOverIsForgotten(t *testing.T) {
+func TestOldEntriesAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := quarantine.NewTable(clock.System{})
-		end(table, "a", 1)
+		crash(table, "a", 1)
 		is.True(table.MayContain(1))
 		is.True(!table.MayContain(2))
 		clock.Sleep(t.Context(), 2*time.Hour)
@@ -171,7 +171,7 @@
 
 func BenchmarkConcernsAnotherLength(b *testing.B) {
 	table := quarantine.NewTable(clock.System{})
-	end(table, "a", 1)
+	crash(table, "a", 1)
 	b.ReportAllocs()
 	for b.Loop() {
 		table.MayContain(700)
