--- a/pkg/quarantine/cluster_test.go
+++ b/pkg/quarantine/cluster_test.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// heardAfter is how much later the others hear of what one instance saw.
+	// reportDelay is the delay with which the other instances receive an observation.
 	reportDelay = time.Second
-	// reachTime is how long after the third end instances have to know it, and sendsAllowed how often
-	// all of them together may send the request after that.
+	// propagationTime is the time after the third crash within which all instances have to know
+	// it. sendsAllowed is the number of times that all of them together may send the request
+	// after that.
 	propagationTime = 5 * time.Second
 	sendsAllowed    = 3
 )
 
-// group is the tables of several instances that hear each other late.
+// cluster holds the tables of several instances that receive each other's observations late.
 type cluster struct {
 	tables []*quarantine.Table
-	// told is what the others have not heard yet.
+	// pending holds observations that the others have not received yet.
 	pending []delayedObservation
-	// apart is the instance that is cut off; -1: none is.
+	// partitioned is the instance without connection to the others; -1 if there is none.
 	partitioned int
 }
 
@@ -35,7 +36,8 @@
 	seen quarantine.Observation
 }
 
-// tell has the others hear what is due. Who is cut off neither tells nor hears.
+// deliver delivers the observations that are due. A partitioned instance neither sends nor
+// receives.
 func (g *cluster) deliver(now time.Time) {
 	var later []delayedObservation
 	for _, delayed := range g.pending {
@@ -52,8 +54,8 @@
 	g.pending = later
 }
 
-// TestAllInstancesTryAQuarantinedRequestNoMoreThanAllowed guards against a request that ends its
-// upstreams and is tried again by each instance for itself whenever its term is over there.
+// TestAllInstancesTogetherRarelySendAQuarantinedRequest guards against a poison request that
+// each instance tries again on its own after some time.
 func TestAllInstancesTogetherRarelySendAQuarantinedRequest(t *testing.T) {
 	for _, instances := range []int{7, 60} {
 		t.Run(fmt.Sprint(instances), func(t *testing.T) {
@@ -62,8 +64,8 @@
 	}
 }
 
-// tryForHours asks one of the instances, 25 times in five seconds of each half minute, for the request
-// that ends its upstreams, while instances restart, and are cut off for minutes.
+// runForHours sends the poison request to one of the instances, 25 times in five seconds of each
+// half minute, while instances restart and are partitioned for minutes.
 func runForHours(t *testing.T, instances int) {
 	random := rand.New(rand.NewPCG(11, uint64(instances)))
 	g := &cluster{partitioned: -1}
@@ -100,8 +102,8 @@
 	}
 }
 
-// disturb restarts an instance, which reads the store's quarantines at its start, or cuts one off, or
-// ends that.
+// injectFault restarts an instance, which reads the store's quarantines at its start, or starts
+// or ends a partition.
 func (g *cluster) injectFault(random *rand.Rand, content quarantine.Fingerprint) {
 	n := random.IntN(len(g.tables))
 	switch random.IntN(12) {
--- a/pkg/quarantine/doc.go
+++ b/pkg/quarantine/doc.go
@@ -1,12 +1,11 @@
-// Package quarantine keeps requests that end the upstreams that run them from being run
-// again.
+// Package quarantine prevents requests that crash their upstreams from being run again.
 //
-// When an upstream ends, each request in work there may be the cause, and most are not. An
-// instance notes them as suspects and tells the others. A request under which so many
-// upstreams have ended is quarantined: it is refused everywhere, and the ends under it no
-// longer count against the requests beside it. No instance tries it again by itself: it is
-// refused until an operator clears it. A request that runs to a good end is cleared, too.
+// When an upstream crashes, each request in flight there may be the cause, and most are not. An
+// instance records them as suspects and reports them to the others. A request that was in flight
+// in CrashesToQuarantine crashes is quarantined: every instance refuses it, and its crashes no
+// longer count against the requests beside it. No instance retries it on its own; it is refused
+// until an operator clears it. A request that completes is cleared as well.
 //
-// Guarantees: memory is bounded; what one organisation asks never quarantines what another
-// asks; all instances together send a quarantined request no further.
+// Guarantees: memory is bounded; requests of one organisation never quarantine those of another;
+// and all instances together stop sending a quarantined request.
 package quarantine
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -10,30 +10,30 @@
 	"strings"
 )
 
-// Fingerprint names a request by what it asks for: requests with the same one have the same
-// organisation, method, host, path, query and body. It is a part of a SHA-256, so that no
-// caller can make a request that is taken for another's.
+// Fingerprint identifies a request by its organisation, method, host, path, query and body. It
+// is a prefix of a SHA-256, so that no caller can construct a request that is mistaken for
+// another caller's.
 type Fingerprint struct {
 	High, Low uint64
 	// Length is the body's, in bytes.
 	Length int
 }
 
-// Content is what a fingerprint is made of.
+// Content is the input of a fingerprint.
 type Content struct {
-	// Organisation is whose request it is; empty: nobody's.
+	// Organisation is the owner of the request; empty if anonymous.
 	Organisation       string
 	Method, Host, Path string
 	Body               []byte
 }
 
-// Fingerprint returns the content's.
+// Fingerprint returns the fingerprint of the content.
 func (c *Content) Fingerprint() Fingerprint {
 	sum := sha256.New()
 	var length [8]byte
 	for _, text := range [...]string{c.Organisation, c.Method, c.Host, c.Path} {
 		binary.LittleEndian.PutUint64(length[:], uint64(len(text)))
-		// A hash takes all that is written.
+		// Writes to a hash never fail.
 		_, _ = sum.Write(length[:])
 		_, _ = sum.Write([]byte(text))
 	}
@@ -52,7 +52,7 @@
 	return cmp.Or(cmp.Compare(f.High, other.High), cmp.Compare(f.Low, other.Low), cmp.Compare(f.Length, other.Length))
 }
 
-// ParseError is a text that is no fingerprint.
+// ParseError reports a text that is not a fingerprint.
 type ParseError struct{ Text string }
 
 // Error implements error.
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("no fingerprint of a request: %.100q", e.Text)
 }
 
-// Key is the fingerprint as a key of a store; Parse reads it.
+// Key returns the fingerprint as a key of a store; Parse reads it.
 func (f Fingerprint) Key() string { return fmt.Sprintf("%s-%d", f, f.Length) }
 
 // Parse reads a Key. The error is a *ParseError.
@@ -77,5 +77,5 @@
 	return Fingerprint{High: binary.BigEndian.Uint64(digest[:8]), Low: binary.BigEndian.Uint64(digest[8:]), Length: n}, nil
 }
 
-// String is the fingerprint in hexadecimal, as logs tell it.
+// String returns the fingerprint in hexadecimal, as in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x%016x", f.High, f.Low) }
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -9,8 +9,9 @@
 	"github.com/lilacweir/lilacweir/pkg/quarantine"
 )
 
-// TestFingerprintsTellRequestsApart guards against refusing a request for what another did:
-// whatever part of the content differs, also where parts run into each other.
+// TestFingerprintsDistinguishRequests guards against refusing a request because of another one:
+// any part of the content may differ, also where adjacent parts would concatenate to the same
+// text.
 func TestFingerprintsDistinguishRequests(t *testing.T) {
 	is := is.New(t)
 	base := quarantine.Content{Organisation: "o", Method: "POST", Host: "h", Path: "/a/b", Body: []byte("body")}
@@ -31,7 +32,7 @@
 	is.Equal(len(base.Fingerprint().String()), 32)
 }
 
-// TestKeysAreReadBack guards against a quarantine that is written and not found again.
+// TestKeysRoundTrip guards against a quarantine that is written and not found again.
 func TestKeysRoundTrip(t *testing.T) {
 	is := is.New(t)
 	content := quarantine.Content{Method: "POST", Path: "/a", Body: []byte("body")}
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Record is a quarantine as the platform's store holds it.
+// Record is a quarantine in the platform's store.
 type Record struct {
 	Request Fingerprint
-	// Revision is the store's of the record's last write.
+	// Revision is the store's revision of the record's last write.
 	Revision int64
 	Note
 }
 
 // Note is a record's value.
 type Note struct {
-	// Instance is the one that wrote the quarantine.
+	// Instance is the instance that wrote the quarantine.
 	Instance string `json:"instance"`
-	// Since is when it did so, by its clock.
+	// Since is the time of the quarantine by the instance's clock.
 	Since time.Time `json:"since"`
-	// ClearedBy is the operator who has cleared it, or the instance where it ran to a good end; empty:
-	// it holds.
+	// ClearedBy is the operator who cleared it, or the instance on which the request completed;
+	// empty while it is in force.
 	ClearedBy string `json:"cleared_by,omitempty"`
 }
 
@@ -35,8 +35,8 @@
 	return value, nil
 }
 
-// ParseNote reads a value of the store. One that it cannot read holds the request all the same:
-// former versions wrote the instance's name alone.
+// ParseNote reads a value of the store. A value that cannot be parsed still quarantines the
+// request: former versions wrote only the instance's name.
 func ParseNote(value []byte) Note {
 	var note Note
 	if err := json.Unmarshal(value, &note); err != nil {
@@ -45,7 +45,7 @@
 	return note
 }
 
-// Before says whether a note is an earlier one than another of the same request: of an earlier
+// Before reports whether a note is earlier than another of the same request: of an earlier
 // quarantine, or of the same one before it was cleared.
 func (n Note) Before(other Note) bool {
 	if !n.Since.Equal(other.Since) {
@@ -54,15 +54,15 @@
 	return n.ClearedBy == "" && other.ClearedBy != ""
 }
 
-// Stored is what an instance's copy of the store holds at one moment.
+// Stored is the state of an instance's replica of the store at one moment.
 type Stored struct {
-	// Era counts the store's returns from a copy of its past.
+	// Era counts the restores of the store from a backup.
 	Era uint64
 	// Records is sorted by request.
 	Records []Record
 }
 
-// Find returns the record of a request; nil: there is none.
+// Find returns the record of a request, or nil.
 func (s *Stored) Find(request Fingerprint) *Record {
 	if s == nil {
 		return nil
@@ -75,13 +75,13 @@
 	return nil
 }
 
-// Holds says whether a request is quarantined by the store's word.
+// Holds reports whether a request is quarantined in the store.
 func (s *Stored) Holds(request Fingerprint) bool {
 	record := s.Find(request)
 	return record != nil && record.ClearedBy == ""
 }
 
-// Held counts the requests that are quarantined by the store's word.
+// Held returns the number of requests that are quarantined in the store.
 func (s *Stored) Held() int {
 	held := 0
 	if s != nil {
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -14,81 +14,83 @@
 
 // Parameters of a Table.
 const (
-	// EndsToQuarantine is under how many ended upstreams a request is quarantined. One end
-	// leaves all that ran there suspect, two may still be chance for a request that is sent
-	// again when its upstream ends.
+	// CrashesToQuarantine is the number of upstream crashes after which a request is
+	// quarantined. One crash leaves all requests there suspect, and two may still be chance for
+	// a request that is retried when its upstream crashes.
 	CrashesToQuarantine = 3
-	// RetryAfter is when the caller of a quarantined request is asked to come back: nothing but
-	// an operator's act ends the refusal, which takes minutes at least.
+	// RetryAfter is the retry time given to the caller of a quarantined request: only an
+	// operator's action ends the quarantine, which takes minutes at least.
 	RetryAfter = 10 * time.Minute
-	// suspectedFor is for how long an end counts against a request that never comes again.
+	// suspectTTL is the time for which a crash counts against a request that does not come
+	// again.
 	suspectTTL = time.Hour
-	// clearedFor is for how long after a good end, or an operator's act, no upstream's end
-	// counts: what others saw before may be told later.
+	// clearGrace is the time after a completion or an operator's action for which crashes do not
+	// count, because earlier observations of other instances may arrive late.
 	clearGrace = 10 * time.Second
-	// releasedFor is for how long it is remembered that a quarantined request was cleared, for
-	// those that come back and have not heard of it: a store from a copy, an instance from a cut.
+	// releaseTTL is the time for which the release of a request is remembered, for a store
+	// restored from a backup or an instance that was partitioned.
 	releaseTTL = 24 * time.Hour
-	// mostRequests and mostEnds bound the table; full, it takes about 1 MB.
+	// maxRequests and maxAttributed bound the table; full, it takes about 1 MB.
 	maxRequests   = 4096
 	maxAttributed = 1024
 )
 
-// Upstream names one start of an upstream, by a hash of its ID.
+// Upstream identifies one incarnation of an upstream by a hash of its ID.
 type Upstream uint64
 
-// UpstreamOf returns the name of the start with an ID.
+// UpstreamOf returns the Upstream with an ID.
 func UpstreamOf(id string) Upstream { return Upstream(xxhash.Sum64String(id)) }
 
-// Observation is what an instance saw of a request.
+// Observation is an instance's observation of a request.
 type Observation struct {
 	Request Fingerprint
-	// Ended is the upstream that ended with the request in work; zero: the request ran to a
-	// good end.
+	// Ended is the upstream that crashed with the request in flight; zero if the request
+	// completed.
 	Ended Upstream
 }
 
-// Change is what became of a request by an observation.
+// Change is the effect of an observation on a request.
 type Change int
 
 // Changes of a request.
 const (
-	// Unchanged: nothing new.
+	// Unchanged: the observation has no effect.
 	Unchanged Change = iota
-	// Suspected: one more upstream has ended under it.
+	// Suspected: one more upstream has crashed with it in flight.
 	Suspected
-	// Quarantined: it is refused until an operator clears it, or a send that was under way runs
-	// to a good end.
+	// Quarantined: it is refused until an operator clears it or an attempt that was in flight
+	// completes.
 	Quarantined
 	// Cleared: it is no longer suspected or quarantined.
 	Cleared
 )
 
-// Table holds the requests under which upstreams ended. It is safe for concurrent use.
+// Table holds the requests that were in flight when upstreams crashed. It is safe for concurrent
+// use.
 type Table struct {
 	clock clock.Clock
 	// size is the number of entries, read without the lock.
 	size    atomic.Int64
 	mu      sync.Mutex
 	entries map[Fingerprint]*entry
-	// lengths counts the entries by the length of their bodies: for other lengths no
-	// fingerprint needs to be worked out.
+	// lengths counts the entries by body length: for other lengths no fingerprint needs to be
+	// computed.
 	lengths map[int]int
-	// explained holds the upstreams that ended under quarantined requests, and when.
+	// attributed holds the upstreams that quarantined requests crashed, and when.
 	attributed map[Upstream]time.Time
 }
 
 type entry struct {
 	crashes []Upstream
-	// last is when something was last learned of the request.
+	// last is the time of the last observation of the request.
 	last time.Time
 	held bool
-	// retryAfter is when callers are asked to come back; zero: RetryAfter.
+	// retryAfter is the retry time given to callers; zero for RetryAfter.
 	retryAfter time.Duration
-	// cleared is when it last ran to a good end or was cleared by an operator, released when
-	// that last ended a quarantine.
+	// cleared is the time of its last completion or release by an operator, released the last
+	// time that this ended a quarantine.
 	cleared, released time.Time
-	// witnessed is true once this instance itself saw what is known of it, or a part.
+	// observedLocally is true once this instance itself made one of the observations.
 	observedLocally bool
 }
 
@@ -97,8 +99,8 @@
 	return &Table{clock: c, entries: make(map[Fingerprint]*entry), lengths: make(map[int]int), attributed: make(map[Upstream]time.Time)}
 }
 
-// MayContain says whether a request with a body of a length may be in the table. It costs
-// nothing while the table is empty.
+// MayContain reports whether a request with a body of a length may be in the table. It needs no
+// lock while the table is empty.
 func (t *Table) MayContain(length int) bool {
 	if t.size.Load() == 0 {
 		return false
@@ -108,7 +110,7 @@
 	return t.lengths[length] > 0
 }
 
-// Suspect says whether an upstream has ended under a request.
+// Suspect reports whether an upstream has crashed with a request in flight.
 func (t *Table) Suspect(request Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,9 +118,9 @@
 	return e != nil && len(e.crashes) > 0
 }
 
-// Refuses says whether a request must not be run, and when its caller should come back. An
-// instance never tries one by itself: each try may end an upstream, and what one instance may
-// do all of them may do.
+// Refuses reports whether a request must not run, and when its caller should retry. An instance
+// never tries one on its own: each attempt may crash an upstream, and all instances would do the
+// same.
 func (t *Table) Refuses(request Fingerprint) (retryAfter time.Duration, refused bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,7 +131,7 @@
 	return cmp.Or(e.retryAfter, RetryAfter), true
 }
 
-// ObserveLocally takes what this instance itself saw.
+// ObserveLocally records an observation of this instance.
 func (t *Table) ObserveLocally(seen Observation) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,7 +142,7 @@
 	return change
 }
 
-// ObservedLocally says whether this instance itself saw something of what is known of a request.
+// ObservedLocally reports whether this instance itself made an observation of a request.
 func (t *Table) ObservedLocally(request Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,7 +150,7 @@
 	return e != nil && e.observedLocally
 }
 
-// Held says whether a request is quarantined.
+// Held reports whether a request is quarantined.
 func (t *Table) Held(request Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,17 +158,17 @@
 	return e != nil && e.held
 }
 
-// AllHeld returns the requests that are quarantined.
+// AllHeld returns the quarantined requests.
 func (t *Table) AllHeld() []Fingerprint {
 	return t.collect(func(e *entry) bool { return e.held })
 }
 
-// AllReleased returns those that were quarantined and have been cleared lately.
+// AllReleased returns the requests that were quarantined and recently cleared.
 func (t *Table) AllReleased() []Fingerprint {
 	return t.collect(func(e *entry) bool { return !e.held && t.isReleased(e) })
 }
 
-// Released says whether a request is one of AllReleased.
+// Released reports whether a request is one of AllReleased.
 func (t *Table) Released(request Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,14 +192,14 @@
 	return chosen
 }
 
-// Observe takes what another instance saw.
+// Observe records an observation of another instance.
 func (t *Table) Observe(seen Observation) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.observe(seen)
 }
 
-// observe is Observe. The caller holds t.mu.
+// observe implements Observe. The caller holds t.mu.
 func (t *Table) observe(seen Observation) Change {
 	now := t.clock.Now()
 	e := t.entries[seen.Request]
@@ -229,7 +231,7 @@
 	return Quarantined
 }
 
-// clearEntry takes a good end of a request that is in the table.
+// clearEntry applies the completion of a request that is in the table.
 func clearEntry(e *entry, now time.Time) Change {
 	if e == nil || (len(e.crashes) == 0 && !e.held) {
 		return Unchanged
@@ -242,8 +244,8 @@
 	return Cleared
 }
 
-// Release takes the store's word that a request was cleared. What was seen of it before no longer
-// counts.
+// Release clears a request that the store reports as cleared. Earlier observations no longer
+// count.
 func (t *Table) Release(request Fingerprint) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -257,7 +259,7 @@
 	return change
 }
 
-// explain takes an end off all requests but the one that caused it.
+// attribute removes a crash from all requests but the one that caused it.
 func (t *Table) attribute(cause Fingerprint, crash Upstream, now time.Time) {
 	if len(t.attributed) >= maxAttributed {
 		t.expireAttributed(now)
@@ -285,8 +287,8 @@
 	}
 }
 
-// Hold quarantines a request for what an instance that knows more has told, or the store;
-// retryAfter is when callers are asked to come back, zero: RetryAfter.
+// Hold quarantines a request on the report of another instance or the store; retryAfter is the
+// retry time given to callers, zero for RetryAfter.
 func (t *Table) Hold(request Fingerprint, retryAfter time.Duration) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -302,7 +304,7 @@
 	return Quarantined
 }
 
-// add makes room for a request. The caller holds t.mu.
+// add adds an entry, making space if the table is full. The caller holds t.mu.
 func (t *Table) add(request Fingerprint, now time.Time) *entry {
 	if len(t.entries) >= maxRequests {
 		t.shrink(now)
@@ -314,7 +316,7 @@
 	return e
 }
 
-// shrink forgets what is over, or else the older half of those that are not quarantined, or
+// shrink drops expired entries, or else the older half of those that are not quarantined, or
 // else the older half of all.
 func (t *Table) shrink(now time.Time) {
 	t.forget(func(e *entry) bool { return !e.held && now.Sub(e.last) > suspectTTL })
@@ -353,7 +355,7 @@
 	t.size.Store(int64(len(t.entries)))
 }
 
-// Sweep forgets what is over. Call it every minute or so.
+// Sweep drops expired entries. It should be called about once a minute.
 func (t *Table) Sweep() {
 	if t.size.Load() == 0 {
 		return
@@ -369,7 +371,7 @@
 	})
 }
 
-// Counts returns how many requests are suspected and how many quarantined.
+// Counts returns the numbers of suspected and of quarantined requests.
 func (t *Table) Counts() (suspected, quarantined int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -18,7 +18,7 @@
 	return content.Fingerprint()
 }
 
-// end observes that an upstream ended with a request in work.
+// crash records that an upstream crashed with a request in flight.
 func crash(table *quarantine.Table, name string, upstream int) quarantine.Change {
 	return table.Observe(quarantine.Observation{Request: request(name), Ended: quarantine.Upstream(upstream)})
 }
@@ -28,8 +28,8 @@
 	return refused
 }
 
-// TestThreeEndsQuarantineARequest guards against counting one end twice, as several instances
-// tell of it, and against refusing a request for fewer.
+// TestThreeCrashesQuarantineARequest guards against counting one crash twice when several
+// instances report it, and against a quarantine after fewer.
 func TestThreeCrashesQuarantineARequest(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable(clock.System{})
@@ -44,8 +44,8 @@
 	is.True(!refuses(table, "b"))
 }
 
-// TestAQuarantineExplainsTheEndsUnderIt guards against refusing an innocent request that ran
-// beside the cause on three upstreams.
+// TestQuarantineAttributesItsCrashes guards against refusing a harmless request that ran beside
+// the cause on three upstreams.
 func TestQuarantineAttributesItsCrashes(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable(clock.System{})
@@ -60,23 +60,24 @@
 	is.True(refuses(table, "cause"))
 }
 
-// TestAGoodEndClearsARequest guards against refusing what many callers ask in the same words
-// and what is at work somewhere whenever an upstream ends.
+// TestCompletionClearsARequest guards against refusing a request that many callers send
+// identically, so that it is in flight somewhere whenever an upstream crashes.
 func TestCompletionClearsARequest(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable(clock.System{})
 	is.Equal(table.Observe(quarantine.Observation{Request: request("a")}), quarantine.Unchanged)
-	is.True(!table.MayContain(1)) // a good end alone takes no memory
+	is.True(!table.MayContain(1)) // a completion alone takes no memory
 	for upstream := 1; upstream <= quarantine.CrashesToQuarantine; upstream++ {
 		crash(table, "a", upstream)
 	}
 	is.Equal(table.Observe(quarantine.Observation{Request: request("a")}), quarantine.Cleared)
 	is.True(!refuses(table, "a"))
-	is.Equal(crash(table, "a", 9), quarantine.Unchanged) // seen before the good end, and told late
+	is.Equal(crash(table, "a", 9), quarantine.Unchanged) // observed before the completion, reported late
 }
 
-// TestOnlyAnActEndsAQuarantine guards against a request that is tried again because time has passed,
-// by an instance that saw its ends or by one that was told; and against one that is refused for good.
+// TestOnlyAnOperatorEndsAQuarantine guards against a request that is retried because time has
+// passed, by an instance that observed its crashes or one that received the quarantine, and
+// against one that is refused for good.
 func TestOnlyAnOperatorEndsAQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -94,7 +95,7 @@
 			}
 		}
 		retryAfter, _ := receiver.Refuses(request("a"))
-		is.Equal(retryAfter, time.Minute) // as it was told
+		is.Equal(retryAfter, time.Minute) // as received
 		for _, table := range []*quarantine.Table{observer, receiver} {
 			is.Equal(table.Release(request("a")), quarantine.Cleared)
 			is.Equal(table.Release(request("a")), quarantine.Unchanged)
@@ -103,13 +104,14 @@
 	})
 }
 
-// TestWhatWasSeenBeforeAnActNoLongerCounts guards against an operator's act that is undone by ends that
-// are told late, and against one after which a request may end any number of upstreams.
+// TestEarlierCrashesDoNotCountAfterARelease guards against an operator's release that is undone
+// by late reports, and against a release after which a request may crash any number of
+// upstreams.
 func TestEarlierCrashesDoNotCountAfterARelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := quarantine.NewTable(clock.System{})
-		is.Equal(table.Release(request("a")), quarantine.Unchanged) // before the ends are told
+		is.Equal(table.Release(request("a")), quarantine.Unchanged) // before the crashes are reported
 		for upstream := 1; upstream <= quarantine.CrashesToQuarantine; upstream++ {
 			is.Equal(crash(table, "a", upstream), quarantine.Unchanged)
 		}
@@ -118,7 +120,7 @@
 		is.Equal(table.AllReleased(), []quarantine.Fingerprint{request("a")})
 		clock.Sleep(t.Context(), time.Minute)
 		table.Sweep()
-		is.Equal(len(table.AllReleased()), 1) // a store that comes back from a copy is told
+		is.Equal(len(table.AllReleased()), 1) // needed after a restore of the store
 		for upstream := 11; upstream <= 10+quarantine.CrashesToQuarantine; upstream++ {
 			crash(table, "a", upstream)
 		}
@@ -130,8 +132,8 @@
 	})
 }
 
-// TestTheTableIsBounded guards against a caller that fills the memory with requests of its
-// own, or drives out what is quarantined.
+// TestTableIsBounded guards against a caller that fills the memory with its requests, or evicts
+// quarantined ones.
 func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	table := quarantine.NewTable(clock.System{})
@@ -147,7 +149,7 @@
 	is.True(refuses(table, "lethal"))
 }
 
-// TestWhatIsOverIsForgotten guards against a table that only grows.
+// TestOldEntriesAreForgotten guards against a table that only grows.
 func TestOldEntriesAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -191,7 +193,7 @@
 	}
 }
 
-// BenchmarkFullTable reports what a full table takes, in bytes.
+// BenchmarkFullTable reports the size of a full table in bytes.
 func BenchmarkFullTable(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
