--- a/pkg/quarantine/cluster_test.go
+++ b/pkg/quarantine/cluster_test.go
@@ -98,7 +98,7 @@
 		g.injectFault(random, content)
 	}
 	if late > sendsAllowed {
-		t.Errorf("%d instances together sent the request %d times later than %v after the third end, allowed %d", instances, late, propagationTime, sendsAllowed)
+		t.Errorf("%d instances together sent the request %d times later than %v after the third crash, allowed %d", instances, late, propagationTime, sendsAllowed)
 	}
 }
 
