--- a/pkg/edge/limits.go
+++ b/pkg/edge/limits.go
@@ -15,7 +15,7 @@
 		if config := e.board.Routes.Load(); config != nil {
 			e.limiter.SetLimits(limits(config))
 		}
-		e.limiter.SetHeard(e.heard())
+		e.limiter.SetReachable(e.heard())
 		select {
 		case <-routes:
 		case <-peers:
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -268,8 +268,8 @@
 	}
 }
 
-// SetHeard says which part of the instances is heard, this one included.
-func (l *Limiter) SetHeard(part float64) {
+// SetReachable says which part of the instances is heard, this one included.
+func (l *Limiter) SetReachable(part float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if part == l.heard {
--- a/pkg/quota/limiter_test.go
+++ b/pkg/quota/limiter_test.go
@@ -118,7 +118,7 @@
 func (s *site) begin(i int, tolerance Tolerance) {
 	s.limiters[i] = NewLimiter(s.clock(), tolerance)
 	s.limiters[i].random = s.random.Float64
-	s.limiters[i].SetHeard(1 / float64(len(s.limiters)))
+	s.limiters[i].SetReachable(1 / float64(len(s.limiters)))
 	s.begun[i] = s.now
 	s.gates[i] = &shared{s.limiters[i]}
 	s.starts[i]++
@@ -136,11 +136,11 @@
 		limiter, domain := s.limiters[i], i%s.domains
 		limiter.SetLimits(limits)
 		if s.cut[i] {
-			limiter.SetHeard(1 / float64(len(s.limiters)))
+			limiter.SetReachable(1 / float64(len(s.limiters)))
 			continue
 		}
 		if s.now.Sub(s.begun[i]) >= beginning {
-			limiter.SetHeard(heard)
+			limiter.SetReachable(heard)
 		}
 		sums := s.sums[domain]
 		sums.Take(fmt.Sprint(i), s.starts[i], limiter.Told(), s.now)
