--- a/pkg/edge/known.go
+++ b/pkg/edge/known.go
@@ -21,7 +21,7 @@
 		Held:        e.store.Held(),
 		Upstreams:   e.loads(),
 		Placed:      e.recent.Told(e.now()),
-		Used:        e.limiter.Told(),
+		Used:        e.limiter.LocalUsage(),
 	}
 }
 
--- a/pkg/peer/usage_test.go
+++ b/pkg/peer/usage_test.go
@@ -23,7 +23,7 @@
 	l.options.Usage = l.limiter
 	l.options.Report = func() Report {
 		l.sequence++
-		return Report{Name: name, Incarnation: 1, Sequence: l.sequence, Ready: true, Used: l.limiter.Told()}
+		return Report{Name: name, Incarnation: 1, Sequence: l.sequence, Ready: true, Used: l.limiter.LocalUsage()}
 	}
 	return l
 }
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -226,8 +226,8 @@
 	return &OverLimitError{Caller: caller, Balance: b.units, Demand: demand, Limit: b.limit.Rate, Heard: l.heard, Wait: wait}
 }
 
-// Told returns what this instance has counted, to be told to the others.
-func (l *Limiter) Told() []Usage {
+// LocalUsage returns what this instance has counted, to be told to the others.
+func (l *Limiter) LocalUsage() []Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.own.list(l.clock.Now())
--- a/pkg/quota/limiter_test.go
+++ b/pkg/quota/limiter_test.go
@@ -143,7 +143,7 @@
 			limiter.SetReachable(heard)
 		}
 		sums := s.sums[domain]
-		sums.Take(fmt.Sprint(i), s.starts[i], limiter.Told(), s.now)
+		sums.Take(fmt.Sprint(i), s.starts[i], limiter.LocalUsage(), s.now)
 		limiter.AddRemoteUsage(fmt.Sprint("domain ", domain), 1, sums.Tell(fmt.Sprint(i), s.now))
 		s.tellFar(i, domain)
 	}
@@ -455,11 +455,11 @@
 	grant.Return()
 	grant.Return() // a second time changes nothing
 	is.Equal(limiter.States()[0].Balance, before+400)
-	is.Equal(limiter.Told()[0].Used, int64(100))
+	is.Equal(limiter.LocalUsage()[0].Used, int64(100))
 	unlimited, err := limiter.Admit("b", Limit{}, 1_000_000)
 	is.NoErr(err)
 	unlimited.Return()
-	is.Equal(len(limiter.Told()), 1)
+	is.Equal(len(limiter.LocalUsage()), 1)
 }
 
 // TestALowerLimitBindsAtOnce, and callers that are no longer limited are forgotten.
