--- a/pkg/peer/service.go
+++ b/pkg/peer/service.go
@@ -157,7 +157,7 @@
 // Mbit/s was saturated, and the reported loads were seconds old. The caller holds g.mu.
 func (g *Gossip) answerSums(ask *Ask, reply *Reply, now time.Time) {
 	own := &reply.Reports[0].Report
-	g.used.Take(own.Name, own.Incarnation, own.Used, now)
+	g.used.Record(own.Name, own.Incarnation, own.Used, now)
 	total := g.total(own, now)
 	reply.Digests = []Digest{total.roster}
 	before := g.lastAskedAt[ask.Report.Name]
@@ -177,7 +177,7 @@
 		reply.Digests[i].omitKnownMarks(ask.Rosters)
 	}
 	own.Upstreams, own.Placed, own.Used = nil, nil, nil
-	reply.Used, reply.Counter = g.used.Tell(ask.Report.Name, now), own.Incarnation
+	reply.Used, reply.Counter = g.used.Totals(ask.Report.Name, now), own.Incarnation
 	reply.Summed, reply.Sums = true, total.without(ask.Report.Name)
 	if dict := g.dictionary(); dict.fingerprint == ask.Dictionary {
 		reply.Columns, reply.Sums = dict.columns(reply.Sums)
@@ -210,8 +210,8 @@
 	if region == d.Region {
 		d.Upstreams = sorted(upstreams)
 	}
-	g.used.Take(own.Name, own.Incarnation, own.Used, now)
-	d.Used, d.Counter = g.used.Tell("", now), own.Incarnation
+	g.used.Record(own.Name, own.Incarnation, own.Used, now)
+	d.Used, d.Counter = g.used.Totals("", now), own.Incarnation
 	return d
 }
 
@@ -325,7 +325,7 @@
 	delete(g.avoidedUntil, report.Name)
 	g.handlePlacements(report.Placed, true, at)
 	g.reports[report.Name] = &received[Report]{value: report, at: at}
-	g.used.Take(report.Name, report.Incarnation, report.Used, g.options.Clock.Now())
+	g.used.Record(report.Name, report.Incarnation, report.Used, g.options.Clock.Now())
 	if g.receivesAllReports.Load() {
 		g.recordUsage(instanceSource(report.Name), report.Incarnation, report.Used)
 	}
--- a/pkg/quota/gate.go
+++ b/pkg/quota/gate.go
@@ -19,7 +19,7 @@
 	maxWait = time.Minute
 	// placeWait is suggested when all places are taken; when there is none here, a
 	// window must pass before there may be.
-	placeWait = time.Second
+	slotWait = time.Second
 )
 
 // Gate lets in one gateway's part of each caller's limits. It is safe for
@@ -27,28 +27,28 @@
 type Gate struct {
 	clock clock.Clock
 
-	mu      sync.Mutex
-	callers map[string]*account
-	scene   *scene
+	mu         sync.Mutex
+	callers    map[string]*account
+	demandView *demandView
 }
 
 // account is what one gateway keeps of one caller.
 type account struct {
 	limits           config.Limits
-	part             float64
+	share            float64
 	requests, tokens bucket
-	inHand           int
+	inFlight         int
 	meter            meter
-	told             int
+	reported         int
 	history          history
 }
 
 // NewGate returns a gate that knows of no other gateway.
 func NewGate(now clock.Clock) *Gate {
 	return &Gate{
-		clock:   now,
-		callers: make(map[string]*account),
-		scene:   look(&View{}, now.Now()),
+		clock:      now,
+		callers:    make(map[string]*account),
+		demandView: newDemandView(&View{}, now.Now()),
 	}
 }
 
@@ -72,7 +72,7 @@
 	full := a.full()
 	a.meter.ask(now, float64(tokens), full)
 	if full {
-		return nil, a.refuse("requests in hand", a.placeWait())
+		return nil, a.refuse("requests in hand", a.slotWait())
 	}
 	if wait := a.wait(&a.requests, now, 1, a.limits.RequestsPerSecond > 0); wait > 0 {
 		return nil, a.refuse("requests a second", wait)
@@ -82,7 +82,7 @@
 	}
 	a.requests.take(1)
 	a.tokens.take(float64(tokens))
-	a.inHand++
+	a.inFlight++
 	return &Pass{gate: g, account: a, tokens: tokens}, nil
 }
 
@@ -93,7 +93,7 @@
 	}
 	p.gate.mu.Lock()
 	defer p.gate.mu.Unlock()
-	p.account.inHand--
+	p.account.inFlight--
 	p.account.tokens.take(float64(tokens - p.tokens))
 }
 
@@ -111,40 +111,40 @@
 	if a == nil {
 		a = &account{}
 		g.callers[name] = a
-		a.part = a.history.part(g.scene, name, 0)
+		a.share = a.history.share(g.demandView, name, 0)
 	}
 	if a.limits != limits {
 		a.limits = limits
-		a.share(now)
+		a.applyShare(now)
 	}
 	return a
 }
 
 // share brings the part into force.
-func (a *account) share(now time.Time) {
-	a.requests.set(now, a.part*a.limits.RequestsPerSecond)
-	a.tokens.set(now, a.part*perSecond(a.limits.TokensPerMinute))
+func (a *account) applyShare(now time.Time) {
+	a.requests.set(now, a.share*a.limits.RequestsPerSecond)
+	a.tokens.set(now, a.share*perSecond(a.limits.TokensPerMinute))
 }
 
 // places is how many requests may be in hand here. Parts are rounded down, but for
 // the one gateway that has more than half: so they add up to the limit at most.
-func (a *account) places() int {
-	places := a.part * float64(a.limits.Concurrent)
-	if a.part > 1.0/2 {
-		return int(math.Ceil(places - slack))
+func (a *account) slots() int {
+	slots := a.share * float64(a.limits.Concurrent)
+	if a.share > 1.0/2 {
+		return int(math.Ceil(slots - slack))
 	}
-	return int(places + slack)
+	return int(slots + slack)
 }
 
 func (a *account) full() bool {
-	return a.limits.Concurrent > 0 && a.inHand >= a.places()
+	return a.limits.Concurrent > 0 && a.inFlight >= a.slots()
 }
 
-func (a *account) placeWait() time.Duration {
-	if a.places() == 0 {
+func (a *account) slotWait() time.Duration {
+	if a.slots() == 0 {
 		return DomainWindow
 	}
-	return placeWait
+	return slotWait
 }
 
 func (a *account) wait(b *bucket, now time.Time, cost float64, limited bool) time.Duration {
@@ -155,7 +155,7 @@
 }
 
 func (a *account) refuse(what string, wait time.Duration) *outcome.Refusal {
-	detail := fmt.Sprintf("the caller's limit of %s is reached; this gateway has %.0f%% of it", what, 100*a.part)
+	detail := fmt.Sprintf("the caller's limit of %s is reached; this gateway has %.0f%% of it", what, 100*a.share)
 	return outcome.Refuse(http.StatusTooManyRequests, outcome.ReasonCallerLimit, wait, detail)
 }
 
@@ -164,15 +164,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock.Now()
-	g.scene = look(&view, now)
-	for _, others := range [][]tellers{g.scene.peers, g.scene.remote} {
+	g.demandView = newDemandView(&view, now)
+	for _, others := range [][]reportedDemand{g.demandView.peers, g.demandView.remote} {
 		for _, other := range others {
-			g.meet(other.demand)
+			g.openAccounts(other.demand)
 		}
 	}
 	for name, a := range g.callers {
-		a.part = a.history.part(g.scene, name, a.told)
-		a.share(now)
+		a.share = a.history.share(g.demandView, name, a.reported)
+		a.applyShare(now)
 		if a.idle(now) {
 			delete(g.callers, name)
 		}
@@ -181,13 +181,13 @@
 
 // idle says that a fresh account would be no different.
 func (a *account) idle(now time.Time) bool {
-	return a.inHand == 0 && a.requests.full() && a.tokens.full() &&
+	return a.inFlight == 0 && a.requests.full() && a.tokens.full() &&
 		a.history.idle() && a.meter.demand(now, a.limits, 0) == 0
 }
 
 // meet opens accounts for the callers that others tell of, so that their windows
 // are filled before their first request here.
-func (g *Gate) meet(demand map[string]int) {
+func (g *Gate) openAccounts(demand map[string]int) {
 	for name := range demand {
 		if g.callers[name] == nil {
 			g.callers[name] = &account{}
@@ -202,25 +202,25 @@
 	now := g.clock.Now()
 	demands := make(map[string]int)
 	for name, a := range g.callers {
-		demands[name] = a.told
-		if demand := a.meter.demand(now, a.limits, a.inHand); moved(a.told, demand) {
+		demands[name] = a.reported
+		if demand := a.meter.demand(now, a.limits, a.inFlight); moved(a.reported, demand) {
 			demands[name] = demand
 		}
 	}
 	list := largest(demands, GatewayDemands)
-	told := byCaller(list)
+	reported := byCaller(list)
 	for name, a := range g.callers {
-		a.told = told[name]
+		a.reported = reported[name]
 	}
 	return list
 }
 
 // Part returns this gateway's part of a caller's limits now, from 0 to 1.
-func (g *Gate) Part(caller string) float64 {
+func (g *Gate) Share(caller string) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if a := g.callers[caller]; a != nil {
-		return a.part
+		return a.share
 	}
-	return new(history).part(g.scene, caller, 0)
+	return new(history).share(g.demandView, caller, 0)
 }
--- a/pkg/quota/gate_test.go
+++ b/pkg/quota/gate_test.go
@@ -80,7 +80,7 @@
 }
 
 // What is told stays bounded, and a caller that is not told of has its floor.
-func TestOnlyTheLargestDemandsAreTold(t *testing.T) {
+func TestOnlyTheLargestDemandsAreReported(t *testing.T) {
 	is := is.New(t)
 	gate := NewGate(clock.System{})
 	for i := range 600 {
@@ -89,17 +89,17 @@
 			_, _ = gate.Admit(busy, 0)
 		}
 	}
-	told := gate.Demand()
-	is.Equal(len(told), GatewayDemands)
-	is.Equal(told[len(told)-1].Caller, "caller-599")
-	domain := DomainDemand([]board.Instance{{Incarnation: 1, State: board.InstanceLive, Load: board.GatewayLoad{Demand: told}}}, time.Now())
+	reported := gate.Demand()
+	is.Equal(len(reported), GatewayDemands)
+	is.Equal(reported[len(reported)-1].Caller, "caller-599")
+	domain := DomainDemand([]board.Instance{{Incarnation: 1, State: board.InstanceLive, Load: board.GatewayLoad{Demand: reported}}}, time.Now())
 	is.Equal(len(domain), DomainDemands)
 	is.True(!Differs(domain, domain))
 	is.True(Differs(domain, domain[1:]))
 }
 
 // A silent gateway keeps its part for SilentHold, one that left or died does not.
-func TestWhoCounts(t *testing.T) {
+func TestWhichInstancesCount(t *testing.T) {
 	now := start.Add(SilentHold)
 	cases := []struct {
 		name     string
@@ -114,6 +114,6 @@
 		{"without a gateway", board.Instance{State: board.InstanceLive}, false},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(counts(&c.instance, now), c.want) })
+		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(mayAdmit(&c.instance, now), c.want) })
 	}
 }
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -25,9 +25,9 @@
 
 // depth is how far a balance may fall below zero: a part of what is tolerated. The rest
 // is for use that is not known yet.
-func (t Tolerance) depth(limit Limit) float64 {
+func (t Tolerance) allowedDebt(limit Limit) float64 {
 	allowed := limit.Rate*t.Window.Seconds() + limit.Burst
-	return depthPart * (t.Overage*allowed + t.Slack)
+	return debtFraction * (t.Overage*allowed + t.Slack)
 }
 
 // Parameters of the limiter.
@@ -35,22 +35,22 @@
 	// depthPart of the tolerance is lent to callers whose few large requests come
 	// together; news of a caller that suddenly asks for several times its limit needs
 	// the other two thirds.
-	depthPart = 1.0 / 3
+	debtFraction = 1.0 / 3
 	// askedTime is the time constant of measured demand: a few rounds in which the
 	// instances tell each other of it.
-	askedTime = 500 * time.Millisecond
+	demandTimeConstant = 500 * time.Millisecond
 	// leastWait and mostWait bound when a refused caller is asked to return: a round of
 	// news, and what callers honour.
-	leastWait = 200 * time.Millisecond
-	mostWait  = 5 * time.Second
+	minRetryWait = 200 * time.Millisecond
+	maxRetryWait = 5 * time.Second
 	// aloneBurst bounds how much of the burst an instance that hears few others may have
 	// gathered, in multiples of their part: the sides of a partition must not each spend a
 	// whole burst, but a region that is cut off at its peak needs more than its part.
-	aloneBurst = 3
+	partitionBurst = 3
 	// mostDebt bounds a negative balance, in multiples of the burst and a second's rate.
-	mostDebt = 2
+	debtCap = 2
 	// tellerSilence is when a teller's usage no longer connects to what it told before.
-	tellerSilence = 2500 * time.Millisecond
+	sourceTimeout = 2500 * time.Millisecond
 )
 
 // Limiter keeps callers to their limits over all instances, without a call on the request's
@@ -69,11 +69,11 @@
 	tolerance Tolerance
 	random    func() float64
 
-	mu      sync.Mutex
-	callers map[string]*balance
-	own     counters
-	ledger  ledger
-	heard   float64
+	mu        sync.Mutex
+	callers   map[string]*balance
+	own       counters
+	ledger    ledger
+	reachable float64
 }
 
 // balance is one caller's.
@@ -98,16 +98,16 @@
 
 func (r *rate) perSecond(now time.Time) float64 {
 	if passed := now.Sub(r.at); passed > 0 {
-		r.sum *= math.Exp(-passed.Seconds() / askedTime.Seconds())
+		r.sum *= math.Exp(-passed.Seconds() / demandTimeConstant.Seconds())
 		r.at = now
 	}
-	return r.sum / askedTime.Seconds()
+	return r.sum / demandTimeConstant.Seconds()
 }
 
 // NewLimiter returns a limiter that knows of no use.
 func NewLimiter(clock clock.Clock, tolerance Tolerance) *Limiter {
 	return &Limiter{
-		clock: clock, tolerance: tolerance, random: rand.Float64, heard: 1,
+		clock: clock, tolerance: tolerance, random: rand.Float64, reachable: 1,
 		callers: make(map[string]*balance), own: make(counters), ledger: make(ledger),
 	}
 }
@@ -178,30 +178,30 @@
 		b = &balance{at: now}
 		l.callers[caller] = b
 	}
-	b.refill(now, l.heard)
+	b.refill(now, l.reachable)
 	b.limit = limit
-	b.cap(l.heard)
+	b.cap(l.reachable)
 	return b
 }
 
-func (b *balance) refill(now time.Time, heard float64) {
+func (b *balance) refill(now time.Time, reachable float64) {
 	if passed := now.Sub(b.at); passed > 0 {
-		b.units += b.limit.Rate * heard * passed.Seconds()
+		b.units += b.limit.Rate * reachable * passed.Seconds()
 		b.at = now
 	}
-	b.cap(heard)
+	b.cap(reachable)
 }
 
 // cap keeps the balance below what may be gathered.
-func (b *balance) cap(heard float64) {
-	b.units = min(b.units, b.limit.Burst*min(1, aloneBurst*heard))
+func (b *balance) cap(reachable float64) {
+	b.units = min(b.units, b.limit.Burst*min(1, partitionBurst*reachable))
 }
 
 // charge takes units, or gives them back when negative. A debt beyond mostDebt is forgotten:
 // a caller that is back within its limit is not made to wait long for what was let in for
 // want of news.
 func (b *balance) charge(units float64) {
-	b.units = max(b.units-units, -mostDebt*(b.limit.Burst+b.limit.Rate))
+	b.units = max(b.units-units, -debtCap*(b.limit.Burst+b.limit.Rate))
 }
 
 // chance is the part of the caller's requests that fits: all while the balance is not
@@ -210,20 +210,20 @@
 	if b.units >= 0 {
 		return 1
 	}
-	depth := l.heard * l.tolerance.depth(b.limit)
-	if depth <= 0 {
+	allowedDebt := l.reachable * l.tolerance.allowedDebt(b.limit)
+	if allowedDebt <= 0 {
 		return 0
 	}
-	return 1 + b.units/depth
+	return 1 + b.units/allowedDebt
 }
 
 // refusal tells when the balance is no longer negative if nothing is let in until then, and
 // spreads those who return over the time that it takes to serve what is asked for.
 func (l *Limiter) refusal(caller string, b *balance, now time.Time) error {
-	demand, limit := b.demand.perSecond(now), b.limit.Rate*l.heard
-	seconds := max(0, -b.units)/limit + l.random()*max(0, demand/limit-1)*askedTime.Seconds()
-	wait := min(mostWait, max(leastWait, time.Duration(seconds*float64(time.Second))))
-	return &OverLimitError{Caller: caller, Balance: b.units, Demand: demand, Limit: b.limit.Rate, Heard: l.heard, Wait: wait}
+	demand, limit := b.demand.perSecond(now), b.limit.Rate*l.reachable
+	seconds := max(0, -b.units)/limit + l.random()*max(0, demand/limit-1)*demandTimeConstant.Seconds()
+	wait := min(maxRetryWait, max(minRetryWait, time.Duration(seconds*float64(time.Second))))
+	return &OverLimitError{Caller: caller, Balance: b.units, Demand: demand, Limit: b.limit.Rate, Heard: l.reachable, Wait: wait}
 }
 
 // LocalUsage returns what this instance has counted, to be told to the others.
@@ -234,17 +234,17 @@
 }
 
 // Hear takes what a teller has counted since its start.
-func (l *Limiter) AddRemoteUsage(teller string, start uint64, list []Usage) {
+func (l *Limiter) AddRemoteUsage(name string, start uint64, list []Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	l.ledger.forget(now, tellerSilence)
-	for _, added := range l.ledger.added(teller, start, list, now) {
+	l.ledger.forget(now, sourceTimeout)
+	for _, added := range l.ledger.added(name, start, list, now) {
 		b := l.callers[added.Caller]
 		if b == nil {
 			continue
 		}
-		b.refill(now, l.heard)
+		b.refill(now, l.reachable)
 		b.demand.add(now, float64(added.Asked))
 		b.charge(float64(added.Used))
 	}
@@ -269,17 +269,17 @@
 }
 
 // SetReachable says which part of the instances is heard, this one included.
-func (l *Limiter) SetReachable(part float64) {
+func (l *Limiter) SetReachable(fraction float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if part == l.heard {
+	if fraction == l.reachable {
 		return
 	}
 	now := l.clock.Now()
 	for _, b := range l.callers {
-		b.refill(now, l.heard)
+		b.refill(now, l.reachable)
 	}
-	l.heard = part
+	l.reachable = fraction
 }
 
 // State is what this instance knows of a caller's use.
@@ -298,7 +298,7 @@
 	now := l.clock.Now()
 	states := make([]State, 0, len(l.callers))
 	for caller, b := range l.callers {
-		b.refill(now, l.heard)
+		b.refill(now, l.reachable)
 		states = append(states, State{Caller: caller, Balance: b.units, Demand: b.demand.perSecond(now), Limit: b.limit.Rate, Refused: b.refused})
 	}
 	return states
--- a/pkg/quota/limiter_test.go
+++ b/pkg/quota/limiter_test.go
@@ -17,15 +17,15 @@
 // to its domain's hub once a round and is told the sums; hubs ask each other once a round
 // in a region and more seldom between regions.
 const (
-	emulatedStep = 10 * time.Millisecond
-	nearRounds   = 10
-	farRounds    = 60
-	farDelay     = 55 * time.Millisecond
-	regions      = 3
+	emulatedStep        = 10 * time.Millisecond
+	stepsPerRound       = 10
+	stepsPerRemoteRound = 60
+	remoteDelay         = 55 * time.Millisecond
+	regions             = 3
 	// beginning is after what time an instance has heard of all others.
-	beginning = 300 * time.Millisecond
+	discoveryTime = 300 * time.Millisecond
 	// settling passes between the start of the instances and the first request.
-	settling = 2 * time.Second
+	settleTime = 2 * time.Second
 )
 
 // gate is a way of limiting at one instance.
@@ -34,19 +34,19 @@
 }
 
 // evenPart gives each instance the same part of each limit.
-type evenPart struct {
+type evenShare struct {
 	clock   clock.Clock
-	part    float64
+	share   float64
 	buckets map[string]*bucket
 }
 
-func (e *evenPart) admit(caller string, limit Limit, units int) bool {
+func (e *evenShare) admit(caller string, limit Limit, units int) bool {
 	b := e.buckets[caller]
 	if b == nil {
 		b = &bucket{at: e.clock.Now()}
 		e.buckets[caller] = b
 	}
-	b.set(e.clock.Now(), limit.Rate*e.part)
+	b.set(e.clock.Now(), limit.Rate*e.share)
 	if b.wait(e.clock.Now(), float64(units)) > 0 {
 		return false
 	}
@@ -63,7 +63,7 @@
 }
 
 // site is an emulated deployment.
-type site struct {
+type deployment struct {
 	now      time.Time
 	random   *rand.Rand
 	domains  int
@@ -71,126 +71,126 @@
 	limiters []*Limiter
 	sums     []*Sums
 	// starts names the start of each instance, begun is when it was.
-	starts []uint64
-	begun  []time.Time
+	starts    []uint64
+	startedAt []time.Time
 	// cut says which instances hear nobody and are not heard.
-	cut map[int]bool
+	partitioned map[int]bool
 	// posts are what hubs of other regions have sent and is on its way.
-	posts []post
-	step  int
+	messages []message
+	step     int
 	// lists holds what each domain told in the step toldAt.
-	lists  [][]Usage
-	toldAt []int
+	reports    [][]Usage
+	reportedAt []int
 }
 
-type post struct {
+type message struct {
 	due      time.Time
 	instance int
-	teller   string
+	source   string
 	list     []Usage
 }
 
-func newSite(instances, domains int, seed uint64, tolerance Tolerance, way string) *site {
-	s := &site{now: start, random: rand.New(rand.NewPCG(seed, 1)), domains: domains, cut: make(map[int]bool), lists: make([][]Usage, domains), toldAt: make([]int, domains)}
+func newDeployment(instances, domains int, seed uint64, tolerance Tolerance, method string) *deployment {
+	s := &deployment{now: start, random: rand.New(rand.NewPCG(seed, 1)), domains: domains, partitioned: make(map[int]bool), reports: make([][]Usage, domains), reportedAt: make([]int, domains)}
 	for range domains {
 		s.sums = append(s.sums, NewSums())
 	}
 	s.starts = make([]uint64, instances)
-	s.begun = make([]time.Time, instances)
+	s.startedAt = make([]time.Time, instances)
 	s.gates = make([]gate, instances)
 	s.limiters = make([]*Limiter, instances)
 	for i := range instances {
-		if way == "even parts" {
-			s.gates[i] = &evenPart{clock: s.clock(), part: 1 / float64(instances), buckets: make(map[string]*bucket)}
+		if method == "even shares" {
+			s.gates[i] = &evenShare{clock: s.clock(), share: 1 / float64(instances), buckets: make(map[string]*bucket)}
 			continue
 		}
-		s.begin(i, tolerance)
-		if way == "balance alone" {
+		s.restart(i, tolerance)
+		if method == "balance alone" {
 			s.limiters[i].random = func() float64 { return 0 }
 		}
 	}
 	return s
 }
 
-func (s *site) clock() clock.Clock { return clock.Func(func() time.Time { return s.now }) }
+func (s *deployment) clock() clock.Clock { return clock.Func(func() time.Time { return s.now }) }
 
 // begin starts an instance that knows nothing.
-func (s *site) begin(i int, tolerance Tolerance) {
+func (s *deployment) restart(i int, tolerance Tolerance) {
 	s.limiters[i] = NewLimiter(s.clock(), tolerance)
 	s.limiters[i].random = s.random.Float64
 	s.limiters[i].SetReachable(1 / float64(len(s.limiters)))
-	s.begun[i] = s.now
+	s.startedAt[i] = s.now
 	s.gates[i] = &shared{s.limiters[i]}
 	s.starts[i]++
 }
 
 // tick passes the time of one step, in which a tenth of the instances exchange news.
-func (s *site) tick(limits map[string]Limit) {
+func (s *deployment) tick(limits map[string]Limit) {
 	s.now = s.now.Add(emulatedStep)
 	s.step++
 	if s.limiters[0] == nil {
 		return
 	}
-	heard := float64(len(s.limiters)-len(s.cut)) / float64(len(s.limiters))
-	for i := s.step % nearRounds; i < len(s.limiters); i += nearRounds {
+	reachable := float64(len(s.limiters)-len(s.partitioned)) / float64(len(s.limiters))
+	for i := s.step % stepsPerRound; i < len(s.limiters); i += stepsPerRound {
 		limiter, domain := s.limiters[i], i%s.domains
 		limiter.SetLimits(limits)
-		if s.cut[i] {
+		if s.partitioned[i] {
 			limiter.SetReachable(1 / float64(len(s.limiters)))
 			continue
 		}
-		if s.now.Sub(s.begun[i]) >= beginning {
-			limiter.SetReachable(heard)
+		if s.now.Sub(s.startedAt[i]) >= discoveryTime {
+			limiter.SetReachable(reachable)
 		}
 		sums := s.sums[domain]
-		sums.Take(fmt.Sprint(i), s.starts[i], limiter.LocalUsage(), s.now)
-		limiter.AddRemoteUsage(fmt.Sprint("domain ", domain), 1, sums.Tell(fmt.Sprint(i), s.now))
-		s.tellFar(i, domain)
+		sums.Record(fmt.Sprint(i), s.starts[i], limiter.LocalUsage(), s.now)
+		limiter.AddRemoteUsage(fmt.Sprint("domain ", domain), 1, sums.Totals(fmt.Sprint(i), s.now))
+		s.sendRemote(i, domain)
 	}
 	s.deliver()
 }
 
 // tellFar tells an instance what other domains' hubs told its own: those of the other half
 // of its region in the last round, those of other regions up to farRounds steps ago.
-func (s *site) tellFar(i, domain int) {
+func (s *deployment) sendRemote(i, domain int) {
 	for other := range s.sums {
 		if other == domain {
 			continue
 		}
-		late := time.Duration(nearRounds) * emulatedStep
+		late := time.Duration(stepsPerRound) * emulatedStep
 		if other%regions != domain%regions {
-			if (s.step+i+other)/nearRounds%(farRounds/nearRounds) != 0 {
+			if (s.step+i+other)/stepsPerRound%(stepsPerRemoteRound/stepsPerRound) != 0 {
 				continue
 			}
-			late += farDelay
+			late += remoteDelay
 		}
-		s.posts = append(s.posts, post{due: s.now.Add(late), instance: i, teller: fmt.Sprint("domain ", other), list: s.told(other)})
+		s.messages = append(s.messages, message{due: s.now.Add(late), instance: i, source: fmt.Sprint("domain ", other), list: s.reported(other)})
 	}
 }
 
 // told is a domain's usage as its hub tells it in this step.
-func (s *site) told(domain int) []Usage {
-	if s.toldAt[domain] != s.step {
-		s.toldAt[domain], s.lists[domain] = s.step, s.sums[domain].Tell("", s.now)
+func (s *deployment) reported(domain int) []Usage {
+	if s.reportedAt[domain] != s.step {
+		s.reportedAt[domain], s.reports[domain] = s.step, s.sums[domain].Totals("", s.now)
 	}
-	return s.lists[domain]
+	return s.reports[domain]
 }
 
-func (s *site) deliver() {
-	kept := s.posts[:0]
-	for _, p := range s.posts {
+func (s *deployment) deliver() {
+	undelivered := s.messages[:0]
+	for _, p := range s.messages {
 		switch {
 		case p.due.After(s.now):
-			kept = append(kept, p)
-		case !s.cut[p.instance]:
-			s.limiters[p.instance].AddRemoteUsage(p.teller, 1, p.list)
+			undelivered = append(undelivered, p)
+		case !s.partitioned[p.instance]:
+			s.limiters[p.instance].AddRemoteUsage(p.source, 1, p.list)
 		}
 	}
-	s.posts = kept
+	s.messages = undelivered
 }
 
 // customer is an organisation of the emulated work.
-type customer struct {
+type organisation struct {
 	name  string
 	limit Limit
 	// usual is what it asks, in tokens a second; hot multiplies it in a span of time.
@@ -224,20 +224,20 @@
 
 // play asks for all customers' work for some time. Where spreads the requests over the
 // instances, by the time since the beginning.
-func (s *site) play(length time.Duration, customers []customer, where func(since time.Duration) int) map[string]*tally {
+func (s *deployment) run(length time.Duration, organisations []organisation, where func(since time.Duration) int) map[string]*tally {
 	tallies := make(map[string]*tally)
 	limits := make(map[string]Limit)
-	for _, c := range customers {
+	for _, c := range organisations {
 		limits[c.name] = c.limit
 		tallies[c.name] = &tally{ideal: bucket{balance: c.limit.Burst, rate: c.limit.Rate, burst: c.limit.Burst, at: s.now}}
 	}
-	for range int(settling / emulatedStep) {
+	for range int(settleTime / emulatedStep) {
 		s.tick(limits)
 	}
-	began := s.now
-	for since := time.Duration(0); since < length; since = s.now.Sub(began) {
+	started := s.now
+	for since := time.Duration(0); since < length; since = s.now.Sub(started) {
 		s.tick(limits)
-		for _, c := range customers {
+		for _, c := range organisations {
 			mean := c.usual * c.hot(since) * emulatedStep.Seconds() / meanSize
 			t := tallies[c.name]
 			t.ran = append(t.ran, 0)
@@ -249,7 +249,7 @@
 	return tallies
 }
 
-func (s *site) ask(c customer, t *tally, instance int) {
+func (s *deployment) ask(c organisation, t *tally, instance int) {
 	units := size(s.random)
 	t.asked += float64(units)
 	t.ideal.refill(s.now)
@@ -273,7 +273,7 @@
 }
 
 // beyond is by how many tokens the worst window passes what may run in it.
-func (t *tally) beyond(limit Limit, tolerance Tolerance) float64 {
+func (t *tally) excess(limit Limit, tolerance Tolerance) float64 {
 	steps := int(tolerance.Window / emulatedStep)
 	allowed := (limit.Rate*tolerance.Window.Seconds()+limit.Burst)*(1+tolerance.Overage) + tolerance.Slack
 	worst, sum := math.Inf(-1), 0.0
@@ -306,11 +306,11 @@
 
 // sixteen are organisations of unlike size, with limits of 1.8 times what they usually ask;
 // the first is hot by a factor from a time on.
-func sixteen(hot func(time.Duration) float64) []customer {
-	var all []customer
+func sixteenOrganisations(hot func(time.Duration) float64) []organisation {
+	var all []organisation
 	for i := range 16 {
 		limit := max(47_000, 780_000/math.Pow(1.5, float64(i)))
-		c := customer{name: fmt.Sprint("org-", i), limit: Limit{Rate: limit, Burst: limit}, usual: limit / 1.8, hot: always}
+		c := organisation{name: fmt.Sprint("org-", i), limit: Limit{Rate: limit, Burst: limit}, usual: limit / 1.8, hot: always}
 		if i == 0 {
 			c.hot = hot
 		}
@@ -320,7 +320,7 @@
 }
 
 // peakOf sends nine of ten requests to one region after the other, for eleven seconds each.
-func (s *site) peakOf(since time.Duration) int {
+func (s *deployment) pickInstance(since time.Duration) int {
 	count := len(s.gates)
 	if s.random.Float64() < 0.1 {
 		return s.random.IntN(count)
@@ -332,12 +332,12 @@
 // TestUsageAtItsUsualLevelIsNotRefused: organisations of unlike size ask for five ninths of
 // their limits, a few large requests of each come together, and the peak moves from region
 // to region. A limit that is cut up refuses a small organisation's long prompts.
-func TestUsageAtItsUsualLevelIsNotRefused(t *testing.T) {
+func TestUsualUsageIsNotRefused(t *testing.T) {
 	for _, size := range []struct{ instances, domains int }{{7, 3}, {85, 6}, {380, 12}} {
 		t.Run(fmt.Sprint(size.instances), func(t *testing.T) {
-			s := newSite(size.instances, size.domains, 7, tolerated, "shared")
-			customers := sixteen(always)
-			for name, tally := range s.play(20*time.Second, customers, s.peakOf) {
+			s := newDeployment(size.instances, size.domains, 7, tolerated, "shared")
+			organisations := sixteenOrganisations(always)
+			for name, tally := range s.run(20*time.Second, organisations, s.pickInstance) {
 				if lost := tally.lost(); lost > 0.03 {
 					t.Errorf("%s lost %.3f of what fits", name, lost)
 				}
@@ -349,19 +349,19 @@
 // TestAHotOrganisationStaysWithinItsLimit: it asks for 7.5 times its usual at once, in one
 // region, of which other regions hear late; what runs in any window stays within the
 // tolerance, and nine tenths of its limit are used.
-func TestAHotOrganisationStaysWithinItsLimit(t *testing.T) {
+func TestHotOrganisationStaysWithinItsLimit(t *testing.T) {
 	for _, size := range []struct{ instances, domains int }{{7, 3}, {85, 6}, {380, 12}} {
 		for _, large := range []bool{true, false} {
 			t.Run(fmt.Sprint(size.instances, " large ", large), func(t *testing.T) {
-				s := newSite(size.instances, size.domains, 11, tolerated, "shared")
+				s := newDeployment(size.instances, size.domains, 11, tolerated, "shared")
 				limit := Limit{Rate: 47_000, Burst: 47_000}
 				if large {
 					limit = Limit{Rate: 780_000, Burst: 780_000}
 				}
-				hot := customer{name: "hot", limit: limit, usual: limit.Rate / 1.8, hot: hotFrom(8*time.Second, 7.5)}
-				tally := s.play(24*time.Second, []customer{hot}, s.peakOf)["hot"]
-				if beyond := tally.beyond(limit, tolerated); beyond > 0 {
-					t.Errorf("the worst window is %.0f tokens beyond what is tolerated", beyond)
+				hot := organisation{name: "hot", limit: limit, usual: limit.Rate / 1.8, hot: hotFrom(8*time.Second, 7.5)}
+				tally := s.run(24*time.Second, []organisation{hot}, s.pickInstance)["hot"]
+				if excess := tally.excess(limit, tolerated); excess > 0 {
+					t.Errorf("the worst window is %.0f tokens beyond what is tolerated", excess)
 				}
 				if lost := tally.lost(); lost > 0.1 {
 					t.Errorf("%.3f of what fits was refused", lost)
@@ -373,69 +373,69 @@
 
 // TestInstancesThatHearNobodyStayWithinTheLimit: a sixth of the instances is cut off while
 // an organisation asks for several times its limit everywhere.
-func TestInstancesThatHearNobodyStayWithinTheLimit(t *testing.T) {
-	s := newSite(85, 6, 13, tolerated, "shared")
+func TestPartitionedInstancesStayWithinTheLimit(t *testing.T) {
+	s := newDeployment(85, 6, 13, tolerated, "shared")
 	for i := 0; i < 85; i += 6 {
-		s.cut[i] = true
+		s.partitioned[i] = true
 	}
 	limit := Limit{Rate: 300_000, Burst: 300_000}
-	hot := customer{name: "hot", limit: limit, usual: limit.Rate / 1.8, hot: hotFrom(2*time.Second, 7.5)}
-	tally := s.play(14*time.Second, []customer{hot}, func(time.Duration) int { return s.random.IntN(85) })["hot"]
-	if beyond := tally.beyond(limit, tolerated); beyond > 0 {
-		t.Errorf("the worst window is %.0f tokens beyond what is tolerated", beyond)
+	hot := organisation{name: "hot", limit: limit, usual: limit.Rate / 1.8, hot: hotFrom(2*time.Second, 7.5)}
+	tally := s.run(14*time.Second, []organisation{hot}, func(time.Duration) int { return s.random.IntN(85) })["hot"]
+	if excess := tally.excess(limit, tolerated); excess > 0 {
+		t.Errorf("the worst window is %.0f tokens beyond what is tolerated", excess)
 	}
 }
 
 // TestARestartOfAllDoesNotGrantTheBurstAgain: all instances begin anew while an organisation
 // asks for several times its limit, and nobody knows what it has used.
-func TestARestartOfAllDoesNotGrantTheBurstAgain(t *testing.T) {
-	s := newSite(85, 6, 17, tolerated, "shared")
+func TestRestartOfAllDoesNotGrantTheBurstAgain(t *testing.T) {
+	s := newDeployment(85, 6, 17, tolerated, "shared")
 	limit := Limit{Rate: 780_000, Burst: 780_000}
-	hot := customer{name: "hot", limit: limit, usual: limit.Rate / 1.8, hot: hotFrom(4*time.Second, 7.5)}
+	hot := organisation{name: "hot", limit: limit, usual: limit.Rate / 1.8, hot: hotFrom(4*time.Second, 7.5)}
 	restarted := false
-	tally := s.play(16*time.Second, []customer{hot}, func(since time.Duration) int {
+	tally := s.run(16*time.Second, []organisation{hot}, func(since time.Duration) int {
 		if since > 7*time.Second && !restarted {
 			restarted = true
 			for i := range s.limiters {
-				s.begin(i, tolerated)
+				s.restart(i, tolerated)
 			}
 		}
-		return s.peakOf(since)
+		return s.pickInstance(since)
 	})["hot"]
-	if beyond := tally.beyond(limit, tolerated); beyond > 0 {
-		t.Errorf("the worst window is %.0f tokens beyond what is tolerated", beyond)
+	if excess := tally.excess(limit, tolerated); excess > 0 {
+		t.Errorf("the worst window is %.0f tokens beyond what is tolerated", excess)
 	}
 }
 
 // TestWaysOfLimiting compares ways on the same work: parts that are even refuse the long
 // prompts of small organisations.
-func TestWaysOfLimiting(t *testing.T) {
+func TestLimitingMethods(t *testing.T) {
 	is := is.New(t)
 	lost := make(map[string]float64)
-	for _, way := range []string{"even parts", "balance alone", "shared"} {
+	for _, method := range []string{"even shares", "balance alone", "shared"} {
 		worst, over := 0.0, math.Inf(-1)
 		for seed := range uint64(3) {
-			s := newSite(85, 6, seed, tolerated, way)
-			customers := sixteen(hotFrom(8*time.Second, 7.5))
-			for name, tally := range s.play(20*time.Second, customers, s.peakOf) {
+			s := newDeployment(85, 6, seed, tolerated, method)
+			organisations := sixteenOrganisations(hotFrom(8*time.Second, 7.5))
+			for name, tally := range s.run(20*time.Second, organisations, s.pickInstance) {
 				worst = max(worst, tally.lost())
-				for _, c := range customers {
+				for _, c := range organisations {
 					if c.name == name {
-						over = max(over, tally.beyond(c.limit, tolerated)/c.limit.Rate)
+						over = max(over, tally.excess(c.limit, tolerated)/c.limit.Rate)
 					}
 				}
 			}
 		}
-		t.Logf("%-14s lost at most %.3f of what fits; worst window beyond the tolerance by %.2f s of the limit", way, worst, over)
-		lost[way] = worst
+		t.Logf("%-14s lost at most %.3f of what fits; worst window beyond the tolerance by %.2f s of the limit", method, worst, over)
+		lost[method] = worst
 	}
-	is.True(lost["shared"] < lost["even parts"])
+	is.True(lost["shared"] < lost["even shares"])
 	is.True(lost["shared"] <= 0.1)
 }
 
 // TestARefusalTellsWhenToReturn, and a request that did not run gives back what it was
 // charged.
-func TestARefusalTellsWhenToReturn(t *testing.T) {
+func TestRefusalGivesARetryTime(t *testing.T) {
 	is := is.New(t)
 	now := start
 	limiter := NewLimiter(clock.Func(func() time.Time { return now }), Tolerance{})
@@ -447,7 +447,7 @@
 	is.True(err != nil) // and has an empty balance
 	var over *OverLimitError
 	is.True(errors.As(err, &over))
-	is.True(over.Wait >= leastWait)
+	is.True(over.Wait >= minRetryWait)
 	now = now.Add(over.Wait)
 	grant, err := limiter.Admit("a", limit, 400)
 	is.NoErr(err) // the time told was enough
@@ -463,7 +463,7 @@
 }
 
 // TestALowerLimitBindsAtOnce, and callers that are no longer limited are forgotten.
-func TestALowerLimitBindsAtOnce(t *testing.T) {
+func TestLowerLimitAppliesAtOnce(t *testing.T) {
 	is := is.New(t)
 	now := start
 	limiter := NewLimiter(clock.Func(func() time.Time { return now }), Tolerance{})
@@ -481,35 +481,35 @@
 
 // TestSumsAddUpOnce: what an instance told before it began again is not added twice, older
 // news that comes late adds nothing, and nobody is told its own part.
-func TestSumsAddUpOnce(t *testing.T) {
+func TestSumsCountUsageOnce(t *testing.T) {
 	is := is.New(t)
 	now := start
 	sums := NewSums()
-	told := func(instance string) Usage {
-		list := sums.Tell(instance, now)
+	reported := func(instance string) Usage {
+		list := sums.Totals(instance, now)
 		if len(list) == 0 {
 			return Usage{}
 		}
 		list[0].Fresh = false
 		return list[0]
 	}
-	sums.Take("i", 1, []Usage{{Caller: "a", Asked: 50, Used: 50}}, now)
-	is.Equal(told(""), Usage{}) // when that was used is not known
-	sums.Take("i", 1, []Usage{{Caller: "a", Asked: 80, Used: 70}}, now)
-	is.Equal(told(""), Usage{Caller: "a", Asked: 30, Used: 20})
-	is.Equal(told("i"), Usage{Caller: "a"})
-	sums.Take("i", 1, []Usage{{Caller: "a", Asked: 60, Used: 60}}, now)
-	sums.Take("i", 1, []Usage{{Caller: "a", Asked: 80, Used: 70}}, now)
-	is.Equal(told(""), Usage{Caller: "a", Asked: 30, Used: 20}) // late news
-	sums.Take("i", 2, []Usage{{Caller: "a", Asked: 5, Used: 5, Fresh: true}}, now)
-	is.Equal(told("j"), Usage{Caller: "a", Asked: 35, Used: 25})
+	sums.Record("i", 1, []Usage{{Caller: "a", Asked: 50, Used: 50}}, now)
+	is.Equal(reported(""), Usage{}) // when that was used is not known
+	sums.Record("i", 1, []Usage{{Caller: "a", Asked: 80, Used: 70}}, now)
+	is.Equal(reported(""), Usage{Caller: "a", Asked: 30, Used: 20})
+	is.Equal(reported("i"), Usage{Caller: "a"})
+	sums.Record("i", 1, []Usage{{Caller: "a", Asked: 60, Used: 60}}, now)
+	sums.Record("i", 1, []Usage{{Caller: "a", Asked: 80, Used: 70}}, now)
+	is.Equal(reported(""), Usage{Caller: "a", Asked: 30, Used: 20}) // late news
+	sums.Record("i", 2, []Usage{{Caller: "a", Asked: 5, Used: 5, Fresh: true}}, now)
+	is.Equal(reported("j"), Usage{Caller: "a", Asked: 35, Used: 25})
 	now = now.Add(idleAfter + time.Second)
-	is.Equal(told(""), Usage{}) // idle
-	sums.Take("i", 2, []Usage{{Caller: "a", Asked: 6, Used: 6}}, now)
-	is.Equal(told(""), Usage{}) // silent for too long to know when it was used
-	sums.Take("i", 2, []Usage{{Caller: "a", Asked: 8, Used: 7}}, now)
-	is.Equal(told("j"), Usage{Caller: "a", Asked: 37, Used: 26})
-	now = now.Add(partSilence + time.Second)
-	sums.Take("j", 1, nil, now)
-	is.Equal(len(sums.parts), 1) // instances that are gone are forgotten
+	is.Equal(reported(""), Usage{}) // idle
+	sums.Record("i", 2, []Usage{{Caller: "a", Asked: 6, Used: 6}}, now)
+	is.Equal(reported(""), Usage{}) // silent for too long to know when it was used
+	sums.Record("i", 2, []Usage{{Caller: "a", Asked: 8, Used: 7}}, now)
+	is.Equal(reported("j"), Usage{Caller: "a", Asked: 37, Used: 26})
+	now = now.Add(contributionTimeout + time.Second)
+	sums.Record("j", 1, nil, now)
+	is.Equal(len(sums.contributions), 1) // instances that are gone are forgotten
 }
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -8,7 +8,7 @@
 )
 
 // demandTime is the time constant of measured demand.
-const demandTime = 2 * time.Second
+const meterTimeConstant = 2 * time.Second
 
 // meter measures what a caller asks for, let in or refused: decaying sums.
 type meter struct {
@@ -21,7 +21,7 @@
 	if passed <= 0 {
 		return
 	}
-	left := math.Exp(-passed.Seconds() / demandTime.Seconds())
+	left := math.Exp(-passed.Seconds() / meterTimeConstant.Seconds())
 	m.requests *= left
 	m.tokens *= left
 	m.blocked *= left
@@ -39,25 +39,25 @@
 }
 
 // demand returns what is asked for in thousandths of the limit that it uses most.
-func (m *meter) demand(now time.Time, limits config.Limits, inHand int) int {
+func (m *meter) demand(now time.Time, limits config.Limits, inFlight int) int {
 	m.decay(now)
-	var part float64
+	var fraction float64
 	if limits.RequestsPerSecond > 0 {
-		part = max(part, m.requests/demandTime.Seconds()/limits.RequestsPerSecond)
+		fraction = max(fraction, m.requests/meterTimeConstant.Seconds()/limits.RequestsPerSecond)
 	}
 	if limits.TokensPerMinute > 0 {
-		part = max(part, m.tokens/demandTime.Seconds()/perSecond(limits.TokensPerMinute))
+		fraction = max(fraction, m.tokens/meterTimeConstant.Seconds()/perSecond(limits.TokensPerMinute))
 	}
 	if limits.Concurrent > 0 {
-		part = max(part, (float64(inHand)+m.blocked)/float64(limits.Concurrent))
+		fraction = max(fraction, (float64(inFlight)+m.blocked)/float64(limits.Concurrent))
 	}
-	if part < leastDemand {
+	if fraction < minDemand {
 		return 0
 	}
-	return int(math.Ceil(whole * min(1, part)))
+	return int(math.Ceil(whole * min(1, fraction)))
 }
 
 // leastDemand is the part of a limit below which there is no demand.
-const leastDemand = 1e-4
+const minDemand = 1e-4
 
 func perSecond(perMinute int) float64 { return float64(perMinute) / time.Minute.Seconds() }
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -36,11 +36,11 @@
 	SilentHold = 10 * time.Second
 	// CutHold is how long a silent domain keeps the part that it had. After that
 	// it has the even part, on both sides of the cut.
-	CutHold = time.Minute
+	PartitionHold = time.Minute
 )
 
 // floorPart is split evenly whatever the demand, so that an idle gateway can start.
-const floorPart = 0.05
+const floorShare = 0.05
 
 // Bounds of what is told.
 const (
@@ -51,14 +51,14 @@
 	whole = 1000
 	// tellMargin is the part of a told demand, as a divisor, that a new one must
 	// differ by to be told.
-	tellMargin = 8
+	reportMargin = 8
 )
 
 // DomainDemand adds up what the domain's instances tell, for its digest.
 func DomainDemand(instances []board.Instance, now time.Time) []board.CallerDemand {
 	sums := make(map[string]int)
 	for i := range instances {
-		if !counts(&instances[i], now) {
+		if !mayAdmit(&instances[i], now) {
 			continue
 		}
 		for _, demand := range instances[i].Load.Demand {
@@ -69,7 +69,7 @@
 }
 
 // counts says whether the instance's gateway may still let requests in.
-func counts(instance *board.Instance, now time.Time) bool {
+func mayAdmit(instance *board.Instance, now time.Time) bool {
 	if instance.Incarnation == 0 || instance.State == board.InstanceLeft {
 		return false
 	}
@@ -99,6 +99,6 @@
 	})
 }
 
-func moved(told, demand int) bool {
-	return (told == 0) != (demand == 0) || max(told-demand, demand-told) > told/tellMargin
+func moved(reported, demand int) bool {
+	return (reported == 0) != (demand == 0) || max(reported-demand, demand-reported) > reported/reportMargin
 }
--- a/pkg/quota/split.go
+++ b/pkg/quota/split.go
@@ -18,39 +18,39 @@
 }
 
 // scene is a View at one time, put in order for all callers.
-type scene struct {
+type demandView struct {
 	now    time.Time
 	window time.Duration
-	peers  []tellers
-	remote []tellers
+	peers  []reportedDemand
+	remote []reportedDemand
 	own    map[string]int
 	// declared counts the domains, heard those whose demand counts, with the own.
-	declared, heard int
+	declared, reachable int
 	// silent says that one of those is silent now.
 	silent bool
 }
 
 // tellers is somebody else's told demand.
-type tellers struct {
+type reportedDemand struct {
 	name   string
 	demand map[string]int
 }
 
 // look puts a view in order.
-func look(view *View, now time.Time) *scene {
-	s := &scene{now: now, declared: 1, heard: 1, own: make(map[string]int)}
+func newDemandView(view *View, now time.Time) *demandView {
+	s := &demandView{now: now, declared: 1, reachable: 1, own: make(map[string]int)}
 	if view.Members != nil {
 		s.own = byCaller(DomainDemand(view.Members.Instances, now))
 		for i := range view.Members.Instances {
 			peer := &view.Members.Instances[i]
-			if peer.Name != view.Self && counts(peer, now) {
-				s.peers = append(s.peers, tellers{peer.Name, byCaller(peer.Load.Demand)})
+			if peer.Name != view.Self && mayAdmit(peer, now) {
+				s.peers = append(s.peers, reportedDemand{peer.Name, byCaller(peer.Load.Demand)})
 			}
 		}
 	}
 	for _, domain := range view.Domains {
 		if domain != view.Domain {
-			s.lookAt(view.Remote, domain)
+			s.addRemote(view.Remote, domain)
 		}
 	}
 	s.window = DomainWindow + time.Duration(s.declared)*DomainWindowEach
@@ -58,7 +58,7 @@
 }
 
 // lookAt counts one remote domain, unless it has been silent for long.
-func (s *scene) lookAt(remote *board.Domains, domain string) {
+func (s *demandView) addRemote(remote *board.Domains, domain string) {
 	s.declared++
 	if remote == nil {
 		return
@@ -68,13 +68,13 @@
 		return
 	}
 	digest := &remote.Remote[at]
-	quiet := s.now.Sub(digest.HeardAt)
-	if quiet >= CutHold {
+	silence := s.now.Sub(digest.HeardAt)
+	if silence >= PartitionHold {
 		return
 	}
-	s.heard++
-	s.silent = s.silent || quiet > board.DomainSilentAfter
-	s.remote = append(s.remote, tellers{domain, byCaller(digest.Demand)})
+	s.reachable++
+	s.silent = s.silent || silence > board.DomainSilentAfter
+	s.remote = append(s.remote, reportedDemand{domain, byCaller(digest.Demand)})
 }
 
 func byCaller(demands []board.CallerDemand) map[string]int {
@@ -96,55 +96,55 @@
 
 // part returns this gateway's part of the caller's limits, from 0 to 1. Told is
 // the demand that this gateway tells.
-func (h *history) part(s *scene, caller string, told int) float64 {
-	self := h.self.add(s.now, GatewayWindow, float64(told), least)
-	peers := sumMost(&h.peers, s.peers, caller, s.now, GatewayWindow)
-	domain := h.domain.add(s.now, s.window, float64(s.own[caller]), least)
-	remote := sumMost(&h.remote, s.remote, caller, s.now, s.window)
+func (h *history) share(s *demandView, caller string, reported int) float64 {
+	self := h.self.add(s.now, GatewayWindow, float64(reported), minimum)
+	peers := sumMaxima(&h.peers, s.peers, caller, s.now, GatewayWindow)
+	domain := h.domain.add(s.now, s.window, float64(s.own[caller]), minimum)
+	remote := sumMaxima(&h.remote, s.remote, caller, s.now, s.window)
 	if !s.silent || domain < h.held {
 		h.held = domain
 	}
-	pool := float64(s.heard) / float64(s.declared)
-	return pool * weigh(h.held, remote, s.heard) * weigh(self, peers, len(s.peers)+1)
+	reachableShare := float64(s.reachable) / float64(s.declared)
+	return reachableShare * weightedShare(h.held, remote, s.reachable) * weightedShare(self, peers, len(s.peers)+1)
 }
 
 // weigh returns the part of one among count, by its demand and that of the others.
-func weigh(own, others float64, count int) float64 {
+func weightedShare(own, others float64, count int) float64 {
 	even := 1 / float64(count)
 	if own+others <= 0 {
 		return even
 	}
-	return floorPart*even + (1-floorPart)*own/(own+others)
+	return floorShare*even + (1-floorShare)*own/(own+others)
 }
 
 // sumMost notes what each of the others tells, and adds up the most that each told
 // within the window. Those that are gone count until their window has passed.
-func sumMost(kept *map[string]*window, others []tellers, caller string, now time.Time, span time.Duration) float64 {
+func sumMaxima(windows *map[string]*window, others []reportedDemand, caller string, now time.Time, span time.Duration) float64 {
 	sum := 0.0
 	present := make(map[string]bool, len(others))
 	for _, other := range others {
 		present[other.name] = true
 		demand := float64(other.demand[caller])
-		known := (*kept)[other.name]
+		known := (*windows)[other.name]
 		if known == nil && demand == 0 {
 			continue
 		}
 		if known == nil {
-			if *kept == nil {
-				*kept = make(map[string]*window)
+			if *windows == nil {
+				*windows = make(map[string]*window)
 			}
 			known = new(window)
-			(*kept)[other.name] = known
+			(*windows)[other.name] = known
 		}
-		sum += known.add(now, span, demand, most)
+		sum += known.add(now, span, demand, maximum)
 	}
-	for name, known := range *kept {
+	for name, known := range *windows {
 		if present[name] {
 			continue
 		}
-		left := known.add(now, span, 0, most)
+		left := known.add(now, span, 0, maximum)
 		if left == 0 {
-			delete(*kept, name)
+			delete(*windows, name)
 		}
 		sum += left
 	}
--- a/pkg/quota/split_test.go
+++ b/pkg/quota/split_test.go
@@ -22,37 +22,37 @@
 var start = time.Unix(1_800_000_000, 0)
 
 // world is a deployment in which what is told arrives late, by a fixed time a link.
-type world struct {
+type simulation struct {
 	now time.Time
 	// told is the history of each gateway's demand, a value a tick.
-	told      [testDomains * testSize][]int
+	reported  [testDomains * testSize][]int
 	histories [testDomains * testSize]history
 	// delay is in ticks, from each domain to each gateway.
-	delay func(domain, gateway int) int
-	cut   func(domain, gateway int) bool
-	heard [testDomains][testDomains * testSize]time.Time
+	delay       func(domain, gateway int) int
+	partitioned func(domain, gateway int) bool
+	heard       [testDomains][testDomains * testSize]time.Time
 }
 
 func domainName(d int) string { return fmt.Sprintf("domain-%d", d) }
 
 func gatewayName(g int) string { return fmt.Sprintf("gw-%d", g) }
 
-func (w *world) instances(domain, delay int) []board.Instance {
+func (w *simulation) instances(domain, delay int) []board.Instance {
 	var list []board.Instance
 	for g := domain * testSize; g < (domain+1)*testSize; g++ {
-		told := 0
-		if at := len(w.told[g]) - 1 - delay; at >= 0 {
-			told = w.told[g][at]
+		reported := 0
+		if at := len(w.reported[g]) - 1 - delay; at >= 0 {
+			reported = w.reported[g][at]
 		}
 		list = append(list, board.Instance{
 			Name: gatewayName(g), State: board.InstanceLive, Incarnation: 1,
-			Load: board.GatewayLoad{Demand: []board.CallerDemand{{Caller: caller, Demand: told}}},
+			Load: board.GatewayLoad{Demand: []board.CallerDemand{{Caller: caller, Demand: reported}}},
 		})
 	}
 	return list
 }
 
-func (w *world) view(g int) *View {
+func (w *simulation) view(g int) *View {
 	own := g / testSize
 	view := &View{Self: gatewayName(g), Domain: domainName(own), Remote: &board.Domains{}}
 	view.Members = &board.Members{Instances: w.instances(own, w.delay(own, g))}
@@ -61,7 +61,7 @@
 		if d == own {
 			continue
 		}
-		if w.cut == nil || !w.cut(d, g) {
+		if w.partitioned == nil || !w.partitioned(d, g) {
 			w.heard[d][g] = w.now
 		}
 		if w.heard[d][g].IsZero() {
@@ -77,29 +77,31 @@
 }
 
 // step tells demands and returns the gateways' parts.
-func (w *world) step(demands [testDomains * testSize]int) (parts [testDomains * testSize]float64, sum float64) {
+func (w *simulation) step(demands [testDomains * testSize]int) (shares [testDomains * testSize]float64, sum float64) {
 	w.now = w.now.Add(tick)
 	for g := range demands {
-		w.told[g] = append(w.told[g], demands[g])
+		w.reported[g] = append(w.reported[g], demands[g])
 	}
 	for g := range demands {
-		parts[g] = w.histories[g].part(look(w.view(g), w.now), caller, demands[g])
-		sum += parts[g]
+		shares[g] = w.histories[g].share(newDemandView(w.view(g), w.now), caller, demands[g])
+		sum += shares[g]
 	}
-	return parts, sum
+	return shares, sum
 }
 
-func newWorld(delay func(domain, gateway int) int) *world { return &world{now: start, delay: delay} }
+func newSimulation(delay func(domain, gateway int) int) *simulation {
+	return &simulation{now: start, delay: delay}
+}
 
 const rounding = 1e-9
 
 // Whatever demand does, and however late each link is within the windows, the
 // parts add up to the limit at most, and an idle gateway keeps its floor.
-func TestPartsAddUpToTheLimitAtMost(t *testing.T) {
+func TestSharesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		late := rapid.SliceOfN(rapid.IntRange(0, int(DomainWindow/tick)), testDomains, testDomains).Draw(t, "late")
 		near := rapid.SliceOfN(rapid.IntRange(0, int(GatewayWindow/tick)), testDomains, testDomains).Draw(t, "near")
-		w := newWorld(func(domain, gateway int) int {
+		w := newSimulation(func(domain, gateway int) int {
 			if gateway/testSize == domain {
 				return near[domain]
 			}
@@ -113,13 +115,13 @@
 					demands[g] = level.Draw(t, "demand")
 				}
 			}
-			parts, sum := w.step(demands)
+			shares, sum := w.step(demands)
 			if sum > 1+rounding {
-				t.Fatalf("the parts %v add up to %v", parts, sum)
+				t.Fatalf("the parts %v add up to %v", shares, sum)
 			}
-			for g, part := range parts {
-				if part < floorPart*floorPart/(testDomains*testSize)-rounding {
-					t.Fatalf("%s has %v, below the floor", gatewayName(g), part)
+			for g, share := range shares {
+				if share < floorShare*floorShare/(testDomains*testSize)-rounding {
+					t.Fatalf("%s has %v, below the floor", gatewayName(g), share)
 				}
 			}
 		}
@@ -128,9 +130,9 @@
 
 // A caller that sends all to one gateway gets almost the whole limit there, and
 // gets it elsewhere soon after it moved.
-func TestPartFollowsDemand(t *testing.T) {
+func TestShareFollowsDemand(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(func(domain, gateway int) int {
+	w := newSimulation(func(domain, gateway int) int {
 		if gateway/testSize == domain {
 			return int(2 * time.Second / tick)
 		}
@@ -139,41 +141,41 @@
 	settle := int(10 * time.Second / tick)
 	for g := range testDomains * testSize {
 		var demands [testDomains * testSize]int
-		var parts [testDomains * testSize]float64
+		var shares [testDomains * testSize]float64
 		demands[g] = whole
 		for range settle {
-			parts, _ = w.step(demands)
+			shares, _ = w.step(demands)
 		}
-		is.True(parts[g] > 0.9) // within ten seconds
+		is.True(shares[g] > 0.9) // within ten seconds
 	}
 }
 
 // A domain that is cut off keeps its part and the others do not take it over; after
 // CutHold each side has the even part of its domains, and after the heal demand
 // decides again.
-func TestCutDomainKeepsItsPart(t *testing.T) {
+func TestPartitionedDomainKeepsItsShare(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(func(int, int) int { return 1 })
+	w := newSimulation(func(int, int) int { return 1 })
 	demands := [testDomains * testSize]int{whole, 0, whole / 2, whole / 2, 0, 0}
-	run := func(length time.Duration) (parts [testDomains * testSize]float64) {
+	run := func(length time.Duration) (shares [testDomains * testSize]float64) {
 		for range int(length / tick) {
 			var sum float64
-			parts, sum = w.step(demands)
+			shares, sum = w.step(demands)
 			is.True(sum <= 1+rounding) // at each moment, on both sides together
 		}
-		return parts
+		return shares
 	}
 	before := run(20 * time.Second)
-	w.cut = func(domain, gateway int) bool { return (domain == 0) != (gateway/testSize == 0) }
+	w.partitioned = func(domain, gateway int) bool { return (domain == 0) != (gateway/testSize == 0) }
 	is.Equal(run(10*time.Second), before) // each side goes on as it was
 	demands[0], demands[2] = whole, whole
 	demands[4] = whole
-	grown := run(CutHold - 15*time.Second)
+	grown := run(PartitionHold - 15*time.Second)
 	is.True(grown[2]+grown[3]+grown[4]+grown[5] <= 1-before[0]-before[1]+rounding)
 	even := run(30 * time.Second)
 	is.True(even[0] > 0.3 && even[0]+even[1] <= 1.0/testDomains+rounding)
 	is.True(even[2]+even[3]+even[4]+even[5] > 0.6)
-	w.cut = nil
+	w.partitioned = nil
 	demands = [testDomains * testSize]int{whole}
 	is.True(run(20 * time.Second)[0] > 0.9)
 }
--- a/pkg/quota/usage.go
+++ b/pkg/quota/usage.go
@@ -21,8 +21,8 @@
 
 // counter adds up one caller's usage.
 type counter struct {
-	asked, used int64
-	began, last time.Time
+	asked, used     int64
+	startedAt, last time.Time
 }
 
 func (c *counter) add(asked, used int64, now time.Time) {
@@ -36,7 +36,7 @@
 
 func (c counters) of(caller string, now time.Time) *counter {
 	if c[caller] == nil {
-		c[caller] = &counter{began: now}
+		c[caller] = &counter{startedAt: now}
 	}
 	return c[caller]
 }
@@ -46,7 +46,7 @@
 	listed := make([]Usage, 0, len(c))
 	for caller, counter := range c {
 		if now.Sub(counter.last) <= idleAfter {
-			fresh := now.Sub(counter.began) < idleAfter
+			fresh := now.Sub(counter.startedAt) < idleAfter
 			listed = append(listed, Usage{Caller: caller, Asked: counter.asked, Used: counter.used, Fresh: fresh})
 		}
 	}
@@ -55,15 +55,15 @@
 }
 
 // teller is what was last heard of somebody who tells usage.
-type teller struct {
+type source struct {
 	// start is drawn anew when the teller begins to count.
-	start uint64
-	said  map[string]Usage
-	at    time.Time
+	start    uint64
+	reported map[string]Usage
+	at       time.Time
 }
 
 // ledger turns lists of sums into what was added to them.
-type ledger map[string]*teller
+type ledger map[string]*source
 
 // added returns what a teller's list adds to what it told before. The first list of a
 // teller adds nothing: when it was used is not known. Nor does older news that comes late.
@@ -71,17 +71,17 @@
 	known := l[name]
 	met := known != nil
 	if !met || known.start != start {
-		known = &teller{start: start, said: make(map[string]Usage, len(list))}
+		known = &source{start: start, reported: make(map[string]Usage, len(list))}
 		l[name] = known
 	}
 	known.at = now
 	var added []Usage
 	for _, usage := range list {
-		last, counted := known.said[usage.Caller]
+		last, counted := known.reported[usage.Caller]
 		if usage.Asked < last.Asked {
 			continue
 		}
-		known.said[usage.Caller] = usage
+		known.reported[usage.Caller] = usage
 		if !counted && !(met && usage.Fresh) {
 			continue
 		}
@@ -110,31 +110,31 @@
 	ledger ledger
 	all    counters
 	// parts is what each instance has of it.
-	parts map[string]*part
+	contributions map[string]*contribution
 }
 
 // part is what one instance has used, and when it was last heard.
-type part struct {
+type contribution struct {
 	counters
 	at time.Time
 }
 
 // partSilence is when the part of an instance that is not heard is dropped: long after the
 // instance itself has forgotten what it was told, so that it is not charged its own use.
-const partSilence = 10 * tellerSilence
+const contributionTimeout = 10 * sourceTimeout
 
 // NewSums returns Sums of nothing.
 func NewSums() *Sums {
-	return &Sums{ledger: make(ledger), all: make(counters), parts: make(map[string]*part)}
+	return &Sums{ledger: make(ledger), all: make(counters), contributions: make(map[string]*contribution)}
 }
 
 // Take notes an instance's list.
-func (s *Sums) Take(instance string, start uint64, list []Usage, now time.Time) {
+func (s *Sums) Record(instance string, start uint64, list []Usage, now time.Time) {
 	s.forget(now)
-	known := s.parts[instance]
+	known := s.contributions[instance]
 	if known == nil {
-		known = &part{counters: make(counters)}
-		s.parts[instance] = known
+		known = &contribution{counters: make(counters)}
+		s.contributions[instance] = known
 	}
 	known.at = now
 	for _, added := range s.ledger.added(instance, start, list, now) {
@@ -144,18 +144,18 @@
 }
 
 func (s *Sums) forget(now time.Time) {
-	s.ledger.forget(now, tellerSilence)
-	for instance, known := range s.parts {
-		if now.Sub(known.at) > partSilence {
-			delete(s.parts, instance)
+	s.ledger.forget(now, sourceTimeout)
+	for instance, known := range s.contributions {
+		if now.Sub(known.at) > contributionTimeout {
+			delete(s.contributions, instance)
 		}
 	}
 }
 
 // Tell returns the domain's usage without that of one instance; empty: of all.
-func (s *Sums) Tell(without string, now time.Time) []Usage {
+func (s *Sums) Totals(without string, now time.Time) []Usage {
 	list := s.all.list(now)
-	known := s.parts[without]
+	known := s.contributions[without]
 	if known == nil {
 		return list
 	}
--- a/pkg/quota/window.go
+++ b/pkg/quota/window.go
@@ -30,6 +30,6 @@
 	return result
 }
 
-func least(a, b float64) float64 { return min(a, b) }
+func minimum(a, b float64) float64 { return min(a, b) }
 
-func most(a, b float64) float64 { return max(a, b) }
+func maximum(a, b float64) float64 { return max(a, b) }
