--- a/pkg/quota/bucket.go
+++ b/pkg/quota/bucket.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// bucket is a token bucket whose rate may change at any time. Its balance may fall
-// below zero: a request's true cost is known only at its end. That is why it is not
-// x/time/rate's, which refuses what is larger than its burst and takes no debt.
+// bucket is a token bucket with a rate that may change at any time. Its balance may be negative,
+// because a request's true cost is known only at its end. x/time/rate does not fit: it refuses
+// requests larger than its burst and allows no debt.
 type bucket struct {
 	balance, rate, burst float64
 	at                   time.Time
 }
 
-// burstTime is how much of its rate a bucket gathers.
+// burstTime is the time for which a bucket accumulates its rate.
 const burstTime = time.Second
 
 // set changes the rate, per second, from now on. A new bucket is full.
@@ -31,8 +31,8 @@
 	}
 }
 
-// wait returns how long until a cost may be taken; zero: now. What is larger than
-// the burst may be taken from a full bucket.
+// wait returns the time until a cost may be taken; zero if it may be taken now. A cost larger
+// than the burst may be taken from a full bucket.
 func (b *bucket) wait(now time.Time, cost float64) time.Duration {
 	b.refill(now)
 	missing := min(cost, b.burst) - b.balance
@@ -46,11 +46,11 @@
 	return time.Duration(seconds*float64(time.Second)) + time.Nanosecond
 }
 
-// full says that the bucket holds as much as a new one would.
+// full reports whether the bucket holds as much as a new one would.
 func (b *bucket) full() bool { return b.balance >= b.burst-slack }
 
-// slack covers the rounding of fractions.
+// slack allows for rounding errors.
 const slack = 1e-6
 
-// take takes a cost, or gives it back when negative.
+// take subtracts a cost; a negative one is given back.
 func (b *bucket) take(cost float64) { b.balance = min(b.burst, b.balance-cost) }
--- a/pkg/quota/gate.go
+++ b/pkg/quota/gate.go
@@ -15,15 +15,14 @@
 
 // Times that refusals suggest.
 const (
-	// maxWait bounds them: the parts change sooner.
+	// maxWait bounds them, because the shares change sooner.
 	maxWait = time.Minute
-	// placeWait is suggested when all places are taken; when there is none here, a
-	// window must pass before there may be.
+	// slotWait is suggested when all concurrency slots are in use. A gateway without any has to
+	// wait for a window before it can get some.
 	slotWait = time.Second
 )
 
-// Gate lets in one gateway's part of each caller's limits. It is safe for
-// concurrent use.
+// Gate admits one gateway's share of each caller's limits. It is safe for concurrent use.
 type Gate struct {
 	clock clock.Clock
 
@@ -32,7 +31,7 @@
 	demandView *demandView
 }
 
-// account is what one gateway keeps of one caller.
+// account is the state of one caller at one gateway.
 type account struct {
 	limits           config.Limits
 	share            float64
@@ -43,7 +42,7 @@
 	history          history
 }
 
-// NewGate returns a gate that knows of no other gateway.
+// NewGate returns a gate without knowledge of other gateways.
 func NewGate(now clock.Clock) *Gate {
 	return &Gate{
 		clock:      now,
@@ -52,15 +51,15 @@
 	}
 }
 
-// Pass is one request that was let in.
+// Pass is one admitted request.
 type Pass struct {
 	gate    *Gate
 	account *account
 	tokens  int
 }
 
-// Admit lets a request in, which may take the given tokens by estimate, or refuses
-// it at once. Done must be called on the pass; a caller without limits has none.
+// Admit admits a request with the given estimate of tokens, or refuses it at once. Done must be
+// called on the pass; a caller without limits has none.
 func (g *Gate) Admit(caller *config.Caller, tokens int) (*Pass, *outcome.Refusal) {
 	if !caller.Limits.Any() {
 		return nil, nil
@@ -86,7 +85,7 @@
 	return &Pass{gate: g, account: a, tokens: tokens}, nil
 }
 
-// Done ends the request, which took the given tokens in truth.
+// Done ends the request, which used the given number of tokens.
 func (p *Pass) Done(tokens int) {
 	if p == nil {
 		return
@@ -97,7 +96,7 @@
 	p.account.tokens.take(float64(tokens - p.tokens))
 }
 
-// Tokens is the estimate that the request was let in with.
+// Tokens returns the estimate with which the request was admitted.
 func (p *Pass) Tokens() int {
 	if p == nil {
 		return 0
@@ -105,7 +104,7 @@
 	return p.tokens
 }
 
-// account returns the caller's account, with the limits in force. Callers hold mu.
+// account returns the caller's account with the limits in force. The caller of account holds mu.
 func (g *Gate) account(name string, limits config.Limits, now time.Time) *account {
 	a := g.callers[name]
 	if a == nil {
@@ -120,14 +119,14 @@
 	return a
 }
 
-// share brings the part into force.
+// applyShare applies the share to the buckets.
 func (a *account) applyShare(now time.Time) {
 	a.requests.set(now, a.share*a.limits.RequestsPerSecond)
 	a.tokens.set(now, a.share*perSecond(a.limits.TokensPerMinute))
 }
 
-// places is how many requests may be in hand here. Parts are rounded down, but for
-// the one gateway that has more than half: so they add up to the limit at most.
+// slots returns the number of requests that may be in flight here. Shares are rounded down,
+// except at the one gateway that has more than half, so that they add up to the limit at most.
 func (a *account) slots() int {
 	slots := a.share * float64(a.limits.Concurrent)
 	if a.share > 1.0/2 {
@@ -159,7 +158,7 @@
 	return outcome.Refuse(http.StatusTooManyRequests, outcome.ReasonCallerLimit, wait, detail)
 }
 
-// Update takes what is known of the other gateways.
+// Update applies the known state of the other gateways.
 func (g *Gate) Update(view View) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -179,14 +178,14 @@
 	}
 }
 
-// idle says that a fresh account would be no different.
+// idle reports whether a new account would be no different.
 func (a *account) idle(now time.Time) bool {
 	return a.inFlight == 0 && a.requests.full() && a.tokens.full() &&
 		a.history.idle() && a.meter.demand(now, a.limits, 0) == 0
 }
 
-// meet opens accounts for the callers that others tell of, so that their windows
-// are filled before their first request here.
+// openAccounts opens accounts for the callers that others report, so that their windows are
+// filled before their first request here.
 func (g *Gate) openAccounts(demand map[string]int) {
 	for name := range demand {
 		if g.callers[name] == nil {
@@ -195,7 +194,7 @@
 	}
 }
 
-// Demand measures what is to be told of callers from now on.
+// Demand measures and returns the callers' demand to be reported from now on.
 func (g *Gate) Demand() []board.CallerDemand {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -215,7 +214,7 @@
 	return list
 }
 
-// Part returns this gateway's part of a caller's limits now, from 0 to 1.
+// Share returns this gateway's present share of a caller's limits, from 0 to 1.
 func (g *Gate) Share(caller string) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/quota/gate_test.go
+++ b/pkg/quota/gate_test.go
@@ -39,7 +39,7 @@
 		is.True(early != nil)
 		time.Sleep(time.Millisecond)
 		_, refusal = gate.Admit(busy, 0)
-		is.Equal(refusal, nil) // the time told was enough
+		is.Equal(refusal, nil) // the suggested wait was enough
 		free, refusal := gate.Admit(&config.Caller{Name: "other"}, 1_000_000)
 		is.Equal(refusal, nil)
 		free.Done(1) // a caller without limits has no pass
@@ -55,10 +55,10 @@
 		is.Equal(refusal, nil)
 		_, refusal = gate.Admit(busy, 1)
 		is.Equal(refusal.RetryAfter.Round(time.Second), 29*time.Second)
-		pass.Done(5) // it took less than was thought
+		pass.Done(5) // less than estimated
 		again, refusal := gate.Admit(busy, 5)
 		is.Equal(refusal, nil)
-		again.Done(205) // and this one more
+		again.Done(205) // more than estimated
 		_, refusal = gate.Admit(busy, 1)
 		is.Equal(refusal.RetryAfter.Round(time.Second), 20*time.Second)
 	})
@@ -79,7 +79,8 @@
 	is.Equal(refusal, nil)
 }
 
-// What is told stays bounded, and a caller that is not told of has its floor.
+// TestOnlyTheLargestDemandsAreReported guards against reports that grow with the number of
+// callers.
 func TestOnlyTheLargestDemandsAreReported(t *testing.T) {
 	is := is.New(t)
 	gate := NewGate(clock.System{})
@@ -98,7 +99,8 @@
 	is.True(Differs(domain, domain[1:]))
 }
 
-// A silent gateway keeps its part for SilentHold, one that left or died does not.
+// TestWhichInstancesCount: an unreachable gateway keeps its share for SilentHold, one that left
+// or crashed does not.
 func TestWhichInstancesCount(t *testing.T) {
 	now := start.Add(SilentHold)
 	cases := []struct {
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -9,22 +9,22 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// Limit is what a caller may use over all instances together.
+// Limit bounds a caller's use of all instances together.
 type Limit struct {
-	// Rate is in units a second, Burst in units; a Rate of zero: no limit.
+	// Rate is in units a second, Burst in units. A Rate of zero means no limit.
 	Rate, Burst float64
 }
 
-// Tolerance is by how much the use of all instances together may pass a limit within a
-// sliding window: Overage of what the limit allows in the window, and Slack units.
+// Tolerance is the amount by which the use of all instances together may exceed a limit within a
+// sliding window: the fraction Overage of what the limit allows in the window, plus Slack units.
 type Tolerance struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64
 }
 
-// depth is how far a balance may fall below zero: a part of what is tolerated. The rest
-// is for use that is not known yet.
+// allowedDebt returns how far a balance may fall below zero: a fraction of the tolerance. The
+// rest is for usage that is not known yet.
 func (t Tolerance) allowedDebt(limit Limit) float64 {
 	allowed := limit.Rate*t.Window.Seconds() + limit.Burst
 	return debtFraction * (t.Overage*allowed + t.Slack)
@@ -32,36 +32,37 @@
 
 // Parameters of the limiter.
 const (
-	// depthPart of the tolerance is lent to callers whose few large requests come
-	// together; news of a caller that suddenly asks for several times its limit needs
-	// the other two thirds.
+	// debtFraction of the tolerance is lent to callers with a few large requests at once. The
+	// other two thirds cover the delayed reports of a caller with a sudden demand of several
+	// times its limit.
 	debtFraction = 1.0 / 3
-	// askedTime is the time constant of measured demand: a few rounds in which the
-	// instances tell each other of it.
+	// demandTimeConstant is the time constant of measured demand: a few rounds of exchange
+	// between the instances.
 	demandTimeConstant = 500 * time.Millisecond
-	// leastWait and mostWait bound when a refused caller is asked to return: a round of
-	// news, and what callers honour.
+	// minRetryWait and maxRetryWait bound the retry time of a refused caller: a round of
+	// exchange, and what callers honour.
 	minRetryWait = 200 * time.Millisecond
 	maxRetryWait = 5 * time.Second
-	// aloneBurst bounds how much of the burst an instance that hears few others may have
-	// gathered, in multiples of their part: the sides of a partition must not each spend a
-	// whole burst, but a region that is cut off at its peak needs more than its part.
+	// partitionBurst bounds the balance of an instance that reaches few others, in multiples of
+	// their share of the burst. The sides of a partition must not each spend a whole burst, but
+	// a region that is partitioned at its peak needs more than its share.
 	partitionBurst = 3
-	// mostDebt bounds a negative balance, in multiples of the burst and a second's rate.
+	// debtCap bounds a negative balance, in multiples of the burst and a second's rate.
 	debtCap = 2
-	// tellerSilence is when a teller's usage no longer connects to what it told before.
+	// sourceTimeout is the time without reports after which the usage of a source can no longer
+	// be compared with its previous report.
 	sourceTimeout = 2500 * time.Millisecond
 )
 
-// Limiter keeps callers to their limits over all instances, without a call on the request's
-// path and without a leader. Each instance holds a copy of each caller's balance: it charges
-// its own use at once, and the others' when it hears of it. While a caller asks for more
-// than its limit, each instance lets in a part of its requests, whatever their size, chosen
-// at random; the part falls with the balance.
+// Limiter enforces callers' limits over all instances, without a call on the request path and
+// without a leader. Each instance holds a replica of each caller's balance, which it charges
+// with its own usage at once, and with the others' when they report it. While a caller's demand
+// exceeds its limit, each instance admits a random fraction of its requests, whatever their
+// size; the fraction falls with the balance.
 //
-// An instance that hears a part of the others only refills that part of the limit, so that
-// the sides of a partition together stay within it. One that has just begun knows nothing
-// of what was used and begins with an empty balance.
+// An instance that reaches only some of the others refills only that share of the limit, so that
+// the sides of a partition together stay within it. One that has just started does not know the
+// previous usage and starts with an empty balance.
 //
 // It is safe for concurrent use.
 type Limiter struct {
@@ -76,7 +77,7 @@
 	reachable float64
 }
 
-// balance is one caller's.
+// balance is the balance of one caller.
 type balance struct {
 	limit   Limit
 	units   float64
@@ -104,7 +105,7 @@
 	return r.sum / demandTimeConstant.Seconds()
 }
 
-// NewLimiter returns a limiter that knows of no use.
+// NewLimiter returns a limiter without recorded usage.
 func NewLimiter(clock clock.Clock, tolerance Tolerance) *Limiter {
 	return &Limiter{
 		clock: clock, tolerance: tolerance, random: rand.Float64, reachable: 1,
@@ -112,14 +113,14 @@
 	}
 }
 
-// Grant is a request that was let in. The zero value is one of a caller without a limit.
+// Grant is an admitted request. The zero value is that of a caller without a limit.
 type Grant struct {
 	limiter *Limiter
 	caller  string
 	units   int64
 }
 
-// Return gives back what the request was charged, as it did not run.
+// Return gives back the charge of a request that did not run.
 func (g *Grant) Return() {
 	if g.limiter == nil {
 		return
@@ -135,13 +136,13 @@
 	}
 }
 
-// OverLimitError says that a caller has used its limit.
+// OverLimitError reports that a caller has used up its limit.
 type OverLimitError struct {
 	Caller string
-	// Balance is in units, and Demand and Limit in units a second, as this instance knows
-	// them; Heard is the part of the instances that it hears.
+	// Balance is in units, Demand and Limit in units a second, as known to this instance. Heard
+	// is the fraction of the instances that it reaches.
 	Balance, Demand, Limit, Heard float64
-	// Wait is when there should be room.
+	// Wait is the time after which requests should be admitted again.
 	Wait time.Duration
 }
 
@@ -150,7 +151,7 @@
 	return "organisation " + e.Caller + " is over its limit"
 }
 
-// Admit lets a request in that counts so many units, or returns an *OverLimitError.
+// Admit admits a request that costs the given units, or returns an *OverLimitError.
 func (l *Limiter) Admit(caller string, limit Limit, units int) (Grant, error) {
 	if limit.Rate <= 0 {
 		return Grant{}, nil
@@ -171,7 +172,7 @@
 	return Grant{limiter: l, caller: caller, units: int64(units)}, nil
 }
 
-// balance returns the caller's, brought up to date.
+// balance returns the caller's balance, brought up to date.
 func (l *Limiter) balance(caller string, limit Limit, now time.Time) *balance {
 	b := l.callers[caller]
 	if b == nil {
@@ -192,20 +193,20 @@
 	b.cap(reachable)
 }
 
-// cap keeps the balance below what may be gathered.
+// cap limits the balance to what may accumulate.
 func (b *balance) cap(reachable float64) {
 	b.units = min(b.units, b.limit.Burst*min(1, partitionBurst*reachable))
 }
 
-// charge takes units, or gives them back when negative. A debt beyond mostDebt is forgotten:
-// a caller that is back within its limit is not made to wait long for what was let in for
-// want of news.
+// charge subtracts units; negative ones are given back. A debt beyond debtCap is dropped, so
+// that a caller that is back within its limit does not wait long for requests that were admitted
+// because reports were late.
 func (b *balance) charge(units float64) {
 	b.units = max(b.units-units, -debtCap*(b.limit.Burst+b.limit.Rate))
 }
 
-// chance is the part of the caller's requests that fits: all while the balance is not
-// negative, none where what is lent is used up.
+// chance returns the fraction of the caller's requests to admit: all while the balance is not
+// negative, none once the allowed debt is used up.
 func (l *Limiter) chance(b *balance) float64 {
 	if b.units >= 0 {
 		return 1
@@ -217,8 +218,8 @@
 	return 1 + b.units/allowedDebt
 }
 
-// refusal tells when the balance is no longer negative if nothing is let in until then, and
-// spreads those who return over the time that it takes to serve what is asked for.
+// refusal returns an error with the time until the balance is no longer negative if nothing is
+// admitted, spread randomly over the time that it takes to serve the demand.
 func (l *Limiter) refusal(caller string, b *balance, now time.Time) error {
 	demand, limit := b.demand.perSecond(now), b.limit.Rate*l.reachable
 	seconds := max(0, -b.units)/limit + l.random()*max(0, demand/limit-1)*demandTimeConstant.Seconds()
@@ -226,14 +227,14 @@
 	return &OverLimitError{Caller: caller, Balance: b.units, Demand: demand, Limit: b.limit.Rate, Heard: l.reachable, Wait: wait}
 }
 
-// LocalUsage returns what this instance has counted, to be told to the others.
+// LocalUsage returns the usage that this instance has counted, to be reported to the others.
 func (l *Limiter) LocalUsage() []Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.own.list(l.clock.Now())
 }
 
-// Hear takes what a teller has counted since its start.
+// AddRemoteUsage charges the usage that a source has counted since its start.
 func (l *Limiter) AddRemoteUsage(name string, start uint64, list []Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -250,8 +251,8 @@
 	}
 }
 
-// SetLimits opens the balances of callers before their first request here, so that the
-// others' use is charged, and forgets callers that are no longer limited.
+// SetLimits opens the balances of callers before their first request here, so that the others'
+// usage is charged, and drops callers that are no longer limited.
 func (l *Limiter) SetLimits(limits map[string]Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -268,7 +269,7 @@
 	}
 }
 
-// SetReachable says which part of the instances is heard, this one included.
+// SetReachable sets the fraction of the instances that are reachable, this one included.
 func (l *Limiter) SetReachable(fraction float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -282,16 +283,16 @@
 	l.reachable = fraction
 }
 
-// State is what this instance knows of a caller's use.
+// State is the known usage of a caller.
 type State struct {
 	Caller string
-	// Balance is in units, Demand and Limit in units a second; Refused counts requests
-	// refused here.
+	// Balance is in units, Demand and Limit in units a second; Refused counts requests refused
+	// here.
 	Balance, Demand, Limit float64
 	Refused                int64
 }
 
-// States returns what is known of all limited callers, in no order.
+// States returns the state of all limited callers, in no order.
 func (l *Limiter) States() []State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/quota/limiter_test.go
+++ b/pkg/quota/limiter_test.go
@@ -13,27 +13,27 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// What the instances of an emulated deployment tell each other, and how late: each reports
-// to its domain's hub once a round and is told the sums; hubs ask each other once a round
-// in a region and more seldom between regions.
+// The exchange between the instances of a simulated deployment: each reports to its domain's hub
+// once a round and receives the sums; hubs exchange once a round within a region and less often
+// between regions.
 const (
 	emulatedStep        = 10 * time.Millisecond
 	stepsPerRound       = 10
 	stepsPerRemoteRound = 60
 	remoteDelay         = 55 * time.Millisecond
 	regions             = 3
-	// beginning is after what time an instance has heard of all others.
+	// discoveryTime is the time after which an instance has reports of all others.
 	discoveryTime = 300 * time.Millisecond
-	// settling passes between the start of the instances and the first request.
+	// settleTime is the time between the start of the instances and the first request.
 	settleTime = 2 * time.Second
 )
 
-// gate is a way of limiting at one instance.
+// gate is a method of limiting at one instance.
 type gate interface {
 	admit(caller string, limit Limit, units int) bool
 }
 
-// evenPart gives each instance the same part of each limit.
+// evenShare gives each instance the same share of each limit.
 type evenShare struct {
 	clock   clock.Clock
 	share   float64
@@ -62,7 +62,7 @@
 	return err == nil
 }
 
-// site is an emulated deployment.
+// deployment is a simulated deployment.
 type deployment struct {
 	now      time.Time
 	random   *rand.Rand
@@ -70,15 +70,15 @@
 	gates    []gate
 	limiters []*Limiter
 	sums     []*Sums
-	// starts names the start of each instance, begun is when it was.
+	// starts counts the starts of each instance, startedAt is the time of the last.
 	starts    []uint64
 	startedAt []time.Time
-	// cut says which instances hear nobody and are not heard.
+	// partitioned holds the instances without connection to the others.
 	partitioned map[int]bool
-	// posts are what hubs of other regions have sent and is on its way.
+	// messages holds reports of other domains in transit.
 	messages []message
 	step     int
-	// lists holds what each domain told in the step toldAt.
+	// reports holds the report of each domain in the step reportedAt.
 	reports    [][]Usage
 	reportedAt []int
 }
@@ -114,7 +114,7 @@
 
 func (s *deployment) clock() clock.Clock { return clock.Func(func() time.Time { return s.now }) }
 
-// begin starts an instance that knows nothing.
+// restart starts an instance without state.
 func (s *deployment) restart(i int, tolerance Tolerance) {
 	s.limiters[i] = NewLimiter(s.clock(), tolerance)
 	s.limiters[i].random = s.random.Float64
@@ -124,7 +124,7 @@
 	s.starts[i]++
 }
 
-// tick passes the time of one step, in which a tenth of the instances exchange news.
+// tick advances the time by one step, in which a tenth of the instances exchange.
 func (s *deployment) tick(limits map[string]Limit) {
 	s.now = s.now.Add(emulatedStep)
 	s.step++
@@ -150,8 +150,9 @@
 	s.deliver()
 }
 
-// tellFar tells an instance what other domains' hubs told its own: those of the other half
-// of its region in the last round, those of other regions up to farRounds steps ago.
+// sendRemote sends an instance the reports of other domains' hubs: those of the other half of
+// its region from the last round, those of other regions from up to stepsPerRemoteRound steps
+// ago.
 func (s *deployment) sendRemote(i, domain int) {
 	for other := range s.sums {
 		if other == domain {
@@ -168,7 +169,7 @@
 	}
 }
 
-// told is a domain's usage as its hub tells it in this step.
+// reported returns a domain's usage as its hub reports it in this step.
 func (s *deployment) reported(domain int) []Usage {
 	if s.reportedAt[domain] != s.step {
 		s.reportedAt[domain], s.reports[domain] = s.step, s.sums[domain].Totals("", s.now)
@@ -189,11 +190,11 @@
 	s.messages = undelivered
 }
 
-// customer is an organisation of the emulated work.
+// organisation is an organisation of the simulated load.
 type organisation struct {
 	name  string
 	limit Limit
-	// usual is what it asks, in tokens a second; hot multiplies it in a span of time.
+	// usual is its demand in tokens a second; hot multiplies it over time.
 	usual float64
 	hot   func(since time.Duration) float64
 }
@@ -213,17 +214,17 @@
 // meanSize is about the mean of size.
 const meanSize = 810
 
-// tally is what became of a customer's requests.
+// tally sums the results of an organisation's requests.
 type tally struct {
 	asked, admitted, fits float64
-	// ran holds the tokens let in by step, to be added up over windows.
+	// ran holds the admitted tokens by step, to be summed over windows.
 	ran []float64
-	// ideal is one bucket for all instances, which every request would meet at once.
+	// ideal is one bucket for all instances without delay.
 	ideal bucket
 }
 
-// play asks for all customers' work for some time. Where spreads the requests over the
-// instances, by the time since the beginning.
+// run generates the load of all organisations for some time. The function where spreads the
+// requests over the instances by the time since the start.
 func (s *deployment) run(length time.Duration, organisations []organisation, where func(since time.Duration) int) map[string]*tally {
 	tallies := make(map[string]*tally)
 	limits := make(map[string]Limit)
@@ -272,7 +273,7 @@
 	return count
 }
 
-// beyond is by how many tokens the worst window passes what may run in it.
+// excess returns the number of tokens by which the worst window exceeds the tolerance.
 func (t *tally) excess(limit Limit, tolerance Tolerance) float64 {
 	steps := int(tolerance.Window / emulatedStep)
 	allowed := (limit.Rate*tolerance.Window.Seconds()+limit.Burst)*(1+tolerance.Overage) + tolerance.Slack
@@ -287,14 +288,14 @@
 	return worst
 }
 
-// lost is the part of what would have fitted under the limit that was not let in.
+// lost returns the fraction of what fits the limit that was not admitted.
 func (t *tally) lost() float64 { return max(0, 1-t.admitted/t.fits) }
 
 var tolerated = Tolerance{Window: 8 * time.Second, Overage: 0.1, Slack: 190_000}
 
 func always(time.Duration) float64 { return 1 }
 
-// hotFrom multiplies what is asked from a time on.
+// hotFrom multiplies the demand from a time on.
 func hotFrom(from time.Duration, times float64) func(time.Duration) float64 {
 	return func(since time.Duration) float64 {
 		if since >= from {
@@ -304,8 +305,8 @@
 	}
 }
 
-// sixteen are organisations of unlike size, with limits of 1.8 times what they usually ask;
-// the first is hot by a factor from a time on.
+// sixteenOrganisations returns organisations of different sizes with limits of 1.8 times their
+// usual demand. The first is hot.
 func sixteenOrganisations(hot func(time.Duration) float64) []organisation {
 	var all []organisation
 	for i := range 16 {
@@ -319,7 +320,7 @@
 	return all
 }
 
-// peakOf sends nine of ten requests to one region after the other, for eleven seconds each.
+// pickInstance sends nine of ten requests to one region at a time, for eleven seconds each.
 func (s *deployment) pickInstance(since time.Duration) int {
 	count := len(s.gates)
 	if s.random.Float64() < 0.1 {
@@ -329,9 +330,9 @@
 	return min(count-1, s.random.IntN((count+2)/3)*3+region)
 }
 
-// TestUsageAtItsUsualLevelIsNotRefused: organisations of unlike size ask for five ninths of
-// their limits, a few large requests of each come together, and the peak moves from region
-// to region. A limit that is cut up refuses a small organisation's long prompts.
+// TestUsualUsageIsNotRefused: organisations of different sizes use five ninths of their limits,
+// some large requests of each arrive together, and the peak moves between regions. Limits split
+// into fixed shares would refuse a small organisation's long prompts.
 func TestUsualUsageIsNotRefused(t *testing.T) {
 	for _, size := range []struct{ instances, domains int }{{7, 3}, {85, 6}, {380, 12}} {
 		t.Run(fmt.Sprint(size.instances), func(t *testing.T) {
@@ -346,8 +347,8 @@
 	}
 }
 
-// TestAHotOrganisationStaysWithinItsLimit: it asks for 7.5 times its usual at once, in one
-// region, of which other regions hear late; what runs in any window stays within the
+// TestHotOrganisationStaysWithinItsLimit: its demand rises suddenly to 7.5 times the usual in
+// one region, which other regions learn late. The usage in any window stays within the
 // tolerance, and nine tenths of its limit are used.
 func TestHotOrganisationStaysWithinItsLimit(t *testing.T) {
 	for _, size := range []struct{ instances, domains int }{{7, 3}, {85, 6}, {380, 12}} {
@@ -371,8 +372,8 @@
 	}
 }
 
-// TestInstancesThatHearNobodyStayWithinTheLimit: a sixth of the instances is cut off while
-// an organisation asks for several times its limit everywhere.
+// TestPartitionedInstancesStayWithinTheLimit: a sixth of the instances is partitioned while an
+// organisation demands several times its limit everywhere.
 func TestPartitionedInstancesStayWithinTheLimit(t *testing.T) {
 	s := newDeployment(85, 6, 13, tolerated, "shared")
 	for i := 0; i < 85; i += 6 {
@@ -386,8 +387,8 @@
 	}
 }
 
-// TestARestartOfAllDoesNotGrantTheBurstAgain: all instances begin anew while an organisation
-// asks for several times its limit, and nobody knows what it has used.
+// TestRestartOfAllDoesNotGrantTheBurstAgain: all instances restart while an organisation demands
+// several times its limit, and its previous usage is lost.
 func TestRestartOfAllDoesNotGrantTheBurstAgain(t *testing.T) {
 	s := newDeployment(85, 6, 17, tolerated, "shared")
 	limit := Limit{Rate: 780_000, Burst: 780_000}
@@ -407,8 +408,8 @@
 	}
 }
 
-// TestWaysOfLimiting compares ways on the same work: parts that are even refuse the long
-// prompts of small organisations.
+// TestLimitingMethods compares methods with the same load: even shares refuse the long prompts
+// of small organisations.
 func TestLimitingMethods(t *testing.T) {
 	is := is.New(t)
 	lost := make(map[string]float64)
@@ -433,8 +434,8 @@
 	is.True(lost["shared"] <= 0.1)
 }
 
-// TestARefusalTellsWhenToReturn, and a request that did not run gives back what it was
-// charged.
+// TestRefusalGivesARetryTime also checks that the charge of a request that did not run is given
+// back.
 func TestRefusalGivesARetryTime(t *testing.T) {
 	is := is.New(t)
 	now := start
@@ -442,7 +443,7 @@
 	limiter.random = func() float64 { return 0.5 }
 	limit := Limit{Rate: 1000, Burst: 1000}
 	_, err := limiter.Admit("a", limit, 100)
-	is.NoErr(err) // an instance that begins refuses nobody who is the first
+	is.NoErr(err) // an instance that has just started admits the first request
 	_, err = limiter.Admit("a", limit, 400)
 	is.True(err != nil) // and has an empty balance
 	var over *OverLimitError
@@ -450,10 +451,10 @@
 	is.True(over.Wait >= minRetryWait)
 	now = now.Add(over.Wait)
 	grant, err := limiter.Admit("a", limit, 400)
-	is.NoErr(err) // the time told was enough
+	is.NoErr(err) // the suggested wait was enough
 	before := limiter.States()[0].Balance
 	grant.Return()
-	grant.Return() // a second time changes nothing
+	grant.Return() // the second call has no effect
 	is.Equal(limiter.States()[0].Balance, before+400)
 	is.Equal(limiter.LocalUsage()[0].Used, int64(100))
 	unlimited, err := limiter.Admit("b", Limit{}, 1_000_000)
@@ -462,7 +463,7 @@
 	is.Equal(len(limiter.LocalUsage()), 1)
 }
 
-// TestALowerLimitBindsAtOnce, and callers that are no longer limited are forgotten.
+// TestLowerLimitAppliesAtOnce also checks that callers that are no longer limited are dropped.
 func TestLowerLimitAppliesAtOnce(t *testing.T) {
 	is := is.New(t)
 	now := start
@@ -472,15 +473,15 @@
 	_, err := limiter.Admit("a", Limit{Rate: 1000, Burst: 1000}, 10)
 	is.NoErr(err)
 	_, err = limiter.Admit("a", Limit{Rate: 10, Burst: 10}, 300)
-	is.NoErr(err) // one request may pass the balance
+	is.NoErr(err) // one request may exceed the balance
 	_, err = limiter.Admit("a", Limit{Rate: 10, Burst: 10}, 1)
 	is.True(err != nil)
 	limiter.SetLimits(map[string]Limit{"b": {Rate: 10, Burst: 10}})
 	is.Equal(len(limiter.States()), 1)
 }
 
-// TestSumsAddUpOnce: what an instance told before it began again is not added twice, older
-// news that comes late adds nothing, and nobody is told its own part.
+// TestSumsCountUsageOnce: an instance's usage before its restart is not added twice, older lists
+// that arrive late add nothing, and an instance does not receive its own contribution.
 func TestSumsCountUsageOnce(t *testing.T) {
 	is := is.New(t)
 	now := start
@@ -494,22 +495,22 @@
 		return list[0]
 	}
 	sums.Record("i", 1, []Usage{{Caller: "a", Asked: 50, Used: 50}}, now)
-	is.Equal(reported(""), Usage{}) // when that was used is not known
+	is.Equal(reported(""), Usage{}) // the time of that usage is unknown
 	sums.Record("i", 1, []Usage{{Caller: "a", Asked: 80, Used: 70}}, now)
 	is.Equal(reported(""), Usage{Caller: "a", Asked: 30, Used: 20})
 	is.Equal(reported("i"), Usage{Caller: "a"})
 	sums.Record("i", 1, []Usage{{Caller: "a", Asked: 60, Used: 60}}, now)
 	sums.Record("i", 1, []Usage{{Caller: "a", Asked: 80, Used: 70}}, now)
-	is.Equal(reported(""), Usage{Caller: "a", Asked: 30, Used: 20}) // late news
+	is.Equal(reported(""), Usage{Caller: "a", Asked: 30, Used: 20}) // late lists
 	sums.Record("i", 2, []Usage{{Caller: "a", Asked: 5, Used: 5, Fresh: true}}, now)
 	is.Equal(reported("j"), Usage{Caller: "a", Asked: 35, Used: 25})
 	now = now.Add(idleAfter + time.Second)
 	is.Equal(reported(""), Usage{}) // idle
 	sums.Record("i", 2, []Usage{{Caller: "a", Asked: 6, Used: 6}}, now)
-	is.Equal(reported(""), Usage{}) // silent for too long to know when it was used
+	is.Equal(reported(""), Usage{}) // no report for too long: the time of the usage is unknown
 	sums.Record("i", 2, []Usage{{Caller: "a", Asked: 8, Used: 7}}, now)
 	is.Equal(reported("j"), Usage{Caller: "a", Asked: 37, Used: 26})
 	now = now.Add(contributionTimeout + time.Second)
 	sums.Record("j", 1, nil, now)
-	is.Equal(len(sums.contributions), 1) // instances that are gone are forgotten
+	is.Equal(len(sums.contributions), 1) // removed instances are dropped
 }
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -7,10 +7,10 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// demandTime is the time constant of measured demand.
+// meterTimeConstant is the time constant of measured demand.
 const meterTimeConstant = 2 * time.Second
 
-// meter measures what a caller asks for, let in or refused: decaying sums.
+// meter measures a caller's demand, admitted or refused, as decaying sums.
 type meter struct {
 	requests, tokens, blocked float64
 	at                        time.Time
@@ -28,7 +28,8 @@
 	m.at = now
 }
 
-// ask notes a request; blocked says that it was refused for want of a place.
+// ask records a request; blocked is true if it was refused because all concurrency slots were in
+// use.
 func (m *meter) ask(now time.Time, tokens float64, blocked bool) {
 	m.decay(now)
 	m.requests++
@@ -38,7 +39,7 @@
 	}
 }
 
-// demand returns what is asked for in thousandths of the limit that it uses most.
+// demand returns the demand in thousandths of the limit that it uses most.
 func (m *meter) demand(now time.Time, limits config.Limits, inFlight int) int {
 	m.decay(now)
 	var fraction float64
@@ -57,7 +58,7 @@
 	return int(math.Ceil(whole * min(1, fraction)))
 }
 
-// leastDemand is the part of a limit below which there is no demand.
+// minDemand is the fraction of a limit below which demand counts as zero.
 const minDemand = 1e-4
 
 func perSecond(perMinute int) float64 { return float64(perMinute) / time.Minute.Seconds() }
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -1,16 +1,16 @@
-// Package quota keeps each caller to its declared limits over all gateways of all
-// failure domains, with no leader and no call on the request's path.
+// Package quota enforces each caller's declared limits over all gateways of all failure domains,
+// with no leader and no call on the request path.
 //
-// There are two ways: Limiter, a copy of one balance at each instance, is that of
-// lilacweir-edge; Gate, parts of a limit that follow demand, that of lilacweir-gateway.
-// With Gate each gateway lets in a part of a limit: the failure domain's part by the demand
-// that the digests tell, and of that its own by the demand that the heartbeats
-// tell. Told demand is late, so a part grows only once every other gateway has had
-// the time to hear of it, and shrinks at once.
+// It has two implementations. Limiter replicates one balance on each instance and is used by
+// lilacweir-edge. Gate splits a limit into shares that follow demand and is used by
+// lilacweir-gateway. With Gate each gateway admits a share of a limit: the failure domain's
+// share by the demand in the digests, and of that its own by the demand in the heartbeats.
+// Reported demand is late, so a share grows only once every other gateway has had time to
+// receive the report, and shrinks at once.
 //
-// Guarantee of Gate: while what is told arrives within the windows, the gateways' parts of
-// a limit add up to at most the limit, whatever the demand does; a failure domain
-// that is cut off keeps its part. See docs/design/quotas.md for the bound.
+// Guarantee of Gate: while reports arrive within the windows, the gateways' shares of a limit
+// add up to at most the limit, whatever the demand; a failure domain that is partitioned keeps
+// its share. See docs/design/quotas.md for the bound.
 package quota
 
 import (
@@ -21,40 +21,40 @@
 	"github.com/lilacweir/lilacweir/pkg/board"
 )
 
-// Timing of parts.
+// Timing of shares.
 const (
-	// GatewayWindow is the time in which a gateway's demand reaches the gateways of
-	// its domain: two exchanges with an agent, a heartbeat and a margin.
+	// GatewayWindow is the time in which a gateway's demand reaches the gateways of its domain:
+	// two exchanges with an agent, a heartbeat and a margin.
 	GatewayWindow = 3 * time.Second
-	// DomainWindow is the time in which a domain's demand reaches the gateways of
-	// another one: a digest and a heartbeat more. DomainWindowEach is added for
-	// each declared domain, as digests are fetched less often where there are many.
+	// DomainWindow is the time in which a domain's demand reaches the gateways of another one: a
+	// digest and a heartbeat more. DomainWindowEach is added for each declared domain, as
+	// digests are fetched less often where there are many.
 	DomainWindow     = 4 * time.Second
 	DomainWindowEach = 75 * time.Millisecond
-	// SilentHold is how long a silent instance of the own domain keeps its part: it
-	// may still have callers.
+	// SilentHold is the time for which an unreachable instance of the own domain keeps its
+	// share, because it may still have callers.
 	SilentHold = 10 * time.Second
-	// CutHold is how long a silent domain keeps the part that it had. After that
-	// it has the even part, on both sides of the cut.
+	// PartitionHold is the time for which an unreachable domain keeps its last share. After that
+	// it gets an even share, on both sides of the partition.
 	PartitionHold = time.Minute
 )
 
-// floorPart is split evenly whatever the demand, so that an idle gateway can start.
+// floorShare is split evenly whatever the demand, so that an idle gateway can start.
 const floorShare = 0.05
 
-// Bounds of what is told.
+// Bounds of the reported demand.
 const (
-	// GatewayDemands is how many callers a heartbeat tells of, DomainDemands a digest.
+	// GatewayDemands is the number of callers in a heartbeat, DomainDemands in a digest.
 	GatewayDemands = 32
 	DomainDemands  = 24
 	// whole is a demand for the whole of a limit.
 	whole = 1000
-	// tellMargin is the part of a told demand, as a divisor, that a new one must
-	// differ by to be told.
+	// reportMargin is the fraction of a reported demand, as a divisor, by which a new one must
+	// differ to be reported.
 	reportMargin = 8
 )
 
-// DomainDemand adds up what the domain's instances tell, for its digest.
+// DomainDemand sums the demand that the domain's instances report, for its digest.
 func DomainDemand(instances []board.Instance, now time.Time) []board.CallerDemand {
 	sums := make(map[string]int)
 	for i := range instances {
@@ -68,7 +68,7 @@
 	return largest(sums, DomainDemands)
 }
 
-// counts says whether the instance's gateway may still let requests in.
+// mayAdmit reports whether the instance's gateway may still admit requests.
 func mayAdmit(instance *board.Instance, now time.Time) bool {
 	if instance.Incarnation == 0 || instance.State == board.InstanceLeft {
 		return false
@@ -92,7 +92,7 @@
 	return list
 }
 
-// Differs says whether demands have changed enough to be told again.
+// Differs reports whether demands have changed enough to be reported again.
 func Differs(before, after []board.CallerDemand) bool {
 	return !slices.EqualFunc(before, after, func(a, b board.CallerDemand) bool {
 		return a.Caller == b.Caller && !moved(a.Demand, b.Demand)
--- a/pkg/quota/split.go
+++ b/pkg/quota/split.go
@@ -7,7 +7,7 @@
 	"github.com/lilacweir/lilacweir/pkg/board"
 )
 
-// View is what a gateway knows of the others. Its parts must not be modified.
+// View is the state of the other gateways known to a gateway. Its contents must not be modified.
 type View struct {
 	// Self is the gateway's instance, Domain its failure domain.
 	Self, Domain string
@@ -17,26 +17,27 @@
 	Remote  *board.Domains
 }
 
-// scene is a View at one time, put in order for all callers.
+// demandView is a View at one time, prepared for all callers.
 type demandView struct {
 	now    time.Time
 	window time.Duration
 	peers  []reportedDemand
 	remote []reportedDemand
 	own    map[string]int
-	// declared counts the domains, heard those whose demand counts, with the own.
+	// declared counts the domains, reachable those with current demand, both including the own
+	// one.
 	declared, reachable int
-	// silent says that one of those is silent now.
+	// silent is true if one of those is unreachable now.
 	silent bool
 }
 
-// tellers is somebody else's told demand.
+// reportedDemand is the demand reported by another gateway or domain.
 type reportedDemand struct {
 	name   string
 	demand map[string]int
 }
 
-// look puts a view in order.
+// newDemandView prepares a view.
 func newDemandView(view *View, now time.Time) *demandView {
 	s := &demandView{now: now, declared: 1, reachable: 1, own: make(map[string]int)}
 	if view.Members != nil {
@@ -57,7 +58,7 @@
 	return s
 }
 
-// lookAt counts one remote domain, unless it has been silent for long.
+// addRemote adds one remote domain unless it has been unreachable for long.
 func (s *demandView) addRemote(remote *board.Domains, domain string) {
 	s.declared++
 	if remote == nil {
@@ -89,13 +90,13 @@
 type history struct {
 	self, domain  window
 	peers, remote map[string]*window
-	// held is the own domain's demand that counts: while another domain is silent,
-	// and cannot hear of more, it does not grow.
+	// held is the own domain's demand that counts. It does not grow while another domain is
+	// unreachable and cannot learn of more.
 	held float64
 }
 
-// part returns this gateway's part of the caller's limits, from 0 to 1. Told is
-// the demand that this gateway tells.
+// share returns this gateway's share of the caller's limits, from 0 to 1. The argument reported
+// is the demand that this gateway reports.
 func (h *history) share(s *demandView, caller string, reported int) float64 {
 	self := h.self.add(s.now, GatewayWindow, float64(reported), minimum)
 	peers := sumMaxima(&h.peers, s.peers, caller, s.now, GatewayWindow)
@@ -108,7 +109,7 @@
 	return reachableShare * weightedShare(h.held, remote, s.reachable) * weightedShare(self, peers, len(s.peers)+1)
 }
 
-// weigh returns the part of one among count, by its demand and that of the others.
+// weightedShare returns the share of one among count, by its demand and that of the others.
 func weightedShare(own, others float64, count int) float64 {
 	even := 1 / float64(count)
 	if own+others <= 0 {
@@ -117,8 +118,8 @@
 	return floorShare*even + (1-floorShare)*own/(own+others)
 }
 
-// sumMost notes what each of the others tells, and adds up the most that each told
-// within the window. Those that are gone count until their window has passed.
+// sumMaxima records the others' reported demands and sums the maxima of each within the window.
+// Removed ones count until their window has passed.
 func sumMaxima(windows *map[string]*window, others []reportedDemand, caller string, now time.Time, span time.Duration) float64 {
 	sum := 0.0
 	present := make(map[string]bool, len(others))
@@ -151,7 +152,7 @@
 	return sum
 }
 
-// idle says that nobody has had a demand within the windows.
+// idle reports whether there was no demand within the windows.
 func (h *history) idle() bool {
 	return h.held == 0 && h.self == (window{slot: h.self.slot}) && len(h.peers) == 0 && len(h.remote) == 0
 }
--- a/pkg/quota/split_test.go
+++ b/pkg/quota/split_test.go
@@ -15,16 +15,16 @@
 	caller      = "farm-shop"
 	testDomains = 3
 	testSize    = 2
-	// tick is how often gateways look at what they know.
+	// tick is the interval at which gateways update their shares.
 	tick = 500 * time.Millisecond
 )
 
 var start = time.Unix(1_800_000_000, 0)
 
-// world is a deployment in which what is told arrives late, by a fixed time a link.
+// simulation is a deployment in which reports arrive late, by a fixed time per link.
 type simulation struct {
 	now time.Time
-	// told is the history of each gateway's demand, a value a tick.
+	// reported is the history of each gateway's demand, a value per tick.
 	reported  [testDomains * testSize][]int
 	histories [testDomains * testSize]history
 	// delay is in ticks, from each domain to each gateway.
@@ -76,7 +76,7 @@
 	return view
 }
 
-// step tells demands and returns the gateways' parts.
+// step reports demands and returns the gateways' shares.
 func (w *simulation) step(demands [testDomains * testSize]int) (shares [testDomains * testSize]float64, sum float64) {
 	w.now = w.now.Add(tick)
 	for g := range demands {
@@ -95,8 +95,8 @@
 
 const rounding = 1e-9
 
-// Whatever demand does, and however late each link is within the windows, the
-// parts add up to the limit at most, and an idle gateway keeps its floor.
+// TestSharesNeverExceedTheLimit: whatever the demand, and however late each link is within the
+// windows, the shares add up to at most the limit, and an idle gateway keeps its floor.
 func TestSharesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		late := rapid.SliceOfN(rapid.IntRange(0, int(DomainWindow/tick)), testDomains, testDomains).Draw(t, "late")
@@ -128,8 +128,8 @@
 	})
 }
 
-// A caller that sends all to one gateway gets almost the whole limit there, and
-// gets it elsewhere soon after it moved.
+// TestShareFollowsDemand: a caller that sends everything to one gateway gets almost the whole
+// limit there, and elsewhere soon after it moved.
 func TestShareFollowsDemand(t *testing.T) {
 	is := is.New(t)
 	w := newSimulation(func(domain, gateway int) int {
@@ -150,9 +150,9 @@
 	}
 }
 
-// A domain that is cut off keeps its part and the others do not take it over; after
-// CutHold each side has the even part of its domains, and after the heal demand
-// decides again.
+// TestPartitionedDomainKeepsItsShare, and the others do not take it over; after PartitionHold
+// each side has the even share of its domains, and after the partition heals demand decides
+// again.
 func TestPartitionedDomainKeepsItsShare(t *testing.T) {
 	is := is.New(t)
 	w := newSimulation(func(int, int) int { return 1 })
@@ -167,7 +167,7 @@
 	}
 	before := run(20 * time.Second)
 	w.partitioned = func(domain, gateway int) bool { return (domain == 0) != (gateway/testSize == 0) }
-	is.Equal(run(10*time.Second), before) // each side goes on as it was
+	is.Equal(run(10*time.Second), before) // each side keeps its shares
 	demands[0], demands[2] = whole, whole
 	demands[4] = whole
 	grown := run(PartitionHold - 15*time.Second)
--- a/pkg/quota/usage.go
+++ b/pkg/quota/usage.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Usage is what a teller has counted of one caller since its start, in units of the
-// caller's limit. Asked only grows; Used falls when a request did not run.
+// Usage is one caller's usage counted by a source since its start, in units of the caller's
+// limit. Asked only grows; Used falls when a request did not run.
 type Usage struct {
 	Caller      string
 	Asked, Used int64
-	// Fresh is true while the teller has counted the caller for less than idleAfter.
+	// Fresh is true while the source has counted the caller for less than idleAfter.
 	Fresh bool
 }
 
-// idleAfter is for how long a caller that asks for nothing is still listed: longer than
-// news is late, so that whoever reads the lists sees the last of its use.
+// idleAfter is the time for which a caller without requests is still listed. It exceeds the
+// delay of reports, so that receivers get the last of the caller's usage.
 const idleAfter = 3 * time.Second
 
 // counter adds up one caller's usage.
@@ -31,7 +31,7 @@
 	c.last = now
 }
 
-// counters are a caller's each. They never go back to zero.
+// counters holds a counter for each caller. They are never reset.
 type counters map[string]*counter
 
 func (c counters) of(caller string, now time.Time) *counter {
@@ -54,19 +54,20 @@
 	return listed
 }
 
-// teller is what was last heard of somebody who tells usage.
+// source is the last report of an instance or domain that reports usage.
 type source struct {
-	// start is drawn anew when the teller begins to count.
+	// start changes whenever the source starts counting.
 	start    uint64
 	reported map[string]Usage
 	at       time.Time
 }
 
-// ledger turns lists of sums into what was added to them.
+// ledger converts cumulative lists to increments.
 type ledger map[string]*source
 
-// added returns what a teller's list adds to what it told before. The first list of a
-// teller adds nothing: when it was used is not known. Nor does older news that comes late.
+// added returns the increments of a source's list since its previous report. The first list of a
+// source adds nothing, because the time of that usage is unknown, and neither does an older list
+// that arrives late.
 func (l ledger) added(name string, start uint64, list []Usage, now time.Time) []Usage {
 	known := l[name]
 	met := known != nil
@@ -94,8 +95,7 @@
 	return added
 }
 
-// forget drops tellers that were silent for some time: what they used meanwhile is not
-// charged when they are back.
+// forget drops sources without recent reports. What they use until they are back is not charged.
 func (l ledger) forget(now time.Time, silence time.Duration) {
 	for name, known := range l {
 		if now.Sub(known.at) > silence {
@@ -104,31 +104,32 @@
 	}
 }
 
-// Sums adds up, at an instance that tells others of its failure domain, what the
-// domain's instances use. It is not safe for concurrent use.
+// Sums sums the usage of a failure domain at the instance that reports it to others. It is not
+// safe for concurrent use.
 type Sums struct {
 	ledger ledger
 	all    counters
-	// parts is what each instance has of it.
+	// contributions holds the usage of each instance.
 	contributions map[string]*contribution
 }
 
-// part is what one instance has used, and when it was last heard.
+// contribution is the usage of one instance and the time of its last report.
 type contribution struct {
 	counters
 	at time.Time
 }
 
-// partSilence is when the part of an instance that is not heard is dropped: long after the
-// instance itself has forgotten what it was told, so that it is not charged its own use.
+// contributionTimeout is the time after which the contribution of an unreachable instance is
+// dropped: long after the instance has dropped this source, so that it is not charged its own
+// usage.
 const contributionTimeout = 10 * sourceTimeout
 
-// NewSums returns Sums of nothing.
+// NewSums returns empty Sums.
 func NewSums() *Sums {
 	return &Sums{ledger: make(ledger), all: make(counters), contributions: make(map[string]*contribution)}
 }
 
-// Take notes an instance's list.
+// Record adds an instance's list.
 func (s *Sums) Record(instance string, start uint64, list []Usage, now time.Time) {
 	s.forget(now)
 	known := s.contributions[instance]
@@ -152,7 +153,7 @@
 	}
 }
 
-// Tell returns the domain's usage without that of one instance; empty: of all.
+// Totals returns the domain's usage without that of one instance; of all if it is empty.
 func (s *Sums) Totals(without string, now time.Time) []Usage {
 	list := s.all.list(now)
 	known := s.contributions[without]
--- a/pkg/quota/window.go
+++ b/pkg/quota/window.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// windowSlots divide a window; one more is the slot that is being filled.
+// windowSlots is the number of slots in a window; one more is being filled.
 const windowSlots = 4
 
-// window remembers the extreme of a value over a span of time, of at least span
-// and at most a slot more. The zero value remembers zeros.
+// window tracks the extreme of a value over a span of time, of at least span and at most a slot
+// more. The zero value has only zeros.
 type window struct {
 	slots [windowSlots + 1]float64
 	slot  int64
 	last  float64
 }
 
-// add notes a value, which replaces the last one, and returns the extreme.
+// add records a value, which replaces the last one, and returns the extreme.
 func (w *window) add(now time.Time, span time.Duration, value float64, extreme func(a, b float64) float64) float64 {
 	slot := now.UnixNano() / int64(span/windowSlots)
 	for passed := min(slot-w.slot, windowSlots+1); passed > 0; passed-- {
