--- a/pkg/quota/split_test.go
+++ b/pkg/quota/split_test.go
@@ -117,7 +117,7 @@
 			}
 			shares, sum := w.step(demands)
 			if sum > 1+rounding {
-				t.Fatalf("the parts %v add up to %v", shares, sum)
+				t.Fatalf("the shares %v add up to %v", shares, sum)
 			}
 			for g, share := range shares {
 				if share < floorShare*floorShare/(testDomains*testSize)-rounding {
