--- a/pkg/digest/build.go
+++ b/pkg/digest/build.go
@@ -96,7 +96,7 @@
 		addUpstream(byKey, upstream, load, inFlight[upstream.Name])
 	}
 	addWaiting(byKey, in.Members)
-	return finish(byKey)
+	return poolDigests(byKey)
 }
 
 func addUpstream(byKey map[poolKey]*pool, upstream *config.Upstream, load board.UpstreamLoad, inFlight int) {
@@ -128,7 +128,7 @@
 		return
 	}
 	for i := range members.Instances {
-		if !present(&members.Instances[i]) {
+		if !loadIsCurrent(&members.Instances[i]) {
 			continue
 		}
 		for serves, waiting := range members.Instances[i].Load.Waiting {
@@ -152,7 +152,7 @@
 	return best
 }
 
-func finish(byKey map[poolKey]*pool) []board.PoolDigest {
+func poolDigests(byKey map[poolKey]*pool) []board.PoolDigest {
 	list := make([]board.PoolDigest, 0, len(byKey))
 	for _, p := range byKey {
 		if p.rated > 0 {
@@ -178,7 +178,7 @@
 		return sum
 	}
 	for i := range members.Instances {
-		if !present(&members.Instances[i]) {
+		if !loadIsCurrent(&members.Instances[i]) {
 			continue
 		}
 		for name, n := range members.Instances[i].Load.InFlight {
@@ -197,6 +197,6 @@
 }
 
 // present says whether the instance's last load still counts.
-func present(instance *board.Instance) bool {
+func loadIsCurrent(instance *board.Instance) bool {
 	return instance.State == board.InstanceLive || instance.State == board.InstanceLeaving
 }
--- a/pkg/digest/merge.go
+++ b/pkg/digest/merge.go
@@ -138,11 +138,11 @@
 	if (before.Spare == 0) != (after.Spare == 0) || (before.Waiting == 0) != (after.Waiting == 0) {
 		return true
 	}
-	return moved(before.Busy, after.Busy, margin) ||
-		moved(before.Waiting, after.Waiting, margin) ||
-		moved(before.Spare, after.Spare, margin)
+	return changedBeyond(before.Busy, after.Busy, margin) ||
+		changedBeyond(before.Waiting, after.Waiting, margin) ||
+		changedBeyond(before.Spare, after.Spare, margin)
 }
 
-func moved(before, after, margin int) bool {
+func changedBeyond(before, after, margin int) bool {
 	return max(before-after, after-before) > margin
 }
--- a/pkg/fleet/doubt.go
+++ b/pkg/fleet/history.go
@@ -4,10 +4,10 @@
 
 const (
 	// returnedKept is for how long a view tells that a domain was evacuated.
-	returnedKept = time.Minute
+	returnedTTL = time.Minute
 	// heardEvery is in what time a cold upstream writes its entry anew and the change is read, with
 	// some room: an upstream reports once in 1.2 s.
-	heardEvery = 1500 * time.Millisecond
+	coldReportInterval = 1500 * time.Millisecond
 )
 
 // InheritHistory takes over what the view before this one tells of the past; last may be nil. It must be
@@ -17,11 +17,11 @@
 	if last == nil {
 		return
 	}
-	if now.Sub(last.HistoryLost) < returnedKept {
+	if now.Sub(last.HistoryLost) < returnedTTL {
 		v.HistoryLost = last.HistoryLost
 	}
 	for domain, since := range last.Returned {
-		if now.Sub(since) < returnedKept {
+		if now.Sub(since) < returnedTTL {
 			v.Returned[domain] = since
 		}
 	}
@@ -53,7 +53,7 @@
 		since = v.HistoryLost
 	}
 	end := upstream.ColdUntil
-	if !now.Before(end) && end.After(since) && end.Sub(upstream.Heard) > heardEvery {
+	if !now.Before(end) && end.After(since) && end.Sub(upstream.Heard) > coldReportInterval {
 		since = end
 	}
 	return since
