--- a/pkg/digest/build.go
+++ b/pkg/digest/build.go
@@ -1,5 +1,5 @@
-// Package digest makes the few hundred bytes that a failure domain tells the
-// others about its capacity, and merges what the others tell.
+// Package digest builds the digest of a few hundred bytes in which a failure domain reports its
+// capacity to the others, and merges the digests of the others.
 //
 // The package does no input or output; the caller gives the time.
 package digest
@@ -19,10 +19,10 @@
 
 const percent = 100
 
-// Input is what a domain's digest is made from.
+// Input is the state from which a domain's digest is built.
 type Input struct {
 	Domain, Region string
-	// Sequence is nanoseconds of the maker's clock.
+	// Sequence is the Unix time in nanoseconds of the builder's clock.
 	Sequence  uint64
 	Members   *board.Members
 	Upstreams *board.Upstreams
@@ -30,7 +30,7 @@
 	Platform  bool
 }
 
-// Build makes the digest of the own domain.
+// Build builds the digest of the own domain.
 func Build(in Input) board.DomainDigest {
 	d := board.DomainDigest{Domain: in.Domain, Region: in.Region, Sequence: in.Sequence, Platform: in.Platform}
 	if in.Members != nil {
@@ -66,7 +66,7 @@
 	sort.Slice(d.Revisions, func(i, j int) bool { return d.Revisions[i].Revision > d.Revisions[j].Revision })
 }
 
-// entryOf keeps what other domains need: who and where.
+// entryOf returns the fields that other domains need: identity, state and addresses.
 func entryOf(instance *board.Instance) board.Instance {
 	return board.Instance{
 		Name: instance.Name, Domain: instance.Domain, Region: instance.Region,
@@ -111,7 +111,7 @@
 		byKey[key] = p
 	}
 	p.Slots += upstream.Concurrency
-	// A report lags behind and the gateways' counts miss other senders.
+	// Upstreams' reports are delayed, and the gateways' counts lack other senders.
 	busy := max(load.Running+load.Queued, inFlight)
 	p.Busy += min(busy, upstream.Concurrency)
 	p.Waiting += max(busy-upstream.Concurrency, 0)
@@ -122,7 +122,8 @@
 	}
 }
 
-// addWaiting counts the gateways' queues in the largest pool of what they wait for.
+// addWaiting adds the gateways' queues to the largest pool of the model or service that the
+// requests wait for.
 func addWaiting(byKey map[poolKey]*pool, members *board.Members) {
 	if members == nil {
 		return
@@ -196,7 +197,7 @@
 	return load, ok
 }
 
-// present says whether the instance's last load still counts.
+// loadIsCurrent reports whether the instance's last load still counts.
 func loadIsCurrent(instance *board.Instance) bool {
 	return instance.State == board.InstanceLive || instance.State == board.InstanceLeaving
 }
--- a/pkg/digest/digest_test.go
+++ b/pkg/digest/digest_test.go
@@ -116,18 +116,18 @@
 		return board.DomainDigest{Domain: "peristeri-hall", Sequence: sequence, Entries: entries}
 	}
 	is.True(table.Merge(d(5, board.Instance{Name: "per-1"}), start))
-	is.True(!table.Merge(d(5), start))                                 // again
-	is.True(!table.Merge(d(4), start.Add(time.Second)))                // older, on another way
+	is.True(!table.Merge(d(5), start))                                 // duplicate
+	is.True(!table.Merge(d(4), start.Add(time.Second)))                // older, by another path
 	is.True(table.Merge(d(6), start.Add(time.Second)))                 // newer
-	is.True(table.Merge(d(3), start.Add(time.Second).Add(StaleAfter))) // a maker whose clock is behind
+	is.True(table.Merge(d(3), start.Add(time.Second).Add(StaleAfter))) // a builder with a clock that is behind
 	got, ok := table.Get("peristeri-hall")
 	is.True(ok)
 	is.Equal(got.Sequence, uint64(3))
 	is.Equal(len(got.Entries), 1) // kept while none are sent
 	is.True(table.Merge(board.DomainDigest{Domain: "peristeri-hall", Sequence: 8, Entries: []board.Instance{}}, start.Add(time.Minute)))
 	got, _ = table.Get("peristeri-hall")
-	is.Equal(len(got.Entries), 0)                                                        // gone when it says so
-	is.True(!table.Merge(board.DomainDigest{Domain: "larisa-hall", Sequence: 9}, start)) // not of others about us
+	is.Equal(len(got.Entries), 0)                                                        // removed by an explicitly empty list
+	is.True(!table.Merge(board.DomainDigest{Domain: "larisa-hall", Sequence: 9}, start)) // the own domain's digest is not accepted from others
 	table.Forget(start.Add(time.Minute).Add(ForgetAfter))
 	is.Equal(len(table.Snapshot().Remote), 0)
 }
@@ -161,7 +161,7 @@
 	}
 }
 
-// BenchmarkMerge measures one digest of each remote domain.
+// BenchmarkMerge merges one digest of each remote domain.
 func BenchmarkMerge(b *testing.B) {
 	for _, domains := range []int{1, 5, 10, 20, 41} {
 		b.Run(fmt.Sprintf("domains=%d", domains), func(b *testing.B) {
@@ -182,7 +182,7 @@
 	}
 }
 
-// BenchmarkBuild measures the making of the own domain's digest.
+// BenchmarkBuild builds the own domain's digest.
 func BenchmarkBuild(b *testing.B) {
 	for _, upstreams := range []int{1, 5, 25, 100} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
--- a/pkg/digest/merge.go
+++ b/pkg/digest/merge.go
@@ -13,8 +13,8 @@
 
 // Ages of a remote digest.
 const (
-	// StaleAfter is the age from which an older sequence is taken as well: its
-	// maker's clock may run behind that of the one before.
+	// StaleAfter is the age from which a lower sequence is accepted as well, because another
+	// builder's clock may be behind.
 	StaleAfter = 5 * time.Second
 	// ForgetAfter is the age at which a digest is dropped.
 	ForgetAfter = 30 * time.Minute
@@ -32,8 +32,8 @@
 	return &Table{self: self, byDomain: make(map[string]*board.DomainDigest)}
 }
 
-// Merge takes a digest that was heard at heardAt, and says whether it replaced
-// the one before. A digest without entries keeps the entries that are known.
+// Merge records a digest that was received at heardAt, and reports whether it replaced the
+// previous one. A digest without entries keeps the known entries.
 func (t *Table) Merge(d board.DomainDigest, heardAt time.Time) bool {
 	if d.Domain == "" || d.Domain == t.self {
 		return false
@@ -50,7 +50,7 @@
 	return true
 }
 
-// Confirm notes that the domain's present digest still held at the given time.
+// Confirm records that the domain's present digest was still valid at the given time.
 func (t *Table) Confirm(domain string, at time.Time) {
 	known, ok := t.byDomain[domain]
 	if !ok || !at.After(known.HeardAt) {
@@ -70,7 +70,7 @@
 	return *known, true
 }
 
-// Forget drops digests of domains that have long been silent.
+// Forget drops the digests of domains that have long been unreachable.
 func (t *Table) Forget(now time.Time) {
 	for domain, d := range t.byDomain {
 		if now.Sub(d.HeardAt) >= ForgetAfter {
@@ -89,8 +89,8 @@
 	return &board.Domains{Remote: list}
 }
 
-// EntriesSum is a hash of a digest's entries; addresses seldom change, so they
-// travel only when it does.
+// EntriesSum returns a hash of a digest's entries. Addresses seldom change, so they are sent
+// only when the hash does.
 func EntriesSum(entries []board.Instance) uint64 {
 	h := xxhash.New()
 	for i := range entries {
@@ -100,21 +100,20 @@
 	return h.Sum64()
 }
 
-// UrgentSum is a hash of what others should learn at once: revisions, the count
-// of nodes and their addresses, and whether the platform is seen. Load is not
-// urgent.
+// UrgentSum returns a hash of the urgent fields: revisions, the instances and their addresses,
+// and whether the platform is reachable. Load is not urgent.
 func UrgentSum(d *board.DomainDigest) uint64 {
 	h := xxhash.New()
 	fmt.Fprintf(h, "%d %d %v %v %d", d.Nodes, d.Silent, d.Platform, d.Revisions, EntriesSum(d.Entries))
 	return h.Sum64()
 }
 
-// ShareMargin is the part of a pool's slots, in percent, by which its numbers
-// must have moved before the change is worth sending to the own domain.
+// ShareMargin is the percentage of a pool's slots by which its numbers must have changed before
+// the change is sent within the own domain.
 const ShareMargin = 5
 
-// Differs says whether the change from one digest to the next is worth sharing
-// inside the own domain.
+// Differs reports whether the change from one digest to the next is significant enough to be
+// sent within the own domain.
 func Differs(before, after *board.DomainDigest) bool {
 	if UrgentSum(before) != UrgentSum(after) || len(before.Pools) != len(after.Pools) {
 		return true
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet holds what is known of the discovered upstreams, of the other
-// instances and of evacuated failure domains, as immutable views.
+// Package fleet holds the known state of the discovered upstreams, of the other instances and of
+// evacuated failure domains, as immutable views.
 package fleet
 
 import (
@@ -8,52 +8,53 @@
 	"time"
 )
 
-// Upstream is one start of an upstream server.
+// Upstream is one incarnation of an upstream server.
 type Upstream struct {
-	// ID names this start alone. All that is kept by upstream is kept by it, here and in
-	// what instances tell each other, so that nothing outlives the start that it was
-	// learned of.
+	// ID identifies this incarnation. All state of an upstream is keyed by it, here and in
+	// messages between instances, so that no state outlives the incarnation.
 	ID string
-	// Name is what the upstream calls itself; it may keep it from start to start.
+	// Name is the upstream's own name, which may stay the same across restarts.
 	Name string
-	// Began is the Unix millisecond of the start by the upstream's clock; zero where it
-	// does not say, and then each start has a name of its own.
+	// Began is the start time by the upstream's clock in Unix milliseconds; zero if it does not
+	// report it, and then each incarnation has a name of its own.
 	Began   int64
 	Service string
-	// Address is an IP number and a port; it may be used again by another upstream
-	// after this one has gone.
+	// Address is an IP address and a port; another upstream may reuse it after this one has
+	// stopped.
 	Address string
 	Domain  string
 	Region  string
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that it processes concurrently.
 	Slots int
-	// Draining is true once it has said that it leaves.
+	// Draining is true once it has announced that it leaves.
 	Draining bool
-	// ColdUntil is when it stops being cold, by this process's clock; zero: it is not.
+	// ColdUntil is the end of its cold period, by this process's clock; zero if it is not cold.
 	ColdUntil time.Time
-	// Heard is when its entry in the platform's store was read as it is, by this process's clock.
+	// Heard is the time at which its present entry in the platform's store was read, by this
+	// process's clock.
 	Heard time.Time
-	// Missing is since when the store lacks its entry, which counts for a while longer; zero: it
-	// has one.
+	// Missing is the time since which the store lacks its entry, which is retained for a while;
+	// zero if it has one.
 	Missing time.Time
 }
 
-// Cold says whether the upstream is still cold.
+// Cold reports whether the upstream is still cold.
 func (u *Upstream) Cold(now time.Time) bool { return now.Before(u.ColdUntil) }
 
-// View is what is known at one moment.
+// View is the known state at one moment.
 type View struct {
 	// Revision is the store's revision that the view reflects.
 	Revision uint64
 	// Upstreams is sorted by ID.
 	Upstreams []Upstream
-	// Evacuated holds the failure domains whose upstreams must get nothing.
+	// Evacuated holds the failure domains with upstreams that must get no requests.
 	Evacuated map[string]bool
-	// Returned holds since when failure domains get work again that were evacuated lately, by this
-	// process's clock.
+	// Returned holds recently evacuated failure domains with the time since which they get
+	// requests again, by this process's clock.
 	Returned map[string]time.Time
-	// HistoryLost is when a part of the platform's history was last found to be lost, by this process's
-	// clock: evacuations may have come and gone in it. Zero: not lately.
+	// HistoryLost is the time at which a part of the platform's history was last found to be
+	// lost, by this process's clock; evacuations may have started and ended in it. It is zero if
+	// there was none recently.
 	HistoryLost time.Time
 	// Instances holds the registered instances, sorted by name.
 	Instances []Instance
@@ -65,10 +66,10 @@
 	Name   string
 	Domain string
 	Region string
-	// Incarnation is drawn anew at each start; it grows from start to start.
+	// Incarnation grows with each start.
 	Incarnation uint64
-	// Callers, Peers and Gossip are where callers' HTTP, other instances' requests
-	// and their net/rpc calls are served.
+	// Callers, Peers and Gossip are the addresses that serve callers' HTTP, other instances'
+	// requests and their net/rpc calls.
 	Callers, Peers, Gossip string
 }
 
@@ -100,5 +101,5 @@
 	return v.byService[name]
 }
 
-// Usable says whether an upstream may get new work.
+// Usable reports whether an upstream may get new requests.
 func (v *View) Usable(u *Upstream) bool { return !u.Draining && !v.Evacuated[u.Domain] }
--- a/pkg/fleet/history.go
+++ b/pkg/fleet/history.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// returnedKept is for how long a view tells that a domain was evacuated.
+	// returnedTTL is the time for which a view records that a domain was evacuated.
 	returnedTTL = time.Minute
-	// heardEvery is in what time a cold upstream writes its entry anew and the change is read, with
-	// some room: an upstream reports once in 1.2 s.
+	// coldReportInterval is the time, with some margin, within which a cold upstream rewrites
+	// its entry and the change is read: an upstream reports every 1.2 s.
 	coldReportInterval = 1500 * time.Millisecond
 )
 
-// InheritHistory takes over what the view before this one tells of the past; last may be nil. It must be
-// called before the view is shared.
+// InheritHistory copies the history of the previous view; last may be nil. It must be called
+// before the view is shared.
 func (v *View) InheritHistory(last *View, now time.Time) {
 	v.Returned = make(map[string]time.Time)
 	if last == nil {
@@ -37,11 +37,11 @@
 	}
 }
 
-// UncertainSince returns since when it is not known whether an upstream is cold; zero: it is known. That is
-// so since the store lacks its entry; since its domain is back from an evacuation, which may leave
-// upstreams cold, as long as its entry is older, or since such an evacuation may have come and gone
-// unseen; and since the end of a cold time of which it has
-// said nothing for longer than it is silent at that time.
+// UncertainSince returns the time since which it is unknown whether an upstream is cold; zero if
+// it is known. It is unknown since the store lacks the upstream's entry; since its domain
+// returned from an evacuation, which may leave upstreams cold, while its entry is older; since
+// such an evacuation may have started and ended unseen; and since the end of a cold period of
+// which it has not reported for longer than its report interval then.
 func (v *View) UncertainSince(upstream *Upstream, now time.Time) time.Time {
 	since := upstream.Missing
 	if len(v.Returned) == 0 {
