--- a/pkg/mirror/delta.go
+++ b/pkg/mirror/delta.go
@@ -144,11 +144,11 @@
 	}
 	for i := range delta.Held {
 		retained := &delta.Held[i]
-		known, there := present.Entries[retained.Key]
+		known, exists := present.Entries[retained.Key]
 		switch {
-		case there && m.options.Order.Older(retained, &known):
+		case exists && m.options.Order.Older(retained, &known):
 			entries[retained.Key] = known
-		case !there && m.removedSince(retained):
+		case !exists && m.removedSince(retained):
 			delete(entries, retained.Key)
 		}
 	}
@@ -164,7 +164,7 @@
 // recordMissing records the entries that a newer snapshot lacks. The caller holds m.mu.
 func (m *Mirror) recordMissing(present *Snapshot, entries map[string]platform.Entry, now time.Time) {
 	for key, entry := range present.Entries {
-		if _, there := entries[key]; !there {
+		if _, exists := entries[key]; !exists {
 			m.recordRemoved(entry, now)
 		}
 	}
@@ -176,24 +176,24 @@
 	if present == nil || present.Era != delta.Era {
 		return false
 	}
-	entries, news := maps.Clone(present.Entries), false
+	entries, changed := maps.Clone(present.Entries), false
 	for i := range delta.Held {
 		retained := delta.Held[i]
-		known, there := entries[retained.Key]
+		known, exists := entries[retained.Key]
 		left := delta.left(retained.Key)
 		switch {
-		case there && m.options.Order.Older(&known, &retained):
-		case !there && left > 0 && !m.removedSince(&retained):
+		case exists && m.options.Order.Older(&known, &retained):
+		case !exists && left > 0 && !m.removedSince(&retained):
 			m.retainUntil(retained.Key, now.Add(left))
 		default:
 			continue
 		}
-		entries[retained.Key], news = retained, true
+		entries[retained.Key], changed = retained, true
 	}
-	if news {
+	if changed {
 		m.publish(present.Position(), entries, now)
 	}
-	return news
+	return changed
 }
 
 // left returns the remaining validity of a key that is missing in the store; zero if it is not
--- a/pkg/mirror/history.go
+++ b/pkg/mirror/history.go
@@ -56,13 +56,13 @@
 func (m *Mirror) recordRemovals(changes platform.Changes, epoch uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	news := false
+	changed := false
 	for i := range changes.Entries {
 		if change := &changes.Entries[i]; change.Removed {
-			news = m.recordRemoval(change.Key, Position{Era: epoch, Revision: change.ModRevision}) || news
+			changed = m.recordRemoval(change.Key, Position{Era: epoch, Revision: change.ModRevision}) || changed
 		}
 	}
-	if news {
+	if changed {
 		m.republish()
 	}
 }
--- a/pkg/mirror/history_test.go
+++ b/pkg/mirror/history_test.go
@@ -23,12 +23,12 @@
 		s.put("servers/a", "ready")
 		m := newTracked(s)
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan struct{})
-		go func() { m.Run(ctx); close(ended) }()
+		done := make(chan struct{})
+		go func() { m.Run(ctx); close(done) }()
 		time.Sleep(time.Second)
 		check(is.New(t), s, m)
 		cancel()
-		<-ended
+		<-done
 	})
 }
 
--- a/pkg/mirror/lease_test.go
+++ b/pkg/mirror/lease_test.go
@@ -18,7 +18,7 @@
 	era      uint64
 	restores int
 	calls    int
-	ended    []platform.LeaseID
+	revoked  []platform.LeaseID
 }
 
 func (l *leaser) call() {
@@ -39,18 +39,18 @@
 
 func (l *leaser) Revoke(_ context.Context, id platform.LeaseID) error {
 	l.call()
-	l.ended = append(l.ended, id)
+	l.revoked = append(l.revoked, id)
 	return nil
 }
 
 // TestLeasesAreFencedByTheEpoch guards against using another owner's lease because the restored
 // store reused its number, for a restore before each of the calls.
 func TestLeasesAreFencedByTheEpoch(t *testing.T) {
-	for restores, c := range map[int]struct{ granted, renewed, ended bool }{
+	for restores, c := range map[int]struct{ granted, renewed, revoked bool }{
 		1: {}, // with the grant: unknown whether before or after
 		2: {granted: true},
 		3: {granted: true, renewed: true},
-		9: {granted: true, renewed: true, ended: true},
+		9: {granted: true, renewed: true, revoked: true},
 	} {
 		is := is.New(t)
 		l := &leaser{era: 4, restores: restores}
@@ -65,6 +65,6 @@
 		is.Equal(err == nil, c.renewed)
 		is.True(err == nil || errors.Is(err, platform.ErrLeaseLost))
 		is.NoErr(leases.End(t.Context(), lease))
-		is.Equal(len(l.ended) > 0, c.ended)
+		is.Equal(len(l.revoked) > 0, c.revoked)
 	}
 }
--- a/pkg/mirror/mirror_test.go
+++ b/pkg/mirror/mirror_test.go
@@ -127,7 +127,7 @@
 func (s *store) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (platform.Changes, error) {
 	for end := time.Now().Add(wait); ; {
 		s.mu.Lock()
-		down, watchesStalled, gone := s.down, s.watchesStalled, after < s.from || (after > s.revision && !s.futureWatchesWait)
+		down, watchesStalled, compacted := s.down, s.watchesStalled, after < s.from || (after > s.revision && !s.futureWatchesWait)
 		changes := platform.Changes{Revision: s.revision, Era: s.era}
 		for _, change := range s.history {
 			if change.Era = s.era; change.ModRevision > after && strings.HasPrefix(change.Key, prefix) {
@@ -138,7 +138,7 @@
 		switch {
 		case down:
 			return platform.Changes{}, s.unavailable()
-		case gone:
+		case compacted:
 			return platform.Changes{}, &platform.Error{Service: "key-value", Call: "test", Err: platform.ErrCompacted}
 		case !watchesStalled && (len(changes.Entries) > 0 || !time.Now().Before(end)):
 			return changes, nil
@@ -155,11 +155,11 @@
 		s := newStore()
 		m := mirror.New(mirror.Options{Source: s, Leased: []string{"servers/"}, Clock: clock.System{}, Log: zerolog.Nop()})
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan struct{})
-		go func() { m.Run(ctx); close(ended) }()
+		done := make(chan struct{})
+		go func() { m.Run(ctx); close(done) }()
 		check(is.New(t), s, m)
 		cancel()
-		<-ended
+		<-done
 	})
 }
 
@@ -238,8 +238,8 @@
 					Active: func() bool { return active },
 				})
 				ctx, cancel := context.WithCancel(context.Background())
-				ended := make(chan struct{})
-				go func() { follower.Run(ctx); close(ended) }()
+				done := make(chan struct{})
+				go func() { follower.Run(ctx); close(done) }()
 				delta := m.Snapshot().Load().Since(mirror.Position{}, time.Now())
 				is.True(follower.Adopt(&delta))
 				is.True(has(follower, "servers/a"))
@@ -249,7 +249,7 @@
 				is.True(has(follower, "servers/b"))
 				is.Equal(len(follower.Snapshot().Load().Lapsed), 0)
 				cancel()
-				<-ended
+				<-done
 			})
 		})
 	}
@@ -363,8 +363,8 @@
 		active.Store(true)
 		m := mirror.New(mirror.Options{Source: s, Clock: clock.System{}, Log: zerolog.Nop(), Active: active.Load})
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan struct{})
-		go func() { m.Run(ctx); close(ended) }()
+		done := make(chan struct{})
+		go func() { m.Run(ctx); close(done) }()
 		time.Sleep(time.Second)
 		is.True(m.Current())
 		active.Store(false)
@@ -375,7 +375,7 @@
 		time.Sleep(time.Second)
 		is.True(m.Current())
 		cancel()
-		<-ended
+		<-done
 	})
 }
 
--- a/pkg/mirror/position.go
+++ b/pkg/mirror/position.go
@@ -107,11 +107,11 @@
 		if known.Era == position.Era {
 			continue
 		}
-		listed, there := entries[key]
+		listed, exists := entries[key]
 		switch until := m.returned.Add(m.options.Order.Kept(key)); {
-		case there && m.options.Order.Older(&listed, &known):
+		case exists && m.options.Order.Older(&listed, &known):
 			entries[key] = known
-		case !there && now.Before(until):
+		case !exists && now.Before(until):
 			entries[key] = known
 			m.retainUntil(key, until)
 		}
--- a/pkg/mirror/registration.go
+++ b/pkg/mirror/registration.go
@@ -122,8 +122,8 @@
 	if snapshot == nil || snapshot.Position().Before(r.written) {
 		return false
 	}
-	entry, there := snapshot.Entries[r.Key]
-	return !there || entry.Era != snapshot.Era
+	entry, present := snapshot.Entries[r.Key]
+	return !present || entry.Era != snapshot.Era
 }
 
 func (r *Registration) renew(ctx context.Context, lease Lease) error {
--- a/pkg/mirror/restore_random_test.go
+++ b/pkg/mirror/restore_random_test.go
@@ -78,8 +78,8 @@
 		return
 	}
 	for _, key := range historyKeys {
-		entry, there := snapshot.Entries[key]
-		if !there {
+		entry, present := snapshot.Entries[key]
+		if !present {
 			continue
 		}
 		n := number(entry.Value)
@@ -160,9 +160,9 @@
 	for n, f := range h.mirrors {
 		snapshot := f.mirror.Snapshot().Load()
 		for _, key := range historyKeys {
-			entry, there := snapshot.Entries[key]
+			entry, present := snapshot.Entries[key]
 			stored, is := want[key]
-			if there != is || string(entry.Value) != string(stored.Value) {
+			if present != is || string(entry.Value) != string(stored.Value) {
 				h.Errorf("mirror %d holds %q under %s, the store %q", n, entry.Value, key, stored.Value)
 			}
 		}
--- a/pkg/mirror/restore_test.go
+++ b/pkg/mirror/restore_test.go
@@ -102,11 +102,11 @@
 		s := newStore()
 		m := mirror.New(mirror.Options{Source: s, Leased: []string{"servers/"}, Order: numbered{}, Clock: clock.System{}, Log: zerolog.Nop()})
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan struct{})
-		go func() { m.Run(ctx); close(ended) }()
+		done := make(chan struct{})
+		go func() { m.Run(ctx); close(done) }()
 		check(is.New(t), s, m)
 		cancel()
-		<-ended
+		<-done
 	})
 }
 
@@ -200,8 +200,8 @@
 		time.Sleep(500 * time.Millisecond)
 		restarted := mirror.New(mirror.Options{Source: s, Order: numbered{}, Clock: clock.System{}, Log: zerolog.Nop()})
 		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan struct{})
-		go func() { restarted.Run(ctx); close(ended) }()
+		done := make(chan struct{})
+		go func() { restarted.Run(ctx); close(done) }()
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(value(restarted, "config"), "1")
 		delta := m.Snapshot().Load().Since(restarted.Position(), time.Now())
@@ -215,6 +215,6 @@
 		time.Sleep(time.Second)
 		is.Equal(value(restarted, "config"), "3")
 		cancel()
-		<-ended
+		<-done
 	})
 }
--- a/pkg/peer/bench_test.go
+++ b/pkg/peer/bench_test.go
@@ -26,7 +26,7 @@
 // region, of domains in other regions, and of upstreams.
 func BenchmarkReply(b *testing.B) {
 	for _, size := range []sample{{3, 0, 2, 24}, {15, 1, 4, 24}, {50, 1, 4, 24}, {50, 1, 4, 47}, {9, 2, 38, 24}, {9, 2, 38, 71}} {
-		b.Run(fmt.Sprintf("domain=%d/near=%d/far=%d/upstreams=%d", size.domain, size.near, size.far, size.upstreams), func(b *testing.B) {
+		b.Run(fmt.Sprintf("domain=%d/near=%d/far=%d/upstreams=%d", size.domain, size.sameRegion, size.otherRegions, size.upstreams), func(b *testing.B) {
 			hub := newSampleHub(size)
 			sink := &counter{}
 			encoder := gob.NewEncoder(sink)
@@ -79,7 +79,7 @@
 
 // sample holds the number of instances of a domain, of other domains in the region and in other
 // regions, and of upstreams in the region.
-type sample struct{ domain, near, far, upstreams int }
+type sample struct{ domain, sameRegion, otherRegions, upstreams int }
 
 func newSampleHub(s sample) *sampleHub {
 	g := newHub("some-hall", "region")
@@ -89,15 +89,15 @@
 	for i := range s.domain - 1 {
 		g.applyReport(sampleReport(i), now)
 	}
-	for i := range s.near + s.far {
-		g.applyDigest(sampleDigest(i, s, i < s.near), now)
+	for i := range s.sameRegion + s.otherRegions {
+		g.applyDigest(sampleDigest(i, s, i < s.sameRegion), now)
 	}
 	h.ask = Ask{
 		Domain: "some-hall", Region: "region", Report: sampleReport(0),
 		Sums: s.domain > smallDomain, Dictionary: g.dictionary().fingerprint,
 	}
-	for _, told := range h.nextReply().Digests {
-		h.ask.Rosters = append(h.ask.Rosters, Roster{Domain: told.Domain, Fingerprint: told.Roster})
+	for _, digest := range h.nextReply().Digests {
+		h.ask.Rosters = append(h.ask.Rosters, Roster{Domain: digest.Domain, Fingerprint: digest.Roster})
 	}
 	return h
 }
@@ -113,14 +113,14 @@
 		return reply
 	}
 	// Digests of other regions arrive every crossRegionInterval and are sent once.
-	far := math.Ceil(float64(h.sample.far) * roundInterval.Seconds() / crossRegionInterval.Seconds())
-	for i := range h.sample.near + int(far) {
+	otherRegions := math.Ceil(float64(h.sample.otherRegions) * roundInterval.Seconds() / crossRegionInterval.Seconds())
+	for i := range h.sample.sameRegion + int(otherRegions) {
 		digest := sampleDigest(i, h.sample, false)
 		digest.omitKnownMarks(h.ask.Rosters)
 		reply.Digests = append(reply.Digests[:1+i], digest)
 	}
 	// Each of the other instances places one long prompt a second.
-	reply.Placed = samplePlaced(int(float64(h.sample.domain*(1+h.sample.near+h.sample.far)) * roundInterval.Seconds()))
+	reply.Placed = samplePlaced(int(float64(h.sample.domain*(1+h.sample.sameRegion+h.sample.otherRegions)) * roundInterval.Seconds()))
 	return reply
 }
 
@@ -131,13 +131,13 @@
 	}
 }
 
-func sampleDigest(i int, s sample, near bool) Digest {
+func sampleDigest(i int, s sample, sameRegion bool) Digest {
 	digest := Digest{Domain: fmt.Sprintf("hall-%d", i), Region: "other", Age: 1 << 27, Store: 1 << 20, Services: sampleLoads(6, "service-%x")}
 	for n := range s.domain {
 		digest.Marks = append(digest.Marks, Mark{Name: fmt.Sprintf("front-other-hall-%d", n), Incarnation: 1 << 60, Ready: true})
 	}
 	digest.Roster = fingerprint(digest.Marks)
-	if near {
+	if sameRegion {
 		digest.Region = "region"
 		digest.Upstreams = sampleLoads(s.upstreams, sampleUpstream)
 	}
@@ -191,20 +191,20 @@
 // BenchmarkEvidence encodes a hub's evidence of one upstream that crashed with 60 requests in
 // flight, after the gob types are known.
 func BenchmarkEvidence(b *testing.B) {
-	told := Reply{}
+	reply := Reply{}
 	for n := range uint64(60) {
-		told.Evidence = append(told.Evidence, quarantine.Observation{
+		reply.Evidence = append(reply.Evidence, quarantine.Observation{
 			Request: quarantine.Fingerprint{High: math.MaxUint64 - n, Low: math.MaxUint64 - n, Length: 700}, Ended: math.MaxUint64,
 		})
 	}
 	sink := &counter{}
 	encoder := gob.NewEncoder(sink)
-	if err := encoder.Encode(&told); err != nil {
+	if err := encoder.Encode(&reply); err != nil {
 		b.Fatal(err)
 	}
 	sink.n = 0
 	for b.Loop() {
-		if err := encoder.Encode(&told); err != nil {
+		if err := encoder.Encode(&reply); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/pkg/peer/columns.go
+++ b/pkg/peer/columns.go
@@ -70,27 +70,27 @@
 	c := Columns{Dictionary: d.fingerprint}
 	var rest []Load
 	for _, load := range loads {
-		place, ok := d.indexes[load.Name]
+		index, ok := d.indexes[load.Name]
 		if !ok {
 			rest = append(rest, load)
 			continue
 		}
-		d.set(&c.InFlight, place, load.InFlight)
-		d.set(&c.Prefill, place, load.Prefill)
-		d.set(&c.Flowing, place, load.Flowing)
-		d.set(&c.Silent, place, load.Silent)
+		d.set(&c.InFlight, index, load.InFlight)
+		d.set(&c.Prefill, index, load.Prefill)
+		d.set(&c.Flowing, index, load.Flowing)
+		d.set(&c.Silent, index, load.Silent)
 	}
 	return c, rest
 }
 
-func (d *dictionary) set(column *[]int, place, value int) {
+func (d *dictionary) set(column *[]int, index, value int) {
 	if value == 0 {
 		return
 	}
 	if *column == nil {
 		*column = make([]int, len(d.ids))
 	}
-	(*column)[place] = value
+	(*column)[index] = value
 }
 
 // DictionaryError reports columns that do not match the dictionary of the request.
@@ -118,10 +118,10 @@
 		}
 	}
 	loads := make([]Load, 0, len(d.ids))
-	for place, id := range d.ids {
+	for index, id := range d.ids {
 		load := Load{
-			InFlight: valueAt(c.InFlight, place), Prefill: valueAt(c.Prefill, place),
-			Flowing: valueAt(c.Flowing, place), Silent: valueAt(c.Silent, place),
+			InFlight: valueAt(c.InFlight, index), Prefill: valueAt(c.Prefill, index),
+			Flowing: valueAt(c.Flowing, index), Silent: valueAt(c.Silent, index),
 		}
 		if load == (Load{}) {
 			continue
@@ -133,9 +133,9 @@
 }
 
 // valueAt returns a value of a column that may be empty.
-func valueAt(column []int, place int) int {
+func valueAt(column []int, index int) int {
 	if len(column) == 0 {
 		return 0
 	}
-	return column[place]
+	return column[index]
 }
--- a/pkg/peer/columns_test.go
+++ b/pkg/peer/columns_test.go
@@ -76,7 +76,7 @@
 // are 71 in one, and an instance receives their loads ten times a second.
 func TestReplySizePerUpstreamIsBounded(t *testing.T) {
 	is := is.New(t)
-	told := func(upstreams int) int {
+	replySize := func(upstreams int) int {
 		hub := newSampleHub(sample{9, 2, 38, upstreams})
 		sink := &counter{}
 		encoder := gob.NewEncoder(sink)
@@ -85,7 +85,7 @@
 		is.NoErr(encoder.Encode(hub.nextReply()))
 		return sink.n
 	}
-	few, many := told(24), told(71)
+	few, many := replySize(24), replySize(71)
 	t.Logf("%d bytes with 24 upstreams, %d with 71", few, many)
 	is.True(many-few <= 8*(71-24))
 }
@@ -95,12 +95,12 @@
 	g := newHub("north-a", "north")
 	report := sampleReport(0)
 	g.options.Report = func() Report { return report }
-	near := g.ask(&fleet.Instance{Name: "n", Domain: "north-a"}, g.dictionary())
-	is.True(slices.Equal(near.Report.Upstreams, report.Upstreams))
-	is.True(slices.Equal(near.Report.Placed, report.Placed))
-	far := g.ask(&fleet.Instance{Name: "s", Domain: "south-a"}, g.dictionary())
-	is.Equal(len(far.Report.Upstreams)+len(far.Report.Placed), 0)
-	is.Equal(far.Report.Name, report.Name)
+	sameDomain := g.ask(&fleet.Instance{Name: "n", Domain: "north-a"}, g.dictionary())
+	is.True(slices.Equal(sameDomain.Report.Upstreams, report.Upstreams))
+	is.True(slices.Equal(sameDomain.Report.Placed, report.Placed))
+	otherDomain := g.ask(&fleet.Instance{Name: "s", Domain: "south-a"}, g.dictionary())
+	is.Equal(len(otherDomain.Report.Upstreams)+len(otherDomain.Report.Placed), 0)
+	is.Equal(otherDomain.Report.Name, report.Name)
 }
 
 // TestHubCachesTotalsBetweenAsks also checks that each reply excludes the asking instance's own
--- a/pkg/peer/evidence.go
+++ b/pkg/peer/evidence.go
@@ -72,14 +72,14 @@
 }
 
 // add records an observation and reports whether it is new.
-func (v *evidence) add(seen quarantine.Observation, from origin, by sender, now time.Time) bool {
-	if at, ok := v.known[seen]; ok && now.Sub(at) < evidenceDedupWindow {
+func (v *evidence) add(observation quarantine.Observation, from origin, by sender, now time.Time) bool {
+	if at, ok := v.known[observation]; ok && now.Sub(at) < evidenceDedupWindow {
 		return false
 	}
 	v.expire(now)
 	v.last++
-	v.known[seen] = now
-	v.pieces = append(v.pieces, piece{seen, v.last, now, from, by})
+	v.known[observation] = now
+	v.pieces = append(v.pieces, piece{observation, v.last, now, from, by})
 	return true
 }
 
@@ -87,8 +87,8 @@
 func (v *evidence) expire(now time.Time) {
 	old := 0
 	for old < len(v.pieces) && (now.Sub(v.pieces[old].at) > evidenceTTL || len(v.pieces)-old >= maxEvidence) {
-		if seen := v.pieces[old].Observation; v.known[seen].Equal(v.pieces[old].at) {
-			delete(v.known, seen)
+		if observation := v.pieces[old].Observation; v.known[observation].Equal(v.pieces[old].at) {
+			delete(v.known, observation)
 		}
 		old++
 	}
@@ -111,9 +111,9 @@
 }
 
 // Observe reports an observation of this instance to the others.
-func (g *Gossip) Observe(seen quarantine.Observation) {
+func (g *Gossip) Observe(observation quarantine.Observation) {
 	g.mu.Lock()
-	isNew := g.evidence.add(seen, seenLocally, sender{}, g.options.Clock.Now())
+	isNew := g.evidence.add(observation, seenLocally, sender{}, g.options.Clock.Now())
 	g.mu.Unlock()
 	if isNew {
 		g.RequestRound()
@@ -135,17 +135,17 @@
 // everything within the own domain, observations of the own domain to other domains. The caller
 // holds g.mu.
 func (g *Gossip) answerEvidence(ask *Ask, own *Report, reply *Reply, now time.Time) {
-	farthest, from := seenInDomain, sender{ask.Report.Name, ask.Report.Incarnation}
+	farthest, asker := seenInDomain, sender{ask.Report.Name, ask.Report.Incarnation}
 	if ask.Domain == g.options.Self.Domain {
 		farthest = seenRemotely
-		g.mergeEvidence(ask.Evidence, seenInDomain, from, now)
+		g.mergeEvidence(ask.Evidence, seenInDomain, asker, now)
 		reply.Given = ask.Last
 	}
 	after := ask.Have.Number
 	if ask.Have.Incarnation != own.Incarnation {
 		after = 0
 	}
-	reply.Evidence, reply.Told.Number = g.evidence.since(after, farthest, from)
+	reply.Evidence, reply.Told.Number = g.evidence.since(after, farthest, asker)
 	reply.Told.Incarnation = own.Incarnation
 }
 
@@ -167,9 +167,9 @@
 // mergeEvidence records observations and passes the new ones on. The caller holds g.mu.
 func (g *Gossip) mergeEvidence(observations []quarantine.Observation, from origin, by sender, now time.Time) {
 	var fresh []quarantine.Observation
-	for _, seen := range observations {
-		if g.evidence.add(seen, from, by, now) {
-			fresh = append(fresh, seen)
+	for _, observation := range observations {
+		if g.evidence.add(observation, from, by, now) {
+			fresh = append(fresh, observation)
 		}
 	}
 	if len(fresh) > 0 && g.options.Evidence != nil {
--- a/pkg/peer/evidence_test.go
+++ b/pkg/peer/evidence_test.go
@@ -20,7 +20,7 @@
 // evidenceNode is an instance that sends and receives evidence.
 type evidenceNode struct {
 	*Gossip
-	learned []quarantine.Observation
+	received []quarantine.Observation
 }
 
 func newEvidenceNode(name, domain string, incarnation uint64) *evidenceNode {
@@ -28,7 +28,7 @@
 	w.Gossip = New(Options{
 		Self:     fleet.Instance{Name: name, Domain: domain, Region: "north"},
 		Report:   func() Report { return Report{Name: name, Incarnation: incarnation} },
-		Evidence: func(seen []quarantine.Observation) { w.learned = append(w.learned, seen...) },
+		Evidence: func(observations []quarantine.Observation) { w.received = append(w.received, observations...) },
 		Fleet:    &board.Section[fleet.View]{},
 		Store:    mirror.New(mirror.Options{Clock: clock.System{}, Log: zerolog.Nop()}),
 		Clock:    clock.System{}, Log: zerolog.Nop(),
@@ -50,11 +50,11 @@
 	return len(ask.Evidence) + len(reply.Evidence)
 }
 
-func (w *evidenceNode) knows(seen quarantine.Observation) bool {
-	return slices.Contains(w.learned, seen)
+func (w *evidenceNode) knows(observation quarantine.Observation) bool {
+	return slices.Contains(w.received, observation)
 }
 
-func seen(n uint64) quarantine.Observation {
+func observationOf(n uint64) quarantine.Observation {
 	return quarantine.Observation{Request: quarantine.Fingerprint{Low: n, Length: 5}, Ended: quarantine.Upstream(n)}
 }
 
@@ -64,18 +64,18 @@
 func TestEvidenceReachesAllInstancesThroughHubs(t *testing.T) {
 	is := is.New(t)
 	hub, member, third := newEvidenceNode("a-0", "a", 1), newEvidenceNode("a-1", "a", 2), newEvidenceNode("a-2", "a", 3)
-	far, farMember := newEvidenceNode("b-0", "b", 4), newEvidenceNode("b-1", "b", 5)
-	member.Observe(seen(1))
+	remoteHub, remoteMember := newEvidenceNode("b-0", "b", 4), newEvidenceNode("b-1", "b", 5)
+	member.Observe(observationOf(1))
 	member.askPeer(is, hub, false)
 	third.askPeer(is, hub, false)
-	far.askPeer(is, hub, false)
-	farMember.askPeer(is, far, false)
-	for _, w := range []*evidenceNode{hub, third, far, farMember} {
-		is.True(w.knows(seen(1)))
+	remoteHub.askPeer(is, hub, false)
+	remoteMember.askPeer(is, remoteHub, false)
+	for _, w := range []*evidenceNode{hub, third, remoteHub, remoteMember} {
+		is.True(w.knows(observationOf(1)))
 	}
 	// Nothing is sent twice, nor back to its sender.
-	is.Equal(member.askPeer(is, hub, false)+third.askPeer(is, hub, false)+far.askPeer(is, hub, false)+hub.askPeer(is, far, false), 0)
-	is.Equal(len(hub.learned), 1)
+	is.Equal(member.askPeer(is, hub, false)+third.askPeer(is, hub, false)+remoteHub.askPeer(is, hub, false)+hub.askPeer(is, remoteHub, false), 0)
+	is.Equal(len(hub.received), 1)
 }
 
 // TestLostEvidenceIsResent guards against observations that are lost with a reply or by the
@@ -83,23 +83,23 @@
 func TestLostEvidenceIsResent(t *testing.T) {
 	is := is.New(t)
 	hub, member := newEvidenceNode("a-0", "a", 1), newEvidenceNode("a-1", "a", 2)
-	hub.Observe(seen(1))
-	member.Observe(seen(2))
+	hub.Observe(observationOf(1))
+	member.Observe(observationOf(2))
 	member.askPeer(is, hub, true)
-	is.True(hub.knows(seen(2)))
-	is.True(!member.knows(seen(1)))
+	is.True(hub.knows(observationOf(2)))
+	is.True(!member.knows(observationOf(1)))
 	member.askPeer(is, hub, false)
-	is.True(member.knows(seen(1)))
-	is.Equal(len(hub.learned), 1)
+	is.True(member.knows(observationOf(1)))
+	is.Equal(len(hub.received), 1)
 
 	hub = newEvidenceNode("a-0", "a", 3)
 	member.askPeer(is, hub, false) // reveals the restart
 	member.askPeer(is, hub, false)
-	is.True(hub.knows(seen(2)))
+	is.True(hub.knows(observationOf(2)))
 
 	member = newEvidenceNode("a-1", "a", 4)
 	member.askPeer(is, hub, false)
-	is.True(member.knows(seen(2)))
+	is.True(member.knows(observationOf(2)))
 }
 
 // TestEvidenceIsBounded guards against messages and memory that grow with callers' requests.
@@ -108,16 +108,16 @@
 		is := is.New(t)
 		hub, member := newEvidenceNode("a-0", "a", 1), newEvidenceNode("a-1", "a", 2)
 		for n := range uint64(10_000) {
-			hub.Observe(seen(n + 1))
+			hub.Observe(observationOf(n + 1))
 		}
 		is.True(len(hub.evidence.pieces) <= maxEvidence)
 		is.True(len(hub.evidence.known) <= maxEvidence)
 		for range 10 {
 			is.True(member.askPeer(is, hub, false) <= maxEvidencePerMessage)
 		}
-		is.Equal(len(member.learned), maxEvidence) // all retained observations, over several messages
+		is.Equal(len(member.received), maxEvidence) // all retained observations, over several messages
 		clock.Sleep(t.Context(), evidenceTTL+time.Second)
-		hub.Observe(seen(20_000))
+		hub.Observe(observationOf(20_000))
 		is.Equal(len(hub.evidence.pieces), 1)
 	})
 }
--- a/pkg/peer/gossip.go
+++ b/pkg/peer/gossip.go
@@ -27,15 +27,15 @@
 	Placed func(placement Placement, at time.Time)
 	// Evidence receives other instances' observations of requests that may crash upstreams; nil
 	// if they are not needed. It must not call the Gossip.
-	Evidence func(seen []quarantine.Observation)
+	Evidence func(observations []quarantine.Observation)
 	// Limits returns the upstreams' limits known to this instance, LearnLimits receives those
 	// known to others of the region; nil if they are not needed.
 	Limits      LimitSource
-	LearnLimits func(told []limit.ToldLimit)
+	LearnLimits func(limits []limit.ToldLimit)
 	// Departures returns the upstreams that have announced that they leave, LearnDepartures
 	// receives those that another instance reports; nil if they are not needed.
 	Departures      func() []string
-	LearnDepartures func(upstreams []string, sender string)
+	LearnDepartures func(upstreams []string, source string)
 	// Usage receives the remote usage of limited callers; nil if it is not needed.
 	Usage UsageListener
 	Fleet *board.Section[fleet.View]
@@ -51,7 +51,7 @@
 // UsageListener receives the usage of limited callers that a source, an instance or a failure
 // domain, has counted since it started counting.
 type UsageListener interface {
-	AddRemoteUsage(sender string, start uint64, used []quota.Usage)
+	AddRemoteUsage(source string, start uint64, used []quota.Usage)
 }
 
 // LimitSource returns the limits that upstreams advertise.
--- a/pkg/peer/gossip_test.go
+++ b/pkg/peer/gossip_test.go
@@ -329,10 +329,10 @@
 		}
 		return false
 	})
-	gone := fleet.Instance{Name: "gone", Gossip: "127.0.0.1:1"}
-	_, err := idle.gossip.copy(t.Context(), &gone, mirror.Position{})
+	unreachable := fleet.Instance{Name: "gone", Gossip: "127.0.0.1:1"}
+	_, err := idle.gossip.copy(t.Context(), &unreachable, mirror.Position{})
 	m.is.True(err != nil)
-	idle.gossip.copyFailed(&gone, err)
+	idle.gossip.copyFailed(&unreachable, err)
 	m.is.True(idle.gossip.Watches())
 }
 
@@ -432,7 +432,7 @@
 		g.applyDigest(digest, now)
 	}
 	ask := Ask{Domain: "north-a", Region: "north", Report: Report{Name: "n-0", Incarnation: 1, Sequence: 2}, Sums: true}
-	told := func() (Reply, int) {
+	nextReply := func() (Reply, int) {
 		var reply Reply
 		ask.Report.Sequence++
 		is.NoErr((&Service{gossip: g}).Exchange(ask, &reply))
@@ -440,16 +440,16 @@
 		is.NoErr(gob.NewEncoder(&wire).Encode(reply))
 		return reply, wire.Len()
 	}
-	first, _ := told()
+	first, _ := nextReply()
 	is.True(len(first.Placed) > 4000)
 	is.Equal(first.Sums[0].InFlight, (14+5)*20) // the other instances of the domain, and other domains
 	is.Equal(len(first.Digests), 1+5)
-	again, size := told()
+	again, size := nextReply()
 	is.Equal(len(again.Placed), 0)
 	is.Equal(len(again.Digests), 1) // that of the own domain
 	is.True(size < 3000)
 	g.applyDigest(Digest{Domain: "d-0", Region: "north"}, time.Now())
-	newer, _ := told()
+	newer, _ := nextReply()
 	is.Equal(len(newer.Digests), 2)
 }
 
@@ -458,16 +458,16 @@
 func TestEachPlacementIsSentOnce(t *testing.T) {
 	is := is.New(t)
 	n, now := newPlacementLog(), time.Now()
-	near, far := Placement{"p", "u"}, Placement{"q", "v"}
-	n.add([]Placement{near}, true, now)
-	n.add([]Placement{far, near}, false, now)
-	is.Equal(n.since("n-1", false, now), []Placement{near, far})
+	own, remote := Placement{"p", "u"}, Placement{"q", "v"}
+	n.add([]Placement{own}, true, now)
+	n.add([]Placement{remote, own}, false, now)
+	is.Equal(n.since("n-1", false, now), []Placement{own, remote})
 	is.Equal(len(n.since("n-1", false, now)), 0)
-	is.Equal(n.since("s-1", true, now), []Placement{near})
-	n.add([]Placement{near}, true, now.Add(placementTTL/2))
+	is.Equal(n.since("s-1", true, now), []Placement{own})
+	n.add([]Placement{own}, true, now.Add(placementTTL/2))
 	is.Equal(len(n.since("n-1", false, now)), 0)
-	n.add([]Placement{near}, true, now.Add(2*placementTTL))
-	is.Equal(n.since("n-1", false, now), []Placement{near})
+	n.add([]Placement{own}, true, now.Add(2*placementTTL))
+	is.Equal(n.since("n-1", false, now), []Placement{own})
 }
 
 // slowWriter is a log that takes a while to write a line.
--- a/pkg/peer/roster.go
+++ b/pkg/peer/roster.go
@@ -99,9 +99,9 @@
 }
 
 // applyRoster merges the own domain's roster from the hub. The caller holds g.mu.
-func (g *Gossip) applyRoster(told *Digest, now time.Time) {
-	if len(told.Marks) > 0 {
-		g.ownRoster = *told
+func (g *Gossip) applyRoster(digest *Digest, now time.Time) {
+	if len(digest.Marks) > 0 {
+		g.ownRoster = *digest
 	}
 	at := now.Add(-rosterAge)
 	for _, mark := range g.ownRoster.Marks {
--- a/pkg/peer/roster_test.go
+++ b/pkg/peer/roster_test.go
@@ -46,7 +46,7 @@
 // at engines, which are as many in a small domain as in a large one.
 func TestReplySizeDoesNotGrowWithTheDomain(t *testing.T) {
 	is := is.New(t)
-	told := func(instances int) int {
+	replySize := func(instances int) int {
 		hub := newSampleHub(sample{instances, 1, 4, 24})
 		sink := &counter{}
 		encoder := gob.NewEncoder(sink)
@@ -57,7 +57,7 @@
 		is.NoErr(encoder.Encode(reply))
 		return sink.n
 	}
-	few, many := told(10), told(80)
+	few, many := replySize(10), replySize(80)
 	t.Logf("%d bytes in a domain of 10, %d in one of 80", few, many)
 	is.True(10*many < 11*few)
 	// A hub replies to 80 others ten times a second: less than half of its link.
--- a/pkg/peer/service.go
+++ b/pkg/peer/service.go
@@ -140,11 +140,11 @@
 		}
 	}
 	for _, digest := range g.digests {
-		told := digest.value
-		told.Age = now.Sub(digest.at)
-		if told.Age <= SilentAfter {
-			told.omitKnownMarks(ask.Rosters)
-			reply.Digests = append(reply.Digests, told)
+		current := digest.value
+		current.Age = now.Sub(digest.at)
+		if current.Age <= SilentAfter {
+			current.omitKnownMarks(ask.Rosters)
+			reply.Digests = append(reply.Digests, current)
 		}
 	}
 	return nil
@@ -163,14 +163,14 @@
 	before := g.lastAskedAt[ask.Report.Name]
 	g.lastAskedAt[ask.Report.Name] = now
 	for _, digest := range g.digests {
-		told := digest.value
-		told.Age = now.Sub(digest.at)
-		if told.Age > SilentAfter {
+		current := digest.value
+		current.Age = now.Sub(digest.at)
+		if current.Age > SilentAfter {
 			continue
 		}
 		if !digest.receivedAt.Before(before) {
-			told.Upstreams, told.Placed = nil, nil
-			reply.Digests = append(reply.Digests, told)
+			current.Upstreams, current.Placed = nil, nil
+			reply.Digests = append(reply.Digests, current)
 		}
 	}
 	for i := range reply.Digests {
@@ -241,8 +241,8 @@
 	g.forwardLimits(reply.Limits)
 	g.forwardDepartures(reply.Departures, instance.Name)
 	for i := range reply.Reports {
-		told := &reply.Reports[i]
-		g.applyReport(told.Report, now.Add(-told.Age))
+		aged := &reply.Reports[i]
+		g.applyReport(aged.Report, now.Add(-aged.Age))
 	}
 	for i := range reply.Digests {
 		if reply.Digests[i].Domain == g.options.Self.Domain {
@@ -267,9 +267,9 @@
 }
 
 // forwardLimits passes received limits on.
-func (g *Gossip) forwardLimits(told []limit.ToldLimit) {
-	if len(told) > 0 && g.options.LearnLimits != nil {
-		g.options.LearnLimits(told)
+func (g *Gossip) forwardLimits(limits []limit.ToldLimit) {
+	if len(limits) > 0 && g.options.LearnLimits != nil {
+		g.options.LearnLimits(limits)
 	}
 }
 
--- a/pkg/peer/usage_test.go
+++ b/pkg/peer/usage_test.go
@@ -39,15 +39,15 @@
 	limit := quota.Limit{Rate: 1e-3, Burst: 1e6}
 	limits := map[string]quota.Limit{"mill": limit}
 	user, other := newLimited("north-a-1", "north-a", "north", limits), newLimited("north-a-2", "north-a", "north", limits)
-	hub, far := newLimited("north-a-0", "north-a", "north", limits), newLimited("south-a-0", "south-a", "south", limits)
-	farther := newLimited("south-a-1", "south-a", "south", limits)
+	hub, remoteHub := newLimited("north-a-0", "north-a", "north", limits), newLimited("south-a-0", "south-a", "south", limits)
+	remoteMember := newLimited("south-a-1", "south-a", "south", limits)
 	hub.receivesAllReports.Store(true)
-	far.receivesAllReports.Store(true)
+	remoteHub.receivesAllReports.Store(true)
 	round := func() {
 		exchange(is, user.Gossip, hub.Gossip, user.sequence+1)
 		exchange(is, other.Gossip, hub.Gossip, other.sequence+1)
-		exchange(is, far.Gossip, hub.Gossip, far.sequence+1)
-		exchange(is, farther.Gossip, far.Gossip, farther.sequence+1)
+		exchange(is, remoteHub.Gossip, hub.Gossip, remoteHub.sequence+1)
+		exchange(is, remoteMember.Gossip, remoteHub.Gossip, remoteMember.sequence+1)
 	}
 	round()
 	round()
@@ -57,7 +57,7 @@
 	for range 5 {
 		round()
 	}
-	for _, l := range []*limited{user, other, hub, far, farther} {
+	for _, l := range []*limited{user, other, hub, remoteHub, remoteMember} {
 		got := l.balance()
 		if got < -used-1 || got > 1-used {
 			t.Errorf("%s has a balance of %.0f after a use of %d", l.options.Self.Name, got, used)
--- a/pkg/quarantine/cluster_test.go
+++ b/pkg/quarantine/cluster_test.go
@@ -31,9 +31,9 @@
 }
 
 type delayedObservation struct {
-	at   time.Time
-	from int
-	seen quarantine.Observation
+	at          time.Time
+	from        int
+	observation quarantine.Observation
 }
 
 // deliver delivers the observations that are due. A partitioned instance neither sends nor
@@ -47,7 +47,7 @@
 		}
 		for n, table := range g.tables {
 			if n != delayed.from {
-				table.Observe(delayed.seen)
+				table.Observe(delayed.observation)
 			}
 		}
 	}
@@ -91,9 +91,9 @@
 			if crashes == quarantine.CrashesToQuarantine {
 				thirdCrash = now
 			}
-			seen := quarantine.Observation{Request: content, Ended: quarantine.UpstreamOf(fmt.Sprint(crashes))}
-			g.tables[n].ObserveLocally(seen)
-			g.pending = append(g.pending, delayedObservation{at: now.Add(reportDelay), from: n, seen: seen})
+			observation := quarantine.Observation{Request: content, Ended: quarantine.UpstreamOf(fmt.Sprint(crashes))}
+			g.tables[n].ObserveLocally(observation)
+			g.pending = append(g.pending, delayedObservation{at: now.Add(reportDelay), from: n, observation: observation})
 		}
 		g.injectFault(random, content)
 	}
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -132,11 +132,11 @@
 }
 
 // ObserveLocally records an observation of this instance.
-func (t *Table) ObserveLocally(seen Observation) Change {
+func (t *Table) ObserveLocally(observation Observation) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	change := t.observe(seen)
-	if e := t.entries[seen.Request]; e != nil && change != Unchanged {
+	change := t.observe(observation)
+	if e := t.entries[observation.Request]; e != nil && change != Unchanged {
 		e.observedLocally = true
 	}
 	return change
@@ -193,40 +193,40 @@
 }
 
 // Observe records an observation of another instance.
-func (t *Table) Observe(seen Observation) Change {
+func (t *Table) Observe(observation Observation) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.observe(seen)
+	return t.observe(observation)
 }
 
 // observe implements Observe. The caller holds t.mu.
-func (t *Table) observe(seen Observation) Change {
+func (t *Table) observe(observation Observation) Change {
 	now := t.clock.Now()
-	e := t.entries[seen.Request]
-	if seen.Ended == 0 {
+	e := t.entries[observation.Request]
+	if observation.Ended == 0 {
 		return clearEntry(e, now)
 	}
-	if _, attributed := t.attributed[seen.Ended]; attributed && (e == nil || !e.held) {
+	if _, attributed := t.attributed[observation.Ended]; attributed && (e == nil || !e.held) {
 		return Unchanged
 	}
 	if e == nil {
-		e = t.add(seen.Request, now)
+		e = t.add(observation.Request, now)
 	}
-	if slices.Contains(e.crashes, seen.Ended) || now.Sub(e.cleared) < clearGrace {
+	if slices.Contains(e.crashes, observation.Ended) || now.Sub(e.cleared) < clearGrace {
 		return Unchanged
 	}
 	e.last = now
 	if e.held {
-		t.attribute(seen.Request, seen.Ended, now)
+		t.attribute(observation.Request, observation.Ended, now)
 		return Unchanged
 	}
-	e.crashes = append(e.crashes, seen.Ended)
+	e.crashes = append(e.crashes, observation.Ended)
 	if len(e.crashes) < CrashesToQuarantine {
 		return Suspected
 	}
 	e.held, e.retryAfter = true, 0
 	for _, crash := range e.crashes {
-		t.attribute(seen.Request, crash, now)
+		t.attribute(observation.Request, crash, now)
 	}
 	return Quarantined
 }
--- a/pkg/quota/limiter_test.go
+++ b/pkg/quota/limiter_test.go
@@ -266,8 +266,8 @@
 }
 
 func poisson(random *rand.Rand, mean float64) int {
-	count, left := 0, math.Exp(-mean)
-	for product := random.Float64(); product > left; product *= random.Float64() {
+	count, threshold := 0, math.Exp(-mean)
+	for product := random.Float64(); product > threshold; product *= random.Float64() {
 		count++
 	}
 	return count
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -21,10 +21,10 @@
 	if passed <= 0 {
 		return
 	}
-	left := math.Exp(-passed.Seconds() / meterTimeConstant.Seconds())
-	m.requests *= left
-	m.tokens *= left
-	m.blocked *= left
+	remaining := math.Exp(-passed.Seconds() / meterTimeConstant.Seconds())
+	m.requests *= remaining
+	m.tokens *= remaining
+	m.blocked *= remaining
 	m.at = now
 }
 
--- a/pkg/quota/split_test.go
+++ b/pkg/quota/split_test.go
@@ -30,7 +30,7 @@
 	// delay is in ticks, from each domain to each gateway.
 	delay       func(domain, gateway int) int
 	partitioned func(domain, gateway int) bool
-	heard       [testDomains][testDomains * testSize]time.Time
+	received    [testDomains][testDomains * testSize]time.Time
 }
 
 func domainName(d int) string { return fmt.Sprintf("domain-%d", d) }
@@ -62,14 +62,14 @@
 			continue
 		}
 		if w.partitioned == nil || !w.partitioned(d, g) {
-			w.heard[d][g] = w.now
+			w.received[d][g] = w.now
 		}
-		if w.heard[d][g].IsZero() {
+		if w.received[d][g].IsZero() {
 			continue
 		}
-		late := w.delay(d, g) + int(w.now.Sub(w.heard[d][g])/tick)
+		late := w.delay(d, g) + int(w.now.Sub(w.received[d][g])/tick)
 		view.Remote.Remote = append(view.Remote.Remote, board.DomainDigest{
-			Domain: domainName(d), HeardAt: w.heard[d][g],
+			Domain: domainName(d), HeardAt: w.received[d][g],
 			Demand: DomainDemand(w.instances(d, late), w.now),
 		})
 	}
--- a/pkg/quota/usage.go
+++ b/pkg/quota/usage.go
@@ -70,8 +70,8 @@
 // that arrives late.
 func (l ledger) added(name string, start uint64, list []Usage, now time.Time) []Usage {
 	known := l[name]
-	met := known != nil
-	if !met || known.start != start {
+	seen := known != nil
+	if !seen || known.start != start {
 		known = &source{start: start, reported: make(map[string]Usage, len(list))}
 		l[name] = known
 	}
@@ -83,7 +83,7 @@
 			continue
 		}
 		known.reported[usage.Caller] = usage
-		if !counted && !(met && usage.Fresh) {
+		if !counted && !(seen && usage.Fresh) {
 			continue
 		}
 		usage.Asked -= last.Asked
--- a/pkg/quota/window.go
+++ b/pkg/quota/window.go
@@ -24,8 +24,8 @@
 	at := &w.slots[w.slot%(windowSlots+1)]
 	*at = extreme(*at, value)
 	result := value
-	for _, kept := range w.slots {
-		result = extreme(result, kept)
+	for _, slotValue := range w.slots {
+		result = extreme(result, slotValue)
 	}
 	return result
 }
