--- a/pkg/digest/digest_test.go
+++ b/pkg/digest/digest_test.go
@@ -64,10 +64,10 @@
 		in   Input
 		want []board.PoolDigest
 	}{
-		{"idle, with the reserve kept back", input(one, []board.UpstreamLoad{live("n1", 0)}), pool(10, 0, 0, 8)},
+		{"idle, less the reserve", input(one, []board.UpstreamLoad{live("n1", 0)}), pool(10, 0, 0, 8)},
 		{"by the report", input(one, []board.UpstreamLoad{live("n1", 4)}), pool(10, 4, 0, 4)},
 		{"by the gateways, as the report lags", input(one, []board.UpstreamLoad{live("n1", 4)}, busy), pool(10, 7, 2, 0)},
-		{"a silent gateway's count is void", input(one, []board.UpstreamLoad{live("n1", 4)}, lost), pool(10, 4, 0, 4)},
+		{"an unreachable gateway's count is ignored", input(one, []board.UpstreamLoad{live("n1", 4)}, lost), pool(10, 4, 0, 4)},
 		{"more than it has slots", input(one, []board.UpstreamLoad{live("n1", 13)}), pool(10, 10, 3, 0)},
 		{"two of a kind", input([]config.Upstream{engine("n1", "v2", 10), engine("n2", "v2", 5)},
 			[]board.UpstreamLoad{live("n1", 4), live("n2", 1)}), pool(15, 5, 0, 7)},
--- a/pkg/mirror/history_test.go
+++ b/pkg/mirror/history_test.go
@@ -63,9 +63,9 @@
 // copies from another has the gap as well, unless it has followed the history itself.
 func TestLostHistoryIsRecordedAsAGap(t *testing.T) {
 	for name, lose := range map[string]func(s *store){
-		"compacted":          func(s *store) { s.compact() },
-		"back from a copy":   func(s *store) { s.restore(s.backup()) },
-		"back from the past": func(s *store) { s.restore(image{revision: 2, entries: s.backup().entries}) },
+		"compacted":                     func(s *store) { s.compact() },
+		"restored from a backup":        func(s *store) { s.restore(s.backup()) },
+		"restored from an older backup": func(s *store) { s.restore(image{revision: 2, entries: s.backup().entries}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			followTracked(t, func(is *is.I, s *store, m *mirror.Mirror) {
--- a/pkg/mirror/position.go
+++ b/pkg/mirror/position.go
@@ -35,7 +35,7 @@
 // Order decides by the contents of entries which of two states of a key is older, and what stays
 // valid when the store was restored from a backup that lacks it.
 type Order interface {
-	// Older reports whether entry is an earlier state of the same key than than.
+	// Older reports whether entry is an earlier state of its key than the other entry.
 	Older(entry, than *platform.Entry) bool
 	// Kept returns the time after a restore for which an entry stays valid that the backup
 	// lacks, until its owner writes it again. Zero means not at all.
--- a/pkg/mirror/restore_random_test.go
+++ b/pkg/mirror/restore_random_test.go
@@ -111,7 +111,7 @@
 	h.store.set(func() { h.store.down, h.store.futureWatchesWait = outage > 0, h.random.IntN(2) == 0 })
 	time.Sleep(outage)
 	n := h.random.IntN(len(h.copies))
-	h.note("back to copy %d of %d after %v", n, len(h.copies), outage)
+	h.note("restored from backup %d of %d after %v", n, len(h.copies), outage)
 	h.store.restore(h.copies[n])
 	h.store.set(func() { h.store.down = false })
 	h.copies = h.copies[:0]
@@ -141,7 +141,7 @@
 		h.restore()
 	case 1:
 		n := h.random.IntN(len(h.mirrors))
-		h.note("mirror %d begins anew", n)
+		h.note("mirror %d restarts", n)
 		h.mirrors[n].stop()
 		h.mirrors[n] = h.begin(n%2 == 0)
 	default:
@@ -167,7 +167,7 @@
 			}
 		}
 		if snapshot.Held != 0 || snapshot.Era != h.store.era {
-			h.Errorf("mirror %d is in era %d of %d and holds something over: %v", n, snapshot.Era, h.store.era, snapshot.Held != 0)
+			h.Errorf("mirror %d is in epoch %d of %d and retains entries: %v", n, snapshot.Era, h.store.era, snapshot.Held != 0)
 		}
 	}
 	if h.Failed() {
--- a/pkg/mirror/restore_test.go
+++ b/pkg/mirror/restore_test.go
@@ -32,10 +32,10 @@
 	futureWatchesWait bool
 	outage            time.Duration
 }{
-	"watches are refused":               {},
-	"watches are silent":                {futureWatchesWait: true},
-	"after it was away":                 {outage: 2 * time.Second},
-	"after it was away, watches silent": {futureWatchesWait: true, outage: 2 * time.Second},
+	"watches are refused":           {},
+	"watches wait":                  {futureWatchesWait: true},
+	"after an outage":               {outage: 2 * time.Second},
+	"after an outage, watches wait": {futureWatchesWait: true, outage: 2 * time.Second},
 }
 
 // TestRestoredStoreIsFollowed guards against ignoring a store that counts its revisions from
--- a/pkg/peer/bytes_test.go
+++ b/pkg/peer/bytes_test.go
@@ -36,7 +36,7 @@
 	plain.Departures = nil
 	plain.Report.Era, plain.Report.Held = math.MaxUint32, math.MaxUint64
 	held := encoded(t, plain) - none
-	t.Logf("%d bytes for an upstream that leaves, %d for an era and what is held over", leaving, held)
+	t.Logf("%d bytes for an upstream that leaves, %d for an epoch and retained entries", leaving, held)
 	is.True(leaving <= len(id)+4)
 	is.True(held <= 16)
 }
--- a/pkg/peer/gossip_test.go
+++ b/pkg/peer/gossip_test.go
@@ -197,7 +197,7 @@
 	m.eventually("the hub is known", func() bool { return observer.view().Find(hub.instance.Name) != nil })
 	m.kill(hub)
 	m.eventually("another hub is asked", func() bool { return observer.gossip.hub() != hub.instance.Name })
-	m.eventually("the dead one is silent, the others are not", func() bool {
+	m.eventually("the crashed one is unreachable, the others are live", func() bool {
 		live, now := 0, time.Now()
 		for i := range observer.view().Others {
 			known := &observer.view().Others[i]
@@ -259,7 +259,7 @@
 			}}
 			delta := snapshot.Since(mirror.Position{}, time.Now())
 			m.is.True(knows.store.Adopt(&delta))
-			m.eventually("it has the copy", func() bool { return restarted.store.Revision() == 10 })
+			m.eventually("it has the snapshot", func() bool { return restarted.store.Revision() == 10 })
 		})
 	}
 }
@@ -287,7 +287,7 @@
 		n.fleet.Store(empty)
 	}
 	since := time.Now()
-	m.eventually("they outlast their entries", func() bool {
+	m.eventually("they stay reachable without entries", func() bool {
 		if live() != 3 {
 			m.Fatalf("only %d of 3 are known", live())
 		}
@@ -295,7 +295,7 @@
 	})
 	m.kill(m.nodes["south-a-1"])
 	delete(m.nodes, "south-a-1")
-	m.eventually("one that has gone is forgotten", func() bool { return live() == 2 })
+	m.eventually("a stopped one is dropped", func() bool { return live() == 2 })
 }
 
 // TestTwoInstancesOfADomainFollowTheStore also checks that two others take over when both crash.
@@ -387,7 +387,7 @@
 		published = late.gossip.View().Changed()
 		rounds++
 	}
-	t.Logf("heard after %d rounds", rounds)
+	t.Logf("received after %d rounds", rounds)
 	m.is.True(received())
 	m.is.True(rounds <= 2)
 }
--- a/pkg/peer/restore_test.go
+++ b/pkg/peer/restore_test.go
@@ -64,7 +64,7 @@
 			m.is.True(m.nodes["south-a-0"].setStore(mirror.Position{Era: 1, Revision: 50}, "newer"))
 			m.is.True(m.nodes[restarted].setStore(mirror.Position{Era: 2, Revision: 12}, "known before"))
 			m.is.True(m.nodes["north-a-0"].setStore(mirror.Position{Era: 2, Revision: 10}, "known before"))
-			m.eventually("it is told", func() bool { return m.nodes[restarted].holds() == "newer" })
+			m.eventually("it has the newer entry", func() bool { return m.nodes[restarted].holds() == "newer" })
 		})
 	}
 }
