--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -100,7 +100,7 @@
 	// leaseGrace is the time after the store is available again for which a missing leased entry
 	// stays valid: its owner writes it again within about two seconds.
 	leaseGrace = 2300 * time.Millisecond
-	// restoredPause is the pause before listing a restored store: the store replica that
+	// restoredPause is the pause before listing a restored store: the store's server that
 	// revealed the restore may be another than the one that is asked.
 	restoredPause = 100 * time.Millisecond
 	// idlePause is the interval at which an inactive Mirror checks whether it is active again.
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -44,7 +44,7 @@
 	minRetryWait = 200 * time.Millisecond
 	maxRetryWait = 5 * time.Second
 	// partitionBurst bounds the balance of an instance that reaches few others, in multiples of
-	// their share of the burst. The sides of a partition must not each spend a whole burst, but
+	// the reachable share of the burst. The sides of a partition must not each spend a whole burst, but
 	// a region that is partitioned at its peak needs more than its share.
 	partitionBurst = 3
 	// debtCap bounds a negative balance, in multiples of the burst and a second's rate.
@@ -86,7 +86,7 @@
 	refused int64
 }
 
-// rate measures units a second with a time constant of askedTime.
+// rate measures units a second with a time constant of demandTimeConstant.
 type rate struct {
 	sum float64
 	at  time.Time
