--- a/pkg/mirror/entries.go
+++ b/pkg/mirror/entries.go
@@ -23,8 +23,8 @@
 // graceEnd returns the time until which a leased entry that is found missing now stays valid,
 // and whether there is any.
 func (m *Mirror) graceEnd(now time.Time) (time.Time, bool) {
-	end := m.returned.Add(leaseGrace)
-	return end, !m.returned.IsZero() && now.Before(end)
+	end := m.recoveredAt.Add(leaseGrace)
+	return end, !m.recoveredAt.IsZero() && now.Before(end)
 }
 
 // replace applies a complete listing.
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -122,14 +122,14 @@
 	epochs   board.Section[uint64]
 
 	mu sync.Mutex
-	// lost is true while the store does not answer; returned is the time at which it last
+	// lost is true while the store does not answer; recoveredAt is the time at which it last
 	// answered again, zero if it was never lost.
-	lost     bool
-	returned time.Time
-	// reached is the time of the store's last answer; following is true while changes are waited
+	lost        bool
+	recoveredAt time.Time
+	// answeredAt is the time of the store's last answer; following is true while changes are waited
 	// for or were just applied.
-	reached   time.Time
-	following bool
+	answeredAt time.Time
+	following  bool
 	// epoch is the highest observed, observedAny reports whether any was.
 	epoch       uint64
 	observedAny bool
@@ -171,7 +171,7 @@
 func (m *Mirror) Current() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.following && !m.lost && m.epoch == m.Position().Era && !m.reached.IsZero() && m.options.Clock.Now().Sub(m.reached) < currentWindow
+	return m.following && !m.lost && m.epoch == m.Position().Era && !m.answeredAt.IsZero() && m.options.Clock.Now().Sub(m.answeredAt) < currentWindow
 }
 
 // Lost reports whether the store's last call failed.
@@ -185,7 +185,7 @@
 func (m *Mirror) Reached() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.reached
+	return m.answeredAt
 }
 
 // Position returns the position up to which the replica has followed the store; zero if it is
@@ -308,11 +308,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.options.Clock.Now()
-	first := m.reached.IsZero()
-	m.reached = now
+	first := m.answeredAt.IsZero()
+	m.answeredAt = now
 	if m.lost {
 		m.lost = false
-		m.returned = now
+		m.recoveredAt = now
 		m.options.Log.Info().Msg(string(event.StoreRegained))
 	} else if first {
 		m.options.Log.Info().Msg(string(event.StoreReached))
--- a/pkg/mirror/position.go
+++ b/pkg/mirror/position.go
@@ -95,7 +95,7 @@
 
 // beginEpoch records that the store was restored from a backup. The caller holds m.mu.
 func (m *Mirror) beginEpoch(position Position, now time.Time) {
-	m.returned = now
+	m.recoveredAt = now
 	m.options.Log.Warn().Uint64(event.KeyEra, position.Era).Int64(event.KeyRevision, position.Revision).
 		Int64(event.KeyKnownRevision, m.revision()).Msg(string(event.StoreFollowed))
 }
@@ -108,7 +108,7 @@
 			continue
 		}
 		listed, exists := entries[key]
-		switch until := m.returned.Add(m.options.Order.Kept(key)); {
+		switch until := m.recoveredAt.Add(m.options.Order.Kept(key)); {
 		case exists && m.options.Order.Older(&listed, &known):
 			entries[key] = known
 		case !exists && now.Before(until):
@@ -120,7 +120,7 @@
 		if _, before := present.Entries[key]; before || !m.isSuppressed(&listed, now) {
 			continue
 		}
-		m.hidden[key] = hidden{entry: listed, until: m.returned.Add(m.options.Order.Gone(key))}
+		m.hidden[key] = hidden{entry: listed, until: m.recoveredAt.Add(m.options.Order.Gone(key))}
 		delete(entries, key)
 	}
 }
@@ -128,7 +128,7 @@
 // isSuppressed reports whether an entry was deleted in a former epoch.
 func (m *Mirror) isSuppressed(listed *platform.Entry, now time.Time) bool {
 	removed, known := m.removed[listed.Key]
-	if !known || removed.entry.Era == listed.Era || !now.Before(m.returned.Add(m.options.Order.Gone(listed.Key))) {
+	if !known || removed.entry.Era == listed.Era || !now.Before(m.recoveredAt.Add(m.options.Order.Gone(listed.Key))) {
 		return false
 	}
 	return bytes.Equal(listed.Value, removed.entry.Value) || m.options.Order.Older(listed, &removed.entry)
