--- a/pkg/digest/build.go
+++ b/pkg/digest/build.go
@@ -1,5 +1,5 @@
-// Package digest makes the few hundred bytes that a failure domain tells the
-// others about its capacity, and merges what the others tell.
+// Package digest builds the digest of a few hundred bytes in which a failure domain reports its
+// capacity to the others, and merges the digests of the others.
 //
 // The package does no input or output; the caller gives the time.
 package digest
@@ -19,10 +19,10 @@
 
 const percent = 100
 
-// Input is what a domain's digest is made from.
+// Input is the state from which a domain's digest is built.
 type Input struct {
 	Domain, Region string
-	// Sequence is nanoseconds of the maker's clock.
+	// Sequence is the Unix time in nanoseconds of the builder's clock.
 	Sequence  uint64
 	Members   *board.Members
 	Upstreams *board.Upstreams
@@ -30,7 +30,7 @@
 	Platform  bool
 }
 
-// Build makes the digest of the own domain.
+// Build builds the digest of the own domain.
 func Build(in Input) board.DomainDigest {
 	d := board.DomainDigest{Domain: in.Domain, Region: in.Region, Sequence: in.Sequence, Platform: in.Platform}
 	if in.Members != nil {
@@ -66,7 +66,7 @@
 	sort.Slice(d.Revisions, func(i, j int) bool { return d.Revisions[i].Revision > d.Revisions[j].Revision })
 }
 
-// entryOf keeps what other domains need: who and where.
+// entryOf returns the fields that other domains need: identity, state and addresses.
 func entryOf(instance *board.Instance) board.Instance {
 	return board.Instance{
 		Name: instance.Name, Domain: instance.Domain, Region: instance.Region,
@@ -96,7 +96,7 @@
 		addUpstream(byKey, upstream, load, inFlight[upstream.Name])
 	}
 	addWaiting(byKey, in.Members)
-	return finish(byKey)
+	return poolDigests(byKey)
 }
 
 func addUpstream(byKey map[poolKey]*pool, upstream *config.Upstream, load board.UpstreamLoad, inFlight int) {
@@ -111,7 +111,7 @@
 		byKey[key] = p
 	}
 	p.Slots += upstream.Concurrency
-	// A report lags behind and the gateways' counts miss other senders.
+	// Upstreams' reports are delayed, and the gateways' counts lack other senders.
 	busy := max(load.Running+load.Queued, inFlight)
 	p.Busy += min(busy, upstream.Concurrency)
 	p.Waiting += max(busy-upstream.Concurrency, 0)
@@ -122,13 +122,14 @@
 	}
 }
 
-// addWaiting counts the gateways' queues in the largest pool of what they wait for.
+// addWaiting adds the gateways' queues to the largest pool of the model or service that the
+// requests wait for.
 func addWaiting(byKey map[poolKey]*pool, members *board.Members) {
 	if members == nil {
 		return
 	}
 	for i := range members.Instances {
-		if !present(&members.Instances[i]) {
+		if !loadIsCurrent(&members.Instances[i]) {
 			continue
 		}
 		for serves, waiting := range members.Instances[i].Load.Waiting {
@@ -152,7 +153,7 @@
 	return best
 }
 
-func finish(byKey map[poolKey]*pool) []board.PoolDigest {
+func poolDigests(byKey map[poolKey]*pool) []board.PoolDigest {
 	list := make([]board.PoolDigest, 0, len(byKey))
 	for _, p := range byKey {
 		if p.rated > 0 {
@@ -178,7 +179,7 @@
 		return sum
 	}
 	for i := range members.Instances {
-		if !present(&members.Instances[i]) {
+		if !loadIsCurrent(&members.Instances[i]) {
 			continue
 		}
 		for name, n := range members.Instances[i].Load.InFlight {
@@ -196,7 +197,7 @@
 	return load, ok
 }
 
-// present says whether the instance's last load still counts.
-func present(instance *board.Instance) bool {
+// loadIsCurrent reports whether the instance's last load still counts.
+func loadIsCurrent(instance *board.Instance) bool {
 	return instance.State == board.InstanceLive || instance.State == board.InstanceLeaving
 }
--- a/pkg/edge/quarantine.go
+++ b/pkg/edge/quarantine.go
@@ -16,7 +16,7 @@
 
 // quarantined returns the refusal of a request that is quarantined; nil: it may run.
 func (j *job) quarantined() *outcome.Refusal {
-	if !j.quarantine.Concerns(len(j.body)) {
+	if !j.quarantine.MayContain(len(j.body)) {
 		return nil
 	}
 	retryAfter, refused := j.quarantine.Refuses(j.fingerprint())
@@ -28,15 +28,15 @@
 
 // ranWell clears a request that upstreams had ended under and that has run to a good end.
 func (j *job) ranWell() {
-	if j.quarantine.Concerns(len(j.body)) {
+	if j.quarantine.MayContain(len(j.body)) {
 		j.observe(quarantine.Observation{Request: j.fingerprint()})
 	}
 }
 
 // observe notes what this instance saw of a request, and tells the others if it is news.
 func (e *Edge) observe(seen quarantine.Observation) {
-	change := e.quarantine.Witness(seen)
-	if change == quarantine.Known {
+	change := e.quarantine.ObserveLocally(seen)
+	if change == quarantine.Unchanged {
 		return
 	}
 	e.changed(seen.Request, change)
@@ -54,7 +54,7 @@
 // an upstream end under it, or run it to a good end.
 func (e *Edge) changed(request quarantine.Fingerprint, change quarantine.Change) {
 	e.noteQuarantine(request, change)
-	if (change == quarantine.Quarantined || change == quarantine.Cleared) && e.quarantine.Witnessed(request) {
+	if (change == quarantine.Quarantined || change == quarantine.Cleared) && e.quarantine.ObservedLocally(request) {
 		e.keepQuarantine(keeping{request: request})
 	}
 }
@@ -66,7 +66,7 @@
 		e.log.Warn().Stringer(event.KeyContent, request).Msg(string(event.RequestQuarantined))
 	case quarantine.Cleared:
 		e.log.Info().Stringer(event.KeyContent, request).Msg(string(event.RequestCleared))
-	case quarantine.Known, quarantine.Suspected:
+	case quarantine.Unchanged, quarantine.Suspected:
 	}
 }
 
--- /dev/null
+++ b/pkg/fleet/history.go
@@ -0,0 +1,60 @@
+package fleet
+
+import "time"
+
+const (
+	// returnedTTL is the time for which a view records that a domain was evacuated.
+	returnedTTL = time.Minute
+	// coldReportInterval is the time, with some margin, within which a cold upstream rewrites
+	// its entry and the change is read: an upstream reports every 1.2 s.
+	coldReportInterval = 1500 * time.Millisecond
+)
+
+// InheritHistory copies the history of the previous view; last may be nil. It must be called
+// before the view is shared.
+func (v *View) InheritHistory(last *View, now time.Time) {
+	v.Returned = make(map[string]time.Time)
+	if last == nil {
+		return
+	}
+	if now.Sub(last.HistoryLost) < returnedTTL {
+		v.HistoryLost = last.HistoryLost
+	}
+	for domain, since := range last.Returned {
+		if now.Sub(since) < returnedTTL {
+			v.Returned[domain] = since
+		}
+	}
+	for domain, evacuated := range last.Evacuated {
+		if evacuated {
+			v.Returned[domain] = now
+		}
+	}
+	for domain, evacuated := range v.Evacuated {
+		if evacuated {
+			delete(v.Returned, domain)
+		}
+	}
+}
+
+// UncertainSince returns the time since which it is unknown whether an upstream is cold; zero if
+// it is known. It is unknown since the store lacks the upstream's entry; since its domain
+// returned from an evacuation, which may leave upstreams cold, while its entry is older; since
+// such an evacuation may have started and ended unseen; and since the end of a cold period of
+// which it has not reported for longer than its report interval then.
+func (v *View) UncertainSince(upstream *Upstream, now time.Time) time.Time {
+	since := upstream.Missing
+	if len(v.Returned) == 0 {
+		// The usual case.
+	} else if returned := v.Returned[upstream.Domain]; returned.After(since) && !upstream.Heard.After(returned) {
+		since = returned
+	}
+	if v.HistoryLost.After(since) && !upstream.Heard.After(v.HistoryLost) {
+		since = v.HistoryLost
+	}
+	end := upstream.ColdUntil
+	if !now.Before(end) && end.After(since) && end.Sub(upstream.Heard) > coldReportInterval {
+		since = end
+	}
+	return since
+}
--- a/pkg/mirror/delta.go
+++ b/pkg/mirror/delta.go
@@ -7,47 +7,47 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// Delta is what has changed in a copy since a position.
+// Delta holds the changes in a snapshot since a position.
 type Delta struct {
-	// Era and Revision are the copy's; zero: it has nothing newer, and holds nothing over.
+	// Era and Revision are the snapshot's; zero if it has nothing newer and retains nothing.
 	Era      uint64
 	Revision int64
-	// Changed holds the entries that were written since, and Keys all keys that there are; both
-	// are empty where the copy is no newer than what was asked for.
+	// Changed holds the entries that were written since, and Keys all existing keys. Both are
+	// empty if the snapshot is no newer than the requested position.
 	Changed []platform.Entry
 	Keys    []string
-	// Held are the entries that the copy holds over from former eras.
+	// Held holds the entries that the snapshot retains from former epochs.
 	Held []platform.Entry
-	// Lapsed holds those of the keys that are missing in the store and still counted, Hidden the
-	// entries that are in the store and do not count yet.
+	// Lapsed holds the keys that are missing in the store and still valid, Hidden the entries
+	// that are in the store and not valid yet.
 	Lapsed []Lapse
 	Hidden []Hidden
-	// Removals and Gap are the copy's.
+	// Removals and Gap are the snapshot's.
 	Removals map[string]Position
 	Gap      Position
 }
 
 func (d *Delta) position() Position { return Position{Era: d.Era, Revision: d.Revision} }
 
-// Hidden is an entry that does not count for a while longer.
+// Hidden is an entry that is ignored for some more time.
 type Hidden struct {
 	Entry platform.Entry
 	Left  time.Duration
 }
 
-// Lapse is a key that counts for a while longer.
+// Lapse is a key that stays valid for some more time.
 type Lapse struct {
 	Key  string
 	Left time.Duration
 }
 
-// Since returns what has changed in the copy since a position. Entries that are held over are
-// told each time: who asks may have begun with what the store came back with.
+// Since returns the changes in the snapshot since a position. Retained entries are included each
+// time, because the receiver may have started from the restored store.
 func (s *Snapshot) Since(from Position, now time.Time) Delta {
 	if s.Position().Before(from) {
 		return Delta{}
 	}
-	delta := Delta{Era: s.Era, Revision: s.Revision, Held: s.held()}
+	delta := Delta{Era: s.Era, Revision: s.Revision, Held: s.retained()}
 	for key, end := range s.Lapsed {
 		delta.Lapsed = append(delta.Lapsed, Lapse{Key: key, Left: end.Sub(now)})
 	}
@@ -57,8 +57,8 @@
 		}
 		return delta
 	}
-	for _, held := range s.hidden {
-		delta.Hidden = append(delta.Hidden, Hidden{Entry: held.entry, Left: held.until.Sub(now)})
+	for _, retained := range s.hidden {
+		delta.Hidden = append(delta.Hidden, Hidden{Entry: retained.entry, Left: retained.until.Sub(now)})
 	}
 	delta.Removals, delta.Gap = s.Removals, s.Gap
 	delta.Keys = make([]string, 0, len(s.Entries))
@@ -71,46 +71,47 @@
 	return delta
 }
 
-// Adopt brings the copy to what another instance's copy is, when that is newer than the own one,
-// and takes what that one holds over from former eras and is newer than what is known here. It
-// says whether there was any of that. The delta must be since the own position.
+// Adopt merges another instance's snapshot if it is newer than the local one, and the entries
+// that it retains from former epochs and that are newer than the local ones. It reports whether
+// anything changed. The delta must be since the local position.
 func (m *Mirror) Adopt(delta *Delta) bool {
-	m.Heard(delta.Era)
+	m.ObserveEpoch(delta.Era)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	present, now := m.snapshot.Load(), m.options.Clock.Now()
 	if len(delta.Keys) == 0 || !present.Position().Before(delta.position()) {
-		return m.adoptHeld(present, delta, now)
+		return m.mergeRetained(present, delta, now)
 	}
 	entries, ok := delta.entries(present)
 	if !ok {
 		return false
 	}
-	m.keepNewer(present, delta, entries)
+	m.preferNewer(present, delta, entries)
 	for key, removed := range delta.Removals {
-		m.tell(key, removed)
+		m.recordRemoval(key, removed)
 	}
-	m.adoptGap(present, delta)
+	m.mergeGap(present, delta)
 	if present != nil && present.Era < delta.Era {
-		m.beginEra(delta.position(), now)
+		m.beginEpoch(delta.position(), now)
 	}
-	m.lapsed, m.told = make(map[string]time.Time, len(delta.Lapsed)), true
+	m.expiring, m.expiryFromPeer = make(map[string]time.Time, len(delta.Lapsed)), true
 	for _, lapse := range delta.Lapsed {
-		m.lapsed[lapse.Key] = now.Add(min(lapse.Left, max(lapseGrace, m.options.Order.Kept(lapse.Key))))
+		m.expiring[lapse.Key] = now.Add(min(lapse.Left, max(leaseGrace, m.options.Order.Kept(lapse.Key))))
 	}
 	m.hidden = make(map[string]hidden, len(delta.Hidden))
-	for _, told := range delta.Hidden {
-		m.hidden[told.Entry.Key] = hidden{entry: told.Entry, until: now.Add(min(told.Left, m.options.Order.Gone(told.Entry.Key)))}
+	for _, expiryFromPeer := range delta.Hidden {
+		m.hidden[expiryFromPeer.Entry.Key] = hidden{entry: expiryFromPeer.Entry, until: now.Add(min(expiryFromPeer.Left, m.options.Order.Gone(expiryFromPeer.Entry.Key)))}
 	}
 	if present != nil {
-		m.noteRemoved(present, entries, now)
+		m.recordMissing(present, entries, now)
 		m.carryOver(present, delta.position(), entries, now)
 	}
 	m.publish(delta.position(), entries, now)
 	return true
 }
 
-// entries are those of the copy that a delta was made of; false: it is not since the present one.
+// entries returns the entries of the snapshot that a delta was made of; false if it is not a
+// delta since the present one.
 func (d *Delta) entries(present *Snapshot) (entries map[string]platform.Entry, ok bool) {
 	entries = make(map[string]platform.Entry, len(d.Keys))
 	for i := range d.Changed {
@@ -120,7 +121,7 @@
 		entries[d.Held[i].Key] = d.Held[i]
 	}
 	for _, key := range d.Keys {
-		if _, told := entries[key]; told {
+		if _, sent := entries[key]; sent {
 			continue
 		}
 		if present == nil {
@@ -135,68 +136,68 @@
 	return entries, true
 }
 
-// keepNewer puts what is known here in the place of what the other copy holds over from a former
-// era, where that is older, be it that it was removed. The caller holds m.mu.
-func (m *Mirror) keepNewer(present *Snapshot, delta *Delta, entries map[string]platform.Entry) {
+// preferNewer replaces entries that the other snapshot retains from a former epoch by the local
+// state where that is newer, including deletions. The caller holds m.mu.
+func (m *Mirror) preferNewer(present *Snapshot, delta *Delta, entries map[string]platform.Entry) {
 	if present == nil {
 		return
 	}
 	for i := range delta.Held {
-		held := &delta.Held[i]
-		known, there := present.Entries[held.Key]
+		retained := &delta.Held[i]
+		known, exists := present.Entries[retained.Key]
 		switch {
-		case there && m.options.Order.Older(held, &known):
-			entries[held.Key] = known
-		case !there && m.removedSince(held):
-			delete(entries, held.Key)
+		case exists && m.options.Order.Older(retained, &known):
+			entries[retained.Key] = known
+		case !exists && m.removedSince(retained):
+			delete(entries, retained.Key)
 		}
 	}
 }
 
-// removedSince says whether an entry, or a later state of it, was removed lately. The caller holds
-// m.mu.
-func (m *Mirror) removedSince(held *platform.Entry) bool {
-	removed, known := m.removed[held.Key]
-	return known && !m.options.Order.Older(&removed.entry, held)
+// removedSince reports whether an entry, or a later state of it, was deleted recently. The
+// caller holds m.mu.
+func (m *Mirror) removedSince(retained *platform.Entry) bool {
+	removed, known := m.removed[retained.Key]
+	return known && !m.options.Order.Older(&removed.entry, retained)
 }
 
-// noteRemoved remembers what a newer copy lacks. The caller holds m.mu.
-func (m *Mirror) noteRemoved(present *Snapshot, entries map[string]platform.Entry, now time.Time) {
+// recordMissing records the entries that a newer snapshot lacks. The caller holds m.mu.
+func (m *Mirror) recordMissing(present *Snapshot, entries map[string]platform.Entry, now time.Time) {
 	for key, entry := range present.Entries {
-		if _, there := entries[key]; !there {
-			m.remember(entry, now)
+		if _, exists := entries[key]; !exists {
+			m.recordRemoved(entry, now)
 		}
 	}
 }
 
-// adoptHeld takes what another instance's copy of the same era holds over, where it is newer than
-// what is known here. The caller holds m.mu.
-func (m *Mirror) adoptHeld(present *Snapshot, delta *Delta, now time.Time) bool {
+// mergeRetained merges the entries that another instance's snapshot of the same epoch retains
+// and that are newer than the local ones. The caller holds m.mu.
+func (m *Mirror) mergeRetained(present *Snapshot, delta *Delta, now time.Time) bool {
 	if present == nil || present.Era != delta.Era {
 		return false
 	}
-	entries, news := maps.Clone(present.Entries), false
+	entries, changed := maps.Clone(present.Entries), false
 	for i := range delta.Held {
-		held := delta.Held[i]
-		known, there := entries[held.Key]
-		left := delta.left(held.Key)
+		retained := delta.Held[i]
+		known, exists := entries[retained.Key]
+		left := delta.left(retained.Key)
 		switch {
-		case there && m.options.Order.Older(&known, &held):
-		case !there && left > 0 && !m.removedSince(&held):
-			m.lapse(held.Key, now.Add(left))
+		case exists && m.options.Order.Older(&known, &retained):
+		case !exists && left > 0 && !m.removedSince(&retained):
+			m.retainUntil(retained.Key, now.Add(left))
 		default:
 			continue
 		}
-		entries[held.Key], news = held, true
+		entries[retained.Key], changed = retained, true
 	}
-	if news {
+	if changed {
 		m.publish(present.Position(), entries, now)
 	}
-	return news
+	return changed
 }
 
-// left is for how long a key still counts that is missing in the store; zero: it is not, or no
-// longer counts.
+// left returns the remaining validity of a key that is missing in the store; zero if it is not
+// missing or no longer valid.
 func (d *Delta) left(key string) time.Duration {
 	for _, lapse := range d.Lapsed {
 		if lapse.Key == key {
--- a/pkg/mirror/history_test.go
+++ b/pkg/mirror/history_test.go
@@ -16,27 +16,27 @@
 
 const evacuation = "declared/evacuated/x"
 
-// followTold is follow with a mirror that tells removals of evacuations.
-func followTold(t *testing.T, check func(is *is.I, s *store, m *mirror.Mirror)) {
+// followTracked is follow with a mirror that tracks deletions of evacuations.
+func followTracked(t *testing.T, check func(is *is.I, s *store, m *mirror.Mirror)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		s.put("servers/a", "ready")
-		m := newTold(s)
+		m := newTracked(s)
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan struct{})
-		go func() { m.Run(ctx); close(ended) }()
+		done := make(chan struct{})
+		go func() { m.Run(ctx); close(done) }()
 		time.Sleep(time.Second)
 		check(is.New(t), s, m)
 		cancel()
-		<-ended
+		<-done
 	})
 }
 
-func newTold(s *store) *mirror.Mirror {
-	return mirror.New(mirror.Options{Source: s, Told: []string{"declared/evacuated/"}, Clock: clock.System{}, Log: zerolog.Nop()})
+func newTracked(s *store) *mirror.Mirror {
+	return mirror.New(mirror.Options{Source: s, TrackedRemovals: []string{"declared/evacuated/"}, Clock: clock.System{}, Log: zerolog.Nop()})
 }
 
-// evacuateUnseen has an evacuation come and go while the store answers nobody.
+// evacuateUnseen starts and ends an evacuation while the store is unavailable.
 func evacuateUnseen(s *store) {
 	s.set(func() { s.down = true })
 	time.Sleep(time.Second)
@@ -44,10 +44,10 @@
 	s.remove(evacuation)
 }
 
-// TestWhatCameAndWentUnseenIsReadInTheHistory guards against an evacuation that is over before a copy is
-// listed anew, and of which nobody hears.
-func TestWhatCameAndWentUnseenIsReadInTheHistory(t *testing.T) {
-	followTold(t, func(is *is.I, s *store, m *mirror.Mirror) {
+// TestUnseenChangesAreReadFromTheHistory guards against missing an evacuation that ends before
+// the next listing.
+func TestUnseenChangesAreReadFromTheHistory(t *testing.T) {
+	followTracked(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		before := m.Snapshot().Load().Gap
 		evacuateUnseen(s)
 		s.set(func() { s.down = false })
@@ -58,21 +58,21 @@
 	})
 }
 
-// TestLostHistoryIsAGap guards against a state that is believed although the store has lost the history
-// since: it was compacted, or the store has come back from a copy. A copy of the copy has the gap as
-// well, unless it has followed the history itself.
-func TestLostHistoryIsAGap(t *testing.T) {
+// TestLostHistoryIsRecordedAsAGap guards against trusting a state although the store has lost
+// the history since, by compaction or because it was restored from a backup. A replica that
+// copies from another has the gap as well, unless it has followed the history itself.
+func TestLostHistoryIsRecordedAsAGap(t *testing.T) {
 	for name, lose := range map[string]func(s *store){
-		"compacted":          func(s *store) { s.compact() },
-		"back from a copy":   func(s *store) { s.restore(s.copied()) },
-		"back from the past": func(s *store) { s.restore(image{revision: 2, entries: s.copied().entries}) },
+		"compacted":                     func(s *store) { s.compact() },
+		"restored from a backup":        func(s *store) { s.restore(s.backup()) },
+		"restored from an older backup": func(s *store) { s.restore(image{revision: 2, entries: s.backup().entries}) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			followTold(t, func(is *is.I, s *store, m *mirror.Mirror) {
-				behind := newTold(newStore())
+			followTracked(t, func(is *is.I, s *store, m *mirror.Mirror) {
+				behind := newTracked(newStore())
 				delta := m.Snapshot().Load().Since(behind.Position(), time.Now())
 				is.True(behind.Adopt(&delta))
-				began := behind.Snapshot().Load().Gap
+				initialGap := behind.Snapshot().Load().Gap
 				evacuateUnseen(s)
 				lose(s)
 				s.set(func() { s.down = false })
@@ -82,43 +82,43 @@
 				s.put("servers/b", "ready")
 				time.Sleep(time.Second)
 				gap, position := m.Snapshot().Load().Gap, m.Position()
-				is.True(gap.Before(position)) // what follows is known
+				is.True(gap.Before(position)) // later changes are known
 				delta = m.Snapshot().Load().Since(behind.Position(), time.Now())
 				is.True(behind.Adopt(&delta))
 				is.Equal(behind.Snapshot().Load().Gap, gap)
-				is.True(began.Before(gap))
+				is.True(initialGap.Before(gap))
 			})
 		})
 	}
 }
 
-// TestACopyOfOneThatHasJustBegunHasNoGap guards against doubts at each restart of an instance from which
-// others copy.
-func TestACopyOfOneThatHasJustBegunHasNoGap(t *testing.T) {
-	followTold(t, func(is *is.I, s *store, m *mirror.Mirror) {
+// TestCopyOfARestartedReplicaHasNoGap guards against gaps at each restart of an instance from
+// which others copy.
+func TestCopyOfARestartedReplicaHasNoGap(t *testing.T) {
+	followTracked(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put(evacuation, "{}")
 		s.remove(evacuation)
 		s.put("servers/b", "ready")
-		began := newTold(s)
+		restarted := newTracked(s)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		go began.Run(ctx)
+		go restarted.Run(ctx)
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(began.Snapshot().Load().Removals[evacuation].Revision, int64(4))
-		behind := newTold(newStore())
+		is.Equal(restarted.Snapshot().Load().Removals[evacuation].Revision, int64(4))
+		behind := newTracked(newStore())
 		is.True(behind.Adopt(&mirror.Delta{Revision: 2, Keys: []string{"servers/a"}, Changed: s.entry("servers/a")}))
-		delta := began.Snapshot().Load().Since(behind.Position(), time.Now())
+		delta := restarted.Snapshot().Load().Since(behind.Position(), time.Now())
 		is.True(behind.Adopt(&delta))
 		is.True(behind.Snapshot().Load().Gap.Before(mirror.Position{Revision: 2}))
 	})
 }
 
-// TestAReturnThatACopySkipsIsAGap guards against an instance that copies, across the store's return, from one
-// that has begun after it and knows of no gap.
-func TestAReturnThatACopySkipsIsAGap(t *testing.T) {
-	followTold(t, func(is *is.I, s *store, m *mirror.Mirror) {
+// TestRestoreSkippedByACopyIsAGap guards against an instance that copies, across a restore of
+// the store, from one that has started since and knows of no gap.
+func TestRestoreSkippedByACopyIsAGap(t *testing.T) {
+	followTracked(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		newer := &mirror.Snapshot{Era: 1, Revision: 2, Entries: m.Snapshot().Load().Entries}
-		copier := newTold(newStore())
+		copier := newTracked(newStore())
 		delta := m.Snapshot().Load().Since(copier.Position(), time.Now())
 		is.True(copier.Adopt(&delta))
 		delta = newer.Since(copier.Position(), time.Now())
@@ -127,13 +127,13 @@
 	})
 }
 
-// TestAnEvacuationIsReadAtOnceAmongManyChanges guards against one that is known only once the changes of hundreds
-// of servers have been gathered, and against a call for each of those.
-func TestAnEvacuationIsReadAtOnceAmongManyChanges(t *testing.T) {
+// TestUrgentChangesAreReadAtOnceAmongManyOthers guards against an evacuation that is noticed
+// only with the collected changes of hundreds of servers, and against a call for each of those.
+func TestUrgentChangesAreReadAtOnceAmongManyOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &counted{store: newStore()}
-		m := mirror.New(mirror.Options{Source: s, Prompt: "declared/", Clock: clock.System{}, Log: zerolog.Nop()})
+		m := mirror.New(mirror.Options{Source: s, UrgentPrefix: "declared/", Clock: clock.System{}, Log: zerolog.Nop()})
 		go m.Run(t.Context())
 		time.Sleep(time.Second)
 		s.calls.Store(0)
@@ -150,7 +150,7 @@
 		is.True(s.calls.Load() <= 40)
 		s.set(func() { s.down = true })
 		time.Sleep(time.Second)
-		s.restore(s.copied())
+		s.restore(s.backup())
 		s.set(func() { s.down = false })
 		time.Sleep(time.Second)
 		s.put(evacuation, "after a return")
--- a/pkg/mirror/mirror_test.go
+++ b/pkg/mirror/mirror_test.go
@@ -21,44 +21,44 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// store is a key-value store in memory whose answers a test can take away.
+// store is an in-memory key-value store that a test can make unavailable.
 type store struct {
 	mu       sync.Mutex
 	revision int64
 	entries  map[string]platform.Entry
 	history  []platform.Change
-	// from is the revision from which on the history is kept.
+	// from is the revision from which the history is retained.
 	from int64
 	down bool
-	// deaf watches hear nothing.
-	deaf bool
-	// era counts the returns from a copy. Watches from a revision that is still to come wait for
-	// it where silent is true, and are refused otherwise.
-	era    uint64
-	silent bool
+	// watchesStalled: watches get no changes.
+	watchesStalled bool
+	// era counts restores from a backup. Watches from a future revision wait for it if
+	// futureWatchesWait is true, and fail otherwise.
+	era               uint64
+	futureWatchesWait bool
 }
 
-// image is a copy of what a store holds.
+// image is a backup of a store.
 type image struct {
 	revision int64
 	entries  map[string]platform.Entry
 }
 
-// copied returns a copy of what the store holds now.
-func (s *store) copied() image {
+// backup returns a backup of the present entries.
+func (s *store) backup() image {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return image{revision: s.revision, entries: maps.Clone(s.entries)}
 }
 
-// entry is what the store holds under a key.
+// entry returns the store's entry of a key.
 func (s *store) entry(key string) []platform.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return []platform.Entry{s.entries[key]}
 }
 
-// restore has the store come back from a copy.
+// restore restores the store from a backup.
 func (s *store) restore(from image) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +127,7 @@
 func (s *store) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (platform.Changes, error) {
 	for end := time.Now().Add(wait); ; {
 		s.mu.Lock()
-		down, deaf, gone := s.down, s.deaf, after < s.from || (after > s.revision && !s.silent)
+		down, watchesStalled, compacted := s.down, s.watchesStalled, after < s.from || (after > s.revision && !s.futureWatchesWait)
 		changes := platform.Changes{Revision: s.revision, Era: s.era}
 		for _, change := range s.history {
 			if change.Era = s.era; change.ModRevision > after && strings.HasPrefix(change.Key, prefix) {
@@ -138,9 +138,9 @@
 		switch {
 		case down:
 			return platform.Changes{}, s.unavailable()
-		case gone:
+		case compacted:
 			return platform.Changes{}, &platform.Error{Service: "key-value", Call: "test", Err: platform.ErrCompacted}
-		case !deaf && (len(changes.Entries) > 0 || !time.Now().Before(end)):
+		case !watchesStalled && (len(changes.Entries) > 0 || !time.Now().Before(end)):
 			return changes, nil
 		}
 		if !clock.Sleep(ctx, 10*time.Millisecond) {
@@ -149,17 +149,17 @@
 	}
 }
 
-// follow runs a mirror of the store inside a bubble of virtual time.
+// follow runs a mirror of the store in virtual time.
 func follow(t *testing.T, check func(is *is.I, s *store, m *mirror.Mirror)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		m := mirror.New(mirror.Options{Source: s, Leased: []string{"servers/"}, Clock: clock.System{}, Log: zerolog.Nop()})
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan struct{})
-		go func() { m.Run(ctx); close(ended) }()
+		done := make(chan struct{})
+		go func() { m.Run(ctx); close(done) }()
 		check(is.New(t), s, m)
 		cancel()
-		<-ended
+		<-done
 	})
 }
 
@@ -187,10 +187,10 @@
 	})
 }
 
-// TestLapsedEntriesAreKeptUntilTheirOwnersCanReturn takes the store away while leases
-// run out: what its owner writes again within two seconds was never gone, the rest is
-// gone soon after, and what hangs on no lease is gone at once.
-func TestLapsedEntriesAreKeptUntilTheirOwnersCanReturn(t *testing.T) {
+// TestExpiredEntriesAreRetainedUntilTheirOwnersCanReturn makes the store unavailable while
+// leases expire. An entry that its owner writes again within two seconds never disappears, the
+// others disappear soon after, and those without a lease at once.
+func TestExpiredEntriesAreRetainedUntilTheirOwnersCanReturn(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/back", "1")
 		s.put("servers/dead", "1")
@@ -214,10 +214,10 @@
 	})
 }
 
-// TestALapsedEntryIsGoneFromCopiesOfTheCopyToo: it goes without a new revision of the store,
-// so that nobody would ask for a newer copy. It is kept no longer than where it was
-// copied from, also by an instance that hears nothing of the store.
-func TestALapsedEntryIsGoneFromCopiesOfTheCopyToo(t *testing.T) {
+// TestRetainedEntriesExpireInCopiesToo: the expiry causes no new revision of the store, so that
+// no instance would request a newer snapshot. A copy retains an entry no longer than its source,
+// also on an instance that cannot reach the store.
+func TestRetainedEntriesExpireInCopiesToo(t *testing.T) {
 	for name, active := range map[string]bool{"does not follow the store": false, "does not reach the store": true} {
 		t.Run(name, func(t *testing.T) {
 			follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
@@ -233,30 +233,31 @@
 
 				unreached := newStore()
 				unreached.down = true
-				copied := mirror.New(mirror.Options{
+				follower := mirror.New(mirror.Options{
 					Source: unreached, Leased: []string{"servers/"}, Clock: clock.System{}, Log: zerolog.Nop(),
 					Active: func() bool { return active },
 				})
 				ctx, cancel := context.WithCancel(context.Background())
-				ended := make(chan struct{})
-				go func() { copied.Run(ctx); close(ended) }()
+				done := make(chan struct{})
+				go func() { follower.Run(ctx); close(done) }()
 				delta := m.Snapshot().Load().Since(mirror.Position{}, time.Now())
-				is.True(copied.Adopt(&delta))
-				is.True(has(copied, "servers/a"))
+				is.True(follower.Adopt(&delta))
+				is.True(has(follower, "servers/a"))
 				time.Sleep(2 * time.Second)
 				is.True(!has(m, "servers/a"))
-				is.True(!has(copied, "servers/a"))
-				is.True(has(copied, "servers/b"))
-				is.Equal(len(copied.Snapshot().Load().Lapsed), 0)
+				is.True(!has(follower, "servers/a"))
+				is.True(has(follower, "servers/b"))
+				is.Equal(len(follower.Snapshot().Load().Lapsed), 0)
 				cancel()
-				<-ended
+				<-done
 			})
 		})
 	}
 }
 
-// TestEntriesRemovedWhileTheStoreAnswersAreGoneAtOnce: no grace in calm times.
-func TestEntriesRemovedWhileTheStoreAnswersAreGoneAtOnce(t *testing.T) {
+// TestEntriesDeletedWhileTheStoreAnswersDisappearAtOnce: there is no grace period without an
+// outage.
+func TestEntriesDeletedWhileTheStoreAnswersDisappearAtOnce(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "1")
 		time.Sleep(5 * time.Second)
@@ -266,23 +267,23 @@
 	})
 }
 
-// TestHistoryLostWhileWatchesAreDeafIsReadAnew: changes that no watch told are found
-// by the next listing.
-func TestHistoryLostWhileWatchesAreDeafIsReadAnew(t *testing.T) {
+// TestMissedChangesAreFoundByTheNextListing: changes that no watch returned are found by the
+// next listing.
+func TestMissedChangesAreFoundByTheNextListing(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "ready")
 		time.Sleep(5 * time.Second)
-		s.set(func() { s.deaf = true })
+		s.set(func() { s.watchesStalled = true })
 		s.put("servers/a", "draining")
 		time.Sleep(time.Second)
 		s.compact()
-		s.set(func() { s.deaf = false })
+		s.set(func() { s.watchesStalled = false })
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(string(m.Snapshot().Load().Entries["servers/a"].Value), "draining")
 	})
 }
 
-func TestAMirrorNeverGoesBack(t *testing.T) {
+func TestReplicaNeverGoesBack(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("declared/config", "old")
 		time.Sleep(time.Second)
@@ -293,7 +294,7 @@
 		delta := newer.Since(m.Position(), time.Now())
 		is.True(m.Adopt(&delta))
 		is.True(!m.Adopt(&old))
-		// The store tells again of what the copy already reflects.
+		// The store reports changes that the snapshot already reflects.
 		s.put("declared/config", "older than the copy")
 		time.Sleep(3 * time.Second)
 		is.Equal(string(m.Snapshot().Load().Entries["declared/config"].Value), "new")
@@ -313,11 +314,10 @@
 	return c.store.Changes(ctx, prefix, after, wait)
 }
 
-// TestAStreamOfChangesIsReadByFewCalls: while 300 instances are replaced an entry is
-// written every 20 ms. A call a second and a half are enough, and none of the entries is
-// known later than a second after it was written; once nothing changes, the next change is
-// known at once.
-func TestAStreamOfChangesIsReadByFewCalls(t *testing.T) {
+// TestManyChangesAreReadByFewCalls: while 300 instances are replaced an entry is written every
+// 20 ms. One and a half calls a second are enough, each entry is known within a second of its
+// write, and once the writes stop the next change is known at once.
+func TestManyChangesAreReadByFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &counted{store: newStore()}
@@ -341,8 +341,8 @@
 	})
 }
 
-// TestAQuietStoreIsAskedSeldom: a call that waits is paid for as any other.
-func TestAQuietStoreIsAskedSeldom(t *testing.T) {
+// TestIdleStoreIsPolledSeldom: a waiting call costs as much as any other.
+func TestIdleStoreIsPolledSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &counted{store: newStore()}
 		m := mirror.New(mirror.Options{Source: s, Clock: clock.System{}, Log: zerolog.Nop()})
@@ -352,10 +352,10 @@
 	})
 }
 
-// TestAMirrorThatNoLongerFollowsIsNotCurrent: an instance follows the store while a watcher
-// of its domain is restarted, and stops when that one is back. From then on it must take
-// others' copies at once, not when its own last answer is old.
-func TestAMirrorThatNoLongerFollowsIsNotCurrent(t *testing.T) {
+// TestReplicaThatStoppedFollowingIsNotCurrent: an instance follows the store while a watcher of
+// its domain restarts, and stops when that one is back. From then on it must accept others'
+// snapshots at once, not only when its own last answer is old.
+func TestReplicaThatStoppedFollowingIsNotCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newStore()
@@ -363,8 +363,8 @@
 		active.Store(true)
 		m := mirror.New(mirror.Options{Source: s, Clock: clock.System{}, Log: zerolog.Nop(), Active: active.Load})
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan struct{})
-		go func() { m.Run(ctx); close(ended) }()
+		done := make(chan struct{})
+		go func() { m.Run(ctx); close(done) }()
 		time.Sleep(time.Second)
 		is.True(m.Current())
 		active.Store(false)
@@ -375,13 +375,13 @@
 		time.Sleep(time.Second)
 		is.True(m.Current())
 		cancel()
-		<-ended
+		<-done
 	})
 }
 
-// TestAnEntryThatIsListedAgainDoesNotLapse guards against one that was missing at the store's return,
-// is back in a later listing, and is dropped all the same when its grace is over.
-func TestAnEntryThatIsListedAgainDoesNotLapse(t *testing.T) {
+// TestEntryThatIsListedAgainDoesNotExpire guards against an entry that was missing when the
+// store answered again, is in a later listing, and still expires at the end of its grace period.
+func TestEntryThatIsListedAgainDoesNotExpire(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "1")
 		time.Sleep(time.Second)
@@ -391,10 +391,10 @@
 		s.set(func() { s.down = false })
 		time.Sleep(time.Second)
 		is.True(has(m, "servers/a")) // its owner may be about to return
-		s.set(func() { s.deaf = true })
+		s.set(func() { s.watchesStalled = true })
 		s.put("servers/a", "2")
 		s.compact()
-		s.set(func() { s.deaf = false })
+		s.set(func() { s.watchesStalled = false })
 		time.Sleep(5 * time.Second)
 		is.Equal(string(m.Snapshot().Load().Entries["servers/a"].Value), "2")
 	})
--- a/pkg/mirror/restore_load_test.go
+++ b/pkg/mirror/restore_load_test.go
@@ -17,14 +17,14 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// registry is a store with leases that counts what registrations ask of it.
+// registry is a store with leases that counts the calls of registrations.
 type registry struct {
 	*store
-	// mu guards what follows.
+	// mu guards the following fields.
 	mu     sync.Mutex
 	leases map[platform.LeaseID]bool
 	last   platform.LeaseID
-	// writes are when leases were granted and entries written.
+	// writes holds the times at which leases were granted and entries written.
 	writes []time.Time
 }
 
@@ -68,17 +68,16 @@
 	return r.revision, nil
 }
 
-// forget has the store come back from a copy that holds none of the instances' entries, and none of
-// their leases.
-func (r *registry) forget(from image) {
+// loseInstances restores the store from a backup without the instances' entries and leases.
+func (r *registry) loseInstances(from image) {
 	r.mu.Lock()
 	clear(r.leases)
 	r.mu.Unlock()
 	r.restore(from)
 }
 
-// mostInASecond is the largest number of times within a second.
-func mostInASecond(times []time.Time) int {
+// maxPerSecond returns the largest number of times within a second.
+func maxPerSecond(times []time.Time) int {
 	most, first := 0, 0
 	for last := range times {
 		for times[last].Sub(times[first]) >= time.Second {
@@ -89,12 +88,12 @@
 	return most
 }
 
-// TestEntriesAreWrittenAgainWithoutARush guards against a store that comes back from a copy and gets
-// the calls of all instances at once, and against entries that are missing for longer than they count.
-func TestEntriesAreWrittenAgainWithoutARush(t *testing.T) {
+// TestRegistrationsAfterARestoreAreSpread guards against a restored store that gets the calls of
+// all instances at once, and against entries that are missing for longer than they stay valid.
+func TestRegistrationsAfterARestoreAreSpread(t *testing.T) {
 	const (
 		ttl = 4 * time.Second
-		// missingFor is for how long the others count an entry that the copy lacks.
+		// missingFor is the time for which others retain an entry that the backup lacks.
 		missingFor = 2300 * time.Millisecond
 	)
 	for _, instances := range []int{7, 85, 380} {
@@ -103,7 +102,7 @@
 				is := is.New(t)
 				r := &registry{store: newStore(), leases: make(map[platform.LeaseID]bool)}
 				r.set(func() { r.era = 1 })
-				empty := r.copied()
+				empty := r.backup()
 				followed := mirror.New(mirror.Options{Source: r.store, Clock: clock.System{}, Log: zerolog.Nop()})
 				ctx, cancel := context.WithCancel(t.Context())
 				var running sync.WaitGroup
@@ -119,22 +118,22 @@
 				r.mu.Lock()
 				r.writes = nil
 				r.mu.Unlock()
-				r.forget(empty)
-				back := time.Now()
+				r.loseInstances(empty)
+				restoredAt := time.Now()
 				for {
-					entries := r.copied().entries
+					entries := r.backup().entries
 					if len(entries) == instances {
 						break
 					}
-					if time.Since(back) > missingFor {
+					if time.Since(restoredAt) > missingFor {
 						t.Fatalf("%d of %d entries are back after %v", len(entries), instances, missingFor)
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
-				took := time.Since(back)
+				took := time.Since(restoredAt)
 				cancel()
 				running.Wait()
-				most := mostInASecond(slices.Clone(r.writes))
+				most := maxPerSecond(slices.Clone(r.writes))
 				t.Logf("%d instances: %d writing calls, %d in a second at the most, all entries are back after %v", instances, len(r.writes), most, took)
 				is.True(len(r.writes) <= 2*instances+2)
 				is.True(instances < 85 || most <= 9*len(r.writes)/10) // spread over more than a second
--- a/pkg/mirror/restore_test.go
+++ b/pkg/mirror/restore_test.go
@@ -16,7 +16,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// value returns what a copy holds under a key.
+// value returns a replica's value of a key.
 func value(m *mirror.Mirror, key string) string {
 	snapshot := m.Snapshot().Load()
 	if snapshot == nil {
@@ -25,45 +25,44 @@
 	return string(snapshot.Entries[key].Value)
 }
 
-// returns are the ways in which a store comes back from a copy.
-var returns = map[string]struct {
-	// silent: watches from a revision to come wait for it. away is for how long nobody is
-	// answered before.
-	silent bool
-	away   time.Duration
+// restoreModes are the ways in which a store is restored from a backup.
+var restoreModes = map[string]struct {
+	// futureWatchesWait: watches from a future revision wait for it. outage is the time without
+	// answers before the restore.
+	futureWatchesWait bool
+	outage            time.Duration
 }{
-	"watches are refused":               {},
-	"watches are silent":                {silent: true},
-	"after it was away":                 {away: 2 * time.Second},
-	"after it was away, watches silent": {silent: true, away: 2 * time.Second},
+	"watches are refused":           {},
+	"watches wait":                  {futureWatchesWait: true},
+	"after an outage":               {outage: 2 * time.Second},
+	"after an outage, watches wait": {futureWatchesWait: true, outage: 2 * time.Second},
 }
 
-// TestWhatARestoredStoreTellsIsFollowed guards against a store that comes back from a copy, counts
-// its revisions from there, and is taken at its word only once it has passed the revision that was
-// known before.
-func TestWhatARestoredStoreTellsIsFollowed(t *testing.T) {
-	for name, way := range returns {
+// TestRestoredStoreIsFollowed guards against ignoring a store that counts its revisions from
+// those of a backup until it has passed the revision known before.
+func TestRestoredStoreIsFollowed(t *testing.T) {
+	for name, mode := range restoreModes {
 		t.Run(name, func(t *testing.T) {
 			follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
-				s.set(func() { s.silent = way.silent })
+				s.set(func() { s.futureWatchesWait = mode.futureWatchesWait })
 				s.put("declared/config", "1")
 				s.put("servers/a", "ready")
 				time.Sleep(time.Second)
-				copied := s.copied()
+				backup := s.backup()
 				for n := range 10 {
 					s.put("servers/b", fmt.Sprint(n))
 				}
 				s.put("declared/config", "1b")
 				s.put("servers/a", "ready, warm")
 				time.Sleep(2 * time.Second)
-				s.set(func() { s.down = way.away > 0 })
-				time.Sleep(way.away)
-				s.restore(copied)
+				s.set(func() { s.down = mode.outage > 0 })
+				time.Sleep(mode.outage)
+				s.restore(backup)
 				s.set(func() { s.down = false })
 				time.Sleep(time.Second)
 				s.put("declared/config", "2")
 				s.put("servers/a", "draining")
-				m.Heard(1) // as by the renewal of a lease
+				m.ObserveEpoch(1) // as after the renewal of a lease
 				time.Sleep(time.Second)
 				is.Equal(value(m, "declared/config"), "2")
 				is.Equal(value(m, "servers/a"), "draining")
@@ -75,7 +74,7 @@
 	}
 }
 
-// numbered is an Order by which a value's number tells its age, and a removal holds for a while.
+// numbered is an Order in which a larger number is newer and deletions hold for a while.
 type numbered struct{}
 
 const (
@@ -97,35 +96,35 @@
 	return n
 }
 
-// followInOrder is follow with the order of numbers.
+// followInOrder is follow with the order numbered.
 func followInOrder(t *testing.T, check func(is *is.I, s *store, m *mirror.Mirror)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		m := mirror.New(mirror.Options{Source: s, Leased: []string{"servers/"}, Order: numbered{}, Clock: clock.System{}, Log: zerolog.Nop()})
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan struct{})
-		go func() { m.Run(ctx); close(ended) }()
+		done := make(chan struct{})
+		go func() { m.Run(ctx); close(done) }()
 		check(is.New(t), s, m)
 		cancel()
-		<-ended
+		<-done
 	})
 }
 
-// TestWhatIsNewerThanARestoredCopyCounts guards against a version, or a leaving mark, that comes
-// back older with the store, an entry that is gone for a moment because the copy lacks it, and one
-// that had gone and is back with the copy.
-func TestWhatIsNewerThanARestoredCopyCounts(t *testing.T) {
+// TestEntriesNewerThanARestoredStoreAreRetained guards against a version or leaving mark that
+// reverts with the store, an entry that disappears for a moment because the backup lacks it, and
+// a deleted one that reappears.
+func TestEntriesNewerThanARestoredStoreAreRetained(t *testing.T) {
 	followInOrder(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("config", "1")
 		s.put("servers/gone", "1")
 		time.Sleep(time.Second)
-		copied := s.copied()
+		backup := s.backup()
 		s.put("config", "2")
 		s.put("servers/new", "1")
 		s.remove("servers/gone")
 		time.Sleep(time.Second)
 		is.True(!has(m, "servers/gone"))
-		s.restore(copied)
+		s.restore(backup)
 		for range 15 {
 			time.Sleep(100 * time.Millisecond)
 			is.Equal(value(m, "config"), "2")
@@ -139,39 +138,39 @@
 		time.Sleep(4 * time.Second)
 		is.Equal(value(m, "config"), "3")
 		is.Equal(value(m, "servers/new"), "2")
-		is.True(has(m, "servers/gone")) // nobody took it out again
+		is.True(has(m, "servers/gone")) // its owner did not delete it again
 		is.Equal(m.Held(), uint64(0))
 	})
 }
 
-// TestWhatNobodyWritesAgainIsGoneAfterAWhile guards against entries that outlive their owners
-// because a store forgot them.
-func TestWhatNobodyWritesAgainIsGoneAfterAWhile(t *testing.T) {
+// TestRetainedEntriesWithoutAnOwnerExpire guards against entries that outlive their owners
+// because a restored store lacks them.
+func TestRetainedEntriesWithoutAnOwnerExpire(t *testing.T) {
 	followInOrder(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("config", "1")
 		time.Sleep(time.Second)
-		copied := s.copied()
+		backup := s.backup()
 		s.put("servers/new", "1")
 		time.Sleep(time.Second)
-		s.restore(copied)
+		s.restore(backup)
 		time.Sleep(keptFor + time.Second)
 		is.True(!has(m, "servers/new"))
 		is.Equal(m.Held(), uint64(0))
 	})
 }
 
-// TestARegressionIsOnlyBelievedFromItsOwner guards against holding a key for ever at what was known:
-// one that is removed after the return is gone, and one that is written again counts, however late.
-func TestARegressionIsOnlyBelievedFromItsOwner(t *testing.T) {
+// TestRetainedEntriesYieldToLaterWrites guards against retaining a key for ever: one that is
+// deleted after the restore disappears, and a later write counts, however late.
+func TestRetainedEntriesYieldToLaterWrites(t *testing.T) {
 	followInOrder(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "1")
 		s.put("servers/b", "1")
 		time.Sleep(time.Second)
-		copied := s.copied()
+		backup := s.backup()
 		s.put("servers/a", "5")
 		s.put("servers/b", "5")
 		time.Sleep(time.Second)
-		s.restore(copied)
+		s.restore(backup)
 		time.Sleep(time.Second)
 		s.put("servers/a", "2") // still older than what is known
 		time.Sleep(time.Second)
@@ -186,35 +185,36 @@
 	})
 }
 
-// TestAnInstanceThatBeginsWithARestoredCopyLearnsWhatIsNewer guards against one that can read the
-// old copy alone, follows it, and takes nothing from those who know better.
-func TestAnInstanceThatBeginsWithARestoredCopyLearnsWhatIsNewer(t *testing.T) {
+// TestReplicaStartedFromARestoredStoreMergesNewerEntries guards against an instance that can
+// read only the restored store, follows it, and takes nothing from those that retain newer
+// entries.
+func TestReplicaStartedFromARestoredStoreMergesNewerEntries(t *testing.T) {
 	followInOrder(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("config", "1")
 		time.Sleep(time.Second)
-		copied := s.copied()
+		backup := s.backup()
 		s.put("config", "2")
 		s.put("servers/new", "1")
 		time.Sleep(time.Second)
-		s.restore(copied)
+		s.restore(backup)
 		time.Sleep(500 * time.Millisecond)
-		began := mirror.New(mirror.Options{Source: s, Order: numbered{}, Clock: clock.System{}, Log: zerolog.Nop()})
+		restarted := mirror.New(mirror.Options{Source: s, Order: numbered{}, Clock: clock.System{}, Log: zerolog.Nop()})
 		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan struct{})
-		go func() { began.Run(ctx); close(ended) }()
+		done := make(chan struct{})
+		go func() { restarted.Run(ctx); close(done) }()
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(value(began, "config"), "1")
-		delta := m.Snapshot().Load().Since(began.Position(), time.Now())
-		is.True(began.Adopt(&delta))
-		is.Equal(value(began, "config"), "2")
-		is.True(has(began, "servers/new"))
-		is.True(!began.Adopt(&delta))       // nothing more
-		time.Sleep(keptFor + 3*time.Second) // with the end of the call that waits
-		is.True(!has(began, "servers/new"))
+		is.Equal(value(restarted, "config"), "1")
+		delta := m.Snapshot().Load().Since(restarted.Position(), time.Now())
+		is.True(restarted.Adopt(&delta))
+		is.Equal(value(restarted, "config"), "2")
+		is.True(has(restarted, "servers/new"))
+		is.True(!restarted.Adopt(&delta))   // nothing more
+		time.Sleep(keptFor + 3*time.Second) // includes the end of the waiting call
+		is.True(!has(restarted, "servers/new"))
 		s.put("config", "3")
 		time.Sleep(time.Second)
-		is.Equal(value(began, "config"), "3")
+		is.Equal(value(restarted, "config"), "3")
 		cancel()
-		<-ended
+		<-done
 	})
 }
--- a/pkg/peer/bench_test.go
+++ b/pkg/peer/bench_test.go
@@ -21,32 +21,32 @@
 	return len(p), nil
 }
 
-// BenchmarkReply has a hub make what an instance of its domain is told in a round, and
-// encode it as it travels once the types are known: by the instances of its domain, the
-// other domains of its region and those of other regions.
+// BenchmarkReply measures building and encoding the reply of a hub in a round, after the gob
+// types are known, with different numbers of instances in the domain, of other domains in the
+// region, of domains in other regions, and of upstreams.
 func BenchmarkReply(b *testing.B) {
 	for _, size := range []sample{{3, 0, 2, 24}, {15, 1, 4, 24}, {50, 1, 4, 24}, {50, 1, 4, 47}, {9, 2, 38, 24}, {9, 2, 38, 71}} {
-		b.Run(fmt.Sprintf("domain=%d/near=%d/far=%d/upstreams=%d", size.domain, size.near, size.far, size.upstreams), func(b *testing.B) {
+		b.Run(fmt.Sprintf("domain=%d/near=%d/far=%d/upstreams=%d", size.domain, size.sameRegion, size.otherRegions, size.upstreams), func(b *testing.B) {
 			hub := newSampleHub(size)
 			sink := &counter{}
 			encoder := gob.NewEncoder(sink)
-			tell := func() {
-				if err := encoder.Encode(hub.tell()); err != nil {
+			nextReply := func() {
+				if err := encoder.Encode(hub.nextReply()); err != nil {
 					b.Fatal(err)
 				}
 			}
-			tell()
+			nextReply()
 			sink.n = 0
 			for b.Loop() {
-				tell()
+				nextReply()
 			}
 			b.ReportMetric(float64(sink.n)/float64(b.N), "bytes/round")
 		})
 	}
 }
 
-// BenchmarkExchange has the instances of a domain of 50 ask their hub in turn, 500 times a
-// second, each with work at 20 of the region's 47 upstreams.
+// BenchmarkExchange simulates the instances of a domain of 50 that ask their hub in turn, 500
+// times a second, each with load at 20 of the region's 47 upstreams.
 func BenchmarkExchange(b *testing.B) {
 	hub := newSampleHub(sample{50, 1, 4, 47})
 	now := time.Unix(1_000_000, 0)
@@ -60,7 +60,7 @@
 	service := &Service{gossip: hub.gossip}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		now = now.Add(round / 50)
+		now = now.Add(roundInterval / 50)
 		ask := &asks[n%len(asks)]
 		ask.Report.Sequence++
 		if err := service.Exchange(*ask, &Reply{}); err != nil {
@@ -69,17 +69,17 @@
 	}
 }
 
-// sampleHub is a hub without network, under load: all of its region's upstreams have work,
-// each instance has some at six of them and places a long prompt a second.
+// sampleHub is a hub without a network, under load: all of its region's upstreams have load, and
+// each instance has load at six of them and places a long prompt a second.
 type sampleHub struct {
 	gossip *Gossip
 	ask    Ask
 	sample sample
 }
 
-// sample is how many instances a domain has, how many other domains the region and the
-// other regions have, and how many upstreams the region has.
-type sample struct{ domain, near, far, upstreams int }
+// sample holds the number of instances of a domain, of other domains in the region and in other
+// regions, and of upstreams in the region.
+type sample struct{ domain, sameRegion, otherRegions, upstreams int }
 
 func newSampleHub(s sample) *sampleHub {
 	g := newHub("some-hall", "region")
@@ -87,23 +87,23 @@
 	h := &sampleHub{gossip: g, sample: s}
 	now := g.options.Clock.Now()
 	for i := range s.domain - 1 {
-		g.takeReport(sampleReport(i), now)
+		g.applyReport(sampleReport(i), now)
 	}
-	for i := range s.near + s.far {
-		g.takeDigest(sampleDigest(i, s, i < s.near), now)
+	for i := range s.sameRegion + s.otherRegions {
+		g.applyDigest(sampleDigest(i, s, i < s.sameRegion), now)
 	}
 	h.ask = Ask{
 		Domain: "some-hall", Region: "region", Report: sampleReport(0),
 		Sums: s.domain > smallDomain, Dictionary: g.dictionary().fingerprint,
 	}
-	for _, told := range h.tell().Digests {
-		h.ask.Rosters = append(h.ask.Rosters, Roster{Domain: told.Domain, Fingerprint: told.Roster})
+	for _, digest := range h.nextReply().Digests {
+		h.ask.Rosters = append(h.ask.Rosters, Roster{Domain: digest.Domain, Fingerprint: digest.Roster})
 	}
 	return h
 }
 
-// tell is the reply of one round, with the digests and placements that are new in it.
-func (h *sampleHub) tell() *Reply {
+// nextReply returns the reply of one round, with the digests and placements that are new in it.
+func (h *sampleHub) nextReply() *Reply {
 	reply := &Reply{}
 	h.ask.Report.Sequence++
 	if err := (&Service{gossip: h.gossip}).Exchange(h.ask, reply); err != nil {
@@ -112,15 +112,15 @@
 	if !reply.Summed {
 		return reply
 	}
-	// Digests of other regions come every farPause, and are told once.
-	far := math.Ceil(float64(h.sample.far) * round.Seconds() / farPause.Seconds())
-	for i := range h.sample.near + int(far) {
+	// Digests of other regions arrive every crossRegionInterval and are sent once.
+	otherRegions := math.Ceil(float64(h.sample.otherRegions) * roundInterval.Seconds() / crossRegionInterval.Seconds())
+	for i := range h.sample.sameRegion + int(otherRegions) {
 		digest := sampleDigest(i, h.sample, false)
-		digest.leaveOut(h.ask.Rosters)
+		digest.omitKnownMarks(h.ask.Rosters)
 		reply.Digests = append(reply.Digests[:1+i], digest)
 	}
 	// Each of the other instances places one long prompt a second.
-	reply.Placed = samplePlaced(int(float64(h.sample.domain*(1+h.sample.near+h.sample.far)) * round.Seconds()))
+	reply.Placed = samplePlaced(int(float64(h.sample.domain*(1+h.sample.sameRegion+h.sample.otherRegions)) * roundInterval.Seconds()))
 	return reply
 }
 
@@ -131,20 +131,20 @@
 	}
 }
 
-func sampleDigest(i int, s sample, near bool) Digest {
+func sampleDigest(i int, s sample, sameRegion bool) Digest {
 	digest := Digest{Domain: fmt.Sprintf("hall-%d", i), Region: "other", Age: 1 << 27, Store: 1 << 20, Services: sampleLoads(6, "service-%x")}
 	for n := range s.domain {
 		digest.Marks = append(digest.Marks, Mark{Name: fmt.Sprintf("front-other-hall-%d", n), Incarnation: 1 << 60, Ready: true})
 	}
 	digest.Roster = fingerprint(digest.Marks)
-	if near {
+	if sameRegion {
 		digest.Region = "region"
 		digest.Upstreams = sampleLoads(s.upstreams, sampleUpstream)
 	}
 	return digest
 }
 
-// sampleUpstream is the form of an upstream's ID.
+// sampleUpstream is the format of an upstream's ID.
 const sampleUpstream = "i-7f3a91%02x"
 
 func sampleFleet(upstreams int) *fleet.View {
@@ -172,8 +172,7 @@
 	return placed
 }
 
-// BenchmarkRegistered lists the other instances of a deployment of 295, as several steps of
-// a round do.
+// BenchmarkRegistered lists the other instances of a deployment of 295.
 func BenchmarkRegistered(b *testing.B) {
 	g := newHub("hall-0", "region")
 	view := &fleet.View{}
@@ -189,23 +188,23 @@
 	}
 }
 
-// BenchmarkEvidence encodes what a hub tells of one upstream that ended with 60 requests in
-// work, as it travels once the types are known.
+// BenchmarkEvidence encodes a hub's evidence of one upstream that crashed with 60 requests in
+// flight, after the gob types are known.
 func BenchmarkEvidence(b *testing.B) {
-	told := Reply{}
+	reply := Reply{}
 	for n := range uint64(60) {
-		told.Evidence = append(told.Evidence, quarantine.Observation{
+		reply.Evidence = append(reply.Evidence, quarantine.Observation{
 			Request: quarantine.Fingerprint{High: math.MaxUint64 - n, Low: math.MaxUint64 - n, Length: 700}, Ended: math.MaxUint64,
 		})
 	}
 	sink := &counter{}
 	encoder := gob.NewEncoder(sink)
-	if err := encoder.Encode(&told); err != nil {
+	if err := encoder.Encode(&reply); err != nil {
 		b.Fatal(err)
 	}
 	sink.n = 0
 	for b.Loop() {
-		if err := encoder.Encode(&told); err != nil {
+		if err := encoder.Encode(&reply); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/pkg/peer/evidence.go
+++ b/pkg/peer/evidence.go
@@ -7,47 +7,49 @@
 	"github.com/lilacweir/lilacweir/pkg/quarantine"
 )
 
-// Evidence is what instances saw of requests that may end upstreams. Each piece is told once
-// along each way, and told again until the other side has said that it has it: a piece that
-// is lost may cost another upstream.
+// Evidence consists of observations of requests that may crash upstreams. Each observation is
+// sent once along each path and sent again until the receiver acknowledges it, because a lost
+// one may cost another upstream.
 
-// Bounds of the evidence that is kept for telling.
+// Bounds of the retained evidence.
 const (
-	// evidenceFor is for how long a piece is told to those who do not have it; what it led to
-	// is in the platform's store by then.
-	evidenceFor = 10 * time.Minute
-	// evidenceAgain is for how long the same piece is no news.
-	evidenceAgain = 10 * time.Second
-	// mostEvidence bounds the pieces that are kept, mostTold those of one message, which is
-	// then about 40 KB (BenchmarkEvidence).
-	mostEvidence = 4096
-	mostTold     = 1024
+	// evidenceTTL is the time for which an observation is sent to instances that lack it. By
+	// then its consequences are in the platform's store.
+	evidenceTTL = 10 * time.Minute
+	// evidenceDedupWindow is the time within which a repeated observation is ignored.
+	evidenceDedupWindow = 10 * time.Second
+	// maxEvidence bounds the retained observations, maxEvidencePerMessage those of one message,
+	// which then takes about 40 KB (BenchmarkEvidence).
+	maxEvidence           = 4096
+	maxEvidencePerMessage = 1024
 )
 
-// Cursor is a place in what one start of an instance tells.
+// Cursor is a position in the sequence of observations of one incarnation of an instance.
 type Cursor struct{ Incarnation, Number uint64 }
 
-// origin is how far from here a piece was seen.
+// origin is the distance at which an observation was made.
 type origin uint8
 
 const (
-	// seenHere, by this instance; seenNear, by one of its failure domain; seenFar.
-	seenHere origin = iota
-	seenNear
-	seenFar
+	// seenLocally is by this instance, seenInDomain by another of its failure domain,
+	// seenRemotely by one of another domain.
+	seenLocally origin = iota
+	seenInDomain
+	seenRemotely
 )
 
-// evidence holds the pieces that are told. The Gossip's lock guards it.
+// evidence holds the observations that are sent to others. The Gossip's lock guards it.
 type evidence struct {
 	pieces []piece
-	// last numbers the newest piece.
+	// last is the number of the newest piece.
 	last uint64
-	// known holds when each piece was last added.
+	// known maps each observation to the time at which it was last added.
 	known map[quarantine.Observation]time.Time
-	// taken is up to where this instance has each other's pieces, by name; given up to which
-	// of its own pieces each other has them.
-	taken map[string]Cursor
-	given map[string]Cursor
+	// receivedUpTo holds, by instance name, the position up to which this instance has received
+	// the other's pieces; ackedUpTo the position up to which the other has acknowledged its
+	// pieces.
+	receivedUpTo map[string]Cursor
+	ackedUpTo    map[string]Cursor
 }
 
 type piece struct {
@@ -55,87 +57,88 @@
 	number uint64
 	at     time.Time
 	origin origin
-	// teller told it; zero: this instance saw it.
-	teller teller
+	// sender reported it; zero if this instance made the observation.
+	sender sender
 }
 
-// teller is one start of an instance.
-type teller struct {
+// sender is one incarnation of an instance.
+type sender struct {
 	name        string
 	incarnation uint64
 }
 
 func newEvidence() *evidence {
-	return &evidence{known: make(map[quarantine.Observation]time.Time), taken: make(map[string]Cursor), given: make(map[string]Cursor)}
+	return &evidence{known: make(map[quarantine.Observation]time.Time), receivedUpTo: make(map[string]Cursor), ackedUpTo: make(map[string]Cursor)}
 }
 
-// add takes a piece, and says whether it is news.
-func (v *evidence) add(seen quarantine.Observation, from origin, by teller, now time.Time) bool {
-	if at, ok := v.known[seen]; ok && now.Sub(at) < evidenceAgain {
+// add records an observation and reports whether it is new.
+func (v *evidence) add(observation quarantine.Observation, from origin, by sender, now time.Time) bool {
+	if at, ok := v.known[observation]; ok && now.Sub(at) < evidenceDedupWindow {
 		return false
 	}
-	v.shrink(now)
+	v.expire(now)
 	v.last++
-	v.known[seen] = now
-	v.pieces = append(v.pieces, piece{seen, v.last, now, from, by})
+	v.known[observation] = now
+	v.pieces = append(v.pieces, piece{observation, v.last, now, from, by})
 	return true
 }
 
-// shrink forgets what is old, or the oldest.
-func (v *evidence) shrink(now time.Time) {
+// expire drops pieces that are too old, and the oldest ones if there are too many.
+func (v *evidence) expire(now time.Time) {
 	old := 0
-	for old < len(v.pieces) && (now.Sub(v.pieces[old].at) > evidenceFor || len(v.pieces)-old >= mostEvidence) {
-		if seen := v.pieces[old].Observation; v.known[seen].Equal(v.pieces[old].at) {
-			delete(v.known, seen)
+	for old < len(v.pieces) && (now.Sub(v.pieces[old].at) > evidenceTTL || len(v.pieces)-old >= maxEvidence) {
+		if observation := v.pieces[old].Observation; v.known[observation].Equal(v.pieces[old].at) {
+			delete(v.known, observation)
 		}
 		old++
 	}
 	v.pieces = append(v.pieces[:0], v.pieces[old:]...)
 }
 
-// since returns the pieces after a number that were seen no farther away than told and that
-// the other side did not tell itself, and the number up to which that is all.
-func (v *evidence) since(number uint64, farthest origin, other teller) (told []quarantine.Observation, last uint64) {
+// since returns the observations after a number that were made no farther away than farthest and
+// were not received from other, and the number up to which the result is complete.
+func (v *evidence) since(number uint64, farthest origin, other sender) (observations []quarantine.Observation, last uint64) {
 	for i := range v.pieces {
-		if v.pieces[i].number <= number || v.pieces[i].origin > farthest || v.pieces[i].teller == other {
+		if v.pieces[i].number <= number || v.pieces[i].origin > farthest || v.pieces[i].sender == other {
 			continue
 		}
-		if len(told) == mostTold {
-			return told, v.pieces[i].number - 1
+		if len(observations) == maxEvidencePerMessage {
+			return observations, v.pieces[i].number - 1
 		}
-		told = append(told, v.pieces[i].Observation)
+		observations = append(observations, v.pieces[i].Observation)
 	}
-	return told, v.last
+	return observations, v.last
 }
 
-// Observe tells the other instances what this one saw of a request.
-func (g *Gossip) Observe(seen quarantine.Observation) {
+// Observe reports an observation of this instance to the others.
+func (g *Gossip) Observe(observation quarantine.Observation) {
 	g.mu.Lock()
-	news := g.evidence.add(seen, seenHere, teller{}, g.options.Clock.Now())
+	isNew := g.evidence.add(observation, seenLocally, sender{}, g.options.Clock.Now())
 	g.mu.Unlock()
-	if news {
+	if isNew {
 		g.RequestRound()
 	}
 }
 
-// askEvidence adds to an ask what the asked instance does not have of what this one saw. The
+// attachEvidence adds the local observations that the asked instance has not acknowledged. The
 // caller does not hold g.mu.
-func (g *Gossip) askEvidence(ask *Ask, instance *fleet.Instance) {
+func (g *Gossip) attachEvidence(ask *Ask, instance *fleet.Instance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ask.Have = g.evidence.taken[instance.Name]
+	ask.Have = g.evidence.receivedUpTo[instance.Name]
 	if instance.Domain == g.options.Self.Domain {
-		ask.Evidence, ask.Last = g.evidence.since(g.evidence.given[instance.Name].Number, seenHere, teller{name: instance.Name})
+		ask.Evidence, ask.Last = g.evidence.since(g.evidence.ackedUpTo[instance.Name].Number, seenLocally, sender{name: instance.Name})
 	}
 }
 
-// tellEvidence takes the asking instance's evidence, and tells it what it does not have: all
-// to the own domain, what the own domain saw to others. The caller holds g.mu.
-func (g *Gossip) tellEvidence(ask *Ask, own *Report, reply *Reply, now time.Time) {
-	farthest, asker := seenNear, teller{ask.Report.Name, ask.Report.Incarnation}
+// answerEvidence merges the evidence of the asking instance and replies with what it lacks:
+// everything within the own domain, observations of the own domain to other domains. The caller
+// holds g.mu.
+func (g *Gossip) answerEvidence(ask *Ask, own *Report, reply *Reply, now time.Time) {
+	farthest, asker := seenInDomain, sender{ask.Report.Name, ask.Report.Incarnation}
 	if ask.Domain == g.options.Self.Domain {
-		farthest = seenFar
-		g.learn(ask.Evidence, seenNear, asker, now)
+		farthest = seenRemotely
+		g.mergeEvidence(ask.Evidence, seenInDomain, asker, now)
 		reply.Given = ask.Last
 	}
 	after := ask.Have.Number
@@ -146,47 +149,47 @@
 	reply.Told.Incarnation = own.Incarnation
 }
 
-// takeEvidence learns from a reply of an instance. The caller holds g.mu.
-func (g *Gossip) takeEvidence(instance *fleet.Instance, reply *Reply, now time.Time) {
-	from := seenFar
+// applyEvidence merges the evidence of an instance's reply. The caller holds g.mu.
+func (g *Gossip) applyEvidence(instance *fleet.Instance, reply *Reply, now time.Time) {
+	from := seenRemotely
 	if instance.Domain == g.options.Self.Domain {
-		from = seenNear
-		// One that has started again has nothing of what was given to its former start.
-		if given := g.evidence.given[instance.Name]; given.Incarnation != 0 && given.Incarnation != reply.Told.Incarnation {
+		from = seenInDomain
+		// A restarted instance has lost what its former incarnation acknowledged.
+		if ackedUpTo := g.evidence.ackedUpTo[instance.Name]; ackedUpTo.Incarnation != 0 && ackedUpTo.Incarnation != reply.Told.Incarnation {
 			reply.Given = 0
 		}
-		g.evidence.given[instance.Name] = Cursor{reply.Told.Incarnation, reply.Given}
+		g.evidence.ackedUpTo[instance.Name] = Cursor{reply.Told.Incarnation, reply.Given}
 	}
-	g.learn(reply.Evidence, from, teller{instance.Name, reply.Told.Incarnation}, now)
-	g.evidence.taken[instance.Name] = reply.Told
+	g.mergeEvidence(reply.Evidence, from, sender{instance.Name, reply.Told.Incarnation}, now)
+	g.evidence.receivedUpTo[instance.Name] = reply.Told
 }
 
-// learn passes pieces on that are news. The caller holds g.mu.
-func (g *Gossip) learn(told []quarantine.Observation, from origin, by teller, now time.Time) {
-	var news []quarantine.Observation
-	for _, seen := range told {
-		if g.evidence.add(seen, from, by, now) {
-			news = append(news, seen)
+// mergeEvidence records observations and passes the new ones on. The caller holds g.mu.
+func (g *Gossip) mergeEvidence(observations []quarantine.Observation, from origin, by sender, now time.Time) {
+	var fresh []quarantine.Observation
+	for _, observation := range observations {
+		if g.evidence.add(observation, from, by, now) {
+			fresh = append(fresh, observation)
 		}
 	}
-	if len(news) > 0 && g.options.Evidence != nil {
-		g.options.Evidence(news)
+	if len(fresh) > 0 && g.options.Evidence != nil {
+		g.options.Evidence(fresh)
 	}
 }
 
-// forgetEvidence drops the places of instances that are gone. The caller holds g.mu.
+// forgetEvidence drops the cursors of removed instances. The caller holds g.mu.
 func (g *Gossip) forgetEvidence(instances []fleet.Instance) {
-	if len(g.evidence.taken) <= 2*len(instances)+2 {
+	if len(g.evidence.receivedUpTo) <= 2*len(instances)+2 {
 		return
 	}
-	still := make(map[string]bool, len(instances))
+	present := make(map[string]bool, len(instances))
 	for i := range instances {
-		still[instances[i].Name] = true
+		present[instances[i].Name] = true
 	}
-	for _, places := range [...]map[string]Cursor{g.evidence.taken, g.evidence.given} {
-		for name := range places {
-			if !still[name] {
-				delete(places, name)
+	for _, cursors := range [...]map[string]Cursor{g.evidence.receivedUpTo, g.evidence.ackedUpTo} {
+		for name := range cursors {
+			if !present[name] {
+				delete(cursors, name)
 			}
 		}
 	}
--- a/pkg/peer/exchange.go
+++ b/pkg/peer/exchange.go
@@ -23,30 +23,31 @@
 
 const jobHub = "hub"
 
-// exchangeNear reports to the hub, or to everyone in a small domain.
-func (g *Gossip) exchangeNear(ctx context.Context) {
+// exchangeWithinDomain reports to the hub, or to every instance in a small domain.
+func (g *Gossip) exchangeWithinDomain(ctx context.Context) {
 	others := g.domain()
 	hub := g.hub()
-	small := !g.large()
+	small := !g.usesHub()
 	var all errgroup.Group
 	for _, instance := range others {
 		if small || instance.Name == hub {
-			all.Go(func() error { g.exchange(ctx, instance, nearTimeout); return nil })
+			all.Go(func() error { g.exchange(ctx, instance, sameRegionTimeout); return nil })
 		}
 	}
-	// Failures are logged and remembered by exchange.
+	// exchange logs and records failures.
 	_ = all.Wait()
 }
 
-// exchangeFar asks the hubs of other domains.
-func (g *Gossip) exchangeFar(ctx context.Context, regions bool) {
+// exchangeWithDomains asks the hubs of other domains; those of other regions only if regions is
+// true.
+func (g *Gossip) exchangeWithDomains(ctx context.Context, regions bool) {
 	others := g.registered()
 	byName := make(map[string]fleet.Instance, len(others))
 	domains := make(map[string]bool)
 	for _, instance := range others {
 		byName[instance.Name] = instance
-		near := instance.Region == g.options.Self.Region
-		if instance.Domain != g.options.Self.Domain && (near || regions) {
+		sameRegion := instance.Region == g.options.Self.Region
+		if instance.Domain != g.options.Self.Domain && (sameRegion || regions) {
 			domains[instance.Domain] = true
 		}
 	}
@@ -57,21 +58,21 @@
 			continue
 		}
 		instance := byName[ranked[0]]
-		timeout := nearTimeout
+		timeout := sameRegionTimeout
 		if instance.Region != g.options.Self.Region {
-			timeout = farTimeout
+			timeout = crossRegionTimeout
 		}
 		all.Go(func() error { g.exchange(ctx, instance, timeout); return nil })
 	}
 	_ = all.Wait()
 }
 
-// Tell tells everyone of the own domain, and the other domains' hubs, at once: a
-// leaving mark must not wait.
-func (g *Gossip) Tell(ctx context.Context) {
+// ReportNow reports to every instance of the own domain at once, so that a leaving mark does not
+// wait for the next round.
+func (g *Gossip) ReportNow(ctx context.Context) {
 	var all errgroup.Group
 	for _, instance := range g.domain() {
-		all.Go(func() error { g.exchange(ctx, instance, nearTimeout); return nil })
+		all.Go(func() error { g.exchange(ctx, instance, sameRegionTimeout); return nil })
 	}
 	_ = all.Wait()
 }
@@ -87,27 +88,27 @@
 		return
 	}
 	if err != nil {
-		g.unreached(instance, err)
+		g.recordFailure(instance, err)
 		return
 	}
-	g.take(&instance, &reply, dict)
+	g.applyReply(&instance, &reply, dict)
 }
 
-// ask is what an instance is asked. One of another domain hears of this one's work through
-// the digests that it asks for itself: at 1,000 upstreams the work of a busy instance is
-// 25 KB, and it went to the hubs of all domains.
+// ask builds the request to an instance. Instances of another domain receive this one's load
+// through the digests that they request: at 1,000 upstreams the load of a busy instance takes 25
+// KB, too much to send to the hubs of all domains.
 func (g *Gossip) ask(instance *fleet.Instance, dict *dictionary) Ask {
 	ask := Ask{
 		Domain: g.options.Self.Domain, Region: g.options.Self.Region, Report: g.options.Report(),
-		Sums: g.large(), Rosters: g.rosters(), Dictionary: dict.fingerprint,
+		Sums: g.usesHub(), Rosters: g.rosters(), Dictionary: dict.fingerprint,
 	}
 	if instance.Domain != g.options.Self.Domain {
 		ask.Report.Upstreams, ask.Report.Placed, ask.Report.Used = nil, nil, nil
 	}
-	if !g.hasCopy(instance) {
+	if !g.hasReplica(instance) {
 		ask.Gossip = g.options.Self.Gossip
 	}
-	g.askEvidence(&ask, instance)
+	g.attachEvidence(&ask, instance)
 	ask.Departures = g.departures()
 	if instance.Region == g.options.Self.Region {
 		ask.Limits = g.limits()
@@ -115,13 +116,13 @@
 	return ask
 }
 
-// unreached remembers that an instance did not answer.
-func (g *Gossip) unreached(instance fleet.Instance, err error) {
+// recordFailure records that an instance did not answer.
+func (g *Gossip) recordFailure(instance fleet.Instance, err error) {
 	now := g.options.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, before := g.avoided[instance.Name]; !before {
+	if _, before := g.avoidedUntil[instance.Name]; !before {
 		g.options.Log.Info().Err(err).Str(event.KeyPeer, instance.Name).Msg(string(event.PeerLost))
 	}
-	g.avoided[instance.Name] = now.Add(avoidFor)
+	g.avoidedUntil[instance.Name] = now.Add(avoidDuration)
 }
--- a/pkg/peer/service.go
+++ b/pkg/peer/service.go
@@ -12,7 +12,7 @@
 	"github.com/lilacweir/lilacweir/pkg/quota"
 )
 
-// ServiceName is the name under which instances serve each other by net/rpc.
+// ServiceName is the net/rpc name of the service.
 const ServiceName = "Peer"
 
 // Methods of the service.
@@ -21,68 +21,69 @@
 	methodCopy     = ServiceName + ".Copy"
 )
 
-// Ask is a report, and whose.
+// Ask is the report of an instance, with a request for what the asked one knows.
 type Ask struct {
 	Domain, Region string
 	Report         Report
-	// Gossip is where the asking instance can be asked for its copy of the store; empty
-	// when the asked one is known to have a copy, and with it the addresses of all.
+	// Gossip is the address at which the asking instance serves its snapshot of the store; empty
+	// if the asked one is known to have a snapshot, which contains all addresses.
 	Gossip string
-	// Sums is true in a large domain: the asking instance learns of all through this one,
-	// and wants the work of the others as a sum.
+	// Sums is true in a large domain: the asking instance gets all of its knowledge from this
+	// one, and wants the load of the others as a sum.
 	Sums bool
-	// Rosters are those that the asking instance holds, Dictionary is the fingerprint of the
+	// Rosters are those that the asking instance holds. Dictionary is the fingerprint of the
 	// region's upstreams as it knows them.
 	Rosters    []Roster
 	Dictionary uint64
-	// Evidence is what the asking instance saw and the asked one may not have, up to the
-	// number Last; Have is up to where the asking one has the other's.
+	// Evidence holds observations of the asking instance that the asked one may lack, up to the
+	// number Last. Have is the position up to which the asking instance has received the other's
+	// evidence.
 	Evidence []quarantine.Observation
 	Last     uint64
 	Have     Cursor
-	// Limits are those that upstreams of the region name.
+	// Limits are those that upstreams of the region advertise.
 	Limits []limit.ToldLimit
-	// Departures are upstreams that have said that they leave.
+	// Departures are the upstreams that have announced that they leave.
 	Departures []string
 }
 
-// Reply is what the asked instance knows: to its own domain, the reports of the domain
-// and the digests of all others; to another domain, the digest of its own.
+// Reply is the state known to the asked instance. Within its own domain it contains the domain's
+// reports and the digests of all other domains; to another domain, the digest of its own.
 type Reply struct {
 	Reports []AgedReport
 	Digests []Digest
-	// Summed is true when Columns and Sums add up the work of the region's instances but
-	// the asking one, by upstream. Reports then holds that of the asked instance alone,
-	// Digests that of the own domain too, both without work, and all placements that are
-	// new to the asking instance stand in Placed.
+	// Summed is true if Columns and Sums hold the load of the region's instances except the
+	// asking one, by upstream. Reports then holds only the report of the asked instance, Digests
+	// also that of the own domain, both without loads, and Placed holds all placements that are
+	// new to the asking instance.
 	Summed bool
-	// Columns is the work at the upstreams that both know, where they know the same; Sums
-	// is the rest.
+	// Columns holds the loads at upstreams if the dictionaries of both sides match; Sums holds
+	// the other loads.
 	Columns Columns
 	Sums    []Load
 	Placed  []Placement
-	// Used is what limited callers have used at the other instances of the domain, as the
-	// asked one, with the incarnation Counter, has counted it.
+	// Used is the usage of limited callers at the other instances of the domain, counted by the
+	// asked instance with the incarnation Counter.
 	Used    []quota.Usage
 	Counter uint64
-	// Evidence is what was seen of requests and the asking instance does not have, up to
-	// Told; Given is up to where the asked one now has the other's.
+	// Evidence holds observations that the asking instance lacks, up to Told. Given acknowledges
+	// the asking instance's evidence.
 	Evidence []quarantine.Observation
 	Told     Cursor
 	Given    uint64
-	// Limits are those that upstreams of the region name.
+	// Limits are those that upstreams of the region advertise.
 	Limits []limit.ToldLimit
-	// Departures are upstreams that have said that they leave.
+	// Departures are the upstreams that have announced that they leave.
 	Departures []string
 }
 
-// AgedReport is a report with its age where it is told.
+// AgedReport is a report with its age at the time of sending.
 type AgedReport struct {
 	Report Report
 	Age    time.Duration
 }
 
-// CopyArgs asks for what has changed in the copy of the store since a position.
+// CopyArgs requests the changes in the snapshot of the store since a position.
 type CopyArgs struct {
 	Revision int64
 	Era      uint64
@@ -91,46 +92,46 @@
 // CopyReply holds a mirror.Delta, encoded and compressed.
 type CopyReply struct{ Packed []byte }
 
-// Service is what other instances call.
+// Service implements the methods that other instances call.
 type Service struct{ gossip *Gossip }
 
-// Register offers the service.
+// Register registers the service.
 func (g *Gossip) Register(server *control.Server) error {
 	return server.Register(ServiceName, &Service{gossip: g})
 }
 
-// Exchange takes another instance's report and returns what this one knows.
+// Exchange applies another instance's report and returns the state known to this one.
 func (s *Service) Exchange(ask Ask, reply *Reply) error {
 	g := s.gossip
 	now := g.options.Clock.Now()
 	own := g.ownReport(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.avoided, ask.Report.Name)
-	g.noteAsker(&ask, &own, now)
-	g.news.add(own.Placed, true, now)
-	g.tellEvidence(&ask, &own, reply, now)
-	g.learnDepartures(ask.Departures, ask.Report.Name)
+	delete(g.avoidedUntil, ask.Report.Name)
+	g.recordReplicaOffer(&ask, &own, now)
+	g.placementLog.add(own.Placed, true, now)
+	g.answerEvidence(&ask, &own, reply, now)
+	g.forwardDepartures(ask.Departures, ask.Report.Name)
 	reply.Departures = g.departures()
 	if ask.Region == g.options.Self.Region {
-		g.learnLimits(ask.Limits)
+		g.forwardLimits(ask.Limits)
 		reply.Limits = g.limits()
 	}
 	if ask.Domain != g.options.Self.Domain {
 		digest := g.digest(&own, now, ask.Region)
-		digest.Placed = g.news.since(ask.Report.Name, true, now)
-		digest.leaveOut(ask.Rosters)
+		digest.Placed = g.placementLog.since(ask.Report.Name, true, now)
+		digest.omitKnownMarks(ask.Rosters)
 		reply.Digests = []Digest{digest}
 		if digest := g.digests[ask.Domain]; digest == nil || now.Sub(digest.at) > SilentAfter {
-			g.farWanted.Store(true)
+			g.remoteRoundWanted.Store(true)
 			g.RequestRound()
 		}
 		return nil
 	}
-	g.takeReport(ask.Report, now)
+	g.applyReport(ask.Report, now)
 	reply.Reports = []AgedReport{{Report: own}}
 	if ask.Sums {
-		g.tellSums(&ask, reply, now)
+		g.answerSums(&ask, reply, now)
 		return nil
 	}
 	for name, report := range g.reports {
@@ -139,52 +140,52 @@
 		}
 	}
 	for _, digest := range g.digests {
-		told := digest.value
-		told.Age = now.Sub(digest.at)
-		if told.Age <= SilentAfter {
-			told.leaveOut(ask.Rosters)
-			reply.Digests = append(reply.Digests, told)
+		current := digest.value
+		current.Age = now.Sub(digest.at)
+		if current.Age <= SilentAfter {
+			current.omitKnownMarks(ask.Rosters)
+			reply.Digests = append(reply.Digests, current)
 		}
 	}
 	return nil
 }
 
-// tellSums tells an instance of a large domain the others' work as one sum by upstream,
-// who they are when that has changed, and what is new otherwise. With the work of each of
-// 16 instances that send 600 requests a second a reply took 180 KB; with each instance's
-// name in it, 5 KB in a domain of 50, which a hub sends 480 times a second: its link of
-// 20 Mbit/s was full, and what it told of loads was seconds old. The caller holds g.mu.
-func (g *Gossip) tellSums(ask *Ask, reply *Reply, now time.Time) {
+// answerSums replies to an instance of a large domain with the others' load as one sum by
+// upstream, the roster if it has changed, and other new data. With the loads of each of 16
+// instances that send 600 requests a second a reply took 180 KB. With each instance's name in
+// it, it took 5 KB in a domain of 50, which a hub sends 480 times a second: its link of 20
+// Mbit/s was saturated, and the reported loads were seconds old. The caller holds g.mu.
+func (g *Gossip) answerSums(ask *Ask, reply *Reply, now time.Time) {
 	own := &reply.Reports[0].Report
-	g.used.Take(own.Name, own.Incarnation, own.Used, now)
+	g.used.Record(own.Name, own.Incarnation, own.Used, now)
 	total := g.total(own, now)
 	reply.Digests = []Digest{total.roster}
-	before := g.askedAt[ask.Report.Name]
-	g.askedAt[ask.Report.Name] = now
+	before := g.lastAskedAt[ask.Report.Name]
+	g.lastAskedAt[ask.Report.Name] = now
 	for _, digest := range g.digests {
-		told := digest.value
-		told.Age = now.Sub(digest.at)
-		if told.Age > SilentAfter {
+		current := digest.value
+		current.Age = now.Sub(digest.at)
+		if current.Age > SilentAfter {
 			continue
 		}
-		if !digest.taken.Before(before) {
-			told.Upstreams, told.Placed = nil, nil
-			reply.Digests = append(reply.Digests, told)
+		if !digest.receivedAt.Before(before) {
+			current.Upstreams, current.Placed = nil, nil
+			reply.Digests = append(reply.Digests, current)
 		}
 	}
 	for i := range reply.Digests {
-		reply.Digests[i].leaveOut(ask.Rosters)
+		reply.Digests[i].omitKnownMarks(ask.Rosters)
 	}
 	own.Upstreams, own.Placed, own.Used = nil, nil, nil
-	reply.Used, reply.Counter = g.used.Tell(ask.Report.Name, now), own.Incarnation
+	reply.Used, reply.Counter = g.used.Totals(ask.Report.Name, now), own.Incarnation
 	reply.Summed, reply.Sums = true, total.without(ask.Report.Name)
 	if dict := g.dictionary(); dict.fingerprint == ask.Dictionary {
 		reply.Columns, reply.Sums = dict.columns(reply.Sums)
 	}
-	reply.Placed = g.news.since(ask.Report.Name, false, now)
+	reply.Placed = g.placementLog.since(ask.Report.Name, false, now)
 }
 
-// Copy returns what has changed in this instance's copy of the store.
+// Copy returns the changes in this instance's snapshot of the store.
 func (s *Service) Copy(args CopyArgs, reply *CopyReply) error {
 	snapshot := s.gossip.options.Store.Snapshot().Load()
 	if snapshot == nil {
@@ -195,7 +196,7 @@
 	return err
 }
 
-// digest sums up the own domain for a region. The caller holds g.mu.
+// digest summarises the own domain for a region. The caller holds g.mu.
 func (g *Gossip) digest(own *Report, now time.Time, region string) Digest {
 	d := g.roster(own, now)
 	upstreams := make(map[string]Load)
@@ -209,12 +210,12 @@
 	if region == d.Region {
 		d.Upstreams = sorted(upstreams)
 	}
-	g.used.Take(own.Name, own.Incarnation, own.Used, now)
-	d.Used, d.Counter = g.used.Tell("", now), own.Incarnation
+	g.used.Record(own.Name, own.Incarnation, own.Used, now)
+	d.Used, d.Counter = g.used.Totals("", now), own.Incarnation
 	return d
 }
 
-// byService adds loads at upstreams up by service.
+// byService sums loads at upstreams by service.
 func (g *Gossip) byService(upstreams map[string]Load) []Load {
 	view := g.options.Fleet.Load()
 	if view == nil {
@@ -231,33 +232,33 @@
 	return sorted(services)
 }
 
-// take learns from an instance's reply to an ask that named a dictionary.
-func (g *Gossip) take(instance *fleet.Instance, reply *Reply, asked *dictionary) {
+// applyReply merges an instance's reply to a request that named a dictionary.
+func (g *Gossip) applyReply(instance *fleet.Instance, reply *Reply, asked *dictionary) {
 	now := g.options.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.takeEvidence(instance, reply, now)
-	g.learnLimits(reply.Limits)
-	g.learnDepartures(reply.Departures, instance.Name)
+	g.applyEvidence(instance, reply, now)
+	g.forwardLimits(reply.Limits)
+	g.forwardDepartures(reply.Departures, instance.Name)
 	for i := range reply.Reports {
-		told := &reply.Reports[i]
-		g.takeReport(told.Report, now.Add(-told.Age))
+		aged := &reply.Reports[i]
+		g.applyReport(aged.Report, now.Add(-aged.Age))
 	}
 	for i := range reply.Digests {
 		if reply.Digests[i].Domain == g.options.Self.Domain {
-			g.takeRoster(&reply.Digests[i], now)
+			g.applyRoster(&reply.Digests[i], now)
 			continue
 		}
-		g.takeDigest(reply.Digests[i], now)
+		g.applyDigest(reply.Digests[i], now)
 	}
 	if reply.Summed {
-		g.takeSums(reply, asked, now)
-		g.placed(reply.Placed, false, now)
-		g.hear(domainTeller(g.options.Self.Domain), reply.Counter, reply.Used)
+		g.applySums(reply, asked, now)
+		g.handlePlacements(reply.Placed, false, now)
+		g.recordUsage(domainSource(g.options.Self.Domain), reply.Counter, reply.Used)
 	}
 }
 
-// limits is what this instance tells of the limits of its region's upstreams.
+// limits returns the advertised limits of the region's upstreams known to this instance.
 func (g *Gossip) limits() []limit.ToldLimit {
 	if g.options.Limits == nil {
 		return nil
@@ -265,14 +266,14 @@
 	return g.options.Limits.Told()
 }
 
-// learnLimits passes limits on.
-func (g *Gossip) learnLimits(told []limit.ToldLimit) {
-	if len(told) > 0 && g.options.LearnLimits != nil {
-		g.options.LearnLimits(told)
+// forwardLimits passes received limits on.
+func (g *Gossip) forwardLimits(limits []limit.ToldLimit) {
+	if len(limits) > 0 && g.options.LearnLimits != nil {
+		g.options.LearnLimits(limits)
 	}
 }
 
-// departures is what this instance tells of upstreams that leave.
+// departures returns the leaving upstreams known to this instance.
 func (g *Gossip) departures() []string {
 	if g.options.Departures == nil {
 		return nil
@@ -280,35 +281,35 @@
 	return g.options.Departures()
 }
 
-// learnDepartures passes departures on.
-func (g *Gossip) learnDepartures(upstreams []string, teller string) {
+// forwardDepartures passes received departures on.
+func (g *Gossip) forwardDepartures(upstreams []string, from string) {
 	if len(upstreams) > 0 && g.options.LearnDepartures != nil {
-		g.options.LearnDepartures(upstreams, teller)
+		g.options.LearnDepartures(upstreams, from)
 	}
 }
 
-// instanceTeller and domainTeller name who tells usage.
-func instanceTeller(name string) string { return "instance " + name }
-func domainTeller(name string) string   { return "domain " + name }
+// instanceSource and domainSource name the sources of usage.
+func instanceSource(name string) string { return "instance " + name }
+func domainSource(name string) string   { return "domain " + name }
 
-// hear passes usage on.
-func (g *Gossip) hear(teller string, start uint64, used []quota.Usage) {
+// recordUsage passes received usage on.
+func (g *Gossip) recordUsage(source string, start uint64, used []quota.Usage) {
 	if g.options.Usage != nil {
-		g.options.Usage.Hear(teller, start, used)
+		g.options.Usage.AddRemoteUsage(source, start, used)
 	}
 }
 
-// takeSums learns the others' work. The caller holds g.mu.
-func (g *Gossip) takeSums(reply *Reply, asked *dictionary, now time.Time) {
+// applySums records the others' load. The caller holds g.mu.
+func (g *Gossip) applySums(reply *Reply, asked *dictionary, now time.Time) {
 	loads, err := asked.loads(&reply.Columns)
 	if err != nil {
 		g.options.Log.Warn().Err(err).Msg(string(event.SumsRejected))
 		return
 	}
-	g.sums = &heard[[]Load]{value: append(loads, reply.Sums...), at: now}
+	g.sums = &received[[]Load]{value: append(loads, reply.Sums...), at: now}
 }
 
-func (g *Gossip) takeReport(report Report, at time.Time) {
+func (g *Gossip) applyReport(report Report, at time.Time) {
 	if report.Name == g.options.Self.Name {
 		return
 	}
@@ -319,18 +320,18 @@
 	if before == nil || before.value.mark() != report.mark() {
 		g.totals = nil
 	}
-	g.note(before, &report)
-	g.options.Store.Heard(report.Era)
-	delete(g.avoided, report.Name)
-	g.placed(report.Placed, true, at)
-	g.reports[report.Name] = &heard[Report]{value: report, at: at}
-	g.used.Take(report.Name, report.Incarnation, report.Used, g.options.Clock.Now())
-	if g.leads.Load() {
-		g.hear(instanceTeller(report.Name), report.Incarnation, report.Used)
+	g.logChange(before, &report)
+	g.options.Store.ObserveEpoch(report.Era)
+	delete(g.avoidedUntil, report.Name)
+	g.handlePlacements(report.Placed, true, at)
+	g.reports[report.Name] = &received[Report]{value: report, at: at}
+	g.used.Record(report.Name, report.Incarnation, report.Used, g.options.Clock.Now())
+	if g.receivesAllReports.Load() {
+		g.recordUsage(instanceSource(report.Name), report.Incarnation, report.Used)
 	}
 }
 
-func (g *Gossip) takeDigest(digest Digest, now time.Time) {
+func (g *Gossip) applyDigest(digest Digest, now time.Time) {
 	if digest.Domain == g.options.Self.Domain || digest.Age > SilentAfter {
 		return
 	}
@@ -345,15 +346,15 @@
 	if before != nil && len(digest.Marks) == 0 {
 		digest.Marks, digest.Roster = before.value.Marks, before.value.Roster
 	}
-	g.options.Store.Heard(digest.Era)
-	g.placed(digest.Placed, false, at)
-	g.digests[digest.Domain] = &heard[Digest]{value: digest, at: at, taken: now}
-	g.hear(domainTeller(digest.Domain), digest.Counter, digest.Used)
+	g.options.Store.ObserveEpoch(digest.Era)
+	g.handlePlacements(digest.Placed, false, at)
+	g.digests[digest.Domain] = &received[Digest]{value: digest, at: at, receivedAt: now}
+	g.recordUsage(domainSource(digest.Domain), digest.Counter, digest.Used)
 }
 
-// placed passes placements on, to this instance and to those that ask it.
-func (g *Gossip) placed(placements []Placement, own bool, at time.Time) {
-	g.news.add(placements, own, g.options.Clock.Now())
+// handlePlacements passes placements on, to this instance and to those that ask it.
+func (g *Gossip) handlePlacements(placements []Placement, own bool, at time.Time) {
+	g.placementLog.add(placements, own, g.options.Clock.Now())
 	if g.options.Placed == nil {
 		return
 	}
@@ -362,8 +363,8 @@
 	}
 }
 
-// note logs what is new of an instance.
-func (g *Gossip) note(before *heard[Report], report *Report) {
+// logChange logs a new or leaving instance.
+func (g *Gossip) logChange(before *received[Report], report *Report) {
 	switch {
 	case before == nil, before.value.Incarnation != report.Incarnation:
 		g.options.Log.Info().Str(event.KeyPeer, report.Name).Msg(string(event.PeerFound))
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -9,9 +9,10 @@
 	"github.com/lilacweir/lilacweir/pkg/quarantine"
 )
 
-// TestFingerprintsTellRequestsApart guards against refusing a request for what another did:
-// whatever part of the content differs, also where parts run into each other.
-func TestFingerprintsTellRequestsApart(t *testing.T) {
+// TestFingerprintsDistinguishRequests guards against refusing a request because of another one:
+// any part of the content may differ, also where adjacent parts would concatenate to the same
+// text.
+func TestFingerprintsDistinguishRequests(t *testing.T) {
 	is := is.New(t)
 	base := quarantine.Content{Organisation: "o", Method: "POST", Host: "h", Path: "/a/b", Body: []byte("body")}
 	others := []quarantine.Content{
@@ -31,8 +32,8 @@
 	is.Equal(len(base.Fingerprint().String()), 32)
 }
 
-// TestKeysAreReadBack guards against a quarantine that is written and not found again.
-func TestKeysAreReadBack(t *testing.T) {
+// TestKeysRoundTrip guards against a quarantine that is written and not found again.
+func TestKeysRoundTrip(t *testing.T) {
 	is := is.New(t)
 	content := quarantine.Content{Method: "POST", Path: "/a", Body: []byte("body")}
 	read, err := quarantine.Parse(content.Fingerprint().Key())
--- a/pkg/quota/gate.go
+++ b/pkg/quota/gate.go
@@ -15,52 +15,51 @@
 
 // Times that refusals suggest.
 const (
-	// maxWait bounds them: the parts change sooner.
+	// maxWait bounds them, because the shares change sooner.
 	maxWait = time.Minute
-	// placeWait is suggested when all places are taken; when there is none here, a
-	// window must pass before there may be.
-	placeWait = time.Second
+	// slotWait is suggested when all concurrency slots are in use. A gateway without any has to
+	// wait for a window before it can get some.
+	slotWait = time.Second
 )
 
-// Gate lets in one gateway's part of each caller's limits. It is safe for
-// concurrent use.
+// Gate admits one gateway's share of each caller's limits. It is safe for concurrent use.
 type Gate struct {
 	clock clock.Clock
 
-	mu      sync.Mutex
-	callers map[string]*account
-	scene   *scene
+	mu         sync.Mutex
+	callers    map[string]*account
+	demandView *demandView
 }
 
-// account is what one gateway keeps of one caller.
+// account is the state of one caller at one gateway.
 type account struct {
 	limits           config.Limits
-	part             float64
+	share            float64
 	requests, tokens bucket
-	inHand           int
+	inFlight         int
 	meter            meter
-	told             int
+	reported         int
 	history          history
 }
 
-// NewGate returns a gate that knows of no other gateway.
+// NewGate returns a gate without knowledge of other gateways.
 func NewGate(now clock.Clock) *Gate {
 	return &Gate{
-		clock:   now,
-		callers: make(map[string]*account),
-		scene:   look(&View{}, now.Now()),
+		clock:      now,
+		callers:    make(map[string]*account),
+		demandView: newDemandView(&View{}, now.Now()),
 	}
 }
 
-// Pass is one request that was let in.
+// Pass is one admitted request.
 type Pass struct {
 	gate    *Gate
 	account *account
 	tokens  int
 }
 
-// Admit lets a request in, which may take the given tokens by estimate, or refuses
-// it at once. Done must be called on the pass; a caller without limits has none.
+// Admit admits a request with the given estimate of tokens, or refuses it at once. Done must be
+// called on the pass; a caller without limits has none.
 func (g *Gate) Admit(caller *config.Caller, tokens int) (*Pass, *outcome.Refusal) {
 	if !caller.Limits.Any() {
 		return nil, nil
@@ -72,7 +71,7 @@
 	full := a.full()
 	a.meter.ask(now, float64(tokens), full)
 	if full {
-		return nil, a.refuse("requests in hand", a.placeWait())
+		return nil, a.refuse("requests in hand", a.slotWait())
 	}
 	if wait := a.wait(&a.requests, now, 1, a.limits.RequestsPerSecond > 0); wait > 0 {
 		return nil, a.refuse("requests a second", wait)
@@ -82,22 +81,22 @@
 	}
 	a.requests.take(1)
 	a.tokens.take(float64(tokens))
-	a.inHand++
+	a.inFlight++
 	return &Pass{gate: g, account: a, tokens: tokens}, nil
 }
 
-// Done ends the request, which took the given tokens in truth.
+// Done ends the request, which used the given number of tokens.
 func (p *Pass) Done(tokens int) {
 	if p == nil {
 		return
 	}
 	p.gate.mu.Lock()
 	defer p.gate.mu.Unlock()
-	p.account.inHand--
+	p.account.inFlight--
 	p.account.tokens.take(float64(tokens - p.tokens))
 }
 
-// Tokens is the estimate that the request was let in with.
+// Tokens returns the estimate with which the request was admitted.
 func (p *Pass) Tokens() int {
 	if p == nil {
 		return 0
@@ -105,46 +104,46 @@
 	return p.tokens
 }
 
-// account returns the caller's account, with the limits in force. Callers hold mu.
+// account returns the caller's account with the limits in force. The caller of account holds mu.
 func (g *Gate) account(name string, limits config.Limits, now time.Time) *account {
 	a := g.callers[name]
 	if a == nil {
 		a = &account{}
 		g.callers[name] = a
-		a.part = a.history.part(g.scene, name, 0)
+		a.share = a.history.share(g.demandView, name, 0)
 	}
 	if a.limits != limits {
 		a.limits = limits
-		a.share(now)
+		a.applyShare(now)
 	}
 	return a
 }
 
-// share brings the part into force.
-func (a *account) share(now time.Time) {
-	a.requests.set(now, a.part*a.limits.RequestsPerSecond)
-	a.tokens.set(now, a.part*perSecond(a.limits.TokensPerMinute))
+// applyShare applies the share to the buckets.
+func (a *account) applyShare(now time.Time) {
+	a.requests.set(now, a.share*a.limits.RequestsPerSecond)
+	a.tokens.set(now, a.share*perSecond(a.limits.TokensPerMinute))
 }
 
-// places is how many requests may be in hand here. Parts are rounded down, but for
-// the one gateway that has more than half: so they add up to the limit at most.
-func (a *account) places() int {
-	places := a.part * float64(a.limits.Concurrent)
-	if a.part > 1.0/2 {
-		return int(math.Ceil(places - slack))
+// slots returns the number of requests that may be in flight here. Shares are rounded down,
+// except at the one gateway that has more than half, so that they add up to the limit at most.
+func (a *account) slots() int {
+	slots := a.share * float64(a.limits.Concurrent)
+	if a.share > 1.0/2 {
+		return int(math.Ceil(slots - slack))
 	}
-	return int(places + slack)
+	return int(slots + slack)
 }
 
 func (a *account) full() bool {
-	return a.limits.Concurrent > 0 && a.inHand >= a.places()
+	return a.limits.Concurrent > 0 && a.inFlight >= a.slots()
 }
 
-func (a *account) placeWait() time.Duration {
-	if a.places() == 0 {
+func (a *account) slotWait() time.Duration {
+	if a.slots() == 0 {
 		return DomainWindow
 	}
-	return placeWait
+	return slotWait
 }
 
 func (a *account) wait(b *bucket, now time.Time, cost float64, limited bool) time.Duration {
@@ -155,39 +154,39 @@
 }
 
 func (a *account) refuse(what string, wait time.Duration) *outcome.Refusal {
-	detail := fmt.Sprintf("the caller's limit of %s is reached; this gateway has %.0f%% of it", what, 100*a.part)
+	detail := fmt.Sprintf("the caller's limit of %s is reached; this gateway has %.0f%% of it", what, 100*a.share)
 	return outcome.Refuse(http.StatusTooManyRequests, outcome.ReasonCallerLimit, wait, detail)
 }
 
-// Update takes what is known of the other gateways.
+// Update applies the known state of the other gateways.
 func (g *Gate) Update(view View) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock.Now()
-	g.scene = look(&view, now)
-	for _, others := range [][]tellers{g.scene.peers, g.scene.remote} {
+	g.demandView = newDemandView(&view, now)
+	for _, others := range [][]reportedDemand{g.demandView.peers, g.demandView.remote} {
 		for _, other := range others {
-			g.meet(other.demand)
+			g.openAccounts(other.demand)
 		}
 	}
 	for name, a := range g.callers {
-		a.part = a.history.part(g.scene, name, a.told)
-		a.share(now)
+		a.share = a.history.share(g.demandView, name, a.reported)
+		a.applyShare(now)
 		if a.idle(now) {
 			delete(g.callers, name)
 		}
 	}
 }
 
-// idle says that a fresh account would be no different.
+// idle reports whether a new account would be no different.
 func (a *account) idle(now time.Time) bool {
-	return a.inHand == 0 && a.requests.full() && a.tokens.full() &&
+	return a.inFlight == 0 && a.requests.full() && a.tokens.full() &&
 		a.history.idle() && a.meter.demand(now, a.limits, 0) == 0
 }
 
-// meet opens accounts for the callers that others tell of, so that their windows
-// are filled before their first request here.
-func (g *Gate) meet(demand map[string]int) {
+// openAccounts opens accounts for the callers that others report, so that their windows are
+// filled before their first request here.
+func (g *Gate) openAccounts(demand map[string]int) {
 	for name := range demand {
 		if g.callers[name] == nil {
 			g.callers[name] = &account{}
@@ -195,32 +194,32 @@
 	}
 }
 
-// Demand measures what is to be told of callers from now on.
+// Demand measures and returns the callers' demand to be reported from now on.
 func (g *Gate) Demand() []board.CallerDemand {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock.Now()
 	demands := make(map[string]int)
 	for name, a := range g.callers {
-		demands[name] = a.told
-		if demand := a.meter.demand(now, a.limits, a.inHand); moved(a.told, demand) {
+		demands[name] = a.reported
+		if demand := a.meter.demand(now, a.limits, a.inFlight); moved(a.reported, demand) {
 			demands[name] = demand
 		}
 	}
 	list := largest(demands, GatewayDemands)
-	told := byCaller(list)
+	reported := byCaller(list)
 	for name, a := range g.callers {
-		a.told = told[name]
+		a.reported = reported[name]
 	}
 	return list
 }
 
-// Part returns this gateway's part of a caller's limits now, from 0 to 1.
-func (g *Gate) Part(caller string) float64 {
+// Share returns this gateway's present share of a caller's limits, from 0 to 1.
+func (g *Gate) Share(caller string) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if a := g.callers[caller]; a != nil {
-		return a.part
+		return a.share
 	}
-	return new(history).part(g.scene, caller, 0)
+	return new(history).share(g.demandView, caller, 0)
 }
--- a/pkg/quota/gate_test.go
+++ b/pkg/quota/gate_test.go
@@ -39,7 +39,7 @@
 		is.True(early != nil)
 		time.Sleep(time.Millisecond)
 		_, refusal = gate.Admit(busy, 0)
-		is.Equal(refusal, nil) // the time told was enough
+		is.Equal(refusal, nil) // the suggested wait was enough
 		free, refusal := gate.Admit(&config.Caller{Name: "other"}, 1_000_000)
 		is.Equal(refusal, nil)
 		free.Done(1) // a caller without limits has no pass
@@ -55,10 +55,10 @@
 		is.Equal(refusal, nil)
 		_, refusal = gate.Admit(busy, 1)
 		is.Equal(refusal.RetryAfter.Round(time.Second), 29*time.Second)
-		pass.Done(5) // it took less than was thought
+		pass.Done(5) // less than estimated
 		again, refusal := gate.Admit(busy, 5)
 		is.Equal(refusal, nil)
-		again.Done(205) // and this one more
+		again.Done(205) // more than estimated
 		_, refusal = gate.Admit(busy, 1)
 		is.Equal(refusal.RetryAfter.Round(time.Second), 20*time.Second)
 	})
@@ -79,8 +79,9 @@
 	is.Equal(refusal, nil)
 }
 
-// What is told stays bounded, and a caller that is not told of has its floor.
-func TestOnlyTheLargestDemandsAreTold(t *testing.T) {
+// TestOnlyTheLargestDemandsAreReported guards against reports that grow with the number of
+// callers.
+func TestOnlyTheLargestDemandsAreReported(t *testing.T) {
 	is := is.New(t)
 	gate := NewGate(clock.System{})
 	for i := range 600 {
@@ -89,17 +90,18 @@
 			_, _ = gate.Admit(busy, 0)
 		}
 	}
-	told := gate.Demand()
-	is.Equal(len(told), GatewayDemands)
-	is.Equal(told[len(told)-1].Caller, "caller-599")
-	domain := DomainDemand([]board.Instance{{Incarnation: 1, State: board.InstanceLive, Load: board.GatewayLoad{Demand: told}}}, time.Now())
+	reported := gate.Demand()
+	is.Equal(len(reported), GatewayDemands)
+	is.Equal(reported[len(reported)-1].Caller, "caller-599")
+	domain := DomainDemand([]board.Instance{{Incarnation: 1, State: board.InstanceLive, Load: board.GatewayLoad{Demand: reported}}}, time.Now())
 	is.Equal(len(domain), DomainDemands)
 	is.True(!Differs(domain, domain))
 	is.True(Differs(domain, domain[1:]))
 }
 
-// A silent gateway keeps its part for SilentHold, one that left or died does not.
-func TestWhoCounts(t *testing.T) {
+// TestWhichInstancesCount: an unreachable gateway keeps its share for SilentHold, one that left
+// or crashed does not.
+func TestWhichInstancesCount(t *testing.T) {
 	now := start.Add(SilentHold)
 	cases := []struct {
 		name     string
@@ -114,6 +116,6 @@
 		{"without a gateway", board.Instance{State: board.InstanceLive}, false},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(counts(&c.instance, now), c.want) })
+		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(mayAdmit(&c.instance, now), c.want) })
 	}
 }
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -7,10 +7,10 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// demandTime is the time constant of measured demand.
-const demandTime = 2 * time.Second
+// meterTimeConstant is the time constant of measured demand.
+const meterTimeConstant = 2 * time.Second
 
-// meter measures what a caller asks for, let in or refused: decaying sums.
+// meter measures a caller's demand, admitted or refused, as decaying sums.
 type meter struct {
 	requests, tokens, blocked float64
 	at                        time.Time
@@ -21,14 +21,15 @@
 	if passed <= 0 {
 		return
 	}
-	left := math.Exp(-passed.Seconds() / demandTime.Seconds())
-	m.requests *= left
-	m.tokens *= left
-	m.blocked *= left
+	remaining := math.Exp(-passed.Seconds() / meterTimeConstant.Seconds())
+	m.requests *= remaining
+	m.tokens *= remaining
+	m.blocked *= remaining
 	m.at = now
 }
 
-// ask notes a request; blocked says that it was refused for want of a place.
+// ask records a request; blocked is true if it was refused because all concurrency slots were in
+// use.
 func (m *meter) ask(now time.Time, tokens float64, blocked bool) {
 	m.decay(now)
 	m.requests++
@@ -38,26 +39,26 @@
 	}
 }
 
-// demand returns what is asked for in thousandths of the limit that it uses most.
-func (m *meter) demand(now time.Time, limits config.Limits, inHand int) int {
+// demand returns the demand in thousandths of the limit that it uses most.
+func (m *meter) demand(now time.Time, limits config.Limits, inFlight int) int {
 	m.decay(now)
-	var part float64
+	var fraction float64
 	if limits.RequestsPerSecond > 0 {
-		part = max(part, m.requests/demandTime.Seconds()/limits.RequestsPerSecond)
+		fraction = max(fraction, m.requests/meterTimeConstant.Seconds()/limits.RequestsPerSecond)
 	}
 	if limits.TokensPerMinute > 0 {
-		part = max(part, m.tokens/demandTime.Seconds()/perSecond(limits.TokensPerMinute))
+		fraction = max(fraction, m.tokens/meterTimeConstant.Seconds()/perSecond(limits.TokensPerMinute))
 	}
 	if limits.Concurrent > 0 {
-		part = max(part, (float64(inHand)+m.blocked)/float64(limits.Concurrent))
+		fraction = max(fraction, (float64(inFlight)+m.blocked)/float64(limits.Concurrent))
 	}
-	if part < leastDemand {
+	if fraction < minDemand {
 		return 0
 	}
-	return int(math.Ceil(whole * min(1, part)))
+	return int(math.Ceil(whole * min(1, fraction)))
 }
 
-// leastDemand is the part of a limit below which there is no demand.
-const leastDemand = 1e-4
+// minDemand is the fraction of a limit below which demand counts as zero.
+const minDemand = 1e-4
 
 func perSecond(perMinute int) float64 { return float64(perMinute) / time.Minute.Seconds() }
--- a/pkg/quota/usage.go
+++ b/pkg/quota/usage.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Usage is what a teller has counted of one caller since its start, in units of the
-// caller's limit. Asked only grows; Used falls when a request did not run.
+// Usage is one caller's usage counted by a source since its start, in units of the caller's
+// limit. Asked only grows; Used falls when a request did not run.
 type Usage struct {
 	Caller      string
 	Asked, Used int64
-	// Fresh is true while the teller has counted the caller for less than idleAfter.
+	// Fresh is true while the source has counted the caller for less than idleAfter.
 	Fresh bool
 }
 
-// idleAfter is for how long a caller that asks for nothing is still listed: longer than
-// news is late, so that whoever reads the lists sees the last of its use.
+// idleAfter is the time for which a caller without requests is still listed. It exceeds the
+// delay of reports, so that receivers get the last of the caller's usage.
 const idleAfter = 3 * time.Second
 
 // counter adds up one caller's usage.
 type counter struct {
-	asked, used int64
-	began, last time.Time
+	asked, used     int64
+	startedAt, last time.Time
 }
 
 func (c *counter) add(asked, used int64, now time.Time) {
@@ -31,12 +31,12 @@
 	c.last = now
 }
 
-// counters are a caller's each. They never go back to zero.
+// counters holds a counter for each caller. They are never reset.
 type counters map[string]*counter
 
 func (c counters) of(caller string, now time.Time) *counter {
 	if c[caller] == nil {
-		c[caller] = &counter{began: now}
+		c[caller] = &counter{startedAt: now}
 	}
 	return c[caller]
 }
@@ -46,7 +46,7 @@
 	listed := make([]Usage, 0, len(c))
 	for caller, counter := range c {
 		if now.Sub(counter.last) <= idleAfter {
-			fresh := now.Sub(counter.began) < idleAfter
+			fresh := now.Sub(counter.startedAt) < idleAfter
 			listed = append(listed, Usage{Caller: caller, Asked: counter.asked, Used: counter.used, Fresh: fresh})
 		}
 	}
@@ -54,35 +54,36 @@
 	return listed
 }
 
-// teller is what was last heard of somebody who tells usage.
-type teller struct {
-	// start is drawn anew when the teller begins to count.
-	start uint64
-	said  map[string]Usage
-	at    time.Time
+// source is the last report of an instance or domain that reports usage.
+type source struct {
+	// start changes whenever the source starts counting.
+	start    uint64
+	reported map[string]Usage
+	at       time.Time
 }
 
-// ledger turns lists of sums into what was added to them.
-type ledger map[string]*teller
+// ledger converts cumulative lists to increments.
+type ledger map[string]*source
 
-// added returns what a teller's list adds to what it told before. The first list of a
-// teller adds nothing: when it was used is not known. Nor does older news that comes late.
+// added returns the increments of a source's list since its previous report. The first list of a
+// source adds nothing, because the time of that usage is unknown, and neither does an older list
+// that arrives late.
 func (l ledger) added(name string, start uint64, list []Usage, now time.Time) []Usage {
 	known := l[name]
-	met := known != nil
-	if !met || known.start != start {
-		known = &teller{start: start, said: make(map[string]Usage, len(list))}
+	seen := known != nil
+	if !seen || known.start != start {
+		known = &source{start: start, reported: make(map[string]Usage, len(list))}
 		l[name] = known
 	}
 	known.at = now
 	var added []Usage
 	for _, usage := range list {
-		last, counted := known.said[usage.Caller]
+		last, counted := known.reported[usage.Caller]
 		if usage.Asked < last.Asked {
 			continue
 		}
-		known.said[usage.Caller] = usage
-		if !counted && !(met && usage.Fresh) {
+		known.reported[usage.Caller] = usage
+		if !counted && !(seen && usage.Fresh) {
 			continue
 		}
 		usage.Asked -= last.Asked
@@ -94,8 +95,7 @@
 	return added
 }
 
-// forget drops tellers that were silent for some time: what they used meanwhile is not
-// charged when they are back.
+// forget drops sources without recent reports. What they use until they are back is not charged.
 func (l ledger) forget(now time.Time, silence time.Duration) {
 	for name, known := range l {
 		if now.Sub(known.at) > silence {
@@ -104,37 +104,38 @@
 	}
 }
 
-// Sums adds up, at an instance that tells others of its failure domain, what the
-// domain's instances use. It is not safe for concurrent use.
+// Sums sums the usage of a failure domain at the instance that reports it to others. It is not
+// safe for concurrent use.
 type Sums struct {
 	ledger ledger
 	all    counters
-	// parts is what each instance has of it.
-	parts map[string]*part
+	// contributions holds the usage of each instance.
+	contributions map[string]*contribution
 }
 
-// part is what one instance has used, and when it was last heard.
-type part struct {
+// contribution is the usage of one instance and the time of its last report.
+type contribution struct {
 	counters
 	at time.Time
 }
 
-// partSilence is when the part of an instance that is not heard is dropped: long after the
-// instance itself has forgotten what it was told, so that it is not charged its own use.
-const partSilence = 10 * tellerSilence
+// contributionTimeout is the time after which the contribution of an unreachable instance is
+// dropped: long after the instance has dropped this source, so that it is not charged its own
+// usage.
+const contributionTimeout = 10 * sourceTimeout
 
-// NewSums returns Sums of nothing.
+// NewSums returns empty Sums.
 func NewSums() *Sums {
-	return &Sums{ledger: make(ledger), all: make(counters), parts: make(map[string]*part)}
+	return &Sums{ledger: make(ledger), all: make(counters), contributions: make(map[string]*contribution)}
 }
 
-// Take notes an instance's list.
-func (s *Sums) Take(instance string, start uint64, list []Usage, now time.Time) {
+// Record adds an instance's list.
+func (s *Sums) Record(instance string, start uint64, list []Usage, now time.Time) {
 	s.forget(now)
-	known := s.parts[instance]
+	known := s.contributions[instance]
 	if known == nil {
-		known = &part{counters: make(counters)}
-		s.parts[instance] = known
+		known = &contribution{counters: make(counters)}
+		s.contributions[instance] = known
 	}
 	known.at = now
 	for _, added := range s.ledger.added(instance, start, list, now) {
@@ -144,18 +145,18 @@
 }
 
 func (s *Sums) forget(now time.Time) {
-	s.ledger.forget(now, tellerSilence)
-	for instance, known := range s.parts {
-		if now.Sub(known.at) > partSilence {
-			delete(s.parts, instance)
+	s.ledger.forget(now, sourceTimeout)
+	for instance, known := range s.contributions {
+		if now.Sub(known.at) > contributionTimeout {
+			delete(s.contributions, instance)
 		}
 	}
 }
 
-// Tell returns the domain's usage without that of one instance; empty: of all.
-func (s *Sums) Tell(without string, now time.Time) []Usage {
+// Totals returns the domain's usage without that of one instance; of all if it is empty.
+func (s *Sums) Totals(without string, now time.Time) []Usage {
 	list := s.all.list(now)
-	known := s.parts[without]
+	known := s.contributions[without]
 	if known == nil {
 		return list
 	}
