--- a/pkg/edge/job.go
+++ b/pkg/edge/job.go
@@ -185,9 +185,9 @@
 }
 
 // world is the snapshots by which the request is steered now.
-func (j *job) world() *steer.World {
+func (j *job) world() *steer.Snapshot {
 	now := j.now()
-	return &steer.World{
+	return &steer.Snapshot{
 		Region:    j.settings.Region,
 		Fleet:     j.board.Fleet.Load(),
 		Peers:     j.gossip.View().Load(),
@@ -253,7 +253,7 @@
 // look surveys the own region. A server that answered with a failure may well serve the
 // next try, and is nearer than another region: it is looked at again where there is no
 // other.
-func (j *job) look(world *steer.World, query *steer.Request) steer.Survey {
+func (j *job) look(world *steer.Snapshot, query *steer.Request) steer.Survey {
 	survey := world.Look(query)
 	if survey.Best.Upstream != nil || j.kept == nil {
 		return survey
--- a/pkg/edge/lines.go
+++ b/pkg/edge/lines.go
@@ -62,7 +62,7 @@
 }
 
 // noteChoice logs where the request goes, with the inputs that decided it and their age.
-func (j *job) noteChoice(world *steer.World, chosen *target) {
+func (j *job) noteChoice(world *steer.Snapshot, chosen *target) {
 	send, forwarded, runs, after := j.sends+1, j.forwarded, j.runs, j.after()
 	storeAge := j.age(j.store.Reached())
 	j.note(event.RequestRouted, func(line *zerolog.Event) {
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -180,7 +180,7 @@
 // arrive has an instance decide on a request.
 func (m *emulation) arrive(r *request) {
 	i := m.instances[m.random.IntN(len(m.instances))]
-	world := &steer.World{
+	world := &steer.Snapshot{
 		Region: region, Fleet: m.view, Peers: i.others, Local: i.tracker, Recent: i.recent, Pace: steer.NewPace(),
 		Estimates: i.estimates, Flow: i.flow, Now: m.Now(), Random: m.random.Uint64(),
 		Admits: func(*fleet.Upstream, *httproute.Service) bool { return true },
--- a/pkg/steer/admit.go
+++ b/pkg/steer/admit.go
@@ -62,7 +62,7 @@
 
 // predict fills in when the answer would begin at a candidate, and whether that is too
 // late.
-func (w *World) predict(req *Request, c *Candidate, forecast *Forecast, holding time.Duration) {
+func (w *Snapshot) predict(req *Request, c *Candidate, forecast *Forecast, holding time.Duration) {
 	factor := forecast.Factor(c.Upstream.ID)
 	own := factor * forecast.Reading(float64(c.Uncached))
 	ahead := places(c.InFlight, c.Upstream.Slots, holding) + factor*forecast.perToken*float64(c.Prefill)
@@ -72,7 +72,7 @@
 }
 
 // waitAway is how long a request would wait in another region.
-func (w *World) waitAway(req *Request, away *Away, forecast *Forecast) wait {
+func (w *Snapshot) waitAway(req *Request, away *Away, forecast *Forecast) wait {
 	prefill := float64(away.Prefill) / float64(away.Upstreams)
 	uncached := float64(req.PromptTokens) - w.cachedAway(req, away)
 	return wait{
@@ -83,7 +83,7 @@
 
 // inTimeAway returns the cheapest region where the answer begins in time, and sooner than
 // here by more than predictions are usually wrong; nil when there is none.
-func (w *World) inTimeAway(req *Request, here *Candidate, regions []Away) *Away {
+func (w *Snapshot) inTimeAway(req *Request, here *Candidate, regions []Away) *Away {
 	var best *Away
 	forecast := w.Estimates.Forecast(req.Service.Name, w.Now)
 	for i := range regions {
@@ -108,6 +108,6 @@
 }
 
 // better says whether a candidate is to be preferred.
-func (w *World) better(c, best *Candidate) bool {
+func (w *Snapshot) better(c, best *Candidate) bool {
 	return c.Cost < best.Cost || (c.Cost == best.Cost && w.Random&1 == 0)
 }
--- a/pkg/steer/admit_test.go
+++ b/pkg/steer/admit_test.go
@@ -79,7 +79,7 @@
 }
 
 // queued is a world of one engine with so many unread prompt tokens.
-func queued(prefill int) *steer.World {
+func queued(prefill int) *steer.Snapshot {
 	w := world(loads{"u": limit.Load{InFlight: 1, Prefill: prefill}}, upstream("u", "llm", "north"))
 	w.Estimates = taught(100, 0.02)
 	return w
--- a/pkg/steer/far.go
+++ b/pkg/steer/far.go
@@ -25,7 +25,7 @@
 
 // Regions returns the other regions in which the request may be processed and where
 // a live instance and a usable upstream are known, sorted by name.
-func (w *World) Regions(req *Request) []Away {
+func (w *Snapshot) Regions(req *Request) []Away {
 	var regions []Away
 	for i := range w.peers() {
 		known := &w.Peers.Others[i]
@@ -53,7 +53,7 @@
 	return kept
 }
 
-func (w *World) barred(req *Request, region string) bool {
+func (w *Snapshot) barred(req *Request, region string) bool {
 	return !req.Route.PermittedIn(region) || w.Local.Load(RegionKey(region, req)).Rest > 0
 }
 
@@ -68,7 +68,7 @@
 	}
 }
 
-func (w *World) peers() []peer.Known {
+func (w *Snapshot) peers() []peer.Known {
 	if w.Peers == nil {
 		return nil
 	}
@@ -76,7 +76,7 @@
 }
 
 // measure fills in a region's load; false when nothing there may get work.
-func (w *World) measure(away *Away, service *httproute.Service) bool {
+func (w *Snapshot) measure(away *Away, service *httproute.Service) bool {
 	for _, upstream := range w.Fleet.Service(service.Name) {
 		if upstream.Region == away.Region && w.usable(upstream) && !upstream.Cold(w.Now) {
 			away.Slots += upstream.Slots
@@ -107,7 +107,7 @@
 
 // Choose returns the region that is worth the way, given the survey of the own one;
 // nil when none is. With nothing usable here the cheapest region is.
-func (w *World) Choose(req *Request, here Survey, regions []Away) *Away {
+func (w *Snapshot) Choose(req *Request, here Survey, regions []Away) *Away {
 	var best *Away
 	lowest := math.Inf(1)
 	for i := range regions {
@@ -149,7 +149,7 @@
 
 // farCost is what the request costs in another region: for engines in prompt tokens,
 // as Candidate.Cost is; for plain services the load in shares of the slots.
-func (w *World) farCost(req *Request, away *Away) float64 {
+func (w *Snapshot) farCost(req *Request, away *Away) float64 {
 	if req.Service.Engine == nil {
 		return float64(away.InFlight) / float64(away.Slots)
 	}
@@ -161,7 +161,7 @@
 }
 
 // cachedAway estimates how many of the prompt's tokens the region holds.
-func (w *World) cachedAway(req *Request, away *Away) float64 {
+func (w *Snapshot) cachedAway(req *Request, away *Away) float64 {
 	shared := sharedPart(req)
 	if shared == nil {
 		return 0
--- a/pkg/steer/plain.go
+++ b/pkg/steer/plain.go
@@ -59,7 +59,7 @@
 }
 
 // spill returns the region to which a plain call goes by plan; nil when it stays.
-func (w *World) spill(req *Request, here *Survey, regions []Away) *Away {
+func (w *Snapshot) spill(req *Request, here *Survey, regions []Away) *Away {
 	if !w.wayFits(req) || here.Slots == 0 {
 		return nil
 	}
@@ -82,7 +82,7 @@
 // knownPart is the part of a plain service's calls in hand in the own region of which this
 // instance knows where they are: its own, and those of others that still run as told. With
 // one upstream there is nothing to know.
-func (w *World) knownPart(service string, here *Survey) float64 {
+func (w *Snapshot) knownPart(service string, here *Survey) float64 {
 	if here.Usable <= 1 {
 		return 1
 	}
@@ -92,14 +92,14 @@
 }
 
 // wayFits says whether a call that goes to another region can still be in time.
-func (w *World) wayFits(req *Request) bool {
+func (w *Snapshot) wayFits(req *Request) bool {
 	took := farTime + w.Pace.Of(req.Service.Name)
 	return float64(took) <= inTime*float64(req.Route.TargetLatency)
 }
 
 // roomiest draws one of the regions with a lower load, each by its free slots: if all
 // instances chose the emptiest, it would be full before they hear of it.
-func (w *World) roomiest(load float64, regions []Away) *Away {
+func (w *Snapshot) roomiest(load float64, regions []Away) *Away {
 	room := make([]float64, len(regions))
 	total := 0.0
 	for i := range regions {
--- a/pkg/steer/sharing.go
+++ b/pkg/steer/sharing.go
@@ -62,7 +62,7 @@
 }
 
 // sharing looks for the request's shared parts among the upstreams of the region.
-func (w *World) sharing(req *Request, upstreams []*fleet.Upstream) sharing {
+func (w *Snapshot) sharing(req *Request, upstreams []*fleet.Upstream) sharing {
 	part := sharedPart(req)
 	if part == nil {
 		return sharing{}
@@ -128,7 +128,7 @@
 
 // favouriteRegion returns the region of the upstream to which a shared part is hashed
 // among all that the request may go to; empty when there is none.
-func (w *World) favouriteRegion(req *Request, shared *Part) string {
+func (w *Snapshot) favouriteRegion(req *Request, shared *Part) string {
 	key := gathering{service: req.Service.Name, route: req.Route, part: shared.ID}
 	if w.gathered.gathering != key {
 		w.gathered = gathered{key, w.hashedRegion(req, shared)}
@@ -149,7 +149,7 @@
 	region string
 }
 
-func (w *World) hashedRegion(req *Request, shared *Part) string {
+func (w *Snapshot) hashedRegion(req *Request, shared *Part) string {
 	var permitted []*fleet.Upstream
 	for _, upstream := range w.Fleet.Service(req.Service.Name) {
 		if w.usable(upstream) && req.Route.PermittedIn(upstream.Region) {
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -42,8 +42,8 @@
 	Load(upstream string) limit.Load
 }
 
-// World is the snapshots that a decision reads. Each decision has its own.
-type World struct {
+// Snapshot is the snapshots that a decision reads. Each decision has its own.
+type Snapshot struct {
 	Region string
 	Fleet  *fleet.View
 	Peers  *peer.View
@@ -149,12 +149,12 @@
 
 // usable says whether an upstream may get new work. Its own word that it leaves counts whatever
 // the store says, which may be away or behind.
-func (w *World) usable(u *fleet.Upstream) bool {
+func (w *Snapshot) usable(u *fleet.Upstream) bool {
 	return w.Fleet.Usable(u) && (w.Leaving == nil || !w.Leaving(u.ID))
 }
 
 // Look surveys the own region.
-func (w *World) Look(req *Request) Survey {
+func (w *Snapshot) Look(req *Request) Survey {
 	var survey Survey
 	upstreams := w.regional(req.Service.Name)
 	shared := w.sharing(req, upstreams)
@@ -193,7 +193,7 @@
 }
 
 // usable says whether the upstream may be considered, and counts why not.
-func (s *Survey) usable(w *World, req *Request, upstream *fleet.Upstream, own *limit.Load) bool {
+func (s *Survey) usable(w *Snapshot, req *Request, upstream *fleet.Upstream, own *limit.Load) bool {
 	switch {
 	case own.Ejected:
 		s.Resting++
@@ -235,7 +235,7 @@
 
 // slots is how many requests an upstream works on at once, as far as the limit that it names
 // lets it.
-func (w *World) slots(upstream *fleet.Upstream, service *httproute.Service) int {
+func (w *Snapshot) slots(upstream *fleet.Upstream, service *httproute.Service) int {
 	if w.Named == nil {
 		return upstream.Slots
 	}
@@ -247,7 +247,7 @@
 }
 
 // regional returns the service's upstreams in the own region.
-func (w *World) regional(service string) []*fleet.Upstream {
+func (w *Snapshot) regional(service string) []*fleet.Upstream {
 	all := w.Fleet.Service(service)
 	kept := make([]*fleet.Upstream, 0, len(all))
 	for _, upstream := range all {
@@ -261,7 +261,7 @@
 // unseen is how many prompt tokens the others have sent to an engine of the region, on the
 // average, since they were last heard. Where they went is not known: the same news makes
 // all of them choose alike. A random cost in proportion to it keeps them apart.
-func (w *World) unseen(service string, engines int) float64 {
+func (w *Snapshot) unseen(service string, engines int) float64 {
 	if engines == 0 {
 		return 0
 	}
@@ -270,7 +270,7 @@
 }
 
 // fraction is a random number from 0 to 1 for one upstream and this decision.
-func (w *World) fraction(upstream string) float64 {
+func (w *Snapshot) fraction(upstream string) float64 {
 	return float64(member.Key("spread", upstream)*(w.Random|1)>>11) / (1 << 53)
 }
 
@@ -284,7 +284,7 @@
 }
 
 // told is the others' work at the upstreams, and their mean requests at one.
-func (w *World) told(upstreams []*fleet.Upstream) (others []peer.Load, mean float64) {
+func (w *Snapshot) told(upstreams []*fleet.Upstream) (others []peer.Load, mean float64) {
 	others = make([]peer.Load, len(upstreams))
 	for i, upstream := range upstreams {
 		others[i] = w.Peers.Upstream(upstream.ID)
@@ -293,7 +293,7 @@
 }
 
 // cost estimates what the request would cost at an engine.
-func (w *World) cost(req *Request, c *Candidate, shared *sharing) {
+func (w *Snapshot) cost(req *Request, c *Candidate, shared *sharing) {
 	beyond := max(0, c.InFlight+1-c.Upstream.Slots)
 	c.Uncached = max(0, req.PromptTokens-shared.held(c.Upstream))
 	read := float64(c.Uncached)
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -34,10 +34,10 @@
 	return fleet.Upstream{ID: id, Service: service, Domain: region + "-a", Region: region, Slots: 4}
 }
 
-func world(local loads, upstreams ...fleet.Upstream) *steer.World {
+func world(local loads, upstreams ...fleet.Upstream) *steer.Snapshot {
 	view := &fleet.View{Upstreams: upstreams, Evacuated: map[string]bool{}}
 	view.Index()
-	return &steer.World{
+	return &steer.Snapshot{
 		Region: "north", Fleet: view, Local: local, Recent: steer.NewRecent(), Pace: steer.NewPace(), Estimates: steer.NewEstimator(), Flow: steer.NewFlow(), Now: now,
 		Admits: func(u *fleet.Upstream, _ *httproute.Service) bool { return !u.Cold(now) },
 	}
