--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -105,7 +105,7 @@
 	toKeep    chan keeping
 	overload  *steer.Overload
 	recent    *steer.Recent
-	pace      *steer.Pace
+	pace      *steer.CallTimes
 	estimates *steer.Estimator
 	flow      *steer.Flow
 	upstreams *exchange.Pool
--- a/pkg/emulator/plain.go
+++ b/pkg/emulator/plain.go
@@ -60,7 +60,7 @@
 type plainInstance struct {
 	region  string
 	tracker *limit.Tracker
-	pace    *steer.Pace
+	pace    *steer.CallTimes
 	others  *peer.View
 }
 
--- a/pkg/steer/pace.go
+++ b/pkg/steer/pace.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Pace remembers how long calls of plain services take where nothing waits. It is safe
+// CallTimes remembers how long calls of plain services take where nothing waits. It is safe
 // for concurrent use.
-type Pace struct {
+type CallTimes struct {
 	mu        sync.Mutex
 	byService map[string]time.Duration
 }
@@ -20,10 +20,10 @@
 )
 
 // NewPace returns a Pace that has measured nothing.
-func NewPace() *Pace { return &Pace{byService: make(map[string]time.Duration)} }
+func NewPace() *CallTimes { return &CallTimes{byService: make(map[string]time.Duration)} }
 
 // Of returns the mean time of a service's calls.
-func (p *Pace) Of(service string) time.Duration {
+func (p *CallTimes) Of(service string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if pace, ok := p.byService[service]; ok {
@@ -34,7 +34,7 @@
 
 // Add takes the time of a call at a candidate. One that may have waited there says
 // nothing of the service's pace.
-func (p *Pace) Add(service string, at *Candidate, took time.Duration) {
+func (p *CallTimes) Add(service string, at *Candidate, took time.Duration) {
 	if 2*at.InFlight > at.Upstream.Slots {
 		return
 	}
