--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -176,7 +176,7 @@
 		toKeep:     make(chan keeping, mostToKeep),
 		overload:   steer.NewOverload(),
 		recent:     steer.NewRecent(),
-		pace:       steer.NewPace(),
+		pace:       steer.NewCallTimes(),
 		estimates:  steer.NewEstimator(),
 		flow:       steer.NewFlow(),
 		upstreams:  exchange.NewPool(medium.Dial, upstreamDial, system.Now),
--- a/pkg/emulator/plain.go
+++ b/pkg/emulator/plain.go
@@ -120,7 +120,7 @@
 			d.instances[region.Name] = append(d.instances[region.Name], &plainInstance{
 				region:  region.Name,
 				tracker: limit.NewTracker(&d.Timeline, nil),
-				pace:    steer.NewPace(),
+				pace:    steer.NewCallTimes(),
 			})
 		}
 	}
--- a/pkg/steer/pace.go
+++ b/pkg/steer/pace.go
@@ -19,8 +19,8 @@
 	paceSmoothing = 0.05
 )
 
-// NewPace returns a Pace that has measured nothing.
-func NewPace() *CallTimes { return &CallTimes{byService: make(map[string]time.Duration)} }
+// NewCallTimes returns a Pace that has measured nothing.
+func NewCallTimes() *CallTimes { return &CallTimes{byService: make(map[string]time.Duration)} }
 
 // Of returns the mean time of a service's calls.
 func (p *CallTimes) Of(service string) time.Duration {
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -38,7 +38,7 @@
 	view := &fleet.View{Upstreams: upstreams, Evacuated: map[string]bool{}}
 	view.Index()
 	return &steer.Snapshot{
-		Region: "north", Fleet: view, Local: local, Recent: steer.NewRecent(), Pace: steer.NewPace(), Estimates: steer.NewEstimator(), Flow: steer.NewFlow(), Now: now,
+		Region: "north", Fleet: view, Local: local, Recent: steer.NewRecent(), Pace: steer.NewCallTimes(), Estimates: steer.NewEstimator(), Flow: steer.NewFlow(), Now: now,
 		Admits: func(u *fleet.Upstream, _ *httproute.Service) bool { return !u.Cold(now) },
 	}
 }
@@ -283,7 +283,7 @@
 
 func TestPaceIsMeasuredWhereNothingWaits(t *testing.T) {
 	is := is.New(t)
-	pace := steer.NewPace()
+	pace := steer.NewCallTimes()
 	u := upstream("u0", "api", "north")
 	pace.Add("api", &steer.Candidate{Upstream: &u, InFlight: 4}, time.Second)
 	is.Equal(pace.Of("api"), pace.Of("never measured"))
