--- a/pkg/edge/job.go
+++ b/pkg/edge/job.go
@@ -197,7 +197,7 @@
 		LimitWait: j.limitWait,
 		Leaving:   j.leaves(),
 		Recent:    j.recent,
-		Pace:      j.pace,
+		CallTimes:      j.pace,
 		Estimates: j.estimates,
 		Flow:      j.flow,
 		Now:       now,
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -181,7 +181,7 @@
 func (m *emulation) arrive(r *request) {
 	i := m.instances[m.random.IntN(len(m.instances))]
 	world := &steer.Snapshot{
-		Region: region, Fleet: m.view, Peers: i.others, Local: i.tracker, Recent: i.recent, Pace: steer.NewCallTimes(),
+		Region: region, Fleet: m.view, Peers: i.others, Local: i.tracker, Recent: i.recent, CallTimes: steer.NewCallTimes(),
 		Estimates: i.estimates, Flow: i.flow, Now: m.Now(), Random: m.random.Uint64(),
 		Admits: func(*fleet.Upstream, *httproute.Service) bool { return true },
 	}
--- a/pkg/steer/far.go
+++ b/pkg/steer/far.go
@@ -130,7 +130,7 @@
 	if away := w.spill(req, &here, regions); away != nil {
 		return away
 	}
-	pace := w.Pace.Of(req.Service.Name)
+	pace := w.CallTimes.Of(req.Service.Name)
 	local := served(pace, here.InFlight, here.Slots)
 	if float64(local) < soonEnough*float64(req.Route.TargetLatency) {
 		return nil
--- a/pkg/steer/plain.go
+++ b/pkg/steer/plain.go
@@ -88,12 +88,12 @@
 	}
 	others, age := w.Peers.Near(w.Now)
 	own := 1 / float64(1+others)
-	return own + (1-own)*stays(age, w.Pace.Of(service))
+	return own + (1-own)*stays(age, w.CallTimes.Of(service))
 }
 
 // wayFits says whether a call that goes to another region can still be in time.
 func (w *Snapshot) wayFits(req *Request) bool {
-	took := farTime + w.Pace.Of(req.Service.Name)
+	took := farTime + w.CallTimes.Of(req.Service.Name)
 	return float64(took) <= inTime*float64(req.Route.TargetLatency)
 }
 
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -60,7 +60,7 @@
 	// Recent is where prompt parts went lately, Pace how long plain calls take, Estimates
 	// how long engines take to begin an answer.
 	Recent    *Recent
-	Pace      *CallTimes
+	CallTimes      *CallTimes
 	Estimates *Estimator
 	// Flow is what this instance sends.
 	Flow *Flow
@@ -178,7 +178,7 @@
 		}
 		if req.Service.Engine == nil {
 			// The call itself counts: idle upstreams are chosen at random as well.
-			load := 1 + float64(own.InFlight) + expected(float64(others[i].InFlight), mean, age, w.Pace.Of(req.Service.Name))
+			load := 1 + float64(own.InFlight) + expected(float64(others[i].InFlight), mean, age, w.CallTimes.Of(req.Service.Name))
 			c.Cost = load * (1 + plainSpread*w.fraction(upstream.ID))
 		} else {
 			w.cost(req, &c, &shared)
@@ -241,7 +241,7 @@
 	}
 	holding := usualHolding
 	if service.Engine == nil {
-		holding = w.Pace.Of(service.Name)
+		holding = w.CallTimes.Of(service.Name)
 	}
 	return w.Named(upstream.ID).Slots(upstream.Slots, holding)
 }
