--- a/pkg/edge/dialect.go
+++ b/pkg/edge/dialect.go
@@ -19,7 +19,7 @@
 	// it is not said.
 	PromptTokens, Tokens int
 	// Parts are the prompt's parts in order.
-	Parts []steer.Part
+	Parts []steer.Segment
 	// After is the event after which a stream is to go on; empty: from its beginning.
 	After string
 }
--- a/pkg/edge/lines.go
+++ b/pkg/edge/lines.go
@@ -193,7 +193,7 @@
 }
 
 // sharedID names the prompt's last shared part; empty when nothing is shared.
-func sharedID(parts []steer.Part) string {
+func sharedID(parts []steer.Segment) string {
 	if len(parts) < 2 {
 		return ""
 	}
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -170,7 +170,7 @@
 	r := &request{kind: kind, asked: m.Now()}
 	r.Route, r.Service = m.routes[kind.Name], m.service
 	r.PromptTokens = kind.Shared + own
-	r.Parts = []steer.Part{
+	r.Parts = []steer.Segment{
 		{ID: fmt.Sprint(kind.Name, "-", m.random.IntN(max(1, kind.Things))), Tokens: kind.Shared},
 		{ID: fmt.Sprint("own-", m.requests), Tokens: own},
 	}
--- a/pkg/emulator/engine.go
+++ b/pkg/emulator/engine.go
@@ -106,7 +106,7 @@
 }
 
 // held is how many tokens of the prompt's first parts are cached.
-func (c *cache) held(parts []steer.Part) int {
+func (c *cache) held(parts []steer.Segment) int {
 	held := 0
 	for _, part := range parts {
 		element := c.byID[part.ID]
@@ -120,7 +120,7 @@
 }
 
 // add caches the parts of a prompt.
-func (c *cache) add(parts []steer.Part) {
+func (c *cache) add(parts []steer.Segment) {
 	for _, part := range parts {
 		if element := c.byID[part.ID]; element != nil {
 			c.order.MoveToFront(element)
@@ -130,7 +130,7 @@
 		c.used += part.Tokens
 	}
 	for c.used > c.room {
-		last := c.order.Remove(c.order.Back()).(steer.Part)
+		last := c.order.Remove(c.order.Back()).(steer.Segment)
 		delete(c.byID, last.ID)
 		c.used -= last.Tokens
 	}
--- a/pkg/steer/recent.go
+++ b/pkg/steer/recent.go
@@ -62,7 +62,7 @@
 }
 
 // Add notes that this instance has sent the parts to the upstream.
-func (r *Recent) Add(parts []Part, upstream string, now time.Time) {
+func (r *Recent) Add(parts []Segment, upstream string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, part := range parts {
@@ -79,7 +79,7 @@
 
 // Sent notes that this instance has sent the parts to another region, whose instances
 // tell of the upstream.
-func (r *Recent) Sent(parts []Part, region string, now time.Time) {
+func (r *Recent) Sent(parts []Segment, region string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, part := range parts {
--- a/pkg/steer/sharing.go
+++ b/pkg/steer/sharing.go
@@ -12,7 +12,7 @@
 
 // sharedPart returns the prompt's last shared part, nil when nothing is shared that
 // matters. Prompts that share a later part share what comes before it as well.
-func sharedPart(req *Request) *Part {
+func sharedPart(req *Request) *Segment {
 	if !req.Route.SharedPrompts || len(req.Parts) < 2 {
 		return nil
 	}
@@ -35,7 +35,7 @@
 // favouriteOf returns the upstream to which a shared part is hashed, so that
 // instances that know nothing of each other choose alike. That of one region is that
 // of all regions together where it lies in that region.
-func favouriteOf(shared *Part, upstreams []*fleet.Upstream) *fleet.Upstream {
+func favouriteOf(shared *Segment, upstreams []*fleet.Upstream) *fleet.Upstream {
 	if shared == nil || len(upstreams) == 0 {
 		return nil
 	}
@@ -128,7 +128,7 @@
 
 // favouriteRegion returns the region of the upstream to which a shared part is hashed
 // among all that the request may go to; empty when there is none.
-func (w *Snapshot) favouriteRegion(req *Request, shared *Part) string {
+func (w *Snapshot) favouriteRegion(req *Request, shared *Segment) string {
 	key := gathering{service: req.Service.Name, route: req.Route, part: shared.ID}
 	if w.gathered.gathering != key {
 		w.gathered = gathered{key, w.hashedRegion(req, shared)}
@@ -149,7 +149,7 @@
 	region string
 }
 
-func (w *Snapshot) hashedRegion(req *Request, shared *Part) string {
+func (w *Snapshot) hashedRegion(req *Request, shared *Segment) string {
 	var permitted []*fleet.Upstream
 	for _, upstream := range w.Fleet.Service(req.Service.Name) {
 		if w.usable(upstream) && req.Route.PermittedIn(upstream.Region) {
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -15,9 +15,9 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// Part is one part of a prompt. A part is cached for a request only where all parts
+// Segment is one part of a prompt. A part is cached for a request only where all parts
 // before it are cached too.
-type Part struct {
+type Segment struct {
 	ID     string
 	Tokens int
 }
@@ -28,7 +28,7 @@
 	Service *httproute.Service
 	// Parts are the prompt's parts in order; the last belongs to the request or its
 	// session alone.
-	Parts []Part
+	Parts []Segment
 	// PromptTokens is the whole prompt.
 	PromptTokens int
 	// Contended is true while more urgent requests of the service find no room in time.
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -47,7 +47,7 @@
 func long(part string) *steer.Request {
 	return &steer.Request{
 		Route: prompt, Service: engine, PromptTokens: 12_000,
-		Parts: []steer.Part{{ID: part, Tokens: 10_000}, {ID: "own", Tokens: 2000}},
+		Parts: []steer.Segment{{ID: part, Tokens: 10_000}, {ID: "own", Tokens: 2000}},
 	}
 }
 
