--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -170,7 +170,7 @@
 	r := &request{kind: kind, asked: m.Now()}
 	r.Route, r.Service = m.routes[kind.Name], m.service
 	r.PromptTokens = kind.Shared + own
-	r.Parts = []steer.Segment{
+	r.Segments = []steer.Segment{
 		{ID: fmt.Sprint(kind.Name, "-", m.random.IntN(max(1, kind.Things))), Tokens: kind.Shared},
 		{ID: fmt.Sprint("own-", m.requests), Tokens: own},
 	}
@@ -208,7 +208,7 @@
 // send has an engine run a request.
 func (m *emulation) send(i *instance, r *request, to steer.Candidate) {
 	flight, _ := i.tracker.Start(to.Upstream.ID, to.Uncached, 0)
-	i.recent.Add(r.Parts, to.Upstream.ID, m.Now())
+	i.recent.Add(r.Segments, to.Upstream.ID, m.Now())
 	i.flow.Add(serviceName, to.Uncached, m.Now())
 	engine := m.engines[to.Upstream.ID]
 	sent := m.Now()
--- a/pkg/emulator/engine.go
+++ b/pkg/emulator/engine.go
@@ -52,7 +52,7 @@
 
 // accept queues a request by its rank.
 func (e *engine) accept(r *run) {
-	r.unread = max(1, r.request.prompt()-e.cache.held(r.request.Parts))
+	r.unread = max(1, r.request.prompt()-e.cache.held(r.request.Segments))
 	at, _ := slices.BinarySearchFunc(e.queue, r.request.rank()+1, func(other *run, rank int) int {
 		return cmp.Compare(other.request.rank(), rank)
 	})
@@ -79,7 +79,7 @@
 			if r.unread > 0 {
 				continue
 			}
-			e.cache.add(r.request.Parts)
+			e.cache.add(r.request.Segments)
 			begun = append(begun, r)
 		}
 		context += r.request.prompt()
--- a/pkg/steer/admit_test.go
+++ b/pkg/steer/admit_test.go
@@ -75,7 +75,7 @@
 func timed(priority int, target, yields time.Duration) *steer.Request {
 	route := *prompt
 	route.TargetLatency, route.Priority, route.Yields = target, priority, yields
-	return &steer.Request{Route: &route, Service: engine, PromptTokens: 1000, Parts: []steer.Segment{{ID: "own", Tokens: 1000}}}
+	return &steer.Request{Route: &route, Service: engine, PromptTokens: 1000, Segments: []steer.Segment{{ID: "own", Tokens: 1000}}}
 }
 
 // queued is a world of one engine with so many unread prompt tokens.
--- a/pkg/steer/sharing.go
+++ b/pkg/steer/sharing.go
@@ -13,10 +13,10 @@
 // sharedPart returns the prompt's last shared part, nil when nothing is shared that
 // matters. Prompts that share a later part share what comes before it as well.
 func sharedPart(req *Request) *Segment {
-	if !req.Route.SharedPrompts || len(req.Parts) < 2 {
+	if !req.Route.SharedPrompts || len(req.Segments) < 2 {
 		return nil
 	}
-	shared := &req.Parts[len(req.Parts)-2]
+	shared := &req.Segments[len(req.Segments)-2]
 	if shared.Tokens < leastShared {
 		return nil
 	}
@@ -26,7 +26,7 @@
 // sharedTokens is the prompt without its last part, which is the request's own.
 func sharedTokens(req *Request) int {
 	total := 0
-	for _, part := range req.Parts[:len(req.Parts)-1] {
+	for _, part := range req.Segments[:len(req.Segments)-1] {
 		total += part.Tokens
 	}
 	return total
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -26,9 +26,9 @@
 type Request struct {
 	Route   *httproute.Route
 	Service *httproute.Service
-	// Parts are the prompt's parts in order; the last belongs to the request or its
+	// Segments are the prompt's parts in order; the last belongs to the request or its
 	// session alone.
-	Parts []Segment
+	Segments []Segment
 	// PromptTokens is the whole prompt.
 	PromptTokens int
 	// Contended is true while more urgent requests of the service find no room in time.
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -47,7 +47,7 @@
 func long(part string) *steer.Request {
 	return &steer.Request{
 		Route: prompt, Service: engine, PromptTokens: 12_000,
-		Parts: []steer.Segment{{ID: part, Tokens: 10_000}, {ID: "own", Tokens: 2000}},
+		Segments: []steer.Segment{{ID: part, Tokens: 10_000}, {ID: "own", Tokens: 2000}},
 	}
 }
 
@@ -121,7 +121,7 @@
 	local := loads{}
 	w := world(local, upstream("u0", "llm", "north"), upstream("u1", "llm", "north"))
 	holder := w.Look(long("p")).Best.Upstream.ID
-	w.Recent.Add(long("p").Parts, holder, now)
+	w.Recent.Add(long("p").Segments, holder, now)
 	is.Equal(w.Look(long("p")).Best.Upstream.ID, holder)
 	is.Equal(w.Look(long("p")).Best.Source, nil)
 	local[holder] = limit.Load{InFlight: 3, Prefill: 60_000}
@@ -210,11 +210,11 @@
 	is := is.New(t)
 	w := world(loads{}, upstream("u0", "llm", "north"), upstream("u1", "llm", "south"))
 	req := long("p")
-	req.Parts[0].Tokens, req.PromptTokens = 30_000, 32_000
-	w.Recent.Add(req.Parts, "south", now)
+	req.Segments[0].Tokens, req.PromptTokens = 30_000, 32_000
+	w.Recent.Add(req.Segments, "south", now)
 	away := w.Choose(req, w.Look(req), []steer.Away{far("south", 0, 4, 0)})
 	is.True(away != nil)
-	w.Recent.Add(req.Parts, "u0", now)
+	w.Recent.Add(req.Segments, "u0", now)
 	is.True(w.Choose(req, w.Look(req), []steer.Away{far("south", 0, 4, 0)}) == nil)
 }
 
