--- a/pkg/edge/rest_test.go
+++ b/pkg/edge/rest_test.go
@@ -152,7 +152,7 @@
 			b := newBed(t, safe, u)
 			known, service := &b.edge.board.Fleet.Load().Upstreams[0], b.edge.board.Routes.Load().Service(testService)
 			known.Began, service.ColdRate = 1000, coldRate
-			b.edge.tracker.AskRest(known.ID, rest)
+			b.edge.tracker.RequestBackoff(known.ID, rest)
 			doubt(b, known)
 			for end := time.Now().Add(rest / 2); time.Now().Before(end); {
 				b.is.True(b.edge.mayBeCold(known, service))
--- a/pkg/edge/state.go
+++ b/pkg/edge/state.go
@@ -71,7 +71,7 @@
 		return
 	}
 	before := e.tracker.AskedRest(upstream.ID)
-	e.tracker.AskRest(upstream.ID, reading.RetryAfter)
+	e.tracker.RequestBackoff(upstream.ID, reading.RetryAfter)
 	if reading.RetryAfter-before >= restNews || before == 0 {
 		e.log.Info().Str(event.KeyUpstream, upstream.ID).Int64(event.KeyForMS, reading.RetryAfter.Milliseconds()).Msg(string(event.UpstreamResting))
 	}
--- a/pkg/limit/tracker.go
+++ b/pkg/limit/tracker.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// AskRest takes an upstream's word that it wants nothing from this gateway for a while.
-func (t *Tracker) AskRest(upstream string, period time.Duration) {
+// RequestBackoff takes an upstream's word that it wants nothing from this gateway for a while.
+func (t *Tracker) RequestBackoff(upstream string, period time.Duration) {
 	t.entry(upstream).rest.ask(t.clock.Now(), period)
 }
 
--- a/pkg/limit/tracker_test.go
+++ b/pkg/limit/tracker_test.go
@@ -224,9 +224,9 @@
 		good, _ := tracker.Start("u", 0, 0)
 		away, _ := tracker.Start("u", 0, 0)
 		time.Sleep(time.Millisecond)
-		tracker.AskRest("u", time.Minute)
+		tracker.RequestBackoff("u", time.Minute)
 		away.Done(limit.Rejected)
-		tracker.AskRest("u", time.Second)
+		tracker.RequestBackoff("u", time.Second)
 		good.FirstByte()
 		good.Done(limit.Succeeded)
 		for range 59 {
