--- a/pkg/edge/state.go
+++ b/pkg/edge/state.go
@@ -70,7 +70,7 @@
 	if !reading.Resting {
 		return
 	}
-	before := e.tracker.AskedRest(upstream.ID)
+	before := e.tracker.RequestedBackoff(upstream.ID)
 	e.tracker.RequestBackoff(upstream.ID, reading.RetryAfter)
 	if reading.RetryAfter-before >= restNews || before == 0 {
 		e.log.Info().Str(event.KeyUpstream, upstream.ID).Int64(event.KeyForMS, reading.RetryAfter.Milliseconds()).Msg(string(event.UpstreamResting))
@@ -80,7 +80,7 @@
 // countUnwanted counts what is sent to an upstream after it has said that it leaves, or within
 // the time for which it has asked for rest.
 func (e *Edge) countUnwanted(upstream *fleet.Upstream) {
-	if e.tracker.AskedRest(upstream.ID) > 0 {
+	if e.tracker.RequestedBackoff(upstream.ID) > 0 {
 		e.counts.series.Counter("upstream.sends_in_rest", label(labelTarget, upstream.ID)).Inc(1)
 	}
 	if e.departures.Leaving(upstream.ID) {
--- a/pkg/edge/state_test.go
+++ b/pkg/edge/state_test.go
@@ -33,10 +33,10 @@
 func TestAnUpstreamMayAskForRest(t *testing.T) {
 	b := newBed(t, unsafe, newUpstream(t, say(http.StatusServiceUnavailable, "full", testNotRun+": 1", "Retry-After: 3")))
 	b.ask(http.MethodPost, "/r/", "body")
-	left := b.edge.tracker.AskedRest("u-0")
+	left := b.edge.tracker.RequestedBackoff("u-0")
 	b.is.True(left > 2*time.Second && left <= 3*time.Second)
 	b.is.True(b.lines.Has("event=upstream-resting", "upstream=u-0", "for_ms=3000"))
 	full := newBed(t, unsafe, newUpstream(t, say(http.StatusServiceUnavailable, "full", testNotRun+": 1")))
 	full.ask(http.MethodPost, "/r/", "body")
-	full.is.Equal(full.edge.tracker.AskedRest("u-0"), time.Duration(0))
+	full.is.Equal(full.edge.tracker.RequestedBackoff("u-0"), time.Duration(0))
 }
--- a/pkg/edge/suspicion.go
+++ b/pkg/edge/suspicion.go
@@ -239,7 +239,7 @@
 		e.boundUnasked(&why, service)
 	}
 	cold, ask := e.suspicions.about(upstream.ID, &why)
-	if ask && e.tracker.AskedRest(upstream.ID) == 0 && e.suspicions.begin(upstream.ID, now) {
+	if ask && e.tracker.RequestedBackoff(upstream.ID) == 0 && e.suspicions.begin(upstream.ID, now) {
 		go e.ask(upstream)
 	}
 	return cold || upstream.Cold(now)
--- a/pkg/limit/tracker.go
+++ b/pkg/limit/tracker.go
@@ -85,8 +85,8 @@
 	t.entry(upstream).rest.ask(t.clock.Now(), period)
 }
 
-// AskedRest returns for how long an upstream still wants nothing by its own word.
-func (t *Tracker) AskedRest(upstream string) time.Duration {
+// RequestedBackoff returns for how long an upstream still wants nothing by its own word.
+func (t *Tracker) RequestedBackoff(upstream string) time.Duration {
 	e := (*t.entries.Load())[upstream]
 	if e == nil {
 		return 0
