--- a/pkg/edge/edge_test.go
+++ b/pkg/edge/edge_test.go
@@ -420,7 +420,7 @@
 	for range 10 {
 		b.is.Equal(b.ask(http.MethodPost, "/r/", "x").status, http.StatusOK)
 	}
-	resting := b.edge.tracker.Load("u-0").Rest > 0
+	resting := b.edge.tracker.Load("u-0").Backoff > 0
 	b.is.True(resting || u.arrivals.Load() == 10)
 }
 
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -135,7 +135,7 @@
 	b.set("log-n1", "refuse", "1")
 	unused := http.Header{header.IdempotencyKey: {prefix + ".fedcba9876543210"}}
 	is.Equal(b.told(b.send(testContext(t), upload.method, upload.path, residentKey, upload.body, unused)), notRun)
-	eventually(t, "the upstream's rest", func() bool { return b.north.tracker.Load("log-n1").Rest == 0 })
+	eventually(t, "the upstream's rest", func() bool { return b.north.tracker.Load("log-n1").Backoff == 0 })
 	is.Equal(b.told(b.send(testContext(t), upload.method, upload.path, residentKey, upload.body, unused)), complete)
 	is.Equal(b.ran(), 2)
 }
--- a/pkg/limit/tracker.go
+++ b/pkg/limit/tracker.go
@@ -25,9 +25,9 @@
 	Holding time.Duration
 	// Ejected is true while the upstream gets no requests because of failures.
 	Ejected bool
-	// Rest is how long the upstream gets no requests because it rejected some;
+	// Backoff is how long the upstream gets no requests because it rejected some;
 	// zero when it may get them. Asked is how much of that it has asked for.
-	Rest, Asked time.Duration
+	Backoff, Asked time.Duration
 }
 
 // Tracker counts this gateway's requests at each upstream. It is safe for
@@ -75,7 +75,7 @@
 		Limit:    e.limit(),
 		Holding:  e.holding.duration(),
 		Ejected:  t.ejected(upstream),
-		Rest:     e.rest.left(t.clock.Now),
+		Backoff:     e.rest.left(t.clock.Now),
 		Asked:    e.rest.askedLeft(t.clock.Now),
 	}
 }
--- a/pkg/limit/tracker_test.go
+++ b/pkg/limit/tracker_test.go
@@ -37,7 +37,7 @@
 		tracker := limit.NewTracker(clock.System{}, nil)
 		tracker.SetShares(map[string]int{"u": 10})
 		finish := func(result limit.Result) {
-			time.Sleep(tracker.Load("u").Rest)
+			time.Sleep(tracker.Load("u").Backoff)
 			flight, ok := tracker.Start("u", 0, 0)
 			is.True(ok)
 			flight.Done(result)
@@ -121,15 +121,15 @@
 		time.Sleep(time.Millisecond)
 		first.Reject(time.Second) // whole seconds, rounded up: may mean at once
 		second.Reject(0)
-		is.Equal(tracker.Load("u").Rest, limit.FirstRest)
+		is.Equal(tracker.Load("u").Backoff, limit.FirstRest)
 		for _, rest := range []time.Duration{1, 2, 4, 8, 16, 20, 20} {
 			rest *= limit.FirstRest
-			is.Equal(tracker.Load("u").Rest, rest)
+			is.Equal(tracker.Load("u").Backoff, rest)
 			start(false)
 			time.Sleep(rest)
-			is.Equal(tracker.Load("u").Rest, time.Duration(0))
+			is.Equal(tracker.Load("u").Backoff, time.Duration(0))
 			probe := start(true)
-			is.Equal(tracker.Load("u").Rest, limit.FirstRest) // one probe alone
+			is.Equal(tracker.Load("u").Backoff, limit.FirstRest) // one probe alone
 			start(false)
 			probe.Reject(0)
 		}
@@ -137,10 +137,10 @@
 		start(true).Done(limit.Abandoned) // says nothing: the next one probes
 		start(true).FirstByte()
 		start(true).Reject(time.Minute)
-		is.Equal(tracker.Load("u").Rest, 59*time.Second) // whole seconds, rounded up
+		is.Equal(tracker.Load("u").Backoff, 59*time.Second) // whole seconds, rounded up
 		time.Sleep(time.Minute)
 		start(true).Reject(24 * time.Hour)
-		is.Equal(tracker.Load("u").Rest, limit.LongestAsked)
+		is.Equal(tracker.Load("u").Backoff, limit.LongestAsked)
 	})
 }
 
@@ -231,12 +231,12 @@
 		good.Done(limit.Succeeded)
 		for range 59 {
 			time.Sleep(time.Second)
-			is.True(tracker.Load("u").Rest > 0)
+			is.True(tracker.Load("u").Backoff > 0)
 			_, ok := tracker.Start("u", 0, 0)
 			is.True(!ok)
 		}
 		time.Sleep(time.Second)
-		is.Equal(tracker.Load("u").Rest, time.Duration(0))
+		is.Equal(tracker.Load("u").Backoff, time.Duration(0))
 		probe, ok := tracker.Start("u", 0, 0)
 		is.True(ok)
 		_, ok = tracker.Start("u", 0, 0)
--- a/pkg/route/filter.go
+++ b/pkg/route/filter.go
@@ -16,7 +16,7 @@
 type NotResting struct{}
 
 // Keep implements Filter.
-func (NotResting) Keep(_ *Request, _ string, own limit.Load) bool { return own.Rest <= 0 }
+func (NotResting) Keep(_ *Request, _ string, own limit.Load) bool { return own.Backoff <= 0 }
 
 // NotTried rules out upstreams that have failed this very request.
 type NotTried struct{}
--- a/pkg/route/pick.go
+++ b/pkg/route/pick.go
@@ -65,8 +65,8 @@
 // rule records why an upstream was ruled out.
 func (c *choice) rule(own limit.Load) {
 	c.full = c.full || own.InFlight >= own.Limit
-	if own.Rest > 0 && (c.rest == 0 || own.Rest < c.rest) {
-		c.rest = own.Rest
+	if own.Backoff > 0 && (c.rest == 0 || own.Backoff < c.rest) {
+		c.rest = own.Backoff
 	}
 }
 
--- a/pkg/route/pick_test.go
+++ b/pkg/route/pick_test.go
@@ -107,7 +107,7 @@
 		"all rest": {func(w *world, r *route.Request) {
 			r.Caller = callerIn("ra")
 			for _, upstream := range w.declaration.Upstreams {
-				w.load[upstream.Name] = limit.Load{Limit: 2, Rest: time.Second}
+				w.load[upstream.Name] = limit.Load{Limit: 2, Backoff: time.Second}
 			}
 		}, outcome.ReasonOverloaded, true},
 		"all tried": {func(w *world, r *route.Request) { r.Tried = []string{"u-0", "u-1", "b", "c"} },
@@ -141,7 +141,7 @@
 		"silent":  func(w *world) { w.setState("u-0", board.UpstreamSilent) },
 		"drained": func(w *world) { w.declaration.Upstreams[0].Drained = true },
 		"ejected": func(w *world) { w.load["u-0"] = limit.Load{Limit: limit.Unlimited, Ejected: true} },
-		"resting": func(w *world) { w.load["u-0"] = limit.Load{Limit: limit.Unlimited, Rest: time.Second} },
+		"resting": func(w *world) { w.load["u-0"] = limit.Load{Limit: limit.Unlimited, Backoff: time.Second} },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/route/table.go
+++ b/pkg/route/table.go
@@ -141,7 +141,7 @@
 		l := load.Load(name)
 		switch {
 		case l.Ejected:
-		case l.Rest > 0:
+		case l.Backoff > 0:
 			resting += l.Limit
 		default:
 			awake += l.Limit
--- a/pkg/steer/admit_test.go
+++ b/pkg/steer/admit_test.go
@@ -115,7 +115,7 @@
 	w := world(loads{}, upstream("u1", "llm", "south"))
 	w.Peers = &peer.View{Others: []peer.Known{{Instance: fleet.Instance{Name: "s-1", Region: "south"}, Ready: true, Heard: now}}}
 	is.Equal(len(w.Regions(request)), 1)
-	w.Local = loads{steer.RegionKey("south", request): limit.Load{Rest: time.Second}}
+	w.Local = loads{steer.RegionKey("south", request): limit.Load{Backoff: time.Second}}
 	is.Equal(len(w.Regions(request)), 0)
 	is.Equal(len(w.Regions(timed(1, time.Second, 0))), 1)
 }
--- a/pkg/steer/far.go
+++ b/pkg/steer/far.go
@@ -54,7 +54,7 @@
 }
 
 func (w *Snapshot) barred(req *Request, region string) bool {
-	return !req.Route.PermittedIn(region) || w.Local.Load(RegionKey(region, req)).Rest > 0
+	return !req.Route.PermittedIn(region) || w.Local.Load(RegionKey(region, req)).Backoff > 0
 }
 
 func compareText(a, b string) int {
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -197,7 +197,7 @@
 	switch {
 	case own.Ejected:
 		s.Resting++
-	case own.Rest > 0:
+	case own.Backoff > 0:
 		s.RestWait = shortest(s.RestWait, own.Asked)
 		s.Resting++
 	case tried(req, upstream.ID):
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -66,7 +66,7 @@
 			local[u.ID] = limit.Load{
 				InFlight: rapid.IntRange(0, 9).Draw(t, "in flight"),
 				Ejected:  rapid.Bool().Draw(t, "ejected"),
-				Rest:     rapid.SampledFrom([]time.Duration{0, time.Second}).Draw(t, "rest"),
+				Backoff:     rapid.SampledFrom([]time.Duration{0, time.Second}).Draw(t, "rest"),
 			}
 			if rapid.Bool().Draw(t, "tried") {
 				req.Tried = append(req.Tried, u.ID)
@@ -84,7 +84,7 @@
 					return false
 				}
 			}
-			return u.Region == "north" && !u.Draining && !w.Fleet.Evacuated[u.Domain] && !u.Cold(now) && !load.Ejected && load.Rest == 0
+			return u.Region == "north" && !u.Draining && !w.Fleet.Evacuated[u.Domain] && !u.Cold(now) && !load.Ejected && load.Backoff == 0
 		}
 		any := false
 		for i := range upstreams {
