--- a/pkg/limit/tracker.go
+++ b/pkg/limit/tracker.go
@@ -26,8 +26,8 @@
 	// Ejected is true while the upstream gets no requests because of failures.
 	Ejected bool
 	// Backoff is how long the upstream gets no requests because it rejected some;
-	// zero when it may get them. Asked is how much of that it has asked for.
-	Backoff, Asked time.Duration
+	// zero when it may get them. RequestedBackoff is how much of that it has asked for.
+	Backoff, RequestedBackoff time.Duration
 }
 
 // Tracker counts this gateway's requests at each upstream. It is safe for
@@ -76,7 +76,7 @@
 		Holding:  e.holding.duration(),
 		Ejected:  t.ejected(upstream),
 		Backoff:     e.rest.left(t.clock.Now),
-		Asked:    e.rest.askedLeft(t.clock.Now),
+		RequestedBackoff:    e.rest.askedLeft(t.clock.Now),
 	}
 }
 
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -198,7 +198,7 @@
 	case own.Ejected:
 		s.Resting++
 	case own.Backoff > 0:
-		s.RestWait = shortest(s.RestWait, own.Asked)
+		s.RestWait = shortest(s.RestWait, own.RequestedBackoff)
 		s.Resting++
 	case tried(req, upstream.ID):
 	case !w.Admits(upstream, req.Service):
