--- a/pkg/limit/rest.go
+++ b/pkg/limit/rest.go
@@ -12,9 +12,9 @@
 	FirstRest = 100 * time.Millisecond
 	// LongestRest is the longest that an upstream rests without having asked for it.
 	LongestRest = 2 * time.Second
-	// LongestAsked bounds what an upstream asks for by Retry-After: one that names hours is
+	// MaxRequestedBackoff bounds what an upstream asks for by Retry-After: one that names hours is
 	// tried again by then, and may name them again.
-	LongestAsked = 10 * time.Minute
+	MaxRequestedBackoff = 10 * time.Minute
 	// maxDoublings keeps the shift small; it reaches LongestRest.
 	maxDoublings = 5
 	// retryGrain is the resolution of Retry-After: whole seconds, rounded up.
@@ -62,7 +62,7 @@
 // ask takes the upstream's word that it wants nothing for a while. Answers may overtake each
 // other: the later end counts.
 func (r *rest) ask(now time.Time, period time.Duration) {
-	until := now.Add(min(period, LongestAsked))
+	until := now.Add(min(period, MaxRequestedBackoff))
 	for {
 		known := r.asked.Load()
 		if (known != nil && !known.Before(until)) || r.asked.CompareAndSwap(known, &until) {
--- a/pkg/limit/tracker_test.go
+++ b/pkg/limit/tracker_test.go
@@ -140,7 +140,7 @@
 		is.Equal(tracker.Load("u").Backoff, 59*time.Second) // whole seconds, rounded up
 		time.Sleep(time.Minute)
 		start(true).Reject(24 * time.Hour)
-		is.Equal(tracker.Load("u").Backoff, limit.LongestAsked)
+		is.Equal(tracker.Load("u").Backoff, limit.MaxRequestedBackoff)
 	})
 }
 
