--- a/pkg/edge/named.go
+++ b/pkg/edge/named.go
@@ -38,14 +38,14 @@
 
 // part is this instance's among those that send to an upstream with a limit. While it has
 // just begun it may not know the others.
-func (e *Edge) part(upstream string) limit.Part {
+func (e *Edge) part(upstream string) limit.SenderRank {
 	counted := e.counted()
 	part, ok := counted.parts.Load(upstream)
 	if !ok {
 		part = counted.rank(upstream, &e.self)
 		counted.parts.Store(upstream, part)
 	}
-	known := part.(limit.Part)
+	known := part.(limit.SenderRank)
 	if e.starting() {
 		known.Instances = max(leastInstances, known.Instances)
 	}
@@ -53,7 +53,7 @@
 }
 
 // rank works out an instance's part of an upstream.
-func (t *tally) rank(upstream string, self *fleet.Instance) limit.Part {
+func (t *tally) rank(upstream string, self *fleet.Instance) limit.SenderRank {
 	var names []string
 	for name, region := range t.regions {
 		if region == self.Region {
@@ -61,7 +61,7 @@
 		}
 	}
 	ranked := member.Rank(member.Key(jobLimited, upstream), names)
-	return limit.Part{Instances: len(names), Place: slices.Index(ranked, self.Name)}
+	return limit.SenderRank{Instances: len(names), Place: slices.Index(ranked, self.Name)}
 }
 
 // limitWait is how long this instance must not send to an upstream for the limit that it
--- a/pkg/limit/named.go
+++ b/pkg/limit/named.go
@@ -55,8 +55,8 @@
 	return min(max(1, int(perSecond/leastShare)), max(1, instances))
 }
 
-// Part is one instance's place among those that send to an upstream.
-type Part struct {
+// SenderRank is one instance's place among those that send to an upstream.
+type SenderRank struct {
 	// Instances is how many the region has, Place this one's among them by a ranking that all
 	// of them make alike, from 0.
 	Instances, Place int
@@ -157,7 +157,7 @@
 
 // Wait returns how long this instance must wait until it may send a request to an upstream;
 // zero: it may now.
-func (n *NamedLimits) Wait(upstream string, part Part) time.Duration {
+func (n *NamedLimits) Wait(upstream string, part SenderRank) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	known := n.byID[upstream]
@@ -176,7 +176,7 @@
 }
 
 // Take counts a request that is about to be sent; false: it must not be.
-func (n *NamedLimits) Take(upstream string, part Part) bool {
+func (n *NamedLimits) Take(upstream string, part SenderRank) bool {
 	if n.size.Load() == 0 {
 		return true
 	}
@@ -195,7 +195,7 @@
 
 // fill adds what has come in since it was last asked, and returns this instance's part of
 // the limit, in requests a second.
-func (k *namedLimit) fill(part Part, now time.Time) float64 {
+func (k *namedLimit) fill(part SenderRank, now time.Time) float64 {
 	total := max(leastRate, k.PerSecond)
 	senders := Senders(total, part.Instances)
 	rate := 0.0
@@ -213,7 +213,7 @@
 
 // sends says whether this instance is one of the senders. As long as the upstream is not heard,
 // further ones take turns beside the first: those may have nothing to send.
-func (k *namedLimit) sends(part Part, senders int, now time.Time) bool {
+func (k *namedLimit) sends(part SenderRank, senders int, now time.Time) bool {
 	if part.Place < senders {
 		return true
 	}
--- a/pkg/limit/named_test.go
+++ b/pkg/limit/named_test.go
@@ -47,7 +47,7 @@
 			for range 1500 { // 15 s: all want to send at any time
 				now = now.Add(10 * time.Millisecond)
 				for i := range all {
-					part := limit.Part{Instances: instances, Place: i}
+					part := limit.SenderRank{Instances: instances, Place: i}
 					all[i].Answered("u", limit.Named{PerSecond: perSecond, Limited: true}, now) // it is heard
 					wait := all[i].Wait("u", part)
 					for all[i].Take("u", part) {
@@ -80,7 +80,7 @@
 	now := time.Unix(1_000_000, 0)
 	named := limit.NewNamedLimits(func() time.Time { return now })
 	named.Answered("u", limit.Named{PerSecond: 2, Limited: true}, now)
-	part := limit.Part{Instances: 10, Place: 9}
+	part := limit.SenderRank{Instances: 10, Place: 9}
 	for range 4 {
 		now = now.Add(time.Second)
 		is.True(!named.Take("u", part))
@@ -155,13 +155,13 @@
 		}
 		for end := now.Add(idle); now.Before(end); now = now.Add(500 * time.Millisecond) {
 			for i := range all {
-				all[i].Wait("u", limit.Part{Instances: instances, Place: i})
+				all[i].Wait("u", limit.SenderRank{Instances: instances, Place: i})
 			}
 		}
 		sent := 0
 		for range 40 { // 4 s in which the upstream's answers are late
 			for i := range all {
-				for all[i].Take("u", limit.Part{Instances: instances, Place: i}) {
+				for all[i].Take("u", limit.SenderRank{Instances: instances, Place: i}) {
 					sent++
 				}
 			}
