--- a/pkg/edge/job.go
+++ b/pkg/edge/job.go
@@ -254,12 +254,12 @@
 // next try, and is nearer than another region: it is looked at again where there is no
 // other.
 func (j *job) look(world *steer.Snapshot, query *steer.Request) steer.Survey {
-	survey := world.Look(query)
+	survey := world.SurveyRegion(query)
 	if survey.Best.Upstream != nil || j.kept == nil {
 		return survey
 	}
 	query.Tried = nil
-	return world.Look(query)
+	return world.SurveyRegion(query)
 }
 
 func (j *job) noUpstream(here bool, survey *steer.Survey) *outcome.Refusal {
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -186,7 +186,7 @@
 		Admits: func(*fleet.Upstream, *httproute.Service) bool { return true },
 	}
 	r.Contended = i.overload.Contended(serviceName, r.rank(), m.Now())
-	best := world.Look(&r.Request).Best
+	best := world.SurveyRegion(&r.Request).Best
 	if m.options.Admits && best.Late && i.overload.Refuses(&r.Request, m.Now()) {
 		m.refuse(i, r)
 		return
--- a/pkg/emulator/plain.go
+++ b/pkg/emulator/plain.go
@@ -156,7 +156,7 @@
 		Estimates: steer.NewEstimator(), Flow: steer.NewFlow(), Now: d.Now(), Random: d.random.Uint64(),
 		Admits: func(*fleet.Upstream, *httproute.Service) bool { return true },
 	}
-	survey := world.Look(&c.request)
+	survey := world.SurveyRegion(&c.request)
 	if !c.crossed && !d.options.Alone {
 		if away := world.Choose(&c.request, survey, world.Regions(&c.request)); away != nil {
 			c.crossed = true
--- a/pkg/steer/admit_test.go
+++ b/pkg/steer/admit_test.go
@@ -89,23 +89,23 @@
 // whole target alone may still wait a little.
 func TestARequestIsLateWhereItsAnswerWouldBegin(t *testing.T) {
 	is := is.New(t)
-	is.True(!queued(10_000).Look(timed(0, 600*time.Millisecond, 0)).Best.Late)
-	is.True(queued(25_000).Look(timed(0, 600*time.Millisecond, 0)).Best.Late)
-	is.True(!queued(25_000).Look(timed(0, 1200*time.Millisecond, 0)).Best.Late)
+	is.True(!queued(10_000).SurveyRegion(timed(0, 600*time.Millisecond, 0)).Best.Late)
+	is.True(queued(25_000).SurveyRegion(timed(0, 600*time.Millisecond, 0)).Best.Late)
+	is.True(!queued(25_000).SurveyRegion(timed(0, 1200*time.Millisecond, 0)).Best.Late)
 	long := timed(0, 600*time.Millisecond, 0)
 	long.PromptTokens = 40_000
-	is.True(!queued(5_000).Look(long).Best.Late)
-	is.True(queued(15_000).Look(long).Best.Late)
+	is.True(!queued(5_000).SurveyRegion(long).Best.Late)
+	is.True(queued(15_000).SurveyRegion(long).Best.Late)
 }
 
 // TestLessUrgentRequestsLeaveRoomOnlyWhileItIsWanted.
 func TestLessUrgentRequestsLeaveRoomOnlyWhileItIsWanted(t *testing.T) {
 	is := is.New(t)
 	request := timed(1, 800*time.Millisecond, 600*time.Millisecond)
-	is.True(!queued(15_000).Look(request).Best.Late)
+	is.True(!queued(15_000).SurveyRegion(request).Best.Late)
 	request.Contended = true
-	is.True(queued(15_000).Look(request).Best.Late)
-	is.True(!queued(5_000).Look(request).Best.Late)
+	is.True(queued(15_000).SurveyRegion(request).Best.Late)
+	is.True(!queued(5_000).SurveyRegion(request).Best.Late)
 }
 
 // TestARegionThatRefusedForWantOfCapacityRests.
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -153,8 +153,8 @@
 	return w.Fleet.Usable(u) && (w.Leaving == nil || !w.Leaving(u.ID))
 }
 
-// Look surveys the own region.
-func (w *Snapshot) Look(req *Request) Survey {
+// SurveyRegion surveys the own region.
+func (w *Snapshot) SurveyRegion(req *Request) Survey {
 	var survey Survey
 	upstreams := w.regional(req.Service.Name)
 	shared := w.sharing(req, upstreams)
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -76,7 +76,7 @@
 		w := world(local, upstreams...)
 		w.Fleet.Evacuated["north-a"] = rapid.Bool().Draw(t, "evacuated")
 		w.Random = rapid.Uint64().Draw(t, "random")
-		chosen := w.Look(req).Best.Upstream
+		chosen := w.SurveyRegion(req).Best.Upstream
 		may := func(u *fleet.Upstream) bool {
 			load := local[u.ID]
 			for _, id := range req.Tried {
@@ -106,8 +106,8 @@
 	}
 	used := map[string]int{}
 	for part := range 200 {
-		first := world(loads{}, upstreams...).Look(long(fmt.Sprint("p", part))).Best.Upstream.ID
-		second := world(loads{}, upstreams...).Look(long(fmt.Sprint("p", part))).Best.Upstream.ID
+		first := world(loads{}, upstreams...).SurveyRegion(long(fmt.Sprint("p", part))).Best.Upstream.ID
+		second := world(loads{}, upstreams...).SurveyRegion(long(fmt.Sprint("p", part))).Best.Upstream.ID
 		is.Equal(first, second)
 		used[first]++
 	}
@@ -120,12 +120,12 @@
 	is := is.New(t)
 	local := loads{}
 	w := world(local, upstream("u0", "llm", "north"), upstream("u1", "llm", "north"))
-	holder := w.Look(long("p")).Best.Upstream.ID
+	holder := w.SurveyRegion(long("p")).Best.Upstream.ID
 	w.Recent.Add(long("p").Segments, holder, now)
-	is.Equal(w.Look(long("p")).Best.Upstream.ID, holder)
-	is.Equal(w.Look(long("p")).Best.Source, nil)
+	is.Equal(w.SurveyRegion(long("p")).Best.Upstream.ID, holder)
+	is.Equal(w.SurveyRegion(long("p")).Best.Source, nil)
 	local[holder] = limit.Load{InFlight: 3, Prefill: 60_000}
-	best := w.Look(long("p")).Best
+	best := w.SurveyRegion(long("p")).Best
 	is.True(best.Upstream.ID != holder)
 	is.Equal(best.Source.ID, holder)
 }
@@ -136,9 +136,9 @@
 	is := is.New(t)
 	local := loads{}
 	w := world(local, upstream("u0", "llm", "north"), upstream("u1", "llm", "north"))
-	favourite := w.Look(long("p")).Best.Upstream.ID
+	favourite := w.SurveyRegion(long("p")).Best.Upstream.ID
 	local[favourite] = limit.Load{InFlight: 2, Prefill: 9_000}
-	is.Equal(w.Look(long("p")).Best.Upstream.ID, favourite)
+	is.Equal(w.SurveyRegion(long("p")).Best.Upstream.ID, favourite)
 }
 
 func TestPlainCallsDoNotAllGoToTheUpstreamThatLookedIdle(t *testing.T) {
@@ -147,7 +147,7 @@
 	used := map[string]int{}
 	for random := range uint64(400) {
 		w.Random = random * 0x9e3779b97f4a7c15
-		used[w.Look(&steer.Request{Route: call, Service: api}).Best.Upstream.ID]++
+		used[w.SurveyRegion(&steer.Request{Route: call, Service: api}).Best.Upstream.ID]++
 	}
 	is.True(used["u0"] > 100 && used["u1"] > 100)
 }
@@ -172,7 +172,7 @@
 		went := map[string]int{}
 		for random := range uint64(1000) {
 			w.Random = random * 0x9e3779b97f4a7c15
-			if to := w.Choose(req, w.Look(req), regions); to != nil {
+			if to := w.Choose(req, w.SurveyRegion(req), regions); to != nil {
 				went[to.Region]++
 			}
 		}
@@ -199,7 +199,7 @@
 	used := map[string]int{}
 	for random := range uint64(300) {
 		w.Random = random * 0x9e3779b97f4a7c15
-		used[w.Look(&steer.Request{Route: call, Service: api}).Best.Upstream.ID]++
+		used[w.SurveyRegion(&steer.Request{Route: call, Service: api}).Best.Upstream.ID]++
 	}
 	for _, id := range []string{"u0", "u1", "u2"} {
 		is.New(t).True(used[id] > 60)
@@ -212,17 +212,17 @@
 	req := long("p")
 	req.Segments[0].Tokens, req.PromptTokens = 30_000, 32_000
 	w.Recent.Add(req.Segments, "south", now)
-	away := w.Choose(req, w.Look(req), []steer.Away{far("south", 0, 4, 0)})
+	away := w.Choose(req, w.SurveyRegion(req), []steer.Away{far("south", 0, 4, 0)})
 	is.True(away != nil)
 	w.Recent.Add(req.Segments, "u0", now)
-	is.True(w.Choose(req, w.Look(req), []steer.Away{far("south", 0, 4, 0)}) == nil)
+	is.True(w.Choose(req, w.SurveyRegion(req), []steer.Away{far("south", 0, 4, 0)}) == nil)
 }
 
 func TestWithNothingUsableHereAnyPermittedRegionWillDo(t *testing.T) {
 	is := is.New(t)
 	w := world(loads{})
 	req := &steer.Request{Route: call, Service: api}
-	is.Equal(w.Choose(req, w.Look(req), []steer.Away{far("south", 9, 4, 0), far("west", 1, 4, 0)}).Region, "west")
+	is.Equal(w.Choose(req, w.SurveyRegion(req), []steer.Away{far("south", 9, 4, 0), far("west", 1, 4, 0)}).Region, "west")
 }
 
 // TestRegionsAreThoseThatAreKnownAndPermitted: live instances, usable upstreams, homes.
@@ -275,7 +275,7 @@
 			req := long("p")
 			b.ReportAllocs()
 			for b.Loop() {
-				w.Choose(req, w.Look(req), w.Regions(req))
+				w.Choose(req, w.SurveyRegion(req), w.Regions(req))
 			}
 		})
 	}
@@ -296,7 +296,7 @@
 	is := is.New(t)
 	w := world(loads{}, upstream("u@2", "llm", "north"))
 	w.Recent.Learn(peer.Placement{Part: "p", Upstream: "u@1"}, now)
-	is.Equal(w.Look(long("p")).Best.Uncached > 2000, true)
+	is.Equal(w.SurveyRegion(long("p")).Best.Uncached > 2000, true)
 	w.Recent.Learn(peer.Placement{Part: "p", Upstream: "u@2"}, now)
-	is.Equal(w.Look(long("p")).Best.Uncached, 2000)
+	is.Equal(w.SurveyRegion(long("p")).Best.Uncached, 2000)
 }
