--- a/pkg/edge/job.go
+++ b/pkg/edge/job.go
@@ -197,7 +197,7 @@
 		LimitWait: j.limitWait,
 		Leaving:   j.leaves(),
 		Recent:    j.recent,
-		CallTimes:      j.pace,
+		CallTimes: j.pace,
 		Estimates: j.estimates,
 		Flow:      j.flow,
 		Now:       now,
@@ -211,7 +211,7 @@
 	query := &steer.Request{
 		Route:        j.route,
 		Service:      j.service,
-		Segments:        j.attributes.Parts,
+		Segments:     j.attributes.Parts,
 		PromptTokens: j.attributes.PromptTokens,
 		Contended:    j.overload.Contended(j.service.Name, j.route.Priority, j.now()),
 		Tried:        j.tried,
--- a/pkg/limit/tracker.go
+++ b/pkg/limit/tracker.go
@@ -70,13 +70,13 @@
 		return Load{Limit: Unlimited, Ejected: t.ejected(upstream)}
 	}
 	return Load{
-		InFlight: int(e.inFlight.Load()),
-		Prefill:  int(e.prefill.Load()),
-		Limit:    e.limit(),
-		Holding:  e.holding.duration(),
-		Ejected:  t.ejected(upstream),
-		Backoff:     e.rest.left(t.clock.Now),
-		RequestedBackoff:    e.rest.askedLeft(t.clock.Now),
+		InFlight:         int(e.inFlight.Load()),
+		Prefill:          int(e.prefill.Load()),
+		Limit:            e.limit(),
+		Holding:          e.holding.duration(),
+		Ejected:          t.ejected(upstream),
+		Backoff:          e.rest.left(t.clock.Now),
+		RequestedBackoff: e.rest.askedLeft(t.clock.Now),
 	}
 }
 
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -60,7 +60,7 @@
 	// Recent is where prompt parts went lately, Pace how long plain calls take, Estimates
 	// how long engines take to begin an answer.
 	Recent    *Recent
-	CallTimes      *CallTimes
+	CallTimes *CallTimes
 	Estimates *Estimator
 	// Flow is what this instance sends.
 	Flow *Flow
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -66,7 +66,7 @@
 			local[u.ID] = limit.Load{
 				InFlight: rapid.IntRange(0, 9).Draw(t, "in flight"),
 				Ejected:  rapid.Bool().Draw(t, "ejected"),
-				Backoff:     rapid.SampledFrom([]time.Duration{0, time.Second}).Draw(t, "rest"),
+				Backoff:  rapid.SampledFrom([]time.Duration{0, time.Second}).Draw(t, "rest"),
 			}
 			if rapid.Bool().Draw(t, "tried") {
 				req.Tried = append(req.Tried, u.ID)
