--- a/pkg/steer/admit.go
+++ b/pkg/steer/admit.go
@@ -11,24 +11,24 @@
 
 // Parameters of what counts as in time.
 const (
-	// inTime is the part of a route's target that a prediction may take up: the rest is
+	// targetShare is the part of a route's target that a prediction may take up: the rest is
 	// for the way to the caller, and for what others send before they hear of this.
-	inTime = 0.85
-	// aheadAtLeast is the part of a target for which a request may wait for others though
+	targetShare = 0.85
+	// minWaitShare is the part of a target for which a request may wait for others though
 	// its own prompt takes the rest: the largest prompts are served too, if late.
-	aheadAtLeast = 0.3
-	// yields is the part of the wait that a more urgent route of the same service bears
+	minWaitShare = 0.3
+	// yieldShare is the part of the wait that a more urgent route of the same service bears
 	// for which a less urgent one may wait: what it leaves is room for the others.
-	yields = 0.4
-	// usualHolding is for how long a request holds its place where that was not measured.
-	usualHolding = time.Second
+	yieldShare = 0.4
+	// defaultHolding is for how long a request holds its place where that was not measured.
+	defaultHolding = time.Second
 )
 
-// wait is how long a request would wait at an engine, in milliseconds: for others, and for
+// waitTime is how long a request would waitTime at an engine, in milliseconds: for others, and for
 // its own prompt.
-type wait struct{ ahead, own float64 }
+type waitTime struct{ queued, own float64 }
 
-func (w *wait) total() time.Duration { return milliseconds(w.ahead + w.own) }
+func (w *waitTime) total() time.Duration { return milliseconds(w.queued + w.own) }
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
@@ -38,23 +38,23 @@
 // comes after the route's target, or takes what more urgent requests need. The doubt is the
 // caller's, by the mean error of predictions: instances that hear of each other late would
 // refuse what would have been in time.
-func (w *wait) tooLate(req *Request, forecast *Forecast) bool {
+func (w *waitTime) tooLate(req *Request, forecast *Forecast) bool {
 	target := inMilliseconds(req.Route.TargetLatency)
 	if target == 0 {
 		return false
 	}
-	bound := max(inTime*target-w.own, aheadAtLeast*target)
+	bound := max(targetShare*target-w.own, minWaitShare*target)
 	if urgent := inMilliseconds(req.Route.Yields); req.Contended && urgent > 0 {
-		bound = min(bound, yields*(inTime*urgent-forecast.base))
+		bound = min(bound, yieldShare*(targetShare*urgent-forecast.base))
 	}
-	return w.ahead-forecast.wrong > bound
+	return w.queued-forecast.meanError > bound
 }
 
-// places is how long a request waits for one of the slots, in milliseconds, where so many
+// slotWait is how long a request waits for one of the slots, in milliseconds, where so many
 // others are in hand and each holds its place for a time.
-func places(inFlight, slots int, holding time.Duration) float64 {
+func slotWait(inFlight, slots int, holding time.Duration) float64 {
 	if holding == 0 {
-		holding = usualHolding
+		holding = defaultHolding
 	}
 	beyond := max(0, inFlight+1-slots)
 	return float64(beyond) / float64(max(1, slots)) * inMilliseconds(holding)
@@ -65,34 +65,34 @@
 func (w *Snapshot) predict(req *Request, c *Candidate, forecast *Forecast, holding time.Duration) {
 	factor := forecast.Factor(c.Upstream.ID)
 	own := factor * forecast.Reading(float64(c.Uncached))
-	ahead := places(c.InFlight, c.Upstream.Slots, holding) + factor*forecast.perToken*float64(c.Prefill)
-	expected := wait{ahead: ahead, own: own}
+	ahead := slotWait(c.InFlight, c.Upstream.Slots, holding) + factor*forecast.perToken*float64(c.Prefill)
+	expected := waitTime{queued: ahead, own: own}
 	c.First = expected.total()
 	c.Late = expected.tooLate(req, forecast)
 }
 
-// waitAway is how long a request would wait in another region.
-func (w *Snapshot) waitAway(req *Request, away *Away, forecast *Forecast) wait {
+// remoteWait is how long a request would wait in another region.
+func (w *Snapshot) remoteWait(req *Request, away *RemoteRegion, forecast *Forecast) waitTime {
 	prefill := float64(away.Prefill) / float64(away.Upstreams)
-	uncached := float64(req.PromptTokens) - w.cachedAway(req, away)
-	return wait{
-		ahead: places(away.InFlight, away.Slots, 0) + forecast.perToken*prefill,
-		own:   inMilliseconds(farTime) + forecast.Reading(uncached),
+	uncached := float64(req.PromptTokens) - w.remoteCached(req, away)
+	return waitTime{
+		queued: slotWait(away.InFlight, away.Slots, 0) + forecast.perToken*prefill,
+		own:    inMilliseconds(regionRoundTrip) + forecast.Reading(uncached),
 	}
 }
 
-// inTimeAway returns the cheapest region where the answer begins in time, and sooner than
+// timelyRegion returns the cheapest region where the answer begins in time, and sooner than
 // here by more than predictions are usually wrong; nil when there is none.
-func (w *Snapshot) inTimeAway(req *Request, here *Candidate, regions []Away) *Away {
-	var best *Away
+func (w *Snapshot) timelyRegion(req *Request, here *Candidate, regions []RemoteRegion) *RemoteRegion {
+	var best *RemoteRegion
 	forecast := w.Estimates.Forecast(req.Service.Name, w.Now)
 	for i := range regions {
 		away := &regions[i]
-		there := w.waitAway(req, away, &forecast)
-		if there.tooLate(req, &forecast) || there.total()+milliseconds(forecast.wrong) > here.First {
+		there := w.remoteWait(req, away, &forecast)
+		if there.tooLate(req, &forecast) || there.total()+milliseconds(forecast.meanError) > here.First {
 			continue
 		}
-		if best == nil || w.farCost(req, away) < w.farCost(req, best) {
+		if best == nil || w.remoteCost(req, away) < w.remoteCost(req, best) {
 			best = away
 		}
 	}
--- a/pkg/steer/admit_test.go
+++ b/pkg/steer/admit_test.go
@@ -14,9 +14,9 @@
 	"github.com/lilacweir/lilacweir/pkg/steer"
 )
 
-// taught is an Estimator that has seen answers of an engine that needs so many milliseconds
+// trainedEstimator is an Estimator that has seen answers of an engine that needs so many milliseconds
 // and so many more for each prompt token.
-func taught(base, perToken float64) *steer.Estimator {
+func trainedEstimator(base, perToken float64) *steer.Estimator {
 	e := steer.NewEstimator()
 	u := upstream("u", "llm", "north")
 	for i := range 400 {
@@ -28,12 +28,12 @@
 
 func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// TestTheTimeToBeginIsLearned on engines four times faster and slower than what is believed
+// TestEstimatorLearnsTimeToFirstToken on engines four times faster and slower than what is believed
 // at first.
-func TestTheTimeToBeginIsLearned(t *testing.T) {
+func TestEstimatorLearnsTimeToFirstToken(t *testing.T) {
 	for _, perToken := range []float64{1.0 / 280, 1.0 / 70, 1.0 / 40, 1.0 / 10} {
 		t.Run(fmt.Sprint(perToken), func(t *testing.T) {
-			forecast := taught(50, perToken).Forecast("llm", now)
+			forecast := trainedEstimator(50, perToken).Forecast("llm", now)
 			for _, tokens := range []float64{0, 3000, 20000} {
 				want := 50 + perToken*tokens
 				if got := forecast.Reading(tokens); math.Abs(got-want) > 0.15*want+5 {
@@ -44,11 +44,11 @@
 	}
 }
 
-// TestASlowUpstreamIsFoundAndTriedAgainLater: it is believed to be as the others again
+// TestSlowUpstreamFactorDecays: it is believed to be as the others again
 // some seconds after its last answer.
-func TestASlowUpstreamIsFoundAndTriedAgainLater(t *testing.T) {
+func TestSlowUpstreamFactorDecays(t *testing.T) {
 	is := is.New(t)
-	e := taught(100, 0.02)
+	e := trainedEstimator(100, 0.02)
 	slow := upstream("slow", "llm", "north")
 	for range 15 {
 		e.Observe(&steer.Candidate{Upstream: &slow, Uncached: 2000}, ms(8*140), now)
@@ -60,9 +60,9 @@
 	is.True(later.Factor("slow") < 2)
 }
 
-// TestOneFrozenEngineDoesNotSpoilTheEstimate of the others.
-func TestOneFrozenEngineDoesNotSpoilTheEstimate(t *testing.T) {
-	e := taught(100, 0.02)
+// TestFrozenEngineDoesNotSkewTheEstimate of the others.
+func TestFrozenEngineDoesNotSkewTheEstimate(t *testing.T) {
+	e := trainedEstimator(100, 0.02)
 	frozen := upstream("frozen", "llm", "north")
 	for range 10 {
 		e.Observe(&steer.Candidate{Upstream: &frozen, Uncached: 1000}, 20*time.Second, now)
@@ -71,51 +71,51 @@
 	is.New(t).True(forecast.Reading(1000) < 250)
 }
 
-// timed is the route of the tests with a target.
-func timed(priority int, target, yields time.Duration) *steer.Request {
+// timedRequest is the route of the tests with a target.
+func timedRequest(priority int, target, yields time.Duration) *steer.Request {
 	route := *prompt
 	route.TargetLatency, route.Priority, route.Yields = target, priority, yields
 	return &steer.Request{Route: &route, Service: engine, PromptTokens: 1000, Segments: []steer.Segment{{ID: "own", Tokens: 1000}}}
 }
 
-// queued is a world of one engine with so many unread prompt tokens.
-func queued(prefill int) *steer.Snapshot {
-	w := world(loads{"u": limit.Load{InFlight: 1, Prefill: prefill}}, upstream("u", "llm", "north"))
-	w.Estimates = taught(100, 0.02)
+// queuedSnapshot is a world of one engine with so many unread prompt tokens.
+func queuedSnapshot(prefill int) *steer.Snapshot {
+	w := newSnapshot(loads{"u": limit.Load{InFlight: 1, Prefill: prefill}}, upstream("u", "llm", "north"))
+	w.Estimates = trainedEstimator(100, 0.02)
 	return w
 }
 
-// TestARequestIsLateWhereItsAnswerWouldBegin after its target; a prompt that takes the
+// TestRequestIsLateWhenPredictedAfterItsTarget after its target; a prompt that takes the
 // whole target alone may still wait a little.
-func TestARequestIsLateWhereItsAnswerWouldBegin(t *testing.T) {
+func TestRequestIsLateWhenPredictedAfterItsTarget(t *testing.T) {
 	is := is.New(t)
-	is.True(!queued(10_000).SurveyRegion(timed(0, 600*time.Millisecond, 0)).Best.Late)
-	is.True(queued(25_000).SurveyRegion(timed(0, 600*time.Millisecond, 0)).Best.Late)
-	is.True(!queued(25_000).SurveyRegion(timed(0, 1200*time.Millisecond, 0)).Best.Late)
-	long := timed(0, 600*time.Millisecond, 0)
+	is.True(!queuedSnapshot(10_000).SurveyRegion(timedRequest(0, 600*time.Millisecond, 0)).Best.Late)
+	is.True(queuedSnapshot(25_000).SurveyRegion(timedRequest(0, 600*time.Millisecond, 0)).Best.Late)
+	is.True(!queuedSnapshot(25_000).SurveyRegion(timedRequest(0, 1200*time.Millisecond, 0)).Best.Late)
+	long := timedRequest(0, 600*time.Millisecond, 0)
 	long.PromptTokens = 40_000
-	is.True(!queued(5_000).SurveyRegion(long).Best.Late)
-	is.True(queued(15_000).SurveyRegion(long).Best.Late)
+	is.True(!queuedSnapshot(5_000).SurveyRegion(long).Best.Late)
+	is.True(queuedSnapshot(15_000).SurveyRegion(long).Best.Late)
 }
 
-// TestLessUrgentRequestsLeaveRoomOnlyWhileItIsWanted.
-func TestLessUrgentRequestsLeaveRoomOnlyWhileItIsWanted(t *testing.T) {
+// TestLessUrgentRequestsYieldOnlyUnderContention.
+func TestLessUrgentRequestsYieldOnlyUnderContention(t *testing.T) {
 	is := is.New(t)
-	request := timed(1, 800*time.Millisecond, 600*time.Millisecond)
-	is.True(!queued(15_000).SurveyRegion(request).Best.Late)
+	request := timedRequest(1, 800*time.Millisecond, 600*time.Millisecond)
+	is.True(!queuedSnapshot(15_000).SurveyRegion(request).Best.Late)
 	request.Contended = true
-	is.True(queued(15_000).SurveyRegion(request).Best.Late)
-	is.True(!queued(5_000).SurveyRegion(request).Best.Late)
+	is.True(queuedSnapshot(15_000).SurveyRegion(request).Best.Late)
+	is.True(!queuedSnapshot(5_000).SurveyRegion(request).Best.Late)
 }
 
-// TestARegionThatRefusedForWantOfCapacityRests.
-func TestARegionThatRefusedForWantOfCapacityRests(t *testing.T) {
+// TestRegionBacksOffAfterCapacityRefusal.
+func TestRegionBacksOffAfterCapacityRefusal(t *testing.T) {
 	is := is.New(t)
-	request := timed(0, time.Second, 0)
-	w := world(loads{}, upstream("u1", "llm", "south"))
+	request := timedRequest(0, time.Second, 0)
+	w := newSnapshot(loads{}, upstream("u1", "llm", "south"))
 	w.Peers = &peer.View{Others: []peer.Known{{Instance: fleet.Instance{Name: "s-1", Region: "south"}, Ready: true, Heard: now}}}
 	is.Equal(len(w.Regions(request)), 1)
 	w.Local = loads{steer.RegionKey("south", request): limit.Load{Backoff: time.Second}}
 	is.Equal(len(w.Regions(request)), 0)
-	is.Equal(len(w.Regions(timed(1, time.Second, 0))), 1)
+	is.Equal(len(w.Regions(timedRequest(1, time.Second, 0))), 1)
 }
--- a/pkg/steer/estimate.go
+++ b/pkg/steer/estimate.go
@@ -12,58 +12,58 @@
 // slower or faster. It is safe for concurrent use; an upstream costs about 100 bytes.
 type Estimator struct {
 	mu         sync.Mutex
-	byService  map[string]*fit
-	byUpstream map[string]*pace
+	byService  map[string]*regression
+	byUpstream map[string]*slowdown
 }
 
-// fit holds the decayed sums of a regression, in tokens and milliseconds, and by how much
+// regression holds the decayed sums of a regression, in tokens and milliseconds, and by how much
 // predictions were wrong on the average.
-type fit struct{ n, x, y, xx, xy, wrong float64 }
+type regression struct{ n, x, y, xx, xy, meanError float64 }
 
-// pace is how much slower than its service an upstream is, and the last time it was seen.
-type pace struct {
-	factor float64
-	seen   time.Time
+// slowdown is how much slower than its service an upstream is, and the last time it was seen.
+type slowdown struct {
+	factor     float64
+	observedAt time.Time
 }
 
 // Parameters of the estimate.
 const (
-	// firstBase and firstPerToken are believed before anything was measured: 0.1 s for
+	// initialBase and firstPerToken are believed before anything was measured: 0.1 s for
 	// the way and the first step, and 40 tokens a millisecond, half of what the engines
 	// that we know read when they do nothing else.
-	firstBase     = 100.0
-	firstPerToken = 1.0 / 40
+	initialBase     = 100.0
+	initialPerToken = 1.0 / 40
 	// priorWeight is how many answers the first belief counts for.
 	priorWeight = 8
-	// fitDecay is the weight that each older answer keeps: the last 200 or so count,
+	// regressionDecay is the weight that each older answer keeps: the last 200 or so count,
 	// some seconds of an instance's traffic.
-	fitDecay = 0.995
-	// wrongSmoothing is the weight of the newest answer in the mean error.
-	wrongSmoothing = 0.02
+	regressionDecay = 0.995
+	// errorSmoothing is the weight of the newest answer in the mean error.
+	errorSmoothing = 0.02
 	// outlier bounds what one answer may say, as a multiple of what was predicted: one
 	// that met a frozen engine is no measure of reading.
 	outlier = 4.0
 	// factorSmoothing is the weight of the newest answer in an upstream's factor.
 	factorSmoothing = 0.15
-	// leastFactor and mostFactor bound an upstream's factor.
-	leastFactor = 0.5
-	mostFactor  = 20.0
+	// minFactor and mostFactor bound an upstream's factor.
+	minFactor = 0.5
+	maxFactor = 20.0
 	// factorHalfLife is how soon an upstream that gets no work is believed to be as the
 	// others again: else one that was slow once would never be tried.
 	factorHalfLife = 2 * time.Second
-	// forgetUpstream is when an upstream that gets nothing is dropped.
-	forgetUpstream = time.Minute
-	// mostPaces bounds the upstreams that are remembered.
-	mostPaces = 4096
+	// upstreamRetention is when an upstream that gets nothing is dropped.
+	upstreamRetention = time.Minute
+	// maxUpstreams bounds the upstreams that are remembered.
+	maxUpstreams = 4096
 )
 
 // NewEstimator returns an Estimator that has measured nothing.
 func NewEstimator() *Estimator {
-	return &Estimator{byService: make(map[string]*fit), byUpstream: make(map[string]*pace)}
+	return &Estimator{byService: make(map[string]*regression), byUpstream: make(map[string]*slowdown)}
 }
 
 // line returns the fit's intercept in milliseconds and its slope in milliseconds a token.
-func (f *fit) line() (base, perToken float64) {
+func (f *regression) line() (base, perToken float64) {
 	spread := f.n*f.xx - f.x*f.x
 	perToken = (f.n*f.xy - f.x*f.y) / spread
 	if !(spread > 0) || perToken < 0 {
@@ -76,23 +76,23 @@
 	return base, perToken
 }
 
-// newFit returns a fit that holds the first belief.
-func newFit() *fit {
+// newRegression returns a fit that holds the first belief.
+func newRegression() *regression {
 	const tokens = 4000
-	f := &fit{}
+	f := &regression{}
 	for range priorWeight / 2 {
-		f.add(0, firstBase)
-		f.add(tokens, firstBase+tokens*firstPerToken)
+		f.add(0, initialBase)
+		f.add(tokens, initialBase+tokens*initialPerToken)
 	}
 	return f
 }
 
-func (f *fit) add(x, y float64) {
-	f.n = f.n*fitDecay + 1
-	f.x = f.x*fitDecay + x
-	f.y = f.y*fitDecay + y
-	f.xx = f.xx*fitDecay + x*x
-	f.xy = f.xy*fitDecay + x*y
+func (f *regression) add(x, y float64) {
+	f.n = f.n*regressionDecay + 1
+	f.x = f.x*regressionDecay + x
+	f.y = f.y*regressionDecay + y
+	f.xx = f.xx*regressionDecay + x*x
+	f.xy = f.xy*regressionDecay + x*y
 }
 
 // Observe takes the time after which an answer began that was sent to a candidate.
@@ -102,53 +102,53 @@
 	defer e.mu.Unlock()
 	f := e.byService[upstream.Service]
 	if f == nil {
-		f = newFit()
+		f = newRegression()
 		e.byService[upstream.Service] = f
 	}
 	x, y := float64(tokens), float64(took)/float64(time.Millisecond)
 	base, perToken := f.line()
 	expected := max(1, base+perToken*x)
-	p := e.pace(upstream.ID, now)
-	ratio := min(y/expected, mostFactor)
+	p := e.slowdown(upstream.ID, now)
+	ratio := min(y/expected, maxFactor)
 	p.factor += factorSmoothing * (ratio - p.factor)
-	p.factor = max(leastFactor, p.factor)
+	p.factor = max(minFactor, p.factor)
 	f.add(x, min(y, outlier*expected))
 	if at.First > 0 {
-		f.wrong += wrongSmoothing * (math.Abs(min(y, outlier*expected)-inMilliseconds(at.First)) - f.wrong)
+		f.meanError += errorSmoothing * (math.Abs(min(y, outlier*expected)-inMilliseconds(at.First)) - f.meanError)
 	}
 }
 
-// pace returns an upstream's pace as it is believed now. The caller holds e.mu.
-func (e *Estimator) pace(upstream string, now time.Time) *pace {
+// slowdown returns an upstream's slowdown as it is believed now. The caller holds e.mu.
+func (e *Estimator) slowdown(upstream string, now time.Time) *slowdown {
 	p := e.byUpstream[upstream]
 	if p == nil {
 		e.shrink(now)
-		p = &pace{factor: 1}
+		p = &slowdown{factor: 1}
 		e.byUpstream[upstream] = p
 	}
 	p.factor = p.at(now)
-	p.seen = now
+	p.observedAt = now
 	return p
 }
 
 // at is the factor after the time since the upstream was seen.
-func (p *pace) at(now time.Time) float64 {
+func (p *slowdown) at(now time.Time) float64 {
 	if p == nil {
 		return 1
 	}
-	idle := now.Sub(p.seen)
-	if p.seen.IsZero() || idle <= 0 {
+	idle := now.Sub(p.observedAt)
+	if p.observedAt.IsZero() || idle <= 0 {
 		return p.factor
 	}
 	return 1 + (p.factor-1)/(1+float64(idle)/float64(factorHalfLife))
 }
 
 func (e *Estimator) shrink(now time.Time) {
-	if len(e.byUpstream) < mostPaces {
+	if len(e.byUpstream) < maxUpstreams {
 		return
 	}
 	for id, p := range e.byUpstream {
-		if now.Sub(p.seen) > forgetUpstream {
+		if now.Sub(p.observedAt) > upstreamRetention {
 			delete(e.byUpstream, id)
 		}
 	}
@@ -158,9 +158,9 @@
 type Forecast struct {
 	estimator      *Estimator
 	base, perToken float64
-	// wrong is by how many milliseconds predictions are wrong on the average.
-	wrong float64
-	now   time.Time
+	// meanError is by how many milliseconds predictions are meanError on the average.
+	meanError float64
+	now       time.Time
 }
 
 // Forecast returns what is believed of a service's engines.
@@ -169,10 +169,10 @@
 	defer e.mu.Unlock()
 	f := e.byService[service]
 	if f == nil {
-		f = newFit()
+		f = newRegression()
 	}
 	base, perToken := f.line()
-	return Forecast{estimator: e, base: base, perToken: perToken, wrong: f.wrong, now: now}
+	return Forecast{estimator: e, base: base, perToken: perToken, meanError: f.meanError, now: now}
 }
 
 // Reading is how long an engine of the usual pace takes to begin an answer when so many
--- a/pkg/steer/far.go
+++ b/pkg/steer/far.go
@@ -9,8 +9,8 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// Away is another region with what a request would meet there.
-type Away struct {
+// RemoteRegion is another region with what a request would meet there.
+type RemoteRegion struct {
 	Region string
 	// Peers are the live instances there, at least one.
 	Peers []*peer.Known
@@ -18,27 +18,27 @@
 	Upstreams, Slots int
 	// InFlight and Prefill are the work of all of them.
 	InFlight, Prefill int
-	// barred is true where the request may not be processed, or which refused such a
+	// excluded is true where the request may not be processed, or which refused such a
 	// request lately.
-	barred bool
+	excluded bool
 }
 
 // Regions returns the other regions in which the request may be processed and where
 // a live instance and a usable upstream are known, sorted by name.
-func (w *Snapshot) Regions(req *Request) []Away {
-	var regions []Away
+func (w *Snapshot) Regions(req *Request) []RemoteRegion {
+	var regions []RemoteRegion
 	for i := range w.peers() {
 		known := &w.Peers.Others[i]
 		region := known.Instance.Region
 		if region == w.Region {
 			continue
 		}
-		at := slices.IndexFunc(regions, func(a Away) bool { return a.Region == region })
+		at := slices.IndexFunc(regions, func(a RemoteRegion) bool { return a.Region == region })
 		if at < 0 {
 			at = len(regions)
-			regions = append(regions, Away{Region: region, barred: w.barred(req, region), Peers: make([]*peer.Known, 0, len(w.Peers.Others)/2)})
+			regions = append(regions, RemoteRegion{Region: region, excluded: w.excluded(req, region), Peers: make([]*peer.Known, 0, len(w.Peers.Others)/2)})
 		}
-		if regions[at].barred || known.Leaving || !known.Ready || !known.Live(w.Now) || tried(req, known.Instance.Name) {
+		if regions[at].excluded || known.Leaving || !known.Ready || !known.Live(w.Now) || tried(req, known.Instance.Name) {
 			continue
 		}
 		regions[at].Peers = append(regions[at].Peers, known)
@@ -49,11 +49,11 @@
 			kept = append(kept, regions[i])
 		}
 	}
-	slices.SortFunc(kept, func(a, b Away) int { return compareText(a.Region, b.Region) })
+	slices.SortFunc(kept, func(a, b RemoteRegion) int { return compareText(a.Region, b.Region) })
 	return kept
 }
 
-func (w *Snapshot) barred(req *Request, region string) bool {
+func (w *Snapshot) excluded(req *Request, region string) bool {
 	return !req.Route.PermittedIn(region) || w.Local.Load(RegionKey(region, req)).Backoff > 0
 }
 
@@ -76,7 +76,7 @@
 }
 
 // measure fills in a region's load; false when nothing there may get work.
-func (w *Snapshot) measure(away *Away, service *httproute.Service) bool {
+func (w *Snapshot) measure(away *RemoteRegion, service *httproute.Service) bool {
 	for _, upstream := range w.Fleet.Service(service.Name) {
 		if upstream.Region == away.Region && w.usable(upstream) && !upstream.Cold(w.Now) {
 			away.Slots += upstream.Slots
@@ -90,28 +90,28 @@
 
 // Parameters of sending away.
 const (
-	// wayTokens is what the way to another region and back costs, in prompt tokens
+	// roundTripTokens is what the way to another region and back costs, in prompt tokens
 	// that an engine reads meanwhile: 110 ms at about 40 tokens a millisecond.
-	wayTokens = 4400
-	// farMargin is how much cheaper, in prompt tokens, an engine far away must be: what
+	roundTripTokens = 4400
+	// remoteMargin is how much cheaper, in prompt tokens, an engine far away must be: what
 	// is known of it is older than what is known here.
-	farMargin = 1500
-	// farTime is what the way to another region and back takes.
-	farTime = 110 * time.Millisecond
-	// farGain is how much sooner a plain service must answer far away.
-	farGain = 30 * time.Millisecond
-	// soonEnough is the part of the target below which a plain call that is served here
+	remoteMargin = 1500
+	// regionRoundTrip is what the way to another region and back takes.
+	regionRoundTrip = 110 * time.Millisecond
+	// minRemoteGain is how much sooner a plain service must answer far away.
+	minRemoteGain = 30 * time.Millisecond
+	// localTargetShare is the part of the target below which a plain call that is served here
 	// gains nothing by going elsewhere.
-	soonEnough = 0.5
+	localTargetShare = 0.5
 )
 
 // Choose returns the region that is worth the way, given the survey of the own one;
 // nil when none is. With nothing usable here the cheapest region is.
-func (w *Snapshot) Choose(req *Request, here Survey, regions []Away) *Away {
-	var best *Away
+func (w *Snapshot) Choose(req *Request, here Survey, regions []RemoteRegion) *RemoteRegion {
+	var best *RemoteRegion
 	lowest := math.Inf(1)
 	for i := range regions {
-		if cost := w.farCost(req, &regions[i]); cost < lowest {
+		if cost := w.remoteCost(req, &regions[i]); cost < lowest {
 			best, lowest = &regions[i], cost
 		}
 	}
@@ -119,10 +119,10 @@
 		return best
 	}
 	if here.Best.Late {
-		return w.inTimeAway(req, &here.Best, regions)
+		return w.timelyRegion(req, &here.Best, regions)
 	}
 	if req.Service.Engine != nil {
-		if lowest+farMargin < here.Best.Cost {
+		if lowest+remoteMargin < here.Best.Cost {
 			return best
 		}
 		return nil
@@ -131,38 +131,38 @@
 		return away
 	}
 	pace := w.CallTimes.Of(req.Service.Name)
-	local := served(pace, here.InFlight, here.Slots)
-	if float64(local) < soonEnough*float64(req.Route.TargetLatency) {
+	local := callTime(pace, here.InFlight, here.Slots)
+	if float64(local) < localTargetShare*float64(req.Route.TargetLatency) {
 		return nil
 	}
-	if served(pace, best.InFlight, best.Slots)+farTime+farGain < local {
+	if callTime(pace, best.InFlight, best.Slots)+regionRoundTrip+minRemoteGain < local {
 		return best
 	}
 	return nil
 }
 
-// served is how long a call of a plain service takes where so many are in hand.
-func served(pace time.Duration, inFlight, slots int) time.Duration {
+// callTime is how long a call of a plain service takes where so many are in hand.
+func callTime(pace time.Duration, inFlight, slots int) time.Duration {
 	load := float64(inFlight+1) / float64(max(1, slots))
 	return time.Duration(float64(pace) * max(1, load))
 }
 
-// farCost is what the request costs in another region: for engines in prompt tokens,
+// remoteCost is what the request costs in another region: for engines in prompt tokens,
 // as Candidate.Cost is; for plain services the load in shares of the slots.
-func (w *Snapshot) farCost(req *Request, away *Away) float64 {
+func (w *Snapshot) remoteCost(req *Request, away *RemoteRegion) float64 {
 	if req.Service.Engine == nil {
 		return float64(away.InFlight) / float64(away.Slots)
 	}
 	upstreams := float64(away.Upstreams)
 	beyond := max(0, float64(away.InFlight+1-away.Slots)) / upstreams
-	uncached := float64(req.PromptTokens) - w.cachedAway(req, away)
-	return wayTokens + backlogWeight*float64(away.Prefill)/upstreams + cachedWeight*uncached +
+	uncached := float64(req.PromptTokens) - w.remoteCached(req, away)
+	return roundTripTokens + backlogWeight*float64(away.Prefill)/upstreams + cachedWeight*uncached +
 		tokensPerRequest*float64(away.InFlight)/upstreams + queuedPenalty*beyond
 }
 
-// cachedAway estimates how many of the prompt's tokens the region holds.
-func (w *Snapshot) cachedAway(req *Request, away *Away) float64 {
-	shared := sharedPart(req)
+// remoteCached estimates how many of the prompt's tokens the region holds.
+func (w *Snapshot) remoteCached(req *Request, away *RemoteRegion) float64 {
+	shared := sharedSegment(req)
 	if shared == nil {
 		return 0
 	}
--- a/pkg/steer/flow.go
+++ b/pkg/steer/flow.go
@@ -11,27 +11,27 @@
 // an engine since it was last told. It is safe for concurrent use.
 type Flow struct {
 	mu        sync.Mutex
-	byService map[string]*rate
+	byService map[string]*decayingSum
 }
 
-// rate is a sum that decays by the time since it was last added to.
-type rate struct {
+// decayingSum is a sum that decays by the time since it was last added to.
+type decayingSum struct {
 	sum float64
 	at  time.Time
 }
 
-// flowMemory is the time over which the flow is averaged: a load that changes within
+// flowTimeConstant is the time over which the flow is averaged: a load that changes within
 // seconds is followed, one request more or less does not matter.
-const flowMemory = 2 * time.Second
+const flowTimeConstant = 2 * time.Second
 
 // NewFlow returns a Flow that has measured nothing.
-func NewFlow() *Flow { return &Flow{byService: make(map[string]*rate)} }
+func NewFlow() *Flow { return &Flow{byService: make(map[string]*decayingSum)} }
 
-func (r *rate) decayed(now time.Time) float64 {
+func (r *decayingSum) decayed(now time.Time) float64 {
 	if r == nil || r.at.IsZero() {
 		return 0
 	}
-	return r.sum * math.Exp(-float64(now.Sub(r.at))/float64(flowMemory))
+	return r.sum * math.Exp(-float64(now.Sub(r.at))/float64(flowTimeConstant))
 }
 
 // Add counts prompt tokens that were sent to a service's engines.
@@ -40,7 +40,7 @@
 	defer f.mu.Unlock()
 	r := f.byService[service]
 	if r == nil {
-		r = &rate{}
+		r = &decayingSum{}
 		f.byService[service] = r
 	}
 	r.sum = r.decayed(now) + float64(tokens)
@@ -51,5 +51,5 @@
 func (f *Flow) Of(service string, now time.Time) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.byService[service].decayed(now) / flowMemory.Seconds()
+	return f.byService[service].decayed(now) / flowTimeConstant.Seconds()
 }
--- a/pkg/steer/overload.go
+++ b/pkg/steer/overload.go
@@ -15,19 +15,19 @@
 // episode is a time in which requests find no room, without a longer pause.
 type episode struct {
 	began, last time.Time
-	// lastOf is when requests of each rank last found none.
-	lastOf map[int]time.Time
+	// lastByRank is when requests of each rank last found none.
+	lastByRank map[int]time.Time
 }
 
 // Parameters of an overload.
 const (
-	// episodePause without a request that finds no room ends an episode.
-	episodePause = time.Second
-	// leastReturn is the least time after which a refused caller is asked to return: what
+	// episodeGap without a request that finds no room ends an episode.
+	episodeGap = time.Second
+	// minRetryAfter is the least time after which a refused caller is asked to return: what
 	// an engine needs to end some tens of requests.
-	leastReturn = 400 * time.Millisecond
-	// honoured is the part of the time left to them for which callers wait if asked to.
-	honoured = 1.0 / 3
+	minRetryAfter = 400 * time.Millisecond
+	// maxRetryShare is the part of the time left to them for which callers wait if asked to.
+	maxRetryShare = 1.0 / 3
 )
 
 // NewOverload returns an Overload that has seen none.
@@ -39,11 +39,11 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e := o.byService[service]
-	if e == nil || now.Sub(e.last) > episodePause {
-		e = &episode{began: now, lastOf: make(map[int]time.Time)}
+	if e == nil || now.Sub(e.last) > episodeGap {
+		e = &episode{began: now, lastByRank: make(map[int]time.Time)}
 		o.byService[service] = e
 	}
-	e.last, e.lastOf[rank] = now, now
+	e.last, e.lastByRank[rank] = now, now
 	return now.Sub(e.began)
 }
 
@@ -55,8 +55,8 @@
 	if e == nil {
 		return false
 	}
-	for other, last := range e.lastOf {
-		if other < rank && now.Sub(last) <= episodePause {
+	for other, last := range e.lastByRank {
+		if other < rank && now.Sub(last) <= episodeGap {
 			return true
 		}
 	}
@@ -74,6 +74,6 @@
 // lasted for some time is expected to last about as long again; callers are spread over
 // that time by a random number from 0 to 1, as far as they honour it.
 func ReturnAfter(lasted, left time.Duration, random float64) time.Duration {
-	wait := time.Duration((0.5 + random) * float64(max(leastReturn, lasted)))
-	return min(wait, time.Duration(honoured*float64(left)))
+	wait := time.Duration((0.5 + random) * float64(max(minRetryAfter, lasted)))
+	return min(wait, time.Duration(maxRetryShare*float64(left)))
 }
--- a/pkg/steer/overload_test.go
+++ b/pkg/steer/overload_test.go
@@ -11,21 +11,21 @@
 
 var began = time.Unix(1_000_000, 0)
 
-// TestAQueueIsServedForTheLengthOfATargetAndThenRefused.
-func TestAQueueIsServedForTheLengthOfATargetAndThenRefused(t *testing.T) {
+// TestOverloadRefusesAfterTheTargetLatency.
+func TestOverloadRefusesAfterTheTargetLatency(t *testing.T) {
 	is := is.New(t)
 	o := NewOverload()
 	req := &Request{Service: &httproute.Service{Name: "llm"}, Route: &httproute.Route{TargetLatency: 600 * time.Millisecond}}
 	is.True(!o.Refuses(req, began))
 	is.True(!o.Refuses(req, began.Add(500*time.Millisecond)))
 	is.True(o.Refuses(req, began.Add(700*time.Millisecond)))
-	is.True(!o.Refuses(req, began.Add(700*time.Millisecond+2*episodePause)))
+	is.True(!o.Refuses(req, began.Add(700*time.Millisecond+2*episodeGap)))
 }
 
-// TestCallersAreSpreadOverTheTimeThatAnOverloadIsExpectedToLast, as far as they honour it.
-func TestCallersAreSpreadOverTheTimeThatAnOverloadIsExpectedToLast(t *testing.T) {
+// TestReturnAfterSpreadsCallersOverTheExpectedOverload, as far as they honour it.
+func TestReturnAfterSpreadsCallersOverTheExpectedOverload(t *testing.T) {
 	is := is.New(t)
-	is.Equal(ReturnAfter(0, time.Minute, 0), leastReturn/2)
+	is.Equal(ReturnAfter(0, time.Minute, 0), minRetryAfter/2)
 	is.Equal(ReturnAfter(4*time.Second, time.Minute, 0), 2*time.Second)
 	is.Equal(ReturnAfter(4*time.Second, time.Minute, 1), 6*time.Second)
 	is.Equal(ReturnAfter(time.Minute, 3*time.Second, 0.5), time.Second)
@@ -39,7 +39,7 @@
 	is.True(!o.Contended("llm", 1, began))
 	is.True(o.Contended("llm", 2, began))
 	is.True(!o.Contended("api", 2, began))
-	is.True(!o.Contended("llm", 2, began.Add(2*episodePause)))
-	is.Equal(o.Late("llm", 0, began.Add(episodePause/2)), episodePause/2)
-	is.Equal(o.Late("llm", 0, began.Add(3*episodePause)), time.Duration(0))
+	is.True(!o.Contended("llm", 2, began.Add(2*episodeGap)))
+	is.Equal(o.Late("llm", 0, began.Add(episodeGap/2)), episodeGap/2)
+	is.Equal(o.Late("llm", 0, began.Add(3*episodeGap)), time.Duration(0))
 }
--- a/pkg/steer/pace.go
+++ b/pkg/steer/pace.go
@@ -13,10 +13,10 @@
 }
 
 const (
-	// usualPace is how long a call is taken to last where none was measured.
-	usualPace = 50 * time.Millisecond
-	// paceSmoothing is the weight of the newest call.
-	paceSmoothing = 0.05
+	// defaultCallTime is how long a call is taken to last where none was measured.
+	defaultCallTime = 50 * time.Millisecond
+	// callTimeSmoothing is the weight of the newest call.
+	callTimeSmoothing = 0.05
 )
 
 // NewCallTimes returns a Pace that has measured nothing.
@@ -29,7 +29,7 @@
 	if pace, ok := p.byService[service]; ok {
 		return pace
 	}
-	return usualPace
+	return defaultCallTime
 }
 
 // Add takes the time of a call at a candidate. One that may have waited there says
@@ -44,5 +44,5 @@
 	if !ok {
 		pace = took
 	}
-	p.byService[service] = pace + time.Duration(paceSmoothing*float64(took-pace))
+	p.byService[service] = pace + time.Duration(callTimeSmoothing*float64(took-pace))
 }
--- a/pkg/steer/plain.go
+++ b/pkg/steer/plain.go
@@ -18,36 +18,36 @@
 
 // Parameters of the spreading of plain calls. A load is requests in hand by slots.
 const (
-	// spillFrom is the load from which on a region sends calls away whose instances know
+	// spillThreshold is the load from which on a region sends calls away whose instances know
 	// nothing of each other's present work: with Poisson arrivals one call in six finds all
 	// six slots of an upstream taken at a load of 0.8, one in four at 0.9 (Erlang's loss
 	// formula).
-	spillFrom = 0.8
-	// spillKnown is how much higher that load is where all is known: calls can be placed
+	spillThreshold = 0.8
+	// spillKnownBonus is how much higher that load is where all is known: calls can be placed
 	// evenly then, and one that waits for the end of another waits less than the way takes.
-	spillKnown = 0.5
+	spillKnownBonus = 0.5
 	// spillRange is over how much more load the share of calls that are sent away grows to
 	// all: a region that is offered 1.5 times its slots settles at a load of about 1.
 	spillRange = 0.5
-	// wayLoad is how much lower the load far away must be at least. What is known of it is
+	// remoteLoadMargin is how much lower the load far away must be at least. What is known of it is
 	// half a second old, and the way costs 0.11 s of the target.
-	wayLoad = 0.2
+	remoteLoadMargin = 0.2
 )
 
-// expected is the load of other instances at an upstream by now: as it was told, as far as
+// expectedLoad is the load of other instances at an upstream by now: as it was told, as far as
 // calls of that age still run, and the region's mean otherwise.
-func expected(told, mean float64, age, pace time.Duration) float64 {
-	part := stays(age, pace)
+func expectedLoad(told, mean float64, age, pace time.Duration) float64 {
+	part := stillRunning(age, pace)
 	return part*told + (1-part)*mean
 }
 
-// stays is the part of the calls in hand that still run after a time.
-func stays(age, pace time.Duration) float64 {
+// stillRunning is the part of the calls in hand that still run after a time.
+func stillRunning(age, pace time.Duration) float64 {
 	return math.Exp(-float64(age) / float64(max(pace, time.Millisecond)))
 }
 
-// meanOf is the mean work of the others at the upstreams.
-func meanOf(loads []peer.Load) float64 {
+// meanInFlight is the mean work of the others at the upstreams.
+func meanInFlight(loads []peer.Load) float64 {
 	if len(loads) == 0 {
 		return 0
 	}
@@ -59,18 +59,18 @@
 }
 
 // spill returns the region to which a plain call goes by plan; nil when it stays.
-func (w *Snapshot) spill(req *Request, here *Survey, regions []Away) *Away {
-	if !w.wayFits(req) || here.Slots == 0 {
+func (w *Snapshot) spill(req *Request, here *Survey, regions []RemoteRegion) *RemoteRegion {
+	if !w.roundTripFits(req) || here.Slots == 0 {
 		return nil
 	}
 	load := float64(here.InFlight) / float64(here.Slots)
-	away := w.roomiest(load, regions)
+	away := w.drawRegion(load, regions)
 	if away == nil {
 		return nil
 	}
 	there := away.load()
-	from := spillFrom + spillKnown*w.knownPart(req.Service.Name, here)
-	share := (load - max(from, there+wayLoad)) / spillRange
+	from := spillThreshold + spillKnownBonus*w.knownFraction(req.Service.Name, here)
+	share := (load - max(from, there+remoteLoadMargin)) / spillRange
 	// More than what makes both equal would come back.
 	share = min(share, (load-there)/load)
 	if w.fraction(req.Service.Name) >= share {
@@ -79,31 +79,31 @@
 	return away
 }
 
-// knownPart is the part of a plain service's calls in hand in the own region of which this
+// knownFraction is the part of a plain service's calls in hand in the own region of which this
 // instance knows where they are: its own, and those of others that still run as told. With
 // one upstream there is nothing to know.
-func (w *Snapshot) knownPart(service string, here *Survey) float64 {
+func (w *Snapshot) knownFraction(service string, here *Survey) float64 {
 	if here.Usable <= 1 {
 		return 1
 	}
 	others, age := w.Peers.Near(w.Now)
 	own := 1 / float64(1+others)
-	return own + (1-own)*stays(age, w.CallTimes.Of(service))
+	return own + (1-own)*stillRunning(age, w.CallTimes.Of(service))
 }
 
-// wayFits says whether a call that goes to another region can still be in time.
-func (w *Snapshot) wayFits(req *Request) bool {
-	took := farTime + w.CallTimes.Of(req.Service.Name)
-	return float64(took) <= inTime*float64(req.Route.TargetLatency)
+// roundTripFits says whether a call that goes to another region can still be in time.
+func (w *Snapshot) roundTripFits(req *Request) bool {
+	took := regionRoundTrip + w.CallTimes.Of(req.Service.Name)
+	return float64(took) <= targetShare*float64(req.Route.TargetLatency)
 }
 
-// roomiest draws one of the regions with a lower load, each by its free slots: if all
+// drawRegion draws one of the regions with a lower load, each by its free slots: if all
 // instances chose the emptiest, it would be full before they hear of it.
-func (w *Snapshot) roomiest(load float64, regions []Away) *Away {
+func (w *Snapshot) drawRegion(load float64, regions []RemoteRegion) *RemoteRegion {
 	room := make([]float64, len(regions))
 	total := 0.0
 	for i := range regions {
-		room[i] = max(0, (load-wayLoad-regions[i].load())*float64(regions[i].Slots))
+		room[i] = max(0, (load-remoteLoadMargin-regions[i].load())*float64(regions[i].Slots))
 		total += room[i]
 	}
 	if total == 0 {
@@ -120,4 +120,4 @@
 }
 
 // load is the region's requests in hand by its slots.
-func (a *Away) load() float64 { return float64(a.InFlight) / float64(max(1, a.Slots)) }
+func (a *RemoteRegion) load() float64 { return float64(a.InFlight) / float64(max(1, a.Slots)) }
--- a/pkg/steer/recent.go
+++ b/pkg/steer/recent.go
@@ -10,41 +10,41 @@
 // Recent remembers where prompt parts were sent lately, by this instance and, as far as
 // they told, by others. It is safe for concurrent use; its size is bounded.
 type Recent struct {
-	mu    sync.Mutex
-	parts map[string]map[string]time.Time
-	// told holds this instance's own placements of large parts, oldest first.
-	told []placed
+	mu      sync.Mutex
+	holders map[string]map[string]time.Time
+	// published holds this instance's own placements of large parts, oldest first.
+	published []publishedPlacement
 }
 
-type placed struct {
+type publishedPlacement struct {
 	peer.Placement
 	at time.Time
 }
 
 // Bounds of what is remembered.
 const (
-	// recentParts is how many parts are remembered; each costs about 200 bytes.
-	recentParts = 8192
-	// heldFor is how long an upstream is taken to hold a part that nobody used since.
-	heldFor = 20 * time.Second
-	// leastTold is the size in tokens from which on a placement is told to others: less
+	// maxSegments is how many parts are remembered; each costs about 200 bytes.
+	maxSegments = 8192
+	// cacheRetention is how long an upstream is taken to hold a part that nobody used since.
+	cacheRetention = 20 * time.Second
+	// minPublishedTokens is the size in tokens from which on a placement is told to others: less
 	// is read sooner than told.
-	leastTold = 1000
-	// toldFor is for how long it is told: a few rounds, so that a lost one does no harm.
-	toldFor = 2 * time.Second
-	// mostTold bounds what is told at once.
-	mostTold = 64
+	minPublishedTokens = 1000
+	// publishFor is for how long it is told: a few rounds, so that a lost one does no harm.
+	publishFor = 2 * time.Second
+	// maxPublished bounds what is told at once.
+	maxPublished = 64
 )
 
 // NewRecent returns an empty memory.
-func NewRecent() *Recent { return &Recent{parts: make(map[string]map[string]time.Time)} }
+func NewRecent() *Recent { return &Recent{holders: make(map[string]map[string]time.Time)} }
 
 // Held says whether the upstream is taken to hold the part.
 func (r *Recent) Held(part, upstream string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at, ok := r.parts[part][upstream]
-	return ok && now.Sub(at) < heldFor
+	at, ok := r.holders[part][upstream]
+	return ok && now.Sub(at) < cacheRetention
 }
 
 // Holders returns the upstreams, and regions to which this instance has sent it, that
@@ -53,8 +53,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var names []string
-	for name, at := range r.parts[part] {
-		if now.Sub(at) < heldFor {
+	for name, at := range r.holders[part] {
+		if now.Sub(at) < cacheRetention {
 			names = append(names, name)
 		}
 	}
@@ -66,13 +66,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, part := range parts {
-		if part.Tokens < leastShared {
+		if part.Tokens < minSharedTokens {
 			continue
 		}
-		r.note(part.ID, upstream, now)
+		r.record(part.ID, upstream, now)
 		// The last part is the request's own: nobody else will ask for it.
-		if part.Tokens >= leastTold && i < len(parts)-1 {
-			r.told = append(r.told, placed{peer.Placement{Part: part.ID, Upstream: upstream}, now})
+		if part.Tokens >= minPublishedTokens && i < len(parts)-1 {
+			r.published = append(r.published, publishedPlacement{peer.Placement{Part: part.ID, Upstream: upstream}, now})
 		}
 	}
 }
@@ -83,8 +83,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, part := range parts {
-		if part.Tokens >= leastTold {
-			r.note(part.ID, region, now)
+		if part.Tokens >= minPublishedTokens {
+			r.record(part.ID, region, now)
 		}
 	}
 }
@@ -93,8 +93,8 @@
 func (r *Recent) Learn(placement peer.Placement, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at.After(r.parts[placement.Part][placement.Upstream]) {
-		r.note(placement.Part, placement.Upstream, at)
+	if at.After(r.holders[placement.Part][placement.Upstream]) {
+		r.record(placement.Part, placement.Upstream, at)
 	}
 }
 
@@ -103,47 +103,47 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := 0
-	for old < len(r.told) && (now.Sub(r.told[old].at) > toldFor || len(r.told)-old > mostTold) {
+	for old < len(r.published) && (now.Sub(r.published[old].at) > publishFor || len(r.published)-old > maxPublished) {
 		old++
 	}
-	r.told = append(r.told[:0], r.told[old:]...)
-	told := make([]peer.Placement, len(r.told))
-	for i := range r.told {
-		told[i] = r.told[i].Placement
+	r.published = append(r.published[:0], r.published[old:]...)
+	told := make([]peer.Placement, len(r.published))
+	for i := range r.published {
+		told[i] = r.published[i].Placement
 	}
 	return told
 }
 
-// note records a placement. The caller holds r.mu.
-func (r *Recent) note(part, upstream string, at time.Time) {
-	held := r.parts[part]
+// record records a placement. The caller holds r.mu.
+func (r *Recent) record(part, upstream string, at time.Time) {
+	held := r.holders[part]
 	if held == nil {
 		r.shrink(at)
 		held = make(map[string]time.Time, 1)
-		r.parts[part] = held
+		r.holders[part] = held
 	}
 	held[upstream] = at
 }
 
 // shrink makes room for one more part.
 func (r *Recent) shrink(now time.Time) {
-	if len(r.parts) < recentParts {
+	if len(r.holders) < maxSegments {
 		return
 	}
-	for part, at := range r.parts {
+	for part, at := range r.holders {
 		for upstream, used := range at {
-			if now.Sub(used) >= heldFor {
+			if now.Sub(used) >= cacheRetention {
 				delete(at, upstream)
 			}
 		}
 		if len(at) == 0 {
-			delete(r.parts, part)
+			delete(r.holders, part)
 		}
 	}
-	for part := range r.parts {
-		if len(r.parts) < recentParts {
+	for part := range r.holders {
+		if len(r.holders) < maxSegments {
 			return
 		}
-		delete(r.parts, part)
+		delete(r.holders, part)
 	}
 }
--- a/pkg/steer/sharing.go
+++ b/pkg/steer/sharing.go
@@ -6,18 +6,18 @@
 	"github.com/lilacweir/lilacweir/pkg/member"
 )
 
-// leastShared is the size in tokens from which on a shared part is worth steering
+// minSharedTokens is the size in tokens from which on a shared part is worth steering
 // for: engines cache whole blocks of about that size.
-const leastShared = 16
+const minSharedTokens = 16
 
-// sharedPart returns the prompt's last shared part, nil when nothing is shared that
+// sharedSegment returns the prompt's last shared part, nil when nothing is shared that
 // matters. Prompts that share a later part share what comes before it as well.
-func sharedPart(req *Request) *Segment {
+func sharedSegment(req *Request) *Segment {
 	if !req.Route.SharedPrompts || len(req.Segments) < 2 {
 		return nil
 	}
 	shared := &req.Segments[len(req.Segments)-2]
-	if shared.Tokens < leastShared {
+	if shared.Tokens < minSharedTokens {
 		return nil
 	}
 	return shared
@@ -32,10 +32,10 @@
 	return total
 }
 
-// favouriteOf returns the upstream to which a shared part is hashed, so that
+// hashedUpstream returns the upstream to which a shared part is hashed, so that
 // instances that know nothing of each other choose alike. That of one region is that
 // of all regions together where it lies in that region.
-func favouriteOf(shared *Segment, upstreams []*fleet.Upstream) *fleet.Upstream {
+func hashedUpstream(shared *Segment, upstreams []*fleet.Upstream) *fleet.Upstream {
 	if shared == nil || len(upstreams) == 0 {
 		return nil
 	}
@@ -47,8 +47,8 @@
 	return upstreams[first]
 }
 
-// sharing is where the shared parts of one request's prompt are thought to be.
-type sharing struct {
+// prefixLocation is where the shared parts of one request's prompt are thought to be.
+type prefixLocation struct {
 	// tokens is the size of the shared parts; zero: nothing is shared that matters.
 	tokens int
 	// holders are the upstreams that were sent the parts lately, holder the one that
@@ -61,14 +61,14 @@
 	copies bool
 }
 
-// sharing looks for the request's shared parts among the upstreams of the region.
-func (w *Snapshot) sharing(req *Request, upstreams []*fleet.Upstream) sharing {
-	part := sharedPart(req)
+// locatePrefix looks for the request's shared parts among the upstreams of the region.
+func (w *Snapshot) locatePrefix(req *Request, upstreams []*fleet.Upstream) prefixLocation {
+	part := sharedSegment(req)
 	if part == nil {
-		return sharing{}
+		return prefixLocation{}
 	}
-	s := sharing{tokens: sharedTokens(req), holders: make(map[string]bool), copies: req.Service.Engine != nil && req.Service.Engine.Copies}
-	favourite := favouriteOf(part, upstreams)
+	s := prefixLocation{tokens: sharedTokens(req), holders: make(map[string]bool), copies: req.Service.Engine != nil && req.Service.Engine.Copies}
+	favourite := hashedUpstream(part, upstreams)
 	for _, upstream := range upstreams {
 		if w.Recent.Held(part.ID, upstream.ID, w.Now) {
 			s.holders[upstream.ID] = true
@@ -80,7 +80,7 @@
 	s.trust = 1
 	if s.holder == nil {
 		s.holder, s.trust = favourite, remoteAffinity
-		if !worthTheWay(s.tokens) || w.favouriteRegion(req, part) == w.Region {
+		if !worthRoundTrip(s.tokens) || w.favouriteRegion(req, part) == w.Region {
 			s.trust = affinity
 		}
 	}
@@ -90,18 +90,18 @@
 	return s
 }
 
-// worthTheWay says whether shared parts of that size are gathered in one region, since
+// worthRoundTrip says whether shared parts of that size are gathered in one region, since
 // reading them costs more than the way there. Smaller ones are gathered in each.
-func worthTheWay(tokens int) bool {
-	return cachedWeight*affinity*float64(tokens) > wayTokens+farMargin
+func worthRoundTrip(tokens int) bool {
+	return cachedWeight*affinity*float64(tokens) > roundTripTokens+remoteMargin
 }
 
 // known says whether the holder was sent the parts, as opposed to being where they would
 // be gathered.
-func (s *sharing) known() bool { return s.trust == 1 }
+func (s *prefixLocation) known() bool { return s.trust == 1 }
 
 // held estimates how many of the shared tokens the upstream holds.
-func (s *sharing) held(upstream *fleet.Upstream) int {
+func (s *prefixLocation) held(upstream *fleet.Upstream) int {
 	switch {
 	case s.tokens == 0:
 		return 0
@@ -115,37 +115,37 @@
 }
 
 // copied is how many tokens the upstream should copy from the holder.
-func (s *sharing) copied(upstream *fleet.Upstream) int {
-	if !s.copies || s.holder == nil || s.holder == upstream || s.holders[upstream.ID] || s.tokens < leastCopied {
+func (s *prefixLocation) copied(upstream *fleet.Upstream) int {
+	if !s.copies || s.holder == nil || s.holder == upstream || s.holders[upstream.ID] || s.tokens < minCopiedTokens {
 		return 0
 	}
 	return s.tokens
 }
 
-// leastCopied is the size in tokens from which on copying is worth setting up, which
+// minCopiedTokens is the size in tokens from which on copying is worth setting up, which
 // takes about 3 ms: the time of reading that many.
-const leastCopied = 256
+const minCopiedTokens = 256
 
 // favouriteRegion returns the region of the upstream to which a shared part is hashed
 // among all that the request may go to; empty when there is none.
 func (w *Snapshot) favouriteRegion(req *Request, shared *Segment) string {
-	key := gathering{service: req.Service.Name, route: req.Route, part: shared.ID}
-	if w.gathered.gathering != key {
-		w.gathered = gathered{key, w.hashedRegion(req, shared)}
+	key := prefixKey{service: req.Service.Name, route: req.Route, part: shared.ID}
+	if w.prefixRegion.prefixKey != key {
+		w.prefixRegion = prefixRegion{key, w.hashedRegion(req, shared)}
 	}
-	return w.gathered.region
+	return w.prefixRegion.region
 }
 
-// gathering is a shared part that a route's requests gather in one region, gathered where
+// prefixKey is a shared part that a route's requests gather in one region, gathered where
 // that is. A decision asks for it several times, and hashes all upstreams for it.
-type gathering struct {
+type prefixKey struct {
 	service string
 	route   *httproute.Route
 	part    string
 }
 
-type gathered struct {
-	gathering
+type prefixRegion struct {
+	prefixKey
 	region string
 }
 
@@ -156,7 +156,7 @@
 			permitted = append(permitted, upstream)
 		}
 	}
-	if favourite := favouriteOf(shared, permitted); favourite != nil {
+	if favourite := hashedUpstream(shared, permitted); favourite != nil {
 		return favourite.Region
 	}
 	return ""
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -67,8 +67,8 @@
 	Now  time.Time
 	// Random is a random number.
 	Random uint64
-	// gathered is the last answer of favouriteRegion.
-	gathered gathered
+	// prefixRegion is the last answer of favouriteRegion.
+	prefixRegion prefixRegion
 }
 
 // Weights of a candidate's cost, in prompt tokens that an engine would have to read.
@@ -84,13 +84,13 @@
 	// until their answer begins and are half read on the average, and what is known of them
 	// is old.
 	backlogWeight = 0.3
-	// plainSpread is by how much the load of a plain service's upstream is taken to be
+	// plainJitter is by how much the load of a plain service's upstream is taken to be
 	// higher, at random: what is known of the others' work is up to a round old, and
 	// instances that all believe the same would all send to the same upstream.
-	plainSpread = 0.5
-	// spread is the largest random cost in units of what others have sent unseen; it is half
+	plainJitter = 0.5
+	// engineJitter is the largest random cost in units of what others have sent unseen; it is half
 	// of that on the average.
-	spread = 5.0
+	engineJitter = 5.0
 	// affinity is the part of a shared prompt part that counts as cached at the
 	// upstream to which it is hashed, when nothing is known of it.
 	affinity = 0.75
@@ -157,10 +157,10 @@
 func (w *Snapshot) SurveyRegion(req *Request) Survey {
 	var survey Survey
 	upstreams := w.regional(req.Service.Name)
-	shared := w.sharing(req, upstreams)
+	shared := w.locatePrefix(req, upstreams)
 	forecast := w.Estimates.Forecast(req.Service.Name, w.Now)
-	unseen := w.unseen(req.Service.Name, len(upstreams))
-	others, mean := w.told(upstreams)
+	unseen := w.unreportedTokens(req.Service.Name, len(upstreams))
+	others, mean := w.reported(upstreams)
 	_, age := w.Peers.Near(w.Now)
 	for i, upstream := range upstreams {
 		survey.Known++
@@ -178,11 +178,11 @@
 		}
 		if req.Service.Engine == nil {
 			// The call itself counts: idle upstreams are chosen at random as well.
-			load := 1 + float64(own.InFlight) + expected(float64(others[i].InFlight), mean, age, w.CallTimes.Of(req.Service.Name))
-			c.Cost = load * (1 + plainSpread*w.fraction(upstream.ID))
+			load := 1 + float64(own.InFlight) + expectedLoad(float64(others[i].InFlight), mean, age, w.CallTimes.Of(req.Service.Name))
+			c.Cost = load * (1 + plainJitter*w.fraction(upstream.ID))
 		} else {
 			w.cost(req, &c, &shared)
-			c.Cost += spread * backlogWeight * unseen * w.fraction(upstream.ID)
+			c.Cost += engineJitter * backlogWeight * unseen * w.fraction(upstream.ID)
 			w.predict(req, &c, &forecast, own.Holding)
 		}
 		if survey.Best.Upstream == nil || w.better(&c, &survey.Best) {
@@ -239,7 +239,7 @@
 	if w.Named == nil {
 		return upstream.Slots
 	}
-	holding := usualHolding
+	holding := defaultHolding
 	if service.Engine == nil {
 		holding = w.CallTimes.Of(service.Name)
 	}
@@ -258,10 +258,10 @@
 	return kept
 }
 
-// unseen is how many prompt tokens the others have sent to an engine of the region, on the
+// unreportedTokens is how many prompt tokens the others have sent to an engine of the region, on the
 // average, since they were last heard. Where they went is not known: the same news makes
 // all of them choose alike. A random cost in proportion to it keeps them apart.
-func (w *Snapshot) unseen(service string, engines int) float64 {
+func (w *Snapshot) unreportedTokens(service string, engines int) float64 {
 	if engines == 0 {
 		return 0
 	}
@@ -283,17 +283,17 @@
 	return false
 }
 
-// told is the others' work at the upstreams, and their mean requests at one.
-func (w *Snapshot) told(upstreams []*fleet.Upstream) (others []peer.Load, mean float64) {
+// reported is the others' work at the upstreams, and their mean requests at one.
+func (w *Snapshot) reported(upstreams []*fleet.Upstream) (others []peer.Load, mean float64) {
 	others = make([]peer.Load, len(upstreams))
 	for i, upstream := range upstreams {
 		others[i] = w.Peers.Upstream(upstream.ID)
 	}
-	return others, meanOf(others)
+	return others, meanInFlight(others)
 }
 
 // cost estimates what the request would cost at an engine.
-func (w *Snapshot) cost(req *Request, c *Candidate, shared *sharing) {
+func (w *Snapshot) cost(req *Request, c *Candidate, shared *prefixLocation) {
 	beyond := max(0, c.InFlight+1-c.Upstream.Slots)
 	c.Uncached = max(0, req.PromptTokens-shared.held(c.Upstream))
 	read := float64(c.Uncached)
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -34,7 +34,7 @@
 	return fleet.Upstream{ID: id, Service: service, Domain: region + "-a", Region: region, Slots: 4}
 }
 
-func world(local loads, upstreams ...fleet.Upstream) *steer.Snapshot {
+func newSnapshot(local loads, upstreams ...fleet.Upstream) *steer.Snapshot {
 	view := &fleet.View{Upstreams: upstreams, Evacuated: map[string]bool{}}
 	view.Index()
 	return &steer.Snapshot{
@@ -43,8 +43,8 @@
 	}
 }
 
-// long is a request whose prompt has a shared part of 10,000 tokens.
-func long(part string) *steer.Request {
+// longRequest is a request whose prompt has a shared part of 10,000 tokens.
+func longRequest(part string) *steer.Request {
 	return &steer.Request{
 		Route: prompt, Service: engine, PromptTokens: 12_000,
 		Segments: []steer.Segment{{ID: part, Tokens: 10_000}, {ID: "own", Tokens: 2000}},
@@ -56,7 +56,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		local := loads{}
 		var upstreams []fleet.Upstream
-		req := long("p")
+		req := longRequest("p")
 		for i := range rapid.IntRange(0, 8).Draw(t, "upstreams") {
 			u := upstream(fmt.Sprint("u", i), "llm", rapid.SampledFrom([]string{"north", "south"}).Draw(t, "region"))
 			u.Draining = rapid.Bool().Draw(t, "draining")
@@ -73,7 +73,7 @@
 			}
 			upstreams = append(upstreams, u)
 		}
-		w := world(local, upstreams...)
+		w := newSnapshot(local, upstreams...)
 		w.Fleet.Evacuated["north-a"] = rapid.Bool().Draw(t, "evacuated")
 		w.Random = rapid.Uint64().Draw(t, "random")
 		chosen := w.SurveyRegion(req).Best.Upstream
@@ -96,9 +96,9 @@
 	})
 }
 
-// TestInstancesThatKnowNothingOfEachOtherGatherAPart: the same part goes to the same
+// TestIndependentInstancesHashASegmentToOneUpstream: the same part goes to the same
 // upstream, and parts spread over all.
-func TestInstancesThatKnowNothingOfEachOtherGatherAPart(t *testing.T) {
+func TestIndependentInstancesHashASegmentToOneUpstream(t *testing.T) {
 	is := is.New(t)
 	var upstreams []fleet.Upstream
 	for i := range 5 {
@@ -106,8 +106,8 @@
 	}
 	used := map[string]int{}
 	for part := range 200 {
-		first := world(loads{}, upstreams...).SurveyRegion(long(fmt.Sprint("p", part))).Best.Upstream.ID
-		second := world(loads{}, upstreams...).SurveyRegion(long(fmt.Sprint("p", part))).Best.Upstream.ID
+		first := newSnapshot(loads{}, upstreams...).SurveyRegion(longRequest(fmt.Sprint("p", part))).Best.Upstream.ID
+		second := newSnapshot(loads{}, upstreams...).SurveyRegion(longRequest(fmt.Sprint("p", part))).Best.Upstream.ID
 		is.Equal(first, second)
 		used[first]++
 	}
@@ -116,34 +116,34 @@
 	}
 }
 
-func TestABusyHolderIsLeftAndCopiedFrom(t *testing.T) {
+func TestBusyHolderIsCopiedFrom(t *testing.T) {
 	is := is.New(t)
 	local := loads{}
-	w := world(local, upstream("u0", "llm", "north"), upstream("u1", "llm", "north"))
-	holder := w.SurveyRegion(long("p")).Best.Upstream.ID
-	w.Recent.Add(long("p").Segments, holder, now)
-	is.Equal(w.SurveyRegion(long("p")).Best.Upstream.ID, holder)
-	is.Equal(w.SurveyRegion(long("p")).Best.Source, nil)
+	w := newSnapshot(local, upstream("u0", "llm", "north"), upstream("u1", "llm", "north"))
+	holder := w.SurveyRegion(longRequest("p")).Best.Upstream.ID
+	w.Recent.Add(longRequest("p").Segments, holder, now)
+	is.Equal(w.SurveyRegion(longRequest("p")).Best.Upstream.ID, holder)
+	is.Equal(w.SurveyRegion(longRequest("p")).Best.Source, nil)
 	local[holder] = limit.Load{InFlight: 3, Prefill: 60_000}
-	best := w.SurveyRegion(long("p")).Best
+	best := w.SurveyRegion(longRequest("p")).Best
 	is.True(best.Upstream.ID != holder)
 	is.Equal(best.Source.ID, holder)
 }
 
-// TestAPartThatNobodyIsKnownToHoldIsGathered although there is work at its upstream: a
+// TestUncachedSegmentGoesToItsHashedUpstream although there is work at its upstream: a
 // copy of what is only guessed to be there draws nothing away.
-func TestAPartThatNobodyIsKnownToHoldIsGathered(t *testing.T) {
+func TestUncachedSegmentGoesToItsHashedUpstream(t *testing.T) {
 	is := is.New(t)
 	local := loads{}
-	w := world(local, upstream("u0", "llm", "north"), upstream("u1", "llm", "north"))
-	favourite := w.SurveyRegion(long("p")).Best.Upstream.ID
+	w := newSnapshot(local, upstream("u0", "llm", "north"), upstream("u1", "llm", "north"))
+	favourite := w.SurveyRegion(longRequest("p")).Best.Upstream.ID
 	local[favourite] = limit.Load{InFlight: 2, Prefill: 9_000}
-	is.Equal(w.SurveyRegion(long("p")).Best.Upstream.ID, favourite)
+	is.Equal(w.SurveyRegion(longRequest("p")).Best.Upstream.ID, favourite)
 }
 
-func TestPlainCallsDoNotAllGoToTheUpstreamThatLookedIdle(t *testing.T) {
+func TestPlainCallsDoNotHerdToTheIdlestUpstream(t *testing.T) {
 	is := is.New(t)
-	w := world(loads{"u0": {InFlight: 10}, "u1": {InFlight: 11}}, upstream("u0", "api", "north"), upstream("u1", "api", "north"))
+	w := newSnapshot(loads{"u0": {InFlight: 10}, "u1": {InFlight: 11}}, upstream("u0", "api", "north"), upstream("u1", "api", "north"))
 	used := map[string]int{}
 	for random := range uint64(400) {
 		w.Random = random * 0x9e3779b97f4a7c15
@@ -152,21 +152,21 @@
 	is.True(used["u0"] > 100 && used["u1"] > 100)
 }
 
-// far returns regions as Regions would find them.
-func far(region string, inFlight, slots, prefill int) steer.Away {
-	return steer.Away{Region: region, Upstreams: max(1, slots/4), Slots: slots, InFlight: inFlight, Prefill: prefill, Peers: []*peer.Known{{}}}
+// remoteRegion returns regions as Regions would find them.
+func remoteRegion(region string, inFlight, slots, prefill int) steer.RemoteRegion {
+	return steer.RemoteRegion{Region: region, Upstreams: max(1, slots/4), Slots: slots, InFlight: inFlight, Prefill: prefill, Peers: []*peer.Known{{}}}
 }
 
-// TestPlainCallsTravelInProportionToWhatHasNoRoom: none as long as the region's slots are
+// TestPlainCallsSpillInProportionToExcessLoad: none as long as the region's slots are
 // not all taken, a share of them then, all but those that make both regions equal in the
 // end, and none to where there is no more room, or for a target that the way uses up. Many
 // instances that hear of each other late send calls away earlier than one that knows all.
-func TestPlainCallsTravelInProportionToWhatHasNoRoom(t *testing.T) {
+func TestPlainCallsSpillInProportionToExcessLoad(t *testing.T) {
 	is := is.New(t)
 	target := 500 * time.Millisecond
 	others := make([]peer.Known, 50)
-	away := func(inFlight int, regions ...steer.Away) map[string]int {
-		w := world(loads{"u0": {InFlight: inFlight}, "u1": {InFlight: inFlight}}, upstream("u0", "api", "north"), upstream("u1", "api", "north"))
+	away := func(inFlight int, regions ...steer.RemoteRegion) map[string]int {
+		w := newSnapshot(loads{"u0": {InFlight: inFlight}, "u1": {InFlight: inFlight}}, upstream("u0", "api", "north"), upstream("u1", "api", "north"))
 		w.Peers = peer.NewView(others, nil, now.Add(-200*time.Millisecond))
 		req := &steer.Request{Route: &httproute.Route{TargetLatency: target}, Service: api}
 		went := map[string]int{}
@@ -178,13 +178,13 @@
 		}
 		return went
 	}
-	idle, busy := far("south", 0, 8, 0), far("west", 9, 8, 0)
+	idle, busy := remoteRegion("south", 0, 8, 0), remoteRegion("west", 9, 8, 0)
 	is.Equal(away(3, idle)["south"], 0)
 	is.True(away(4, idle)["south"] > 300 && away(4, idle)["south"] < 500)
 	is.True(away(8, idle)["south"] > 950)
 	is.Equal(away(4, busy)["west"], 0)
-	is.True(away(6, idle, far("west", 6, 8, 0))["south"] > away(6, idle, far("west", 6, 8, 0))["west"])
-	is.True(away(6, idle, far("west", 6, 8, 0))["west"] > 0)
+	is.True(away(6, idle, remoteRegion("west", 6, 8, 0))["south"] > away(6, idle, remoteRegion("west", 6, 8, 0))["west"])
+	is.True(away(6, idle, remoteRegion("west", 6, 8, 0))["west"] > 0)
 	crowd := away(4, idle)["south"]
 	others = nil
 	is.Equal(away(4, idle)["south"], 0)
@@ -195,7 +195,7 @@
 
 // TestIdleUpstreamsAreAllUsed: also where nothing is known of them.
 func TestIdleUpstreamsAreAllUsed(t *testing.T) {
-	w := world(loads{}, upstream("u0", "api", "north"), upstream("u1", "api", "north"), upstream("u2", "api", "north"))
+	w := newSnapshot(loads{}, upstream("u0", "api", "north"), upstream("u1", "api", "north"), upstream("u2", "api", "north"))
 	used := map[string]int{}
 	for random := range uint64(300) {
 		w.Random = random * 0x9e3779b97f4a7c15
@@ -206,29 +206,29 @@
 	}
 }
 
-func TestALongPromptTravelsToTheRegionThatHoldsIt(t *testing.T) {
+func TestLongPromptGoesToTheRegionThatCachesIt(t *testing.T) {
 	is := is.New(t)
-	w := world(loads{}, upstream("u0", "llm", "north"), upstream("u1", "llm", "south"))
-	req := long("p")
+	w := newSnapshot(loads{}, upstream("u0", "llm", "north"), upstream("u1", "llm", "south"))
+	req := longRequest("p")
 	req.Segments[0].Tokens, req.PromptTokens = 30_000, 32_000
 	w.Recent.Add(req.Segments, "south", now)
-	away := w.Choose(req, w.SurveyRegion(req), []steer.Away{far("south", 0, 4, 0)})
+	away := w.Choose(req, w.SurveyRegion(req), []steer.RemoteRegion{remoteRegion("south", 0, 4, 0)})
 	is.True(away != nil)
 	w.Recent.Add(req.Segments, "u0", now)
-	is.True(w.Choose(req, w.SurveyRegion(req), []steer.Away{far("south", 0, 4, 0)}) == nil)
+	is.True(w.Choose(req, w.SurveyRegion(req), []steer.RemoteRegion{remoteRegion("south", 0, 4, 0)}) == nil)
 }
 
-func TestWithNothingUsableHereAnyPermittedRegionWillDo(t *testing.T) {
+func TestCheapestRegionIsChosenWithoutAUsableLocalUpstream(t *testing.T) {
 	is := is.New(t)
-	w := world(loads{})
+	w := newSnapshot(loads{})
 	req := &steer.Request{Route: call, Service: api}
-	is.Equal(w.Choose(req, w.SurveyRegion(req), []steer.Away{far("south", 9, 4, 0), far("west", 1, 4, 0)}).Region, "west")
+	is.Equal(w.Choose(req, w.SurveyRegion(req), []steer.RemoteRegion{remoteRegion("south", 9, 4, 0), remoteRegion("west", 1, 4, 0)}).Region, "west")
 }
 
-// TestRegionsAreThoseThatAreKnownAndPermitted: live instances, usable upstreams, homes.
-func TestRegionsAreThoseThatAreKnownAndPermitted(t *testing.T) {
+// TestRegionsAreLiveUsableAndPermitted: live instances, usable upstreams, homes.
+func TestRegionsAreLiveUsableAndPermitted(t *testing.T) {
 	is := is.New(t)
-	w := world(loads{}, upstream("u1", "api", "south"), upstream("u2", "api", "west"), upstream("u3", "api", "east"))
+	w := newSnapshot(loads{}, upstream("u1", "api", "south"), upstream("u2", "api", "west"), upstream("u3", "api", "east"))
 	known := func(name, region string, change func(*peer.Known)) peer.Known {
 		k := peer.Known{Instance: fleet.Instance{Name: name, Region: region}, Ready: true, Heard: now}
 		change(&k)
@@ -266,13 +266,13 @@
 			for i := range size.engines {
 				upstreams = append(upstreams, upstream(fmt.Sprint("u", i), "llm", regions[i%3]))
 			}
-			w := world(loads{}, upstreams...)
+			w := newSnapshot(loads{}, upstreams...)
 			var others []peer.Known
 			for i := range size.instances {
 				others = append(others, peer.Known{Instance: fleet.Instance{Name: fmt.Sprint("n", i), Region: regions[i%3]}, Ready: true, Heard: now})
 			}
 			w.Peers = peer.NewView(others, nil, now)
-			req := long("p")
+			req := longRequest("p")
 			b.ReportAllocs()
 			for b.Loop() {
 				w.Choose(req, w.SurveyRegion(req), w.Regions(req))
@@ -281,7 +281,7 @@
 	}
 }
 
-func TestPaceIsMeasuredWhereNothingWaits(t *testing.T) {
+func TestCallTimesIgnoreQueuedCalls(t *testing.T) {
 	is := is.New(t)
 	pace := steer.NewCallTimes()
 	u := upstream("u0", "api", "north")
@@ -291,12 +291,12 @@
 	is.Equal(pace.Of("api"), 80*time.Millisecond)
 }
 
-// TestWhatOthersToldOfAFormerStartDrawsNothing to the start that followed it.
-func TestWhatOthersToldOfAFormerStartDrawsNothing(t *testing.T) {
+// TestPlacementsOfAFormerStartAreIgnored to the start that followed it.
+func TestPlacementsOfAFormerStartAreIgnored(t *testing.T) {
 	is := is.New(t)
-	w := world(loads{}, upstream("u@2", "llm", "north"))
+	w := newSnapshot(loads{}, upstream("u@2", "llm", "north"))
 	w.Recent.Learn(peer.Placement{Part: "p", Upstream: "u@1"}, now)
-	is.Equal(w.SurveyRegion(long("p")).Best.Uncached > 2000, true)
+	is.Equal(w.SurveyRegion(longRequest("p")).Best.Uncached > 2000, true)
 	w.Recent.Learn(peer.Placement{Part: "p", Upstream: "u@2"}, now)
-	is.Equal(w.SurveyRegion(long("p")).Best.Uncached, 2000)
+	is.Equal(w.SurveyRegion(longRequest("p")).Best.Uncached, 2000)
 }
