--- a/pkg/steer/admit.go
+++ b/pkg/steer/admit.go
@@ -72,11 +72,11 @@
 }
 
 // remoteWait is how long a request would wait in another region.
-func (w *Snapshot) remoteWait(req *Request, away *RemoteRegion, forecast *Forecast) waitTime {
-	prefill := float64(away.Prefill) / float64(away.Upstreams)
-	uncached := float64(req.PromptTokens) - w.remoteCached(req, away)
+func (w *Snapshot) remoteWait(req *Request, remote *RemoteRegion, forecast *Forecast) waitTime {
+	prefill := float64(remote.Prefill) / float64(remote.Upstreams)
+	uncached := float64(req.PromptTokens) - w.remoteCached(req, remote)
 	return waitTime{
-		queued: slotWait(away.InFlight, away.Slots, 0) + forecast.perToken*prefill,
+		queued: slotWait(remote.InFlight, remote.Slots, 0) + forecast.perToken*prefill,
 		own:    inMilliseconds(regionRoundTrip) + forecast.Reading(uncached),
 	}
 }
@@ -87,13 +87,13 @@
 	var best *RemoteRegion
 	forecast := w.Estimates.Forecast(req.Service.Name, w.Now)
 	for i := range regions {
-		away := &regions[i]
-		there := w.remoteWait(req, away, &forecast)
+		remote := &regions[i]
+		there := w.remoteWait(req, remote, &forecast)
 		if there.tooLate(req, &forecast) || there.total()+milliseconds(forecast.meanError) > here.First {
 			continue
 		}
-		if best == nil || w.remoteCost(req, away) < w.remoteCost(req, best) {
-			best = away
+		if best == nil || w.remoteCost(req, remote) < w.remoteCost(req, best) {
+			best = remote
 		}
 	}
 	return best
--- a/pkg/steer/pace.go
+++ b/pkg/steer/calltimes.go
@@ -26,8 +26,8 @@
 func (p *CallTimes) Of(service string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if pace, ok := p.byService[service]; ok {
-		return pace
+	if mean, ok := p.byService[service]; ok {
+		return mean
 	}
 	return defaultCallTime
 }
@@ -40,9 +40,9 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pace, ok := p.byService[service]
+	mean, ok := p.byService[service]
 	if !ok {
-		pace = took
+		mean = took
 	}
-	p.byService[service] = pace + time.Duration(callTimeSmoothing*float64(took-pace))
+	p.byService[service] = mean + time.Duration(callTimeSmoothing*float64(took-mean))
 }
--- a/pkg/steer/plain.go
+++ b/pkg/steer/plain.go
@@ -36,14 +36,14 @@
 
 // expectedLoad is the load of other instances at an upstream by now: as it was told, as far as
 // calls of that age still run, and the region's mean otherwise.
-func expectedLoad(told, mean float64, age, pace time.Duration) float64 {
-	part := stillRunning(age, pace)
-	return part*told + (1-part)*mean
+func expectedLoad(reported, mean float64, age, meanTime time.Duration) float64 {
+	valid := stillRunning(age, meanTime)
+	return valid*reported + (1-valid)*mean
 }
 
 // stillRunning is the part of the calls in hand that still run after a time.
-func stillRunning(age, pace time.Duration) float64 {
-	return math.Exp(-float64(age) / float64(max(pace, time.Millisecond)))
+func stillRunning(age, meanTime time.Duration) float64 {
+	return math.Exp(-float64(age) / float64(max(meanTime, time.Millisecond)))
 }
 
 // meanInFlight is the mean work of the others at the upstreams.
@@ -64,11 +64,11 @@
 		return nil
 	}
 	load := float64(here.InFlight) / float64(here.Slots)
-	away := w.drawRegion(load, regions)
-	if away == nil {
+	remote := w.drawRegion(load, regions)
+	if remote == nil {
 		return nil
 	}
-	there := away.load()
+	there := remote.load()
 	from := spillThreshold + spillKnownBonus*w.knownFraction(req.Service.Name, here)
 	share := (load - max(from, there+remoteLoadMargin)) / spillRange
 	// More than what makes both equal would come back.
@@ -76,7 +76,7 @@
 	if w.fraction(req.Service.Name) >= share {
 		return nil
 	}
-	return away
+	return remote
 }
 
 // knownFraction is the part of a plain service's calls in hand in the own region of which this
--- a/pkg/steer/recent.go
+++ b/pkg/steer/recent.go
@@ -40,20 +40,20 @@
 func NewRecent() *Recent { return &Recent{holders: make(map[string]map[string]time.Time)} }
 
 // Held says whether the upstream is taken to hold the part.
-func (r *Recent) Held(part, upstream string, now time.Time) bool {
+func (r *Recent) Held(segment, upstream string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at, ok := r.holders[part][upstream]
+	at, ok := r.holders[segment][upstream]
 	return ok && now.Sub(at) < cacheRetention
 }
 
 // Holders returns the upstreams, and regions to which this instance has sent it, that
 // are taken to hold the part.
-func (r *Recent) Holders(part string, now time.Time) []string {
+func (r *Recent) Holders(segment string, now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var names []string
-	for name, at := range r.holders[part] {
+	for name, at := range r.holders[segment] {
 		if now.Sub(at) < cacheRetention {
 			names = append(names, name)
 		}
@@ -62,29 +62,29 @@
 }
 
 // Add notes that this instance has sent the parts to the upstream.
-func (r *Recent) Add(parts []Segment, upstream string, now time.Time) {
+func (r *Recent) Add(segments []Segment, upstream string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, part := range parts {
-		if part.Tokens < minSharedTokens {
+	for i, segment := range segments {
+		if segment.Tokens < minSharedTokens {
 			continue
 		}
-		r.record(part.ID, upstream, now)
+		r.record(segment.ID, upstream, now)
 		// The last part is the request's own: nobody else will ask for it.
-		if part.Tokens >= minPublishedTokens && i < len(parts)-1 {
-			r.published = append(r.published, publishedPlacement{peer.Placement{Part: part.ID, Upstream: upstream}, now})
+		if segment.Tokens >= minPublishedTokens && i < len(segments)-1 {
+			r.published = append(r.published, publishedPlacement{peer.Placement{Part: segment.ID, Upstream: upstream}, now})
 		}
 	}
 }
 
 // Sent notes that this instance has sent the parts to another region, whose instances
 // tell of the upstream.
-func (r *Recent) Sent(parts []Segment, region string, now time.Time) {
+func (r *Recent) Sent(segments []Segment, region string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, part := range parts {
-		if part.Tokens >= minPublishedTokens {
-			r.record(part.ID, region, now)
+	for _, segment := range segments {
+		if segment.Tokens >= minPublishedTokens {
+			r.record(segment.ID, region, now)
 		}
 	}
 }
@@ -107,20 +107,20 @@
 		old++
 	}
 	r.published = append(r.published[:0], r.published[old:]...)
-	told := make([]peer.Placement, len(r.published))
+	placements := make([]peer.Placement, len(r.published))
 	for i := range r.published {
-		told[i] = r.published[i].Placement
+		placements[i] = r.published[i].Placement
 	}
-	return told
+	return placements
 }
 
 // record records a placement. The caller holds r.mu.
-func (r *Recent) record(part, upstream string, at time.Time) {
-	held := r.holders[part]
+func (r *Recent) record(segment, upstream string, at time.Time) {
+	held := r.holders[segment]
 	if held == nil {
 		r.shrink(at)
 		held = make(map[string]time.Time, 1)
-		r.holders[part] = held
+		r.holders[segment] = held
 	}
 	held[upstream] = at
 }
@@ -130,20 +130,20 @@
 	if len(r.holders) < maxSegments {
 		return
 	}
-	for part, at := range r.holders {
+	for segment, at := range r.holders {
 		for upstream, used := range at {
 			if now.Sub(used) >= cacheRetention {
 				delete(at, upstream)
 			}
 		}
 		if len(at) == 0 {
-			delete(r.holders, part)
+			delete(r.holders, segment)
 		}
 	}
-	for part := range r.holders {
+	for segment := range r.holders {
 		if len(r.holders) < maxSegments {
 			return
 		}
-		delete(r.holders, part)
+		delete(r.holders, segment)
 	}
 }
--- a/pkg/steer/far.go
+++ b/pkg/steer/remote.go
@@ -76,16 +76,16 @@
 }
 
 // measure fills in a region's load; false when nothing there may get work.
-func (w *Snapshot) measure(away *RemoteRegion, service *httproute.Service) bool {
+func (w *Snapshot) measure(remote *RemoteRegion, service *httproute.Service) bool {
 	for _, upstream := range w.Fleet.Service(service.Name) {
-		if upstream.Region == away.Region && w.usable(upstream) && !upstream.Cold(w.Now) {
-			away.Slots += upstream.Slots
-			away.Upstreams++
+		if upstream.Region == remote.Region && w.usable(upstream) && !upstream.Cold(w.Now) {
+			remote.Slots += upstream.Slots
+			remote.Upstreams++
 		}
 	}
-	load := w.Peers.Service(away.Region, service.Name)
-	away.InFlight, away.Prefill = load.InFlight, load.Prefill
-	return away.Upstreams > 0 && away.Slots > 0
+	load := w.Peers.Service(remote.Region, service.Name)
+	remote.InFlight, remote.Prefill = load.InFlight, load.Prefill
+	return remote.Upstreams > 0 && remote.Slots > 0
 }
 
 // Parameters of sending away.
@@ -127,51 +127,51 @@
 		}
 		return nil
 	}
-	if away := w.spill(req, &here, regions); away != nil {
-		return away
+	if remote := w.spill(req, &here, regions); remote != nil {
+		return remote
 	}
-	pace := w.CallTimes.Of(req.Service.Name)
-	local := callTime(pace, here.InFlight, here.Slots)
+	meanTime := w.CallTimes.Of(req.Service.Name)
+	local := callTime(meanTime, here.InFlight, here.Slots)
 	if float64(local) < localTargetShare*float64(req.Route.TargetLatency) {
 		return nil
 	}
-	if callTime(pace, best.InFlight, best.Slots)+regionRoundTrip+minRemoteGain < local {
+	if callTime(meanTime, best.InFlight, best.Slots)+regionRoundTrip+minRemoteGain < local {
 		return best
 	}
 	return nil
 }
 
 // callTime is how long a call of a plain service takes where so many are in hand.
-func callTime(pace time.Duration, inFlight, slots int) time.Duration {
+func callTime(meanTime time.Duration, inFlight, slots int) time.Duration {
 	load := float64(inFlight+1) / float64(max(1, slots))
-	return time.Duration(float64(pace) * max(1, load))
+	return time.Duration(float64(meanTime) * max(1, load))
 }
 
 // remoteCost is what the request costs in another region: for engines in prompt tokens,
 // as Candidate.Cost is; for plain services the load in shares of the slots.
-func (w *Snapshot) remoteCost(req *Request, away *RemoteRegion) float64 {
+func (w *Snapshot) remoteCost(req *Request, remote *RemoteRegion) float64 {
 	if req.Service.Engine == nil {
-		return float64(away.InFlight) / float64(away.Slots)
+		return float64(remote.InFlight) / float64(remote.Slots)
 	}
-	upstreams := float64(away.Upstreams)
-	beyond := max(0, float64(away.InFlight+1-away.Slots)) / upstreams
-	uncached := float64(req.PromptTokens) - w.remoteCached(req, away)
-	return roundTripTokens + backlogWeight*float64(away.Prefill)/upstreams + cachedWeight*uncached +
-		tokensPerRequest*float64(away.InFlight)/upstreams + queuedPenalty*beyond
+	upstreams := float64(remote.Upstreams)
+	beyond := max(0, float64(remote.InFlight+1-remote.Slots)) / upstreams
+	uncached := float64(req.PromptTokens) - w.remoteCached(req, remote)
+	return roundTripTokens + backlogWeight*float64(remote.Prefill)/upstreams + cachedWeight*uncached +
+		tokensPerRequest*float64(remote.InFlight)/upstreams + queuedPenalty*beyond
 }
 
 // remoteCached estimates how many of the prompt's tokens the region holds.
-func (w *Snapshot) remoteCached(req *Request, away *RemoteRegion) float64 {
+func (w *Snapshot) remoteCached(req *Request, remote *RemoteRegion) float64 {
 	shared := sharedSegment(req)
 	if shared == nil {
 		return 0
 	}
 	for _, holder := range w.Recent.Holders(shared.ID, w.Now) {
-		if holder == away.Region || w.Fleet.RegionOf(holder) == away.Region {
+		if holder == remote.Region || w.Fleet.RegionOf(holder) == remote.Region {
 			return float64(sharedTokens(req))
 		}
 	}
-	if w.favouriteRegion(req, shared) == away.Region {
+	if w.favouriteRegion(req, shared) == remote.Region {
 		return affinity * float64(sharedTokens(req))
 	}
 	return 0
--- a/pkg/steer/sharing.go
+++ b/pkg/steer/sharing.go
@@ -26,8 +26,8 @@
 // sharedTokens is the prompt without its last part, which is the request's own.
 func sharedTokens(req *Request) int {
 	total := 0
-	for _, part := range req.Segments[:len(req.Segments)-1] {
-		total += part.Tokens
+	for _, segment := range req.Segments[:len(req.Segments)-1] {
+		total += segment.Tokens
 	}
 	return total
 }
@@ -63,14 +63,14 @@
 
 // locatePrefix looks for the request's shared parts among the upstreams of the region.
 func (w *Snapshot) locatePrefix(req *Request, upstreams []*fleet.Upstream) prefixLocation {
-	part := sharedSegment(req)
-	if part == nil {
+	segment := sharedSegment(req)
+	if segment == nil {
 		return prefixLocation{}
 	}
 	s := prefixLocation{tokens: sharedTokens(req), holders: make(map[string]bool), copies: req.Service.Engine != nil && req.Service.Engine.Copies}
-	favourite := hashedUpstream(part, upstreams)
+	favourite := hashedUpstream(segment, upstreams)
 	for _, upstream := range upstreams {
-		if w.Recent.Held(part.ID, upstream.ID, w.Now) {
+		if w.Recent.Held(segment.ID, upstream.ID, w.Now) {
 			s.holders[upstream.ID] = true
 			if s.holder == nil || upstream == favourite {
 				s.holder = upstream
@@ -80,7 +80,7 @@
 	s.trust = 1
 	if s.holder == nil {
 		s.holder, s.trust = favourite, remoteAffinity
-		if !worthRoundTrip(s.tokens) || w.favouriteRegion(req, part) == w.Region {
+		if !worthRoundTrip(s.tokens) || w.favouriteRegion(req, segment) == w.Region {
 			s.trust = affinity
 		}
 	}
@@ -129,7 +129,7 @@
 // favouriteRegion returns the region of the upstream to which a shared part is hashed
 // among all that the request may go to; empty when there is none.
 func (w *Snapshot) favouriteRegion(req *Request, shared *Segment) string {
-	key := prefixKey{service: req.Service.Name, route: req.Route, part: shared.ID}
+	key := prefixKey{service: req.Service.Name, route: req.Route, segment: shared.ID}
 	if w.prefixRegion.prefixKey != key {
 		w.prefixRegion = prefixRegion{key, w.hashedRegion(req, shared)}
 	}
@@ -141,7 +141,7 @@
 type prefixKey struct {
 	service string
 	route   *httproute.Route
-	part    string
+	segment string
 }
 
 type prefixRegion struct {
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -44,10 +44,10 @@
 }
 
 // longRequest is a request whose prompt has a shared part of 10,000 tokens.
-func longRequest(part string) *steer.Request {
+func longRequest(segment string) *steer.Request {
 	return &steer.Request{
 		Route: prompt, Service: engine, PromptTokens: 12_000,
-		Segments: []steer.Segment{{ID: part, Tokens: 10_000}, {ID: "own", Tokens: 2000}},
+		Segments: []steer.Segment{{ID: segment, Tokens: 10_000}, {ID: "own", Tokens: 2000}},
 	}
 }
 
@@ -105,9 +105,9 @@
 		upstreams = append(upstreams, upstream(fmt.Sprint("u", i), "llm", "north"))
 	}
 	used := map[string]int{}
-	for part := range 200 {
-		first := newSnapshot(loads{}, upstreams...).SurveyRegion(longRequest(fmt.Sprint("p", part))).Best.Upstream.ID
-		second := newSnapshot(loads{}, upstreams...).SurveyRegion(longRequest(fmt.Sprint("p", part))).Best.Upstream.ID
+	for segment := range 200 {
+		first := newSnapshot(loads{}, upstreams...).SurveyRegion(longRequest(fmt.Sprint("p", segment))).Best.Upstream.ID
+		second := newSnapshot(loads{}, upstreams...).SurveyRegion(longRequest(fmt.Sprint("p", segment))).Best.Upstream.ID
 		is.Equal(first, second)
 		used[first]++
 	}
@@ -165,7 +165,7 @@
 	is := is.New(t)
 	target := 500 * time.Millisecond
 	others := make([]peer.Known, 50)
-	away := func(inFlight int, regions ...steer.RemoteRegion) map[string]int {
+	forwarded := func(inFlight int, regions ...steer.RemoteRegion) map[string]int {
 		w := newSnapshot(loads{"u0": {InFlight: inFlight}, "u1": {InFlight: inFlight}}, upstream("u0", "api", "north"), upstream("u1", "api", "north"))
 		w.Peers = peer.NewView(others, nil, now.Add(-200*time.Millisecond))
 		req := &steer.Request{Route: &httproute.Route{TargetLatency: target}, Service: api}
@@ -179,18 +179,18 @@
 		return went
 	}
 	idle, busy := remoteRegion("south", 0, 8, 0), remoteRegion("west", 9, 8, 0)
-	is.Equal(away(3, idle)["south"], 0)
-	is.True(away(4, idle)["south"] > 300 && away(4, idle)["south"] < 500)
-	is.True(away(8, idle)["south"] > 950)
-	is.Equal(away(4, busy)["west"], 0)
-	is.True(away(6, idle, remoteRegion("west", 6, 8, 0))["south"] > away(6, idle, remoteRegion("west", 6, 8, 0))["west"])
-	is.True(away(6, idle, remoteRegion("west", 6, 8, 0))["west"] > 0)
-	crowd := away(4, idle)["south"]
+	is.Equal(forwarded(3, idle)["south"], 0)
+	is.True(forwarded(4, idle)["south"] > 300 && forwarded(4, idle)["south"] < 500)
+	is.True(forwarded(8, idle)["south"] > 950)
+	is.Equal(forwarded(4, busy)["west"], 0)
+	is.True(forwarded(6, idle, remoteRegion("west", 6, 8, 0))["south"] > forwarded(6, idle, remoteRegion("west", 6, 8, 0))["west"])
+	is.True(forwarded(6, idle, remoteRegion("west", 6, 8, 0))["west"] > 0)
+	crowd := forwarded(4, idle)["south"]
 	others = nil
-	is.Equal(away(4, idle)["south"], 0)
-	is.True(away(6, idle)["south"] > 300 && crowd > 300)
+	is.Equal(forwarded(4, idle)["south"], 0)
+	is.True(forwarded(6, idle)["south"] > 300 && crowd > 300)
 	target = 150 * time.Millisecond
-	is.Equal(away(6, idle)["south"], 0)
+	is.Equal(forwarded(6, idle)["south"], 0)
 }
 
 // TestIdleUpstreamsAreAllUsed: also where nothing is known of them.
@@ -212,8 +212,8 @@
 	req := longRequest("p")
 	req.Segments[0].Tokens, req.PromptTokens = 30_000, 32_000
 	w.Recent.Add(req.Segments, "south", now)
-	away := w.Choose(req, w.SurveyRegion(req), []steer.RemoteRegion{remoteRegion("south", 0, 4, 0)})
-	is.True(away != nil)
+	forwarded := w.Choose(req, w.SurveyRegion(req), []steer.RemoteRegion{remoteRegion("south", 0, 4, 0)})
+	is.True(forwarded != nil)
 	w.Recent.Add(req.Segments, "u0", now)
 	is.True(w.Choose(req, w.SurveyRegion(req), []steer.RemoteRegion{remoteRegion("south", 0, 4, 0)}) == nil)
 }
@@ -242,8 +242,8 @@
 		known("s-1", "south", same), known("s-2", "south", same), known("w-1", "west", same),
 	}}
 	names := func(req *steer.Request) (all string) {
-		for _, away := range w.Regions(req) {
-			all += fmt.Sprint(away.Region, len(away.Peers), " ")
+		for _, forwarded := range w.Regions(req) {
+			all += fmt.Sprint(forwarded.Region, len(forwarded.Peers), " ")
 		}
 		return all
 	}
@@ -283,12 +283,12 @@
 
 func TestCallTimesIgnoreQueuedCalls(t *testing.T) {
 	is := is.New(t)
-	pace := steer.NewCallTimes()
+	callTimes := steer.NewCallTimes()
 	u := upstream("u0", "api", "north")
-	pace.Add("api", &steer.Candidate{Upstream: &u, InFlight: 4}, time.Second)
-	is.Equal(pace.Of("api"), pace.Of("never measured"))
-	pace.Add("api", &steer.Candidate{Upstream: &u, InFlight: 1}, 80*time.Millisecond)
-	is.Equal(pace.Of("api"), 80*time.Millisecond)
+	callTimes.Add("api", &steer.Candidate{Upstream: &u, InFlight: 4}, time.Second)
+	is.Equal(callTimes.Of("api"), callTimes.Of("never measured"))
+	callTimes.Add("api", &steer.Candidate{Upstream: &u, InFlight: 1}, 80*time.Millisecond)
+	is.Equal(callTimes.Of("api"), 80*time.Millisecond)
 }
 
 // TestPlacementsOfAFormerStartAreIgnored to the start that followed it.
