--- a/pkg/steer/admit.go
+++ b/pkg/steer/admit.go
@@ -5,27 +5,29 @@
 	"time"
 )
 
-// An engine takes whatever it is sent, and everyone in its queue is late together. So a
-// request is only sent where its answer is predicted to begin in time, and refused at once
-// where there is no such place.
+// An engine accepts every request that it is sent, and all requests in its queue are late
+// together. So a request is only sent where its answer is predicted to begin in time, and
+// is refused at once where there is no such place.
 
-// Parameters of what counts as in time.
+// Parameters of admission by predicted time to first token.
 const (
-	// targetShare is the part of a route's target that a prediction may take up: the rest is
-	// for the way to the caller, and for what others send before they hear of this.
+	// targetShare is the share of a route's target that a prediction may use. The rest
+	// covers the path back to the caller and requests of other instances that this one has
+	// not yet received a report of.
 	targetShare = 0.85
-	// minWaitShare is the part of a target for which a request may wait for others though
-	// its own prompt takes the rest: the largest prompts are served too, if late.
+	// minWaitShare is the share of a target that a request may wait for others even if its
+	// own prompt uses up the rest, so that the largest prompts are served too, if late.
 	minWaitShare = 0.3
-	// yieldShare is the part of the wait that a more urgent route of the same service bears
-	// for which a less urgent one may wait: what it leaves is room for the others.
+	// yieldShare is the share of the wait tolerated by a more urgent route of the same
+	// service that a less urgent one may wait. The rest is reserved for the more urgent
+	// requests.
 	yieldShare = 0.4
-	// defaultHolding is for how long a request holds its place where that was not measured.
+	// defaultHolding is the time that a request occupies its slot where none was measured.
 	defaultHolding = time.Second
 )
 
-// waitTime is how long a request would waitTime at an engine, in milliseconds: for others, and for
-// its own prompt.
+// waitTime is the time that a request would wait at an engine, in milliseconds, for other
+// requests and for its own prompt.
 type waitTime struct{ queued, own float64 }
 
 func (w *waitTime) total() time.Duration { return milliseconds(w.queued + w.own) }
@@ -34,10 +36,10 @@
 
 func inMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// tooLate says whether an answer after such a wait is no longer worth beginning now: it
-// comes after the route's target, or takes what more urgent requests need. The doubt is the
-// caller's, by the mean error of predictions: instances that hear of each other late would
-// refuse what would have been in time.
+// tooLate reports whether an answer after this wait would come after the route's target, or
+// would use capacity that more urgent requests need. The mean prediction error counts in
+// the caller's favour: otherwise instances that receive each other's reports late would
+// refuse requests that would have been in time.
 func (w *waitTime) tooLate(req *Request, forecast *Forecast) bool {
 	target := inMilliseconds(req.Route.TargetLatency)
 	if target == 0 {
@@ -50,8 +52,8 @@
 	return w.queued-forecast.meanError > bound
 }
 
-// slotWait is how long a request waits for one of the slots, in milliseconds, where so many
-// others are in hand and each holds its place for a time.
+// slotWait returns how long a request waits for one of the slots, in milliseconds, where
+// inFlight other requests run or wait and each occupies its slot for holding.
 func slotWait(inFlight, slots int, holding time.Duration) float64 {
 	if holding == 0 {
 		holding = defaultHolding
@@ -60,8 +62,7 @@
 	return float64(beyond) / float64(max(1, slots)) * inMilliseconds(holding)
 }
 
-// predict fills in when the answer would begin at a candidate, and whether that is too
-// late.
+// predict sets when the answer would begin at a candidate, and whether that is too late.
 func (w *Snapshot) predict(req *Request, c *Candidate, forecast *Forecast, holding time.Duration) {
 	factor := forecast.Factor(c.Upstream.ID)
 	own := factor * forecast.Reading(float64(c.Uncached))
@@ -71,7 +72,7 @@
 	c.Late = expected.tooLate(req, forecast)
 }
 
-// remoteWait is how long a request would wait in another region.
+// remoteWait returns how long a request would wait in another region.
 func (w *Snapshot) remoteWait(req *Request, remote *RemoteRegion, forecast *Forecast) waitTime {
 	prefill := float64(remote.Prefill) / float64(remote.Upstreams)
 	uncached := float64(req.PromptTokens) - w.remoteCached(req, remote)
@@ -81,8 +82,8 @@
 	}
 }
 
-// timelyRegion returns the cheapest region where the answer begins in time, and sooner than
-// here by more than predictions are usually wrong; nil when there is none.
+// timelyRegion returns the cheapest region where the answer begins in time, and earlier
+// than here by more than the mean prediction error; nil if there is none.
 func (w *Snapshot) timelyRegion(req *Request, here *Candidate, regions []RemoteRegion) *RemoteRegion {
 	var best *RemoteRegion
 	forecast := w.Estimates.Forecast(req.Service.Name, w.Now)
@@ -99,15 +100,15 @@
 	return best
 }
 
-// RegionKey names a region as a place for a service's requests of a rank. One that refused
-// such a request for want of capacity rests under that name as an upstream does: what is
-// told of its load is up to a second old, and each request that is sent there in vain
-// comes back 120 ms older.
+// RegionKey is the key under which a region's backoff is tracked for a service's requests
+// of one priority. A region that refused such a request for lack of capacity backs off
+// under that key as an upstream does: load reports are up to a second old, and each request
+// that is sent there in vain comes back 120 ms later.
 func RegionKey(region string, req *Request) string {
 	return region + "/" + req.Service.Name + "/" + strconv.Itoa(req.Route.Priority)
 }
 
-// better says whether a candidate is to be preferred.
+// better reports whether c is preferred over best; ties are broken at random.
 func (w *Snapshot) better(c, best *Candidate) bool {
 	return c.Cost < best.Cost || (c.Cost == best.Cost && w.Random&1 == 0)
 }
--- a/pkg/steer/admit_test.go
+++ b/pkg/steer/admit_test.go
@@ -14,8 +14,8 @@
 	"github.com/lilacweir/lilacweir/pkg/steer"
 )
 
-// trainedEstimator is an Estimator that has seen answers of an engine that needs so many milliseconds
-// and so many more for each prompt token.
+// trainedEstimator returns an Estimator trained with answers that began after base
+// milliseconds plus perToken milliseconds for each prompt token.
 func trainedEstimator(base, perToken float64) *steer.Estimator {
 	e := steer.NewEstimator()
 	u := upstream("u", "llm", "north")
@@ -28,8 +28,8 @@
 
 func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// TestEstimatorLearnsTimeToFirstToken on engines four times faster and slower than what is believed
-// at first.
+// TestEstimatorLearnsTimeToFirstToken runs on engines that are several times faster and
+// slower than the initial estimate.
 func TestEstimatorLearnsTimeToFirstToken(t *testing.T) {
 	for _, perToken := range []float64{1.0 / 280, 1.0 / 70, 1.0 / 40, 1.0 / 10} {
 		t.Run(fmt.Sprint(perToken), func(t *testing.T) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestSlowUpstreamFactorDecays: it is believed to be as the others again
-// some seconds after its last answer.
+// TestSlowUpstreamFactorDecays checks that a slow upstream is detected, and that its factor
+// returns towards 1 within seconds of its last answer, so that it is tried again.
 func TestSlowUpstreamFactorDecays(t *testing.T) {
 	is := is.New(t)
 	e := trainedEstimator(100, 0.02)
@@ -60,7 +60,7 @@
 	is.True(later.Factor("slow") < 2)
 }
 
-// TestFrozenEngineDoesNotSkewTheEstimate of the others.
+// TestFrozenEngineDoesNotSkewTheEstimate of the service's other engines.
 func TestFrozenEngineDoesNotSkewTheEstimate(t *testing.T) {
 	e := trainedEstimator(100, 0.02)
 	frozen := upstream("frozen", "llm", "north")
@@ -71,21 +71,21 @@
 	is.New(t).True(forecast.Reading(1000) < 250)
 }
 
-// timedRequest is the route of the tests with a target.
+// timedRequest returns a request of a route with a target.
 func timedRequest(priority int, target, yields time.Duration) *steer.Request {
 	route := *prompt
 	route.TargetLatency, route.Priority, route.Yields = target, priority, yields
 	return &steer.Request{Route: &route, Service: engine, PromptTokens: 1000, Segments: []steer.Segment{{ID: "own", Tokens: 1000}}}
 }
 
-// queuedSnapshot is a world of one engine with so many unread prompt tokens.
+// queuedSnapshot returns a snapshot with one engine that has prefill unread prompt tokens.
 func queuedSnapshot(prefill int) *steer.Snapshot {
 	w := newSnapshot(loads{"u": limit.Load{InFlight: 1, Prefill: prefill}}, upstream("u", "llm", "north"))
 	w.Estimates = trainedEstimator(100, 0.02)
 	return w
 }
 
-// TestRequestIsLateWhenPredictedAfterItsTarget after its target; a prompt that takes the
+// TestRequestIsLateWhenPredictedAfterItsTarget also checks that a prompt that uses up the
 // whole target alone may still wait a little.
 func TestRequestIsLateWhenPredictedAfterItsTarget(t *testing.T) {
 	is := is.New(t)
@@ -98,7 +98,6 @@
 	is.True(queuedSnapshot(15_000).SurveyRegion(long).Best.Late)
 }
 
-// TestLessUrgentRequestsYieldOnlyUnderContention.
 func TestLessUrgentRequestsYieldOnlyUnderContention(t *testing.T) {
 	is := is.New(t)
 	request := timedRequest(1, 800*time.Millisecond, 600*time.Millisecond)
@@ -108,7 +107,6 @@
 	is.True(!queuedSnapshot(5_000).SurveyRegion(request).Best.Late)
 }
 
-// TestRegionBacksOffAfterCapacityRefusal.
 func TestRegionBacksOffAfterCapacityRefusal(t *testing.T) {
 	is := is.New(t)
 	request := timedRequest(0, time.Second, 0)
--- a/pkg/steer/calltimes.go
+++ b/pkg/steer/calltimes.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// CallTimes remembers how long calls of plain services take where nothing waits. It is safe
-// for concurrent use.
+// CallTimes measures how long calls of plain services take without queueing. It is safe for
+// concurrent use.
 type CallTimes struct {
 	mu        sync.Mutex
 	byService map[string]time.Duration
 }
 
 const (
-	// defaultCallTime is how long a call is taken to last where none was measured.
+	// defaultCallTime is assumed where none was measured.
 	defaultCallTime = 50 * time.Millisecond
 	// callTimeSmoothing is the weight of the newest call.
 	callTimeSmoothing = 0.05
 )
 
-// NewCallTimes returns a Pace that has measured nothing.
+// NewCallTimes returns CallTimes without measurements.
 func NewCallTimes() *CallTimes { return &CallTimes{byService: make(map[string]time.Duration)} }
 
 // Of returns the mean time of a service's calls.
@@ -32,8 +32,8 @@
 	return defaultCallTime
 }
 
-// Add takes the time of a call at a candidate. One that may have waited there says
-// nothing of the service's pace.
+// Add records the time of a call at a candidate. Calls that may have queued there are
+// ignored.
 func (p *CallTimes) Add(service string, at *Candidate, took time.Duration) {
 	if 2*at.InFlight > at.Upstream.Slots {
 		return
--- a/pkg/steer/estimate.go
+++ b/pkg/steer/estimate.go
@@ -7,20 +7,22 @@
 )
 
 // Estimator learns from answers how long engines take to begin one. For each service it
-// fits the time to the first part of an answer on the prompt tokens that were to be read
-// before it, forgetting old answers; for each upstream it keeps by how much that one is
-// slower or faster. It is safe for concurrent use; an upstream costs about 100 bytes.
+// fits the time to the first token as a linear function of the prompt tokens that had to be
+// read before it, with exponential forgetting; for each upstream it keeps how much slower
+// or faster than the service it is. It is safe for concurrent use; an upstream costs about
+// 100 bytes.
 type Estimator struct {
 	mu         sync.Mutex
 	byService  map[string]*regression
 	byUpstream map[string]*slowdown
 }
 
-// regression holds the decayed sums of a regression, in tokens and milliseconds, and by how much
-// predictions were wrong on the average.
+// regression holds the decayed sums of a linear regression, in tokens and milliseconds, and
+// the mean absolute prediction error.
 type regression struct{ n, x, y, xx, xy, meanError float64 }
 
-// slowdown is how much slower than its service an upstream is, and the last time it was seen.
+// slowdown is the factor by which an upstream is slower than its service, and the time of
+// its last observation.
 type slowdown struct {
 	factor     float64
 	observedAt time.Time
@@ -28,41 +30,43 @@
 
 // Parameters of the estimate.
 const (
-	// initialBase and firstPerToken are believed before anything was measured: 0.1 s for
-	// the way and the first step, and 40 tokens a millisecond, half of what the engines
-	// that we know read when they do nothing else.
+	// initialBase and initialPerToken are used before anything was measured: 0.1 s for the
+	// round trip and the first step, and 40 tokens a millisecond, half of the rate at which
+	// the known engines read when they do nothing else.
 	initialBase     = 100.0
 	initialPerToken = 1.0 / 40
-	// priorWeight is how many answers the first belief counts for.
+	// priorWeight is the number of answers that the initial values count for.
 	priorWeight = 8
-	// regressionDecay is the weight that each older answer keeps: the last 200 or so count,
+	// regressionDecay is the weight that each older answer keeps: about the last 200 count,
 	// some seconds of an instance's traffic.
 	regressionDecay = 0.995
 	// errorSmoothing is the weight of the newest answer in the mean error.
 	errorSmoothing = 0.02
-	// outlier bounds what one answer may say, as a multiple of what was predicted: one
-	// that met a frozen engine is no measure of reading.
+	// outlier bounds the influence of one answer, as a multiple of the prediction: the time
+	// of an answer from a frozen engine does not measure how fast engines read.
 	outlier = 4.0
 	// factorSmoothing is the weight of the newest answer in an upstream's factor.
 	factorSmoothing = 0.15
-	// minFactor and mostFactor bound an upstream's factor.
+	// minFactor and maxFactor bound an upstream's factor.
 	minFactor = 0.5
 	maxFactor = 20.0
-	// factorHalfLife is how soon an upstream that gets no work is believed to be as the
-	// others again: else one that was slow once would never be tried.
+	// factorHalfLife is the idle time after which the difference of an upstream's factor
+	// from 1 has halved. Without it, an upstream that was slow once would never be tried
+	// again.
 	factorHalfLife = 2 * time.Second
-	// upstreamRetention is when an upstream that gets nothing is dropped.
+	// upstreamRetention is the idle time after which an upstream is dropped.
 	upstreamRetention = time.Minute
-	// maxUpstreams bounds the upstreams that are remembered.
+	// maxUpstreams bounds the upstreams that are tracked.
 	maxUpstreams = 4096
 )
 
-// NewEstimator returns an Estimator that has measured nothing.
+// NewEstimator returns an Estimator without measurements.
 func NewEstimator() *Estimator {
 	return &Estimator{byService: make(map[string]*regression), byUpstream: make(map[string]*slowdown)}
 }
 
-// line returns the fit's intercept in milliseconds and its slope in milliseconds a token.
+// line returns the regression's intercept in milliseconds and its slope in milliseconds a
+// token.
 func (f *regression) line() (base, perToken float64) {
 	spread := f.n*f.xx - f.x*f.x
 	perToken = (f.n*f.xy - f.x*f.y) / spread
@@ -76,7 +80,7 @@
 	return base, perToken
 }
 
-// newRegression returns a fit that holds the first belief.
+// newRegression returns a regression that holds the initial values.
 func newRegression() *regression {
 	const tokens = 4000
 	f := &regression{}
@@ -95,7 +99,7 @@
 	f.xy = f.xy*regressionDecay + x*y
 }
 
-// Observe takes the time after which an answer began that was sent to a candidate.
+// Observe records that an answer of the request sent to candidate at began after took.
 func (e *Estimator) Observe(at *Candidate, took time.Duration, now time.Time) {
 	upstream, tokens := at.Upstream, at.Prefill+at.Uncached
 	e.mu.Lock()
@@ -118,7 +122,7 @@
 	}
 }
 
-// slowdown returns an upstream's slowdown as it is believed now. The caller holds e.mu.
+// slowdown returns an upstream's slowdown, decayed to now. The caller holds e.mu.
 func (e *Estimator) slowdown(upstream string, now time.Time) *slowdown {
 	p := e.byUpstream[upstream]
 	if p == nil {
@@ -131,7 +135,7 @@
 	return p
 }
 
-// at is the factor after the time since the upstream was seen.
+// at returns the factor, decayed by the time since the last observation.
 func (p *slowdown) at(now time.Time) float64 {
 	if p == nil {
 		return 1
@@ -154,16 +158,16 @@
 	}
 }
 
-// Forecast is what an Estimator believes at one moment of one service.
+// Forecast is an Estimator's prediction for one service at one time.
 type Forecast struct {
 	estimator      *Estimator
 	base, perToken float64
-	// meanError is by how many milliseconds predictions are meanError on the average.
+	// meanError is the mean absolute error of predictions, in milliseconds.
 	meanError float64
 	now       time.Time
 }
 
-// Forecast returns what is believed of a service's engines.
+// Forecast returns the present prediction for a service's engines.
 func (e *Estimator) Forecast(service string, now time.Time) Forecast {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -175,11 +179,11 @@
 	return Forecast{estimator: e, base: base, perToken: perToken, meanError: f.meanError, now: now}
 }
 
-// Reading is how long an engine of the usual pace takes to begin an answer when so many
-// prompt tokens are to be read before it, in milliseconds.
+// Reading returns how long an engine of average speed takes to begin an answer when so many
+// prompt tokens have to be read before it, in milliseconds.
 func (f *Forecast) Reading(tokens float64) float64 { return f.base + f.perToken*tokens }
 
-// Factor is by how much an upstream is slower than the usual pace.
+// Factor returns the factor by which an upstream is slower than its service's average.
 func (f *Forecast) Factor(upstream string) float64 {
 	f.estimator.mu.Lock()
 	defer f.estimator.mu.Unlock()
--- a/pkg/steer/flow.go
+++ b/pkg/steer/flow.go
@@ -7,24 +7,24 @@
 )
 
 // Flow measures how many prompt tokens this instance sends to the engines of each service.
-// The others of its region are taken to send as many, so that it can tell how much reached
-// an engine since it was last told. It is safe for concurrent use.
+// The other instances of its region are assumed to send as many, which gives an estimate of
+// what reached an engine since the last reports. It is safe for concurrent use.
 type Flow struct {
 	mu        sync.Mutex
 	byService map[string]*decayingSum
 }
 
-// decayingSum is a sum that decays by the time since it was last added to.
+// decayingSum is a sum that decays exponentially with the time since the last addition.
 type decayingSum struct {
 	sum float64
 	at  time.Time
 }
 
-// flowTimeConstant is the time over which the flow is averaged: a load that changes within
-// seconds is followed, one request more or less does not matter.
+// flowTimeConstant is the time over which the flow is averaged: short enough to follow a
+// load that changes within seconds, long enough to smooth out single requests.
 const flowTimeConstant = 2 * time.Second
 
-// NewFlow returns a Flow that has measured nothing.
+// NewFlow returns a Flow without measurements.
 func NewFlow() *Flow { return &Flow{byService: make(map[string]*decayingSum)} }
 
 func (r *decayingSum) decayed(now time.Time) float64 {
--- a/pkg/steer/overload.go
+++ b/pkg/steer/overload.go
@@ -5,36 +5,38 @@
 	"time"
 )
 
-// Overload remembers since when requests of a service find no room in time. It is safe for
-// concurrent use.
+// Overload records since when requests of a service find no capacity in time. It is safe
+// for concurrent use.
 type Overload struct {
 	mu        sync.Mutex
 	byService map[string]*episode
 }
 
-// episode is a time in which requests find no room, without a longer pause.
+// episode is a period in which requests find no capacity, without a gap longer than
+// episodeGap.
 type episode struct {
 	began, last time.Time
-	// lastByRank is when requests of each rank last found none.
+	// lastByRank is when a request of each priority last found no capacity.
 	lastByRank map[int]time.Time
 }
 
 // Parameters of an overload.
 const (
-	// episodeGap without a request that finds no room ends an episode.
+	// episodeGap is the time without a request that finds no capacity that ends an episode.
 	episodeGap = time.Second
-	// minRetryAfter is the least time after which a refused caller is asked to return: what
-	// an engine needs to end some tens of requests.
+	// minRetryAfter is the least base of the time after which a refused caller is asked to
+	// retry: the time that an engine needs to complete some tens of requests.
 	minRetryAfter = 400 * time.Millisecond
-	// maxRetryShare is the part of the time left to them for which callers wait if asked to.
+	// maxRetryShare is the share of their remaining time that callers are willing to wait
+	// for a retry.
 	maxRetryShare = 1.0 / 3
 )
 
-// NewOverload returns an Overload that has seen none.
+// NewOverload returns an Overload without episodes.
 func NewOverload() *Overload { return &Overload{byService: make(map[string]*episode)} }
 
-// Late notes that a request of a rank finds no room in time, and returns for how long there
-// have been such requests.
+// Late records that a request of a priority finds no capacity in time, and returns how long
+// the present episode has lasted.
 func (o *Overload) Late(service string, rank int, now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -47,7 +49,8 @@
 	return now.Sub(e.began)
 }
 
-// Contended says whether requests that are more urgent than a rank found no room lately.
+// Contended reports whether requests that are more urgent than rank recently found no
+// capacity.
 func (o *Overload) Contended(service string, rank int, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -63,16 +66,17 @@
 	return false
 }
 
-// Refuses says whether a request of a service that would be late is refused for it. A
-// moment's queue is served, if late: only once it has stood for the length of the target,
-// everyone who still joins it makes all after him late too.
+// Refuses reports whether a request that would be late is refused. A short queue is still
+// served, if late. Once the queue has lasted for the length of the target, each request
+// that still joins it makes all later ones late too.
 func (o *Overload) Refuses(req *Request, now time.Time) bool {
 	return o.Late(req.Service.Name, req.Route.Priority, now) >= req.Route.TargetLatency
 }
 
-// ReturnAfter is when a caller that is refused should come back. An overload that has
+// ReturnAfter returns after what time a refused caller should retry. An overload that has
 // lasted for some time is expected to last about as long again; callers are spread over
-// that time by a random number from 0 to 1, as far as they honour it.
+// that time by a random number from 0 to 1, up to the share of their remaining time that
+// they are willing to wait.
 func ReturnAfter(lasted, left time.Duration, random float64) time.Duration {
 	wait := time.Duration((0.5 + random) * float64(max(minRetryAfter, lasted)))
 	return min(wait, time.Duration(maxRetryShare*float64(left)))
--- a/pkg/steer/recent.go
+++ b/pkg/steer/recent.go
@@ -7,12 +7,12 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// Recent remembers where prompt parts were sent lately, by this instance and, as far as
-// they told, by others. It is safe for concurrent use; its size is bounded.
+// Recent records to which upstreams prompt segments were sent recently, by this instance
+// and, as far as reported, by others. It is safe for concurrent use; its size is bounded.
 type Recent struct {
 	mu      sync.Mutex
 	holders map[string]map[string]time.Time
-	// published holds this instance's own placements of large parts, oldest first.
+	// published holds this instance's own placements of large segments, oldest first.
 	published []publishedPlacement
 }
 
@@ -21,25 +21,27 @@
 	at time.Time
 }
 
-// Bounds of what is remembered.
+// Bounds of what is recorded.
 const (
-	// maxSegments is how many parts are remembered; each costs about 200 bytes.
+	// maxSegments bounds the segments that are recorded; each costs about 200 bytes.
 	maxSegments = 8192
-	// cacheRetention is how long an upstream is taken to hold a part that nobody used since.
+	// cacheRetention is how long an upstream is assumed to cache a segment since its last
+	// use.
 	cacheRetention = 20 * time.Second
-	// minPublishedTokens is the size in tokens from which on a placement is told to others: less
-	// is read sooner than told.
+	// minPublishedTokens is the least size in tokens of a segment with published
+	// placements: a smaller one is read sooner than its placement is published.
 	minPublishedTokens = 1000
-	// publishFor is for how long it is told: a few rounds, so that a lost one does no harm.
+	// publishFor is how long a placement is published: a few gossip rounds, so that a lost
+	// one does no harm.
 	publishFor = 2 * time.Second
-	// maxPublished bounds what is told at once.
+	// maxPublished bounds the placements that are published at once.
 	maxPublished = 64
 )
 
-// NewRecent returns an empty memory.
+// NewRecent returns an empty Recent.
 func NewRecent() *Recent { return &Recent{holders: make(map[string]map[string]time.Time)} }
 
-// Held says whether the upstream is taken to hold the part.
+// Held reports whether the upstream is assumed to cache the segment.
 func (r *Recent) Held(segment, upstream string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,8 +49,8 @@
 	return ok && now.Sub(at) < cacheRetention
 }
 
-// Holders returns the upstreams, and regions to which this instance has sent it, that
-// are taken to hold the part.
+// Holders returns the upstreams that are assumed to cache the segment, and the regions to
+// which this instance has forwarded it.
 func (r *Recent) Holders(segment string, now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,7 +63,7 @@
 	return names
 }
 
-// Add notes that this instance has sent the parts to the upstream.
+// Add records that this instance has sent the segments to the upstream.
 func (r *Recent) Add(segments []Segment, upstream string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,15 +72,15 @@
 			continue
 		}
 		r.record(segment.ID, upstream, now)
-		// The last part is the request's own: nobody else will ask for it.
+		// The last segment belongs to this request alone: no other request uses it.
 		if segment.Tokens >= minPublishedTokens && i < len(segments)-1 {
 			r.published = append(r.published, publishedPlacement{peer.Placement{Part: segment.ID, Upstream: upstream}, now})
 		}
 	}
 }
 
-// Sent notes that this instance has sent the parts to another region, whose instances
-// tell of the upstream.
+// Sent records that this instance has forwarded the segments to another region; the
+// instances there publish the upstream.
 func (r *Recent) Sent(segments []Segment, region string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,7 +91,7 @@
 	}
 }
 
-// Learn notes a placement by another instance.
+// Learn records a placement by another instance.
 func (r *Recent) Learn(placement peer.Placement, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,7 +100,7 @@
 	}
 }
 
-// Told returns this instance's own placements that others should know of.
+// Told returns this instance's own placements that are to be published to others.
 func (r *Recent) Told(now time.Time) []peer.Placement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +127,7 @@
 	held[upstream] = at
 }
 
-// shrink makes room for one more part.
+// shrink makes space for one more segment.
 func (r *Recent) shrink(now time.Time) {
 	if len(r.holders) < maxSegments {
 		return
--- a/pkg/steer/remote.go
+++ b/pkg/steer/remote.go
@@ -9,22 +9,22 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// RemoteRegion is another region with what a request would meet there.
+// RemoteRegion is another region with the load that a request would meet there.
 type RemoteRegion struct {
 	Region string
 	// Peers are the live instances there, at least one.
 	Peers []*peer.Known
-	// Upstreams counts the usable ones, Slots adds up theirs.
+	// Upstreams counts the usable upstreams, Slots is the sum of their slots.
 	Upstreams, Slots int
-	// InFlight and Prefill are the work of all of them.
+	// InFlight and Prefill are the work of all instances there.
 	InFlight, Prefill int
-	// excluded is true where the request may not be processed, or which refused such a
-	// request lately.
+	// excluded is true if the request may not be processed in the region, or if the region
+	// refused such a request recently.
 	excluded bool
 }
 
-// Regions returns the other regions in which the request may be processed and where
-// a live instance and a usable upstream are known, sorted by name.
+// Regions returns the other regions in which the request may be processed and that have a
+// known live instance and a usable upstream, sorted by name.
 func (w *Snapshot) Regions(req *Request) []RemoteRegion {
 	var regions []RemoteRegion
 	for i := range w.peers() {
@@ -75,7 +75,7 @@
 	return w.Peers.Others
 }
 
-// measure fills in a region's load; false when nothing there may get work.
+// measure sets a region's load; false if no upstream there may get work.
 func (w *Snapshot) measure(remote *RemoteRegion, service *httproute.Service) bool {
 	for _, upstream := range w.Fleet.Service(service.Name) {
 		if upstream.Region == remote.Region && w.usable(upstream) && !upstream.Cold(w.Now) {
@@ -88,25 +88,25 @@
 	return remote.Upstreams > 0 && remote.Slots > 0
 }
 
-// Parameters of sending away.
+// Parameters of forwarding to another region.
 const (
-	// roundTripTokens is what the way to another region and back costs, in prompt tokens
+	// roundTripTokens is the cost of the round trip to another region, in prompt tokens
 	// that an engine reads meanwhile: 110 ms at about 40 tokens a millisecond.
 	roundTripTokens = 4400
-	// remoteMargin is how much cheaper, in prompt tokens, an engine far away must be: what
-	// is known of it is older than what is known here.
+	// remoteMargin is how much cheaper, in prompt tokens, a remote engine must be, since
+	// reports from other regions are older than local ones.
 	remoteMargin = 1500
-	// regionRoundTrip is what the way to another region and back takes.
+	// regionRoundTrip is the round trip time to another region.
 	regionRoundTrip = 110 * time.Millisecond
-	// minRemoteGain is how much sooner a plain service must answer far away.
+	// minRemoteGain is how much sooner a plain service must answer in another region.
 	minRemoteGain = 30 * time.Millisecond
-	// localTargetShare is the part of the target below which a plain call that is served here
-	// gains nothing by going elsewhere.
+	// localTargetShare is the share of the target below which a plain call that is served
+	// here gains nothing by being forwarded.
 	localTargetShare = 0.5
 )
 
-// Choose returns the region that is worth the way, given the survey of the own one;
-// nil when none is. With nothing usable here the cheapest region is.
+// Choose returns the region that is worth the round trip, given the survey of the own one;
+// nil if none is. Without a usable upstream here it returns the cheapest region.
 func (w *Snapshot) Choose(req *Request, here Survey, regions []RemoteRegion) *RemoteRegion {
 	var best *RemoteRegion
 	lowest := math.Inf(1)
@@ -141,14 +141,14 @@
 	return nil
 }
 
-// callTime is how long a call of a plain service takes where so many are in hand.
+// callTime returns how long a call of a plain service takes at the given load.
 func callTime(meanTime time.Duration, inFlight, slots int) time.Duration {
 	load := float64(inFlight+1) / float64(max(1, slots))
 	return time.Duration(float64(meanTime) * max(1, load))
 }
 
-// remoteCost is what the request costs in another region: for engines in prompt tokens,
-// as Candidate.Cost is; for plain services the load in shares of the slots.
+// remoteCost returns the request's cost in another region: for engines in prompt tokens, as
+// in Candidate.Cost; for plain services the requests in flight per slot.
 func (w *Snapshot) remoteCost(req *Request, remote *RemoteRegion) float64 {
 	if req.Service.Engine == nil {
 		return float64(remote.InFlight) / float64(remote.Slots)
@@ -160,7 +160,7 @@
 		tokensPerRequest*float64(remote.InFlight)/upstreams + queuedPenalty*beyond
 }
 
-// remoteCached estimates how many of the prompt's tokens the region holds.
+// remoteCached estimates how many of the prompt's tokens are cached in the region.
 func (w *Snapshot) remoteCached(req *Request, remote *RemoteRegion) float64 {
 	shared := sharedSegment(req)
 	if shared == nil {
@@ -177,7 +177,7 @@
 	return 0
 }
 
-// RetryAfter is when a request that found no place should come back.
+// RetryAfter returns after what time a request that found no place should be retried.
 func RetryAfter(now, deadline time.Time) time.Duration {
 	const usual = 300 * time.Millisecond
 	if left := deadline.Sub(now) / 3; left > 0 && left < usual {
--- a/pkg/steer/sharing.go
+++ b/pkg/steer/sharing.go
@@ -6,12 +6,12 @@
 	"github.com/lilacweir/lilacweir/pkg/member"
 )
 
-// minSharedTokens is the size in tokens from which on a shared part is worth steering
-// for: engines cache whole blocks of about that size.
+// minSharedTokens is the least size in tokens of a shared segment that affects routing:
+// engines cache whole blocks of about that size.
 const minSharedTokens = 16
 
-// sharedSegment returns the prompt's last shared part, nil when nothing is shared that
-// matters. Prompts that share a later part share what comes before it as well.
+// sharedSegment returns the prompt's last shared segment; nil if nothing relevant is
+// shared. Prompts that share a later segment share what comes before it as well.
 func sharedSegment(req *Request) *Segment {
 	if !req.Route.SharedPrompts || len(req.Segments) < 2 {
 		return nil
@@ -23,7 +23,8 @@
 	return shared
 }
 
-// sharedTokens is the prompt without its last part, which is the request's own.
+// sharedTokens is the length of the prompt without its last segment, which belongs to the
+// request alone.
 func sharedTokens(req *Request) int {
 	total := 0
 	for _, segment := range req.Segments[:len(req.Segments)-1] {
@@ -32,9 +33,9 @@
 	return total
 }
 
-// hashedUpstream returns the upstream to which a shared part is hashed, so that
-// instances that know nothing of each other choose alike. That of one region is that
-// of all regions together where it lies in that region.
+// hashedUpstream returns the upstream to which rendezvous hashing assigns a shared segment,
+// so that instances choose alike without communication. If the choice among all regions
+// lies in a region, the choice among that region's upstreams is the same one.
 func hashedUpstream(shared *Segment, upstreams []*fleet.Upstream) *fleet.Upstream {
 	if shared == nil || len(upstreams) == 0 {
 		return nil
@@ -47,21 +48,23 @@
 	return upstreams[first]
 }
 
-// prefixLocation is where the shared parts of one request's prompt are thought to be.
+// prefixLocation is where the shared segments of one request's prompt are assumed to be
+// cached.
 type prefixLocation struct {
-	// tokens is the size of the shared parts; zero: nothing is shared that matters.
+	// tokens is the size of the shared segments; zero if nothing relevant is shared.
 	tokens int
-	// holders are the upstreams that were sent the parts lately, holder the one that
-	// others should copy from: one of these, else the one to which the parts are hashed.
+	// holders are the upstreams that were sent the segments recently. holder is the
+	// upstream that others should copy from: one of the holders, else the one to which the
+	// segments are hashed.
 	holders map[string]bool
 	holder  *fleet.Upstream
-	// trust is how likely the holder holds them.
+	// trust is the probability that the holder caches them.
 	trust float64
-	// copies is true when engines can copy from each other.
+	// copies is true if engines can copy from each other.
 	copies bool
 }
 
-// locatePrefix looks for the request's shared parts among the upstreams of the region.
+// locatePrefix looks up the request's shared segments among the upstreams of the region.
 func (w *Snapshot) locatePrefix(req *Request, upstreams []*fleet.Upstream) prefixLocation {
 	segment := sharedSegment(req)
 	if segment == nil {
@@ -90,17 +93,18 @@
 	return s
 }
 
-// worthRoundTrip says whether shared parts of that size are gathered in one region, since
-// reading them costs more than the way there. Smaller ones are gathered in each.
+// worthRoundTrip reports whether shared segments of that size are collected in one region,
+// since reading them costs more than the round trip. Smaller ones are collected in each
+// region.
 func worthRoundTrip(tokens int) bool {
 	return cachedWeight*affinity*float64(tokens) > roundTripTokens+remoteMargin
 }
 
-// known says whether the holder was sent the parts, as opposed to being where they would
-// be gathered.
+// known reports whether the holder was sent the segments, as opposed to being the upstream
+// to which they are hashed.
 func (s *prefixLocation) known() bool { return s.trust == 1 }
 
-// held estimates how many of the shared tokens the upstream holds.
+// held estimates how many of the shared tokens the upstream caches.
 func (s *prefixLocation) held(upstream *fleet.Upstream) int {
 	switch {
 	case s.tokens == 0:
@@ -114,7 +118,7 @@
 	}
 }
 
-// copied is how many tokens the upstream should copy from the holder.
+// copied returns how many tokens the upstream should copy from the holder.
 func (s *prefixLocation) copied(upstream *fleet.Upstream) int {
 	if !s.copies || s.holder == nil || s.holder == upstream || s.holders[upstream.ID] || s.tokens < minCopiedTokens {
 		return 0
@@ -122,12 +126,12 @@
 	return s.tokens
 }
 
-// minCopiedTokens is the size in tokens from which on copying is worth setting up, which
-// takes about 3 ms: the time of reading that many.
+// minCopiedTokens is the least size in tokens that is worth copying: setting up a copy
+// takes about 3 ms, the time of reading that many tokens.
 const minCopiedTokens = 256
 
-// favouriteRegion returns the region of the upstream to which a shared part is hashed
-// among all that the request may go to; empty when there is none.
+// favouriteRegion returns the region of the upstream to which a shared segment is hashed
+// among all that the request may go to; empty if there is none.
 func (w *Snapshot) favouriteRegion(req *Request, shared *Segment) string {
 	key := prefixKey{service: req.Service.Name, route: req.Route, segment: shared.ID}
 	if w.prefixRegion.prefixKey != key {
@@ -136,8 +140,9 @@
 	return w.prefixRegion.region
 }
 
-// prefixKey is a shared part that a route's requests gather in one region, gathered where
-// that is. A decision asks for it several times, and hashes all upstreams for it.
+// prefixKey identifies a shared segment that a route's requests collect in one region, and
+// prefixRegion holds that region. It is cached because a decision asks for it several
+// times, and each computation hashes all upstreams.
 type prefixKey struct {
 	service string
 	route   *httproute.Route
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -1,8 +1,8 @@
-// Package steer decides which discovered upstream, or which other region, gets a
-// request of a declared route.
+// Package steer decides which discovered upstream, or which other region, gets a request of
+// a declared route.
 //
-// A decision is a pure function of snapshots, local counts, a clock and a random
-// number: it does no input or output and waits for nothing.
+// A decision is a pure function of snapshots, local counts, a clock and a random number: it
+// does no I/O and does not block.
 package steer
 
 import (
@@ -15,145 +15,147 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// Segment is one part of a prompt. A part is cached for a request only where all parts
-// before it are cached too.
+// Segment is one segment of a prompt. A segment is cached for a request only if all
+// segments before it are cached too.
 type Segment struct {
 	ID     string
 	Tokens int
 }
 
-// Request is what a decision needs to know of a request.
+// Request holds the properties of a request that a decision depends on.
 type Request struct {
 	Route   *httproute.Route
 	Service *httproute.Service
-	// Segments are the prompt's parts in order; the last belongs to the request or its
+	// Segments are the prompt's segments in order; the last belongs to the request or its
 	// session alone.
 	Segments []Segment
-	// PromptTokens is the whole prompt.
+	// PromptTokens is the length of the whole prompt.
 	PromptTokens int
-	// Contended is true while more urgent requests of the service find no room in time.
+	// Contended is true while more urgent requests of the service find no capacity in time.
 	Contended bool
 	// Tried names the upstreams and instances that must not be chosen again.
 	Tried []string
 }
 
-// Local is what this instance knows at first hand of an upstream.
+// Local provides this instance's own load at an upstream.
 type Local interface {
 	Load(upstream string) limit.Load
 }
 
-// Snapshot is the snapshots that a decision reads. Each decision has its own.
+// Snapshot is the state that a decision reads. Each decision has its own.
 type Snapshot struct {
 	Region string
 	Fleet  *fleet.View
 	Peers  *peer.View
 	Local  Local
-	// Admits says whether an upstream may get one more request now, as far as it is, or
-	// may be, cold.
+	// Admits reports whether an upstream that is cold, or may be, can take one more request
+	// now under its limit for cold upstreams.
 	Admits func(u *fleet.Upstream, service *httproute.Service) bool
-	// Named is the limit that an upstream names, and LimitWait how long this instance must not
-	// send to it for that; nil: there are none.
+	// Named returns the rate limit that an upstream advertises, and LimitWait how long this
+	// instance must not send to it because of that limit. Both are nil if there are no
+	// limits.
 	Named     func(upstream string) limit.Named
 	LimitWait func(u *fleet.Upstream) time.Duration
-	// Leaving says whether an upstream has said itself that it leaves; nil: none has.
+	// Leaving reports whether an upstream has announced that it is leaving; nil if none
+	// has.
 	Leaving func(upstream string) bool
-	// Recent is where prompt parts went lately, Pace how long plain calls take, Estimates
-	// how long engines take to begin an answer.
+	// Recent records where prompt segments were sent recently, CallTimes how long plain
+	// calls take, Estimates how long engines take to begin an answer.
 	Recent    *Recent
 	CallTimes *CallTimes
 	Estimates *Estimator
-	// Flow is what this instance sends.
-	Flow *Flow
-	Now  time.Time
-	// Random is a random number.
+	// Flow measures what this instance sends.
+	Flow   *Flow
+	Now    time.Time
 	Random uint64
-	// prefixRegion is the last answer of favouriteRegion.
+	// prefixRegion caches the last result of favouriteRegion.
 	prefixRegion prefixRegion
 }
 
 // Weights of a candidate's cost, in prompt tokens that an engine would have to read.
 const (
-	// tokensPerRequest is what a running request costs those beside it: its share of
-	// each step of the batch.
+	// tokensPerRequest is the cost of a running request to those that run beside it: its
+	// share of each step of the batch.
 	tokensPerRequest = 15
-	// queuedPenalty is added for each request beyond the slots: it waits until one of those
-	// that run ends. It is below what an engine reads meanwhile, so that a short queue does
-	// not drive prompts from the upstreams that hold their parts.
+	// queuedPenalty is added for each request beyond the slots: it waits until a running
+	// one ends. It is less than what an engine reads meanwhile, so that a short queue does
+	// not drive prompts away from the upstreams that cache their segments.
 	queuedPenalty = 500
-	// backlogWeight is what an unread token in hand at an upstream counts: they count whole
-	// until their answer begins and are half read on the average, and what is known of them
-	// is old.
+	// backlogWeight is the cost of an unread token in flight at an upstream. Prompts count
+	// in full until their answer begins, when they are half read on average, and the
+	// reports are old.
 	backlogWeight = 0.3
-	// plainJitter is by how much the load of a plain service's upstream is taken to be
-	// higher, at random: what is known of the others' work is up to a round old, and
-	// instances that all believe the same would all send to the same upstream.
+	// plainJitter is the largest relative random increase of the load of a plain service's
+	// upstream: reports on the work of others are up to one gossip round old, and instances
+	// that act on the same reports would all send to the same upstream.
 	plainJitter = 0.5
-	// engineJitter is the largest random cost in units of what others have sent unseen; it is half
-	// of that on the average.
+	// engineJitter is the largest random cost as a multiple of the tokens that others have
+	// sent unreported; the average is half of that.
 	engineJitter = 5.0
-	// affinity is the part of a shared prompt part that counts as cached at the
-	// upstream to which it is hashed, when nothing is known of it.
+	// affinity is the share of a shared segment that counts as cached at the upstream to
+	// which it is hashed, if no placement of it is known.
 	affinity = 0.75
-	// remoteAffinity is the same for parts that are gathered in another region: little, but
-	// enough for those that stay here to meet at one upstream.
+	// remoteAffinity is the same for segments that are collected in another region: little,
+	// but enough for those that stay here to meet at one upstream.
 	remoteAffinity = 0.15
-	// copyCost is what a token costs that is to be copied from an upstream that is known to
-	// hold it, in tokens that are read. The way itself takes a third of the time of reading
-	// (164 KB over 260 Gbit/s); the rest stands for copies that come to nothing, as the
-	// holder has not read the part yet or has dropped it, and for the room that a further
-	// copy takes from other parts.
+	// copyCost is the cost of a token that is to be copied from an upstream known to cache
+	// it, relative to a token that is read. The transfer itself takes a third of the time
+	// of reading (164 KB over 260 Gbit/s). The rest accounts for copies that fail, because
+	// the holder has not read the segment yet or has dropped it, and for the cache space
+	// that a further copy takes from other segments.
 	copyCost = 0.6
-	// cachedWeight raises what a second reading costs: it also drives out what other
-	// requests would have found.
+	// cachedWeight raises the cost of reading a prompt again, which also evicts what other
+	// requests would have found in the cache.
 	cachedWeight = 1.5
 )
 
-// Candidate is an upstream with what the request would meet there.
+// Candidate is an upstream with the load and cost that the request would meet there.
 type Candidate struct {
 	Upstream *fleet.Upstream
 	// Cost orders candidates; lower is better. For engines it is in prompt tokens.
 	Cost float64
 	// InFlight and Prefill are the work of all instances there.
 	InFlight, Prefill int
-	// Uncached estimates the prompt tokens that it would have to read.
+	// Uncached estimates the prompt tokens that the upstream would have to read.
 	Uncached int
-	// First predicts, for engines, after what time the answer begins; Late says that it
-	// would be too late for the route's target.
+	// First is, for engines, the predicted time until the answer begins; Late is true if
+	// that is too late for the route's target.
 	First time.Duration
 	Late  bool
-	// Source is the upstream from which it should copy what that one holds of the
-	// prompt; nil when nobody is known to hold more.
+	// Source is the upstream from which it should copy the cached segments of the prompt;
+	// nil if no upstream is known to cache more.
 	Source *fleet.Upstream
 }
 
-// Full says whether every slot is taken.
+// Full reports whether every slot is taken.
 func (c *Candidate) Full() bool { return c.InFlight >= c.Upstream.Slots }
 
-// Survey is what a look at the own region's upstreams found.
+// Survey is the state of the own region's upstreams for one request.
 type Survey struct {
 	// Best is the cheapest candidate; its Upstream is nil when there is none.
 	Best Candidate
-	// Known counts upstreams of the service in the region, Usable those that may get
-	// work, Slots and InFlight add up over the usable ones.
+	// Known counts the upstreams of the service in the region and Usable those that may get
+	// work. Slots, InFlight and Prefill are sums over the usable ones.
 	Known, Usable, Slots, InFlight, Prefill int
-	// Cold counts those that were passed over because they are cold, Resting those that
-	// were because they failed or rejected a request lately, or have asked for rest; RestWait
-	// is the shortest time until one of the latter gets a request again.
+	// Cold counts the upstreams that were skipped because they are cold. Resting counts
+	// those that were skipped because they failed or rejected a request recently, or have
+	// requested a backoff; RestWait is the shortest time until one of the latter gets a
+	// request again.
 	Cold, Resting int
 	RestWait      time.Duration
-	// Limited counts those that were passed over for the limit that they name, LimitWait is
-	// the shortest time until one of them may get a request.
+	// Limited counts the upstreams that were skipped because of the rate limit that they
+	// advertise, LimitWait is the shortest time until one of them may get a request.
 	Limited   int
 	LimitWait time.Duration
 }
 
-// usable says whether an upstream may get new work. Its own word that it leaves counts whatever
-// the store says, which may be away or behind.
+// usable reports whether an upstream may get new work. An upstream's own announcement that
+// it is leaving takes precedence over the store, which may be unreachable or behind.
 func (w *Snapshot) usable(u *fleet.Upstream) bool {
 	return w.Fleet.Usable(u) && (w.Leaving == nil || !w.Leaving(u.ID))
 }
 
-// SurveyRegion surveys the own region.
+// SurveyRegion returns the state of the own region's upstreams.
 func (w *Snapshot) SurveyRegion(req *Request) Survey {
 	var survey Survey
 	upstreams := w.regional(req.Service.Name)
@@ -177,7 +179,7 @@
 			continue
 		}
 		if req.Service.Engine == nil {
-			// The call itself counts: idle upstreams are chosen at random as well.
+			// The call itself counts, so that idle upstreams are chosen at random as well.
 			load := 1 + float64(own.InFlight) + expectedLoad(float64(others[i].InFlight), mean, age, w.CallTimes.Of(req.Service.Name))
 			c.Cost = load * (1 + plainJitter*w.fraction(upstream.ID))
 		} else {
@@ -192,7 +194,7 @@
 	return survey
 }
 
-// usable says whether the upstream may be considered, and counts why not.
+// usable reports whether the upstream may be considered, and counts the reason if not.
 func (s *Survey) usable(w *Snapshot, req *Request, upstream *fleet.Upstream, own *limit.Load) bool {
 	switch {
 	case own.Ejected:
@@ -210,8 +212,8 @@
 	return false
 }
 
-// limited says whether an upstream's limit keeps this instance from sending to it, and counts
-// it if so.
+// limited reports whether an upstream's advertised limit forbids sending to it now, and
+// counts it if so.
 func (s *Survey) limited(wait time.Duration) bool {
 	if wait == 0 {
 		return false
@@ -221,11 +223,11 @@
 	return true
 }
 
-// Wait is the shortest time until an upstream may get a request that wants nothing now, or takes no
-// more by its limit; zero: there is none.
+// Wait returns the shortest time until an upstream that requested a backoff, or whose limit
+// is used up, may get a request; zero if there is none.
 func (s *Survey) Wait() time.Duration { return shortest(s.RestWait, s.LimitWait) }
 
-// shortest returns the shorter of two times of which zero means that there is none.
+// shortest returns the shorter of two times; zero means that there is none.
 func shortest(a, b time.Duration) time.Duration {
 	if a == 0 || b == 0 {
 		return max(a, b)
@@ -233,8 +235,8 @@
 	return min(a, b)
 }
 
-// slots is how many requests an upstream works on at once, as far as the limit that it names
-// lets it.
+// slots returns how many requests an upstream runs at once, within the limit that it
+// advertises.
 func (w *Snapshot) slots(upstream *fleet.Upstream, service *httproute.Service) int {
 	if w.Named == nil {
 		return upstream.Slots
@@ -258,9 +260,10 @@
 	return kept
 }
 
-// unreportedTokens is how many prompt tokens the others have sent to an engine of the region, on the
-// average, since they were last heard. Where they went is not known: the same news makes
-// all of them choose alike. A random cost in proportion to it keeps them apart.
+// unreportedTokens returns how many prompt tokens the other instances have sent to an
+// engine of the region, on average, since their last reports. It is not known to which
+// engines they went: the same reports make all instances choose alike. A random cost in
+// proportion to the result spreads their choices.
 func (w *Snapshot) unreportedTokens(service string, engines int) float64 {
 	if engines == 0 {
 		return 0
@@ -269,7 +272,7 @@
 	return w.Flow.Of(service, w.Now) * float64(others) / float64(engines) * age.Seconds()
 }
 
-// fraction is a random number from 0 to 1 for one upstream and this decision.
+// fraction returns a random number from 0 to 1 for one upstream and this decision.
 func (w *Snapshot) fraction(upstream string) float64 {
 	return float64(member.Key("spread", upstream)*(w.Random|1)>>11) / (1 << 53)
 }
@@ -283,7 +286,8 @@
 	return false
 }
 
-// reported is the others' work at the upstreams, and their mean requests at one.
+// reported returns the reported work of other instances at the upstreams, and the mean of
+// their requests at one.
 func (w *Snapshot) reported(upstreams []*fleet.Upstream) (others []peer.Load, mean float64) {
 	others = make([]peer.Load, len(upstreams))
 	for i, upstream := range upstreams {
@@ -292,7 +296,7 @@
 	return others, meanInFlight(others)
 }
 
-// cost estimates what the request would cost at an engine.
+// cost sets what the request would cost at an engine.
 func (w *Snapshot) cost(req *Request, c *Candidate, shared *prefixLocation) {
 	beyond := max(0, c.InFlight+1-c.Upstream.Slots)
 	c.Uncached = max(0, req.PromptTokens-shared.held(c.Upstream))
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -17,7 +17,7 @@
 
 var now = time.Unix(1_000_000, 0)
 
-// loads is what an instance has in hand, by upstream.
+// loads holds an instance's own load by upstream.
 type loads map[string]limit.Load
 
 // Load implements steer.Local.
@@ -43,7 +43,7 @@
 	}
 }
 
-// longRequest is a request whose prompt has a shared part of 10,000 tokens.
+// longRequest returns a request with a shared segment of 10,000 tokens.
 func longRequest(segment string) *steer.Request {
 	return &steer.Request{
 		Route: prompt, Service: engine, PromptTokens: 12_000,
@@ -96,8 +96,8 @@
 	})
 }
 
-// TestIndependentInstancesHashASegmentToOneUpstream: the same part goes to the same
-// upstream, and parts spread over all.
+// TestIndependentInstancesHashASegmentToOneUpstream checks that the same segment goes to
+// the same upstream, and that segments spread over all upstreams.
 func TestIndependentInstancesHashASegmentToOneUpstream(t *testing.T) {
 	is := is.New(t)
 	var upstreams []fleet.Upstream
@@ -130,8 +130,8 @@
 	is.Equal(best.Source.ID, holder)
 }
 
-// TestUncachedSegmentGoesToItsHashedUpstream although there is work at its upstream: a
-// copy of what is only guessed to be there draws nothing away.
+// TestUncachedSegmentGoesToItsHashedUpstream although there is work at that upstream: the
+// prospect of copying from a holder that is only assumed must not draw requests away.
 func TestUncachedSegmentGoesToItsHashedUpstream(t *testing.T) {
 	is := is.New(t)
 	local := loads{}
@@ -152,15 +152,16 @@
 	is.True(used["u0"] > 100 && used["u1"] > 100)
 }
 
-// remoteRegion returns regions as Regions would find them.
+// remoteRegion returns a region as Regions returns it.
 func remoteRegion(region string, inFlight, slots, prefill int) steer.RemoteRegion {
 	return steer.RemoteRegion{Region: region, Upstreams: max(1, slots/4), Slots: slots, InFlight: inFlight, Prefill: prefill, Peers: []*peer.Known{{}}}
 }
 
-// TestPlainCallsSpillInProportionToExcessLoad: none as long as the region's slots are
-// not all taken, a share of them then, all but those that make both regions equal in the
-// end, and none to where there is no more room, or for a target that the way uses up. Many
-// instances that hear of each other late send calls away earlier than one that knows all.
+// TestPlainCallsSpillInProportionToExcessLoad: no call is forwarded while the region's
+// slots are not all taken, then a share of them, and at most as many as make both regions
+// equal. No call goes to a region without spare capacity, or is forwarded if the round trip
+// uses up the target. Many instances with old reports of each other forward calls earlier
+// than one that knows all.
 func TestPlainCallsSpillInProportionToExcessLoad(t *testing.T) {
 	is := is.New(t)
 	target := 500 * time.Millisecond
@@ -193,7 +194,7 @@
 	is.Equal(forwarded(6, idle)["south"], 0)
 }
 
-// TestIdleUpstreamsAreAllUsed: also where nothing is known of them.
+// TestIdleUpstreamsAreAllUsed, also without any reports on them.
 func TestIdleUpstreamsAreAllUsed(t *testing.T) {
 	w := newSnapshot(loads{}, upstream("u0", "api", "north"), upstream("u1", "api", "north"), upstream("u2", "api", "north"))
 	used := map[string]int{}
@@ -225,7 +226,8 @@
 	is.Equal(w.Choose(req, w.SurveyRegion(req), []steer.RemoteRegion{remoteRegion("south", 9, 4, 0), remoteRegion("west", 1, 4, 0)}).Region, "west")
 }
 
-// TestRegionsAreLiveUsableAndPermitted: live instances, usable upstreams, homes.
+// TestRegionsAreLiveUsableAndPermitted: regions need a live instance, a usable upstream and
+// permission by the route's homes.
 func TestRegionsAreLiveUsableAndPermitted(t *testing.T) {
 	is := is.New(t)
 	w := newSnapshot(loads{}, upstream("u1", "api", "south"), upstream("u2", "api", "west"), upstream("u3", "api", "east"))
@@ -291,7 +293,8 @@
 	is.Equal(callTimes.Of("api"), 80*time.Millisecond)
 }
 
-// TestPlacementsOfAFormerStartAreIgnored to the start that followed it.
+// TestPlacementsOfAFormerStartAreIgnored guards against requests that are drawn to a
+// restarted upstream by placements of its former start.
 func TestPlacementsOfAFormerStartAreIgnored(t *testing.T) {
 	is := is.New(t)
 	w := newSnapshot(loads{}, upstream("u@2", "llm", "north"))
