--- a/pkg/limit/rest.go
+++ b/pkg/limit/backoff.go
@@ -8,72 +8,72 @@
 
 // Bounds of the rest after a rejection.
 const (
-	// FirstRest follows a first rejection; each further one in a row doubles it.
-	FirstRest = 100 * time.Millisecond
-	// LongestRest is the longest that an upstream rests without having asked for it.
-	LongestRest = 2 * time.Second
+	// MinBackoff follows a first rejection; each further one in a row doubles it.
+	MinBackoff = 100 * time.Millisecond
+	// MaxBackoff is the longest that an upstream rests without having asked for it.
+	MaxBackoff = 2 * time.Second
 	// MaxRequestedBackoff bounds what an upstream asks for by Retry-After: one that names hours is
 	// tried again by then, and may name them again.
 	MaxRequestedBackoff = 10 * time.Minute
 	// maxDoublings keeps the shift small; it reaches LongestRest.
 	maxDoublings = 5
-	// retryGrain is the resolution of Retry-After: whole seconds, rounded up.
-	retryGrain = time.Second
+	// retryAfterResolution is the resolution of Retry-After: whole seconds, rounded up.
+	retryAfterResolution = time.Second
 )
 
-// rest keeps requests away from an upstream that has said that it is too busy, for
+// backoff keeps requests away from an upstream that has said that it is too busy, for
 // a short while, and no shorter than it asks for; one request, the probe, then finds out
 // whether it starts again. A good answer ends what was not asked for.
 // Unlike an ejection it may take all upstreams of a pool out of use, since it
-// follows the upstreams' own word. The zero value does not rest.
-type rest struct {
+// follows the upstreams' own word. The zero value does not backoff.
+type backoff struct {
 	mu sync.Mutex
 	// until is Unix nanoseconds; zero: not resting.
 	until   atomic.Int64
 	probing atomic.Bool
-	// asked is until when the upstream has asked to get nothing; nil: it has not. A time of the
+	// requested is until when the upstream has requested to get nothing; nil: it has not. A time of the
 	// steady clock, which the time of day's jumps do not move.
-	asked    atomic.Pointer[time.Time]
-	since    time.Time
-	rejected int
+	requested atomic.Pointer[time.Time]
+	since     time.Time
+	rejected  int
 }
 
-// left returns how long the upstream rests on; at least FirstRest while the probe
+// remaining returns how long the upstream rests on; at least FirstRest while the probe
 // is out, zero when it does not rest.
-func (r *rest) left(now func() time.Time) time.Duration {
-	return max(r.askedLeft(now), r.ownLeft(now))
+func (r *backoff) remaining(now func() time.Time) time.Duration {
+	return max(r.requestedRemaining(now), r.ownRemaining(now))
 }
 
-// ownLeft is left for the rest that follows rejections, whatever the upstream has asked for.
-func (r *rest) ownLeft(now func() time.Time) time.Duration {
+// ownRemaining is left for the rest that follows rejections, whatever the upstream has asked for.
+func (r *backoff) ownRemaining(now func() time.Time) time.Duration {
 	until := r.until.Load()
 	if until == 0 {
 		return 0
 	}
-	if left := time.Duration(until - now().UnixNano()); left > 0 {
-		return left
+	if wait := time.Duration(until - now().UnixNano()); wait > 0 {
+		return wait
 	}
 	if r.probing.Load() {
-		return FirstRest
+		return MinBackoff
 	}
 	return 0
 }
 
-// ask takes the upstream's word that it wants nothing for a while. Answers may overtake each
+// request takes the upstream's word that it wants nothing for a while. Answers may overtake each
 // other: the later end counts.
-func (r *rest) ask(now time.Time, period time.Duration) {
+func (r *backoff) request(now time.Time, period time.Duration) {
 	until := now.Add(min(period, MaxRequestedBackoff))
 	for {
-		known := r.asked.Load()
-		if (known != nil && !known.Before(until)) || r.asked.CompareAndSwap(known, &until) {
+		known := r.requested.Load()
+		if (known != nil && !known.Before(until)) || r.requested.CompareAndSwap(known, &until) {
 			return
 		}
 	}
 }
 
-// askedLeft returns for how long the upstream still wants nothing by its own word.
-func (r *rest) askedLeft(now func() time.Time) time.Duration {
-	until := r.asked.Load()
+// requestedRemaining returns for how long the upstream still wants nothing by its own word.
+func (r *backoff) requestedRemaining(now func() time.Time) time.Duration {
+	until := r.requested.Load()
 	if until == nil {
 		return 0
 	}
@@ -81,8 +81,8 @@
 }
 
 // begin claims the probe of an upstream whose rest is over; false while it rests.
-func (r *rest) begin(now func() time.Time) bool {
-	if r.askedLeft(now) > 0 {
+func (r *backoff) begin(now func() time.Time) bool {
+	if r.requestedRemaining(now) > 0 {
 		return false
 	}
 	until := r.until.Load()
@@ -95,25 +95,25 @@
 // reject begins a rest, or a longer one when the probe was rejected. Of requests
 // that were on their way together, only the first counts. Asked is the upstream's
 // Retry-After; zero for none.
-func (r *rest) reject(started, now time.Time, asked time.Duration) {
-	if asked > retryGrain {
-		r.ask(now, asked-retryGrain)
+func (r *backoff) reject(started, now time.Time, retryAfter time.Duration) {
+	if retryAfter > retryAfterResolution {
+		r.request(now, retryAfter-retryAfterResolution)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stale(started) {
 		return
 	}
-	period := FirstRest << min(r.rejected, maxDoublings)
+	period := MinBackoff << min(r.rejected, maxDoublings)
 	r.rejected++
 	r.since = now
-	r.until.Store(now.Add(min(LongestRest, period)).UnixNano())
+	r.until.Store(now.Add(min(MaxBackoff, period)).UnixNano())
 	r.probing.Store(false)
 }
 
 // end takes the end of a request, or the beginning of its answer, which was not a
 // rejection; recovered says that the upstream has started it.
-func (r *rest) end(started time.Time, recovered bool) {
+func (r *backoff) end(started time.Time, recovered bool) {
 	if r.until.Load() == 0 {
 		return
 	}
@@ -131,6 +131,6 @@
 
 // stale is true of a request that began before the rest: it says nothing of how
 // the upstream is since.
-func (r *rest) stale(started time.Time) bool {
+func (r *backoff) stale(started time.Time) bool {
 	return r.until.Load() != 0 && !started.After(r.since)
 }
--- a/pkg/limit/departures.go
+++ b/pkg/limit/departures.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// mostDepartures bounds the upstreams that are remembered, those that have ended included;
+// maxDepartures bounds the upstreams that are remembered, those that have ended included;
 // each costs about 150 bytes. The ones that were learned first are forgotten first.
-const mostDepartures = 4096
+const maxDepartures = 4096
 
-// departureKept is for how long a start that is gone from the platform's store is remembered: its
+// departureRetention is for how long a start that is gone from the platform's store is remembered: its
 // entry may come back with a copy of the store that is some seconds old.
-const departureKept = time.Minute
+const departureRetention = time.Minute
 
 // Departures holds the upstreams that have said themselves that they leave. An upstream is one
 // start of a server, which does not come back from leaving, so that no other source can take
@@ -25,7 +25,7 @@
 }
 
 // departure is when an upstream's word was learned, and when the upstream was last there.
-type departure struct{ learned, there time.Time }
+type departure struct{ learned, lastSeen time.Time }
 
 // NewDepartures returns departures of which none is known.
 func NewDepartures(now func() time.Time) *Departures {
@@ -44,7 +44,7 @@
 }
 
 // Learn takes an upstream's word that it leaves, and says whether that is news.
-func (d *Departures) Learn(upstream string) (news bool) {
+func (d *Departures) Learn(upstream string) (isNew bool) {
 	if d.Leaving(upstream) {
 		return false
 	}
@@ -55,30 +55,30 @@
 		return false
 	}
 	next := maps.Clone(known)
-	if len(next) >= mostDepartures {
-		delete(next, first(next))
+	if len(next) >= maxDepartures {
+		delete(next, oldest(next))
 	}
 	now := d.now()
-	next[upstream] = departure{learned: now, there: now}
+	next[upstream] = departure{learned: now, lastSeen: now}
 	d.byID.Store(&next)
 	return true
 }
 
 // Told returns what to tell other instances now, of the upstreams that are still there: what was
 // learned lately, and each of the others from time to time.
-func (d *Departures) Told(there func(upstream string) bool) []string {
+func (d *Departures) Told(exists func(upstream string) bool) []string {
 	now := d.now()
-	var told []string
+	var published []string
 	for upstream, known := range *d.byID.Load() {
-		if (now.Sub(known.learned) < freshFor || isTurn(upstream, now)) && there(upstream) {
-			told = append(told, upstream)
+		if (now.Sub(known.learned) < publishChangeFor || isPublishTurn(upstream, now)) && exists(upstream) {
+			published = append(published, upstream)
 		}
 	}
-	return told
+	return published
 }
 
 // Sweep forgets the upstreams that have been gone for long.
-func (d *Departures) Sweep(there func(upstream string) bool) {
+func (d *Departures) Sweep(exists func(upstream string) bool) {
 	if !d.Any() {
 		return
 	}
@@ -88,18 +88,18 @@
 	next := maps.Clone(*d.byID.Load())
 	for upstream, known := range next {
 		switch {
-		case there(upstream):
-			known.there = now
+		case exists(upstream):
+			known.lastSeen = now
 			next[upstream] = known
-		case now.Sub(known.there) > departureKept:
+		case now.Sub(known.lastSeen) > departureRetention:
 			delete(next, upstream)
 		}
 	}
 	d.byID.Store(&next)
 }
 
-// first returns the upstream that was learned first.
-func first(known map[string]departure) string {
+// oldest returns the upstream that was learned oldest.
+func oldest(known map[string]departure) string {
 	found := ""
 	for upstream, each := range known {
 		if found == "" || each.learned.Before(known[found].learned) {
--- a/pkg/limit/departures_test.go
+++ b/pkg/limit/departures_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestADepartureIsNewsOnce guards against a word that is logged and told with every answer.
-func TestADepartureIsNewsOnce(t *testing.T) {
+// TestDepartureIsNewOnce guards against a word that is logged and told with every answer.
+func TestDepartureIsNewOnce(t *testing.T) {
 	is := is.New(t)
 	departures := NewDepartures(time.Now)
 	is.True(!departures.Leaving("a"))
@@ -24,38 +24,38 @@
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	departures := NewDepartures(func() time.Time { now = now.Add(time.Second); return now })
-	for i := range mostDepartures + 10 {
+	for i := range maxDepartures + 10 {
 		departures.Learn(fmt.Sprint(i))
 	}
-	is.Equal(len(*departures.byID.Load()), mostDepartures)
+	is.Equal(len(*departures.byID.Load()), maxDepartures)
 	is.True(!departures.Leaving("9"))
 	is.True(departures.Leaving("10"))
 }
 
-// TestDeparturesOfUpstreamsThatAreGoneAreForgotten guards against messages that take longer to make
+// TestDeparturesOfDeletedUpstreamsExpire guards against messages that take longer to make
 // with every upstream that ever left, and against one that is forgotten while it may come back with
 // an old copy of the store.
-func TestDeparturesOfUpstreamsThatAreGoneAreForgotten(t *testing.T) {
+func TestDeparturesOfDeletedUpstreamsExpire(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	departures := NewDepartures(func() time.Time { return now })
 	gone := map[string]bool{}
-	there := func(upstream string) bool { return !gone[upstream] }
+	exists := func(upstream string) bool { return !gone[upstream] }
 	departures.Learn("a")
 	departures.Learn("b")
 	for range 300 {
 		now = now.Add(time.Second)
-		departures.Sweep(there)
+		departures.Sweep(exists)
 	}
 	is.True(departures.Leaving("a") && departures.Leaving("b"))
 	gone["a"] = true
 	for range 59 {
 		now = now.Add(time.Second)
-		departures.Sweep(there)
+		departures.Sweep(exists)
 	}
 	is.True(departures.Leaving("a"))
 	now = now.Add(2 * time.Second)
-	departures.Sweep(there)
+	departures.Sweep(exists)
 	is.True(!departures.Leaving("a"))
 	is.True(departures.Leaving("b"))
 }
--- a/pkg/limit/eject.go
+++ b/pkg/limit/eject.go
@@ -19,11 +19,11 @@
 	outlierRatio = 5.0
 	// outlierSamples is how many answers that judgement needs.
 	outlierSamples = 10
-	// maxEjectedPart is the largest part of a pool that may be ejected at once.
-	maxEjectedPart = 0.5
-	// firstEjection and longestEjection bound the time until the next probe.
-	firstEjection   = 2 * time.Second
-	longestEjection = 30 * time.Second
+	// maxEjectedShare is the largest part of a pool that may be ejected at once.
+	maxEjectedShare = 0.5
+	// minEjection and longestEjection bound the time until the next probe.
+	minEjection = 2 * time.Second
+	maxEjection = 30 * time.Second
 )
 
 // Ejector takes upstreams that fail, or answer far later than their pool, out of
@@ -50,7 +50,7 @@
 	Lateness float64
 }
 
-func (e *Ejector) tell(change Ejection) {
+func (e *Ejector) notify(change Ejection) {
 	if e.Changed != nil {
 		e.Changed(change)
 	}
@@ -136,11 +136,11 @@
 	case Succeeded:
 		h.failures = 0
 		if h.restore() {
-			e.tell(Ejection{Upstream: upstream})
+			e.notify(Ejection{Upstream: upstream})
 		}
 	case Failed:
 		h.failures++
-		e.judgeFailures(upstream, h)
+		e.evaluateFailures(upstream, h)
 	case Rejected, Abandoned:
 	}
 	h.probing.Store(false)
@@ -158,7 +158,7 @@
 	return true
 }
 
-func (e *Ejector) judgeFailures(upstream string, h *health) {
+func (e *Ejector) evaluateFailures(upstream string, h *health) {
 	if h.ejectedUntil.Load() != 0 || h.failures >= failuresToEject {
 		e.eject(upstream, h)
 	}
@@ -202,11 +202,11 @@
 	if h.ejectedUntil.Load() == 0 && !e.mayEject(h.pool) {
 		return
 	}
-	period := min(longestEjection, firstEjection<<min(h.ejections, 4))
+	period := min(maxEjection, minEjection<<min(h.ejections, 4))
 	h.ejections++
 	h.ejectedAt = e.clock.Now()
 	h.ejectedUntil.Store(h.ejectedAt.Add(period).UnixNano())
-	e.tell(Ejection{Upstream: upstream, For: period, Failures: h.failures, Lateness: h.lateness.value()})
+	e.notify(Ejection{Upstream: upstream, For: period, Failures: h.failures, Lateness: h.lateness.value()})
 }
 
 func (e *Ejector) mayEject(pool string) bool {
@@ -220,5 +220,5 @@
 			ejected++
 		}
 	}
-	return float64(ejected+1) <= maxEjectedPart*float64(size)
+	return float64(ejected+1) <= maxEjectedShare*float64(size)
 }
--- a/pkg/limit/flight.go
+++ b/pkg/limit/flight.go
@@ -42,7 +42,7 @@
 func (f *Flight) FirstByte() {
 	f.first.Do(func() {
 		f.entry.prefill.Add(-int64(f.prompt))
-		f.entry.rest.end(f.started, true)
+		f.entry.backoff.end(f.started, true)
 		waited := f.tracker.clock.Now().Sub(f.started)
 		ratio := f.ratio(waited)
 		f.entry.adaptive.observe(ratio, int(f.entry.share.Load()))
@@ -71,9 +71,9 @@
 		}
 		f.entry.adaptive.finish(result, int(f.entry.share.Load()))
 		if result == Rejected {
-			f.entry.rest.reject(f.started, now, retryAfter)
+			f.entry.backoff.reject(f.started, now, retryAfter)
 		} else {
-			f.entry.rest.end(f.started, result == Succeeded)
+			f.entry.backoff.end(f.started, result == Succeeded)
 		}
 		if f.tracker.ejector != nil {
 			f.tracker.ejector.finish(f.upstream, result, f.started)
--- a/pkg/limit/named.go
+++ b/pkg/limit/named.go
@@ -27,32 +27,32 @@
 
 // Parameters of shares of a named limit.
 const (
-	// leastShare, in requests a second, is the smallest part that an instance gets of a limit.
+	// minShare, in requests a second, is the smallest part that an instance gets of a limit.
 	// Below it so many requests would be saved up, one at each instance, that all instances
 	// together could send them in a moment.
-	leastShare = 1.0
-	// leastRate, in requests a second, is what an upstream gets that takes less: without any
+	minShare = 1.0
+	// minRate, in requests a second, is what an upstream gets that takes less: without any
 	// request nobody would hear when it takes more.
-	leastRate = 0.25
-	// savedFor is for how long an instance's share may be saved up; at least one request is.
-	savedFor = 500 * time.Millisecond
+	minRate = 0.25
+	// burstWindow is for how long an instance's share may be saved up; at least one request is.
+	burstWindow = 500 * time.Millisecond
 	// staleAfter is how long an upstream may be silent before instances that have no part try
 	// it as well, and how long the turn of each of them lasts.
 	staleAfter = 5 * time.Second
-	// freshFor is for how long a change is told in each message, and tellEvery how often an
+	// publishChangeFor is for how long a change is told in each message, and tellEvery how often an
 	// unchanged limit is told, for a round and a half (tellFor).
-	freshFor  = time.Second
-	tellEvery = 3 * time.Second
-	tellFor   = 150 * time.Millisecond
-	// sameTime is by how much news must be newer to be news: what goes from hand to hand ages
+	publishChangeFor = time.Second
+	publishInterval  = 3 * time.Second
+	publishWindow    = 150 * time.Millisecond
+	// minNewer is by how much news must be newer to be news: what goes from hand to hand ages
 	// by the ways, which nobody measures.
-	sameTime = 50 * time.Millisecond
+	minNewer = 50 * time.Millisecond
 )
 
 // Senders is how many of a region's instances send to an upstream that takes so many requests
 // a second.
 func Senders(perSecond float64, instances int) int {
-	return min(max(1, int(perSecond/leastShare)), max(1, instances))
+	return min(max(1, int(perSecond/minShare)), max(1, instances))
 }
 
 // SenderRank is one instance's place among those that send to an upstream.
@@ -74,12 +74,12 @@
 
 type namedLimit struct {
 	Named
-	// heard is when the upstream last named a limit, or answered without one; changed is when
+	// reportedAt is when the upstream last named a limit, or answered without one; changed is when
 	// this instance learned that it is another.
-	heard, changed time.Time
+	reportedAt, changed time.Time
 	// tokens is what this instance may send at once, as of filled.
-	tokens float64
-	filled time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
 // NewNamedLimits returns limits of which none is known.
@@ -90,52 +90,52 @@
 // Answered takes what an answer says of its upstream's limit, and whether that is news. One
 // without a limit ends the limit that was known only if its request was sent after that was
 // last named: answers may overtake each other.
-func (n *NamedLimits) Answered(upstream string, said Named, sent time.Time) (changed bool) {
-	if !said.Limited && n.size.Load() == 0 {
+func (n *NamedLimits) Answered(upstream string, advertised Named, sent time.Time) (changed bool) {
+	if !advertised.Limited && n.size.Load() == 0 {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	known := n.byID[upstream]
-	if !said.Limited && (known == nil || sent.Before(known.heard)) {
+	if !advertised.Limited && (known == nil || sent.Before(known.reportedAt)) {
 		return false
 	}
-	return n.set(upstream, said, n.now())
+	return n.set(upstream, advertised, n.now())
 }
 
 // Learn takes what another instance tells, and says whether that is news.
-func (n *NamedLimits) Learn(told ToldLimit) (changed bool) {
+func (n *NamedLimits) Learn(report ToldLimit) (changed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	at := n.now().Add(-told.Age)
-	known := n.byID[told.Upstream]
-	if known == nil && !told.Named.Limited {
+	at := n.now().Add(-report.Age)
+	known := n.byID[report.Upstream]
+	if known == nil && !report.Named.Limited {
 		return false
 	}
-	if known != nil && at.Sub(known.heard) < sameTime {
+	if known != nil && at.Sub(known.reportedAt) < minNewer {
 		return false
 	}
-	return n.set(told.Upstream, told.Named, at)
+	return n.set(report.Upstream, report.Named, at)
 }
 
 // set notes what an upstream said at a time. The caller holds n.mu.
-func (n *NamedLimits) set(upstream string, said Named, at time.Time) (changed bool) {
+func (n *NamedLimits) set(upstream string, advertised Named, at time.Time) (changed bool) {
 	now := n.now()
 	known := n.byID[upstream]
 	if known == nil {
-		known = &namedLimit{filled: now}
+		known = &namedLimit{refilledAt: now}
 		n.byID[upstream] = known
 		n.size.Store(int64(len(n.byID)))
 	}
-	changed = known.Named != said
+	changed = known.Named != advertised
 	if changed {
 		known.changed = now
 	}
-	if said.Limited && !known.Limited {
+	if advertised.Limited && !known.Limited {
 		// Nothing is saved up from before.
-		known.tokens, known.filled = 0, now
+		known.tokens, known.refilledAt = 0, now
 	}
-	known.Named, known.heard = said, at
+	known.Named, known.reportedAt = advertised, at
 	return changed
 }
 
@@ -196,18 +196,18 @@
 // fill adds what has come in since it was last asked, and returns this instance's part of
 // the limit, in requests a second.
 func (k *namedLimit) fill(part SenderRank, now time.Time) float64 {
-	total := max(leastRate, k.PerSecond)
+	total := max(minRate, k.PerSecond)
 	senders := Senders(total, part.Instances)
 	rate := 0.0
 	if k.sends(part, senders, now) {
 		rate = total / float64(senders)
 	}
-	k.tokens = min(k.tokens+rate*max(0, now.Sub(k.filled).Seconds()), max(1, rate*savedFor.Seconds()))
+	k.tokens = min(k.tokens+rate*max(0, now.Sub(k.refilledAt).Seconds()), max(1, rate*burstWindow.Seconds()))
 	if rate == 0 {
 		// One that becomes a sender has nothing saved up.
 		k.tokens = 0
 	}
-	k.filled = now
+	k.refilledAt = now
 	return rate
 }
 
@@ -217,7 +217,7 @@
 	if part.Place < senders {
 		return true
 	}
-	turn := int(now.Sub(k.heard) / staleAfter)
+	turn := int(now.Sub(k.reportedAt) / staleAfter)
 	place := (part.Place - turn*senders) % max(1, part.Instances)
 	if place < 0 {
 		place += part.Instances
@@ -234,19 +234,19 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	var told []ToldLimit
+	var reports []ToldLimit
 	for upstream, known := range n.byID {
-		if now.Sub(known.changed) < freshFor || (known.Limited && isTurn(upstream, now)) {
-			told = append(told, ToldLimit{Upstream: upstream, Named: known.Named, Age: now.Sub(known.heard)})
+		if now.Sub(known.changed) < publishChangeFor || (known.Limited && isPublishTurn(upstream, now)) {
+			reports = append(reports, ToldLimit{Upstream: upstream, Named: known.Named, Age: now.Sub(known.reportedAt)})
 		}
 	}
-	return told
+	return reports
 }
 
-// isTurn spreads the upstreams over the time in which each is told once.
-func isTurn(upstream string, now time.Time) bool {
-	phase := time.Duration(xxhash.Sum64String(upstream) % uint64(tellEvery))
-	return time.Duration(now.UnixNano()+int64(phase))%tellEvery < tellFor
+// isPublishTurn spreads the upstreams over the time in which each is told once.
+func isPublishTurn(upstream string, now time.Time) bool {
+	phase := time.Duration(xxhash.Sum64String(upstream) % uint64(publishInterval))
+	return time.Duration(now.UnixNano()+int64(phase))%publishInterval < publishWindow
 }
 
 // Forget drops what is known of an upstream that is gone.
--- a/pkg/limit/named_test.go
+++ b/pkg/limit/named_test.go
@@ -9,9 +9,9 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// TestALimitLastsUntilALaterAnswerHasNone guards against an answer that was under way when
+// TestLimitLastsUntilALaterAnswerOmitsIt guards against an answer that was under way when
 // its upstream named a limit, and ends it.
-func TestALimitLastsUntilALaterAnswerHasNone(t *testing.T) {
+func TestLimitLastsUntilALaterAnswerOmitsIt(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
 	named := limit.NewNamedLimits(func() time.Time { return now })
@@ -31,9 +31,9 @@
 	is.Equal(named.Of("u"), limit.Named{})
 }
 
-// TestPartsOfALimitAddUpToIt guards against instances that save up a request each, and against
+// TestSharesOfALimitAddUpToIt guards against instances that save up a request each, and against
 // a limit that is not used.
-func TestPartsOfALimitAddUpToIt(t *testing.T) {
+func TestSharesOfALimitAddUpToIt(t *testing.T) {
 	for _, instances := range []int{1, 3, 7, 85, 300} {
 		for _, perSecond := range []float64{0, 0.4, 1, 2.5, 40, 700} {
 			is := is.New(t)
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestWhatNobodyHearsIsTriedAgain guards against an upstream that nobody sends to any more, as
+// TestStaleLimitIsProbedByFurtherInstances guards against an upstream that nobody sends to any more, as
 // those with a part of its limit have no requests.
-func TestWhatNobodyHearsIsTriedAgain(t *testing.T) {
+func TestStaleLimitIsProbedByFurtherInstances(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
 	named := limit.NewNamedLimits(func() time.Time { return now })
@@ -95,23 +95,23 @@
 	is.True(tries >= 4 && tries <= 10)
 }
 
-// TestLimitsGoFromHandToHand guards against news that go round for ever, that are lost, or that
+// TestLimitsSpreadByGossip guards against news that go round for ever, that are lost, or that
 // take the place of newer ones.
-func TestLimitsGoFromHandToHand(t *testing.T) {
+func TestLimitsSpreadByGossip(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
 	clock := func() time.Time { return now }
 	a, b := limit.NewNamedLimits(clock), limit.NewNamedLimits(clock)
 	a.Answered("u", limit.Named{PerSecond: 2, Limited: true}, now)
-	told := a.Told()
-	is.Equal(len(told), 1)
-	is.True(b.Learn(told[0]))
-	is.True(!b.Learn(told[0]))
+	reports := a.Told()
+	is.Equal(len(reports), 1)
+	is.True(b.Learn(reports[0]))
+	is.True(!b.Learn(reports[0]))
 	now = now.Add(2 * time.Second)
 	a.Answered("u", limit.Named{PerSecond: 5, Limited: true}, now)
 	old := b.Told()
-	for _, told := range old {
-		is.True(!a.Learn(told)) // older than what it knows
+	for _, report := range old {
+		is.True(!a.Learn(report)) // older than what it knows
 	}
 	is.True(b.Learn(a.Told()[0]))
 	is.Equal(b.Of("u").PerSecond, 5.0)
--- a/pkg/limit/shares.go
+++ b/pkg/limit/shares.go
@@ -65,9 +65,9 @@
 	return int(quotas[own])
 }
 
-// evenPart is the part of a limit that is split without regard to demand, so that
+// evenShare is the part of a limit that is split without regard to demand, so that
 // a gateway whose demand is not known yet can start at once.
-const evenPart = 0.5
+const evenShare = 0.5
 
 func quotas(total int, demands []Demand) []float64 {
 	sum := 0
@@ -82,7 +82,7 @@
 			continue
 		}
 		weighted := float64(total) * float64(max(0, demand.Weight)) / float64(sum)
-		quotas[i] = evenPart*even + (1-evenPart)*weighted
+		quotas[i] = evenShare*even + (1-evenShare)*weighted
 	}
 	return quotas
 }
--- a/pkg/limit/shares_test.go
+++ b/pkg/limit/shares_test.go
@@ -37,13 +37,13 @@
 }
 
 // One gateway's part, which is worked out alone, is its part of the whole split.
-func TestShareIsItsPartOfShares(t *testing.T) {
+func TestShareMatchesShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := drawDemands(t)
 		total := rapid.IntRange(0, 64).Draw(t, "total")
-		for i, part := range limit.Shares("u-1", total, demands) {
-			if own := limit.Share("u-1", total, demands[i].Name, demands); own != part {
-				t.Fatalf("%s has %d alone and %d in the whole", demands[i].Name, own, part)
+		for i, share := range limit.Shares("u-1", total, demands) {
+			if own := limit.Share("u-1", total, demands[i].Name, demands); own != share {
+				t.Fatalf("%s has %d alone and %d in the whole", demands[i].Name, own, share)
 			}
 		}
 	})
--- a/pkg/limit/tracker.go
+++ b/pkg/limit/tracker.go
@@ -45,7 +45,7 @@
 	share    atomic.Int64
 	holding  average
 	adaptive adaptive
-	rest     rest
+	backoff  backoff
 }
 
 // NewTracker returns a Tracker that asks ejector, if not nil, before each start.
@@ -75,14 +75,14 @@
 		Limit:            e.limit(),
 		Holding:          e.holding.duration(),
 		Ejected:          t.ejected(upstream),
-		Backoff:          e.rest.left(t.clock.Now),
-		RequestedBackoff: e.rest.askedLeft(t.clock.Now),
+		Backoff:          e.backoff.remaining(t.clock.Now),
+		RequestedBackoff: e.backoff.requestedRemaining(t.clock.Now),
 	}
 }
 
 // RequestBackoff takes an upstream's word that it wants nothing from this gateway for a while.
 func (t *Tracker) RequestBackoff(upstream string, period time.Duration) {
-	t.entry(upstream).rest.ask(t.clock.Now(), period)
+	t.entry(upstream).backoff.request(t.clock.Now(), period)
 }
 
 // RequestedBackoff returns for how long an upstream still wants nothing by its own word.
@@ -91,7 +91,7 @@
 	if e == nil {
 		return 0
 	}
-	return e.rest.askedLeft(t.clock.Now)
+	return e.backoff.requestedRemaining(t.clock.Now)
 }
 
 // Snapshot returns the in-flight requests by upstream, without upstreams that have
@@ -115,12 +115,12 @@
 		e.inFlight.Add(-1)
 		return nil, false
 	}
-	if !e.rest.begin(t.clock.Now) {
+	if !e.backoff.begin(t.clock.Now) {
 		e.inFlight.Add(-1)
 		return nil, false
 	}
 	if t.ejector != nil && !t.ejector.begin(upstream) {
-		e.rest.probing.Store(false)
+		e.backoff.probing.Store(false)
 		e.inFlight.Add(-1)
 		return nil, false
 	}
--- a/pkg/limit/tracker_test.go
+++ b/pkg/limit/tracker_test.go
@@ -12,7 +12,7 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-func TestTrackerHoldsTheShare(t *testing.T) {
+func TestTrackerEnforcesTheShare(t *testing.T) {
 	is := is.New(t)
 	tracker := limit.NewTracker(clock.System{}, nil)
 	tracker.SetShares(map[string]int{"u": 2})
@@ -107,7 +107,7 @@
 
 // An upstream rests after a rejection, longer after each in a row, with one probe
 // after each rest; rejections of requests that were on their way together count once.
-func TestRejectedUpstreamRests(t *testing.T) {
+func TestRejectedUpstreamBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tracker := limit.NewTracker(clock.System{}, nil)
@@ -121,19 +121,19 @@
 		time.Sleep(time.Millisecond)
 		first.Reject(time.Second) // whole seconds, rounded up: may mean at once
 		second.Reject(0)
-		is.Equal(tracker.Load("u").Backoff, limit.FirstRest)
-		for _, rest := range []time.Duration{1, 2, 4, 8, 16, 20, 20} {
-			rest *= limit.FirstRest
-			is.Equal(tracker.Load("u").Backoff, rest)
+		is.Equal(tracker.Load("u").Backoff, limit.MinBackoff)
+		for _, backoff := range []time.Duration{1, 2, 4, 8, 16, 20, 20} {
+			backoff *= limit.MinBackoff
+			is.Equal(tracker.Load("u").Backoff, backoff)
 			start(false)
-			time.Sleep(rest)
+			time.Sleep(backoff)
 			is.Equal(tracker.Load("u").Backoff, time.Duration(0))
 			probe := start(true)
-			is.Equal(tracker.Load("u").Backoff, limit.FirstRest) // one probe alone
+			is.Equal(tracker.Load("u").Backoff, limit.MinBackoff) // one probe alone
 			start(false)
 			probe.Reject(0)
 		}
-		time.Sleep(limit.LongestRest)
+		time.Sleep(limit.MaxBackoff)
 		start(true).Done(limit.Abandoned) // says nothing: the next one probes
 		start(true).FirstByte()
 		start(true).Reject(time.Minute)
@@ -193,7 +193,7 @@
 }
 
 // Retries stay under a tenth of the requests however many fail.
-func TestRetriesAmplifyLittle(t *testing.T) {
+func TestRetryBudgetLimitsAmplification(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var budget limit.RetryBudget
 		failing := rapid.IntRange(0, 100).Draw(t, "percent failing")
@@ -215,17 +215,17 @@
 	})
 }
 
-// TestAnAskedRestIsKept guards against a rest that ends with a good answer of a request that was
+// TestRequestedBackoffIsHonoured guards against a rest that ends with a good answer of a request that was
 // on its way, with a later answer that asks for less, or sooner than it was asked for.
-func TestAnAskedRestIsKept(t *testing.T) {
+func TestRequestedBackoffIsHonoured(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tracker := limit.NewTracker(clock.System{}, nil)
 		good, _ := tracker.Start("u", 0, 0)
-		away, _ := tracker.Start("u", 0, 0)
+		rejected, _ := tracker.Start("u", 0, 0)
 		time.Sleep(time.Millisecond)
 		tracker.RequestBackoff("u", time.Minute)
-		away.Done(limit.Rejected)
+		rejected.Done(limit.Rejected)
 		tracker.RequestBackoff("u", time.Second)
 		good.FirstByte()
 		good.Done(limit.Succeeded)
--- a/pkg/limit/window.go
+++ b/pkg/limit/window.go
@@ -26,9 +26,9 @@
 
 type retryCounts struct{ requests, repeats window }
 
-// retryPart of the allowance is used: requests of one window are counted by others
+// retryMargin of the allowance is used: requests of one window are counted by others
 // in a window that begins a little earlier or later.
-const retryPart = 0.8
+const retryMargin = 0.8
 
 // NewRetryShares returns shares that have counted nothing.
 func NewRetryShares(ratio, slack float64, length time.Duration, now func() time.Time) *RetryShares {
@@ -75,7 +75,7 @@
 
 // allowed is how many repeats of a window may come from one of so many instances.
 func (s *RetryShares) allowed(counts *retryCounts, now time.Time, instances int) float64 {
-	return retryPart * (s.Ratio*float64(counts.requests.sum(now, s.Window)) + s.Slack/float64(max(1, instances)))
+	return retryMargin * (s.Ratio*float64(counts.requests.sum(now, s.Window)) + s.Slack/float64(max(1, instances)))
 }
 
 // window counts events over a sliding time in windowSteps steps. What is counted is
@@ -123,8 +123,8 @@
 // requests may differ in the time of their way.
 const ColdWindow = 1100 * time.Millisecond
 
-// coldKept is how many upstreams' counts are kept before old ones are dropped.
-const coldKept = 256
+// maxColdUpstreams is how many upstreams' counts are kept before old ones are dropped.
+const maxColdUpstreams = 256
 
 // NewColdShares returns shares that have counted nothing.
 func NewColdShares(now func() time.Time) *ColdShares {
@@ -157,7 +157,7 @@
 }
 
 func (s *ColdShares) shrink() {
-	if len(s.byName) < coldKept {
+	if len(s.byName) < maxColdUpstreams {
 		return
 	}
 	now := s.now()
--- a/pkg/limit/window_test.go
+++ b/pkg/limit/window_test.go
@@ -10,20 +10,20 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// hand is a clock that a test moves.
-type hand struct{ at time.Time }
+// manualClock is a clock that a test moves.
+type manualClock struct{ at time.Time }
 
-func newHand() *hand { return &hand{at: time.Unix(1_000_000, 0)} }
+func newManualClock() *manualClock { return &manualClock{at: time.Unix(1_000_000, 0)} }
 
-func (h *hand) now() time.Time { return h.at }
+func (h *manualClock) now() time.Time { return h.at }
 
-// TestColdSharesStayWithinTheWhole sends requests through several instances in any
+// TestColdSharesStayWithinTheTotal sends requests through several instances in any
 // order and at any pace: in no second does the upstream get more than it bears.
-func TestColdSharesStayWithinTheWhole(t *testing.T) {
+func TestColdSharesStayWithinTheTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.IntRange(1, 5).Draw(t, "instances")
 		perSecond := rapid.Float64Range(1, 40).Draw(t, "per second")
-		clock := newHand()
+		clock := newManualClock()
 		shares := make([]*limit.ColdShares, instances)
 		for i := range shares {
 			shares[i] = limit.NewColdShares(clock.now)
@@ -51,12 +51,12 @@
 	})
 }
 
-// TestRetrySharesStayWithinTheWhole does the same for repeats over their window.
-func TestRetrySharesStayWithinTheWhole(t *testing.T) {
+// TestRetrySharesStayWithinTheTotal does the same for repeats over their window.
+func TestRetrySharesStayWithinTheTotal(t *testing.T) {
 	const ratio, slack, window = 0.2, 54.0, 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.IntRange(1, 8).Draw(t, "instances")
-		clock := newHand()
+		clock := newManualClock()
 		shares := make([]*limit.RetryShares, instances)
 		for i := range shares {
 			shares[i] = limit.NewRetryShares(ratio, slack, window, clock.now)
@@ -99,9 +99,9 @@
 	return n
 }
 
-func TestAnInstanceAloneHasTheWholeShare(t *testing.T) {
+func TestSingleInstanceHasTheWholeShare(t *testing.T) {
 	is := is.New(t)
-	shares := limit.NewColdShares(newHand().now)
+	shares := limit.NewColdShares(newManualClock().now)
 	for range 17 {
 		is.True(shares.Left("u", 17.5, 1))
 		shares.Sent("u")
