--- a/pkg/limit/adaptive.go
+++ b/pkg/limit/adaptive.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Parameters of the adaptive bound.
+// Parameters of the adaptive concurrency limit.
 const (
 	// decrease is applied when an upstream rejects or fails a request.
 	decrease = 0.7
-	// gradientDecrease is applied to each answer that begins late, while answers
-	// have of late begun at more than lateRatio times their predicted time.
+	// gradientDecrease is applied to each answer that begins late, while answers have
+	// recently begun at more than lateRatio times their predicted time.
 	gradientDecrease = 0.95
 	lateRatio        = 3.0
-	// minAdaptive is the least bound, so that the upstream goes on being tried.
+	// minAdaptive is the least bound, so that the upstream continues to get requests.
 	minAdaptive = 1.0
 )
 
@@ -36,7 +36,7 @@
 	return min(share, int(math.Float64frombits(bits)))
 }
 
-// observe takes the ratio of measured to predicted time of a first byte.
+// observe records the ratio of the measured to the predicted time to the first byte.
 func (a *adaptive) observe(ratio float64, share int) {
 	if ratio <= 0 {
 		return
@@ -50,7 +50,7 @@
 	}
 }
 
-// finish takes the end of a request; share is where growth stops.
+// finish records the end of a request; growth stops at share.
 func (a *adaptive) finish(result Result, share int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// start sets the bound to the share at the first sign of trouble.
+// start sets the bound to the share at the first failure, rejection or late answer.
 func (a *adaptive) start(share int) {
 	if a.bound.Load() == 0 && share < Unlimited {
 		a.store(max(minAdaptive, float64(share)))
@@ -78,8 +78,8 @@
 	a.store(max(minAdaptive, a.load()*factor))
 }
 
-// grow adds one to the bound for each bound-ful of successes, and lifts the
-// bound once it has reached the share.
+// grow adds one to the bound for each bound-ful of successes, and removes the bound once it
+// has reached the share.
 func (a *adaptive) grow(share int) {
 	if a.bound.Load() == 0 {
 		return
--- a/pkg/limit/backoff.go
+++ b/pkg/limit/backoff.go
@@ -6,45 +6,46 @@
 	"time"
 )
 
-// Bounds of the rest after a rejection.
+// Bounds of the backoff after a rejection.
 const (
 	// MinBackoff follows a first rejection; each further one in a row doubles it.
 	MinBackoff = 100 * time.Millisecond
-	// MaxBackoff is the longest that an upstream rests without having asked for it.
+	// MaxBackoff is the longest backoff that the upstream has not requested.
 	MaxBackoff = 2 * time.Second
-	// MaxRequestedBackoff bounds what an upstream asks for by Retry-After: one that names hours is
-	// tried again by then, and may name them again.
+	// MaxRequestedBackoff bounds the backoff requested by Retry-After: an upstream that
+	// requests hours is tried again by then, and may request them again.
 	MaxRequestedBackoff = 10 * time.Minute
-	// maxDoublings keeps the shift small; it reaches LongestRest.
+	// maxDoublings keeps the shift small; it reaches MaxBackoff.
 	maxDoublings = 5
 	// retryAfterResolution is the resolution of Retry-After: whole seconds, rounded up.
 	retryAfterResolution = time.Second
 )
 
-// backoff keeps requests away from an upstream that has said that it is too busy, for
-// a short while, and no shorter than it asks for; one request, the probe, then finds out
-// whether it starts again. A good answer ends what was not asked for.
-// Unlike an ejection it may take all upstreams of a pool out of use, since it
-// follows the upstreams' own word. The zero value does not backoff.
+// backoff withholds requests from an upstream that has reported overload, for a short time
+// and at least as long as the upstream requests. Then one request, the probe, finds out
+// whether the upstream starts requests again. A success ends a backoff that was not
+// requested. Unlike an ejection it may exclude all upstreams of a pool, since the upstreams
+// themselves reported overload. The zero value is not backing off.
 type backoff struct {
 	mu sync.Mutex
-	// until is Unix nanoseconds; zero: not resting.
+	// until is in Unix nanoseconds; zero if not backing off.
 	until   atomic.Int64
 	probing atomic.Bool
-	// requested is until when the upstream has requested to get nothing; nil: it has not. A time of the
-	// steady clock, which the time of day's jumps do not move.
+	// requested is the end of the backoff that the upstream requested; nil if it requested
+	// none. It is a monotonic time, so that wall clock jumps do not move it.
 	requested atomic.Pointer[time.Time]
 	since     time.Time
 	rejected  int
 }
 
-// remaining returns how long the upstream rests on; at least FirstRest while the probe
-// is out, zero when it does not rest.
+// remaining returns the time until the backoff ends; at least MinBackoff while the probe is
+// running, zero if not backing off.
 func (r *backoff) remaining(now func() time.Time) time.Duration {
 	return max(r.requestedRemaining(now), r.ownRemaining(now))
 }
 
-// ownRemaining is left for the rest that follows rejections, whatever the upstream has asked for.
+// ownRemaining is remaining for the backoff after rejections, regardless of what the
+// upstream requested.
 func (r *backoff) ownRemaining(now func() time.Time) time.Duration {
 	until := r.until.Load()
 	if until == 0 {
@@ -59,8 +60,8 @@
 	return 0
 }
 
-// request takes the upstream's word that it wants nothing for a while. Answers may overtake each
-// other: the later end counts.
+// request records that the upstream requested a backoff. Answers may overtake each other:
+// the later end counts.
 func (r *backoff) request(now time.Time, period time.Duration) {
 	until := now.Add(min(period, MaxRequestedBackoff))
 	for {
@@ -71,7 +72,7 @@
 	}
 }
 
-// requestedRemaining returns for how long the upstream still wants nothing by its own word.
+// requestedRemaining returns the time until the backoff that the upstream requested ends.
 func (r *backoff) requestedRemaining(now func() time.Time) time.Duration {
 	until := r.requested.Load()
 	if until == nil {
@@ -80,7 +81,7 @@
 	return max(0, until.Sub(now()))
 }
 
-// begin claims the probe of an upstream whose rest is over; false while it rests.
+// begin claims the probe of an upstream after its backoff; false while it is backing off.
 func (r *backoff) begin(now func() time.Time) bool {
 	if r.requestedRemaining(now) > 0 {
 		return false
@@ -92,8 +93,8 @@
 	return now().UnixNano() >= until && r.probing.CompareAndSwap(false, true)
 }
 
-// reject begins a rest, or a longer one when the probe was rejected. Of requests
-// that were on their way together, only the first counts. Asked is the upstream's
+// reject begins a backoff, or a longer one if the probe was rejected. Of requests that were
+// in flight together, only the first rejection counts. retryAfter is the upstream's
 // Retry-After; zero for none.
 func (r *backoff) reject(started, now time.Time, retryAfter time.Duration) {
 	if retryAfter > retryAfterResolution {
@@ -111,8 +112,8 @@
 	r.probing.Store(false)
 }
 
-// end takes the end of a request, or the beginning of its answer, which was not a
-// rejection; recovered says that the upstream has started it.
+// end records the end of a request that was not rejected, or the beginning of its answer;
+// recovered is true if the upstream has started it.
 func (r *backoff) end(started time.Time, recovered bool) {
 	if r.until.Load() == 0 {
 		return
@@ -129,8 +130,8 @@
 	r.probing.Store(false)
 }
 
-// stale is true of a request that began before the rest: it says nothing of how
-// the upstream is since.
+// stale reports whether a request began before the backoff: it is no evidence of the
+// upstream's present state.
 func (r *backoff) stale(started time.Time) bool {
 	return r.until.Load() != 0 && !started.After(r.since)
 }
--- a/pkg/limit/departures.go
+++ b/pkg/limit/departures.go
@@ -7,43 +7,45 @@
 	"time"
 )
 
-// maxDepartures bounds the upstreams that are remembered, those that have ended included;
-// each costs about 150 bytes. The ones that were learned first are forgotten first.
+// maxDepartures bounds the upstreams that are recorded, including those that have ended;
+// each costs about 150 bytes. The oldest are dropped first.
 const maxDepartures = 4096
 
-// departureRetention is for how long a start that is gone from the platform's store is remembered: its
-// entry may come back with a copy of the store that is some seconds old.
+// departureRetention is how long a start of an upstream is recorded after its deletion from
+// the platform's store: its entry may reappear from a copy of the store that is some
+// seconds old.
 const departureRetention = time.Minute
 
-// Departures holds the upstreams that have said themselves that they leave. An upstream is one
-// start of a server, which does not come back from leaving, so that no other source can take
-// its word back. It is safe for concurrent use; reads take no lock.
+// Departures records the upstreams that have announced that they are leaving. An upstream
+// is one start of a server, and leaving is final, so that no other source overrides an
+// announcement. It is safe for concurrent use; reads take no lock.
 type Departures struct {
 	now  func() time.Time
 	mu   sync.Mutex
 	byID atomic.Pointer[map[string]departure]
 }
 
-// departure is when an upstream's word was learned, and when the upstream was last there.
+// departure is when an announcement was learned, and when the upstream was last in the
+// store.
 type departure struct{ learned, lastSeen time.Time }
 
-// NewDepartures returns departures of which none is known.
+// NewDepartures returns empty Departures.
 func NewDepartures(now func() time.Time) *Departures {
 	d := &Departures{now: now}
 	d.byID.Store(&map[string]departure{})
 	return d
 }
 
-// Any says whether an upstream is known to have said that it leaves.
+// Any reports whether any upstream is recorded.
 func (d *Departures) Any() bool { return len(*d.byID.Load()) > 0 }
 
-// Leaving says whether an upstream has said that it leaves.
+// Leaving reports whether an upstream has announced that it is leaving.
 func (d *Departures) Leaving(upstream string) bool {
 	_, leaving := (*d.byID.Load())[upstream]
 	return leaving
 }
 
-// Learn takes an upstream's word that it leaves, and says whether that is news.
+// Learn records that an upstream is leaving, and reports whether that was not known yet.
 func (d *Departures) Learn(upstream string) (isNew bool) {
 	if d.Leaving(upstream) {
 		return false
@@ -64,8 +66,8 @@
 	return true
 }
 
-// Told returns what to tell other instances now, of the upstreams that are still there: what was
-// learned lately, and each of the others from time to time.
+// Told returns what to publish to other instances now, of the upstreams that still exist:
+// all that was learned recently, and each of the others at intervals.
 func (d *Departures) Told(exists func(upstream string) bool) []string {
 	now := d.now()
 	var published []string
@@ -77,7 +79,7 @@
 	return published
 }
 
-// Sweep forgets the upstreams that have been gone for long.
+// Sweep drops the upstreams that were deleted longer than departureRetention ago.
 func (d *Departures) Sweep(exists func(upstream string) bool) {
 	if !d.Any() {
 		return
--- a/pkg/limit/departures_test.go
+++ b/pkg/limit/departures_test.go
@@ -8,7 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestDepartureIsNewOnce guards against a word that is logged and told with every answer.
+// TestDepartureIsNewOnce guards against an announcement that is logged and published again
+// with every answer.
 func TestDepartureIsNewOnce(t *testing.T) {
 	is := is.New(t)
 	departures := NewDepartures(time.Now)
@@ -19,7 +20,8 @@
 	is.True(!departures.Leaving("b"))
 }
 
-// TestDeparturesAreBounded guards against memory that grows with every server that ever left.
+// TestDeparturesAreBounded guards against memory that grows with every server that has
+// left.
 func TestDeparturesAreBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
@@ -32,9 +34,9 @@
 	is.True(departures.Leaving("10"))
 }
 
-// TestDeparturesOfDeletedUpstreamsExpire guards against messages that take longer to make
-// with every upstream that ever left, and against one that is forgotten while it may come back with
-// an old copy of the store.
+// TestDeparturesOfDeletedUpstreamsExpire guards against messages that grow with every
+// upstream that has left, and against an upstream that is dropped while an old copy of the
+// store may still bring its entry back.
 func TestDeparturesOfDeletedUpstreamsExpire(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
--- a/pkg/limit/eject.go
+++ b/pkg/limit/eject.go
@@ -10,27 +10,26 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// Parameters of ejection.
+// Parameters of outlier ejection.
 const (
 	// failuresToEject is how many failures in a row eject an upstream.
 	failuresToEject = 3
-	// outlierRatio ejects an upstream whose answers begin that many times later,
-	// against prediction, than the median of its pool.
+	// outlierRatio is the ratio to the median lateness of its pool above which an upstream
+	// is ejected. Lateness is the measured time to the first byte over the predicted one.
 	outlierRatio = 5.0
-	// outlierSamples is how many answers that judgement needs.
+	// outlierSamples is how many answers that evaluation needs.
 	outlierSamples = 10
-	// maxEjectedShare is the largest part of a pool that may be ejected at once.
+	// maxEjectedShare is the largest share of a pool that may be ejected at once.
 	maxEjectedShare = 0.5
-	// minEjection and longestEjection bound the time until the next probe.
+	// minEjection and maxEjection bound the time until the next probe.
 	minEjection = 2 * time.Second
 	maxEjection = 30 * time.Second
 )
 
-// Ejector takes upstreams that fail, or answer far later than their pool, out of
-// use for a while, and tries them again with one request. It is safe for
-// concurrent use.
+// Ejector excludes upstreams that fail, or that answer far later than their pool, for some
+// time, and then probes them with one request. It is safe for concurrent use.
 type Ejector struct {
-	// Changed is told of each ejection and each end of one, in order; nil: nobody is. It
+	// Changed, if not nil, is called with each ejection and each end of one, in order. It
 	// must not call the Ejector.
 	Changed func(Ejection)
 
@@ -42,10 +41,11 @@
 // Ejection is a change of an upstream's state.
 type Ejection struct {
 	Upstream string
-	// For is how long the upstream gets nothing; zero: its ejection has ended.
+	// For is how long the upstream gets no requests; zero if its ejection has ended.
 	For time.Duration
-	// Failures is how many came in a row. One that is ejected without any is too late
-	// against its pool, by the factor Lateness against prediction.
+	// Failures is the number of consecutive failures. An upstream that is ejected without
+	// any answers too late relative to its pool; Lateness is its measured over its
+	// predicted time.
 	Failures int
 	Lateness float64
 }
@@ -56,9 +56,9 @@
 	}
 }
 
-// health is guarded by Ejector.mu, but for ejectedUntil and probing.
+// health is guarded by Ejector.mu, except for ejectedUntil and probing.
 type health struct {
-	// ejectedUntil is Unix nanoseconds; zero: not ejected.
+	// ejectedUntil is in Unix nanoseconds; zero if not ejected.
 	ejectedUntil atomic.Int64
 	probing      atomic.Bool
 	ejectedAt    time.Time
@@ -76,8 +76,8 @@
 	return e
 }
 
-// SetPool says which upstreams stand in for each other. Upstreams that the pool
-// had before and that are not named are forgotten.
+// SetPool sets the upstreams that can substitute for each other. Upstreams of the pool that
+// are not named any more are dropped.
 func (e *Ejector) SetPool(pool string, upstreams []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -94,8 +94,8 @@
 	e.all.Store(&next)
 }
 
-// Ejected says whether an upstream gets no requests now. Once its time is over it
-// counts as usable until one request, the probe, has been sent.
+// Ejected reports whether an upstream gets no requests now. Once its time is over it counts
+// as usable until one request, the probe, has been sent.
 func (e *Ejector) Ejected(upstream string) bool {
 	h := (*e.all.Load())[upstream]
 	if h == nil {
@@ -120,8 +120,8 @@
 	return h.probing.CompareAndSwap(false, true)
 }
 
-// finish takes the end of a request at an upstream. A request that started before
-// the upstream was ejected says nothing of its recovery.
+// finish records the end of a request at an upstream. A request that started before the
+// upstream was ejected is no evidence of its recovery.
 func (e *Ejector) finish(upstream string, result Result, started time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -164,7 +164,8 @@
 	}
 }
 
-// observe takes how late an answer began, against its prediction.
+// observe records the lateness of an answer, the ratio of its measured to its predicted
+// time.
 func (e *Ejector) observe(upstream string, ratio float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -182,7 +183,8 @@
 	}
 }
 
-// medianLateness is over the other upstreams of the pool; zero when too few are known.
+// medianLateness is the median over the other upstreams of the pool; zero if too few are
+// known.
 func (e *Ejector) medianLateness(self *health) float64 {
 	var values []float64
 	for _, h := range *e.all.Load() {
@@ -197,7 +199,7 @@
 	return values[len(values)/2]
 }
 
-// eject takes h out of use, unless too many of its pool are.
+// eject excludes h, unless too many of its pool are ejected.
 func (e *Ejector) eject(upstream string, h *health) {
 	if h.ejectedUntil.Load() == 0 && !e.mayEject(h.pool) {
 		return
--- a/pkg/limit/flight.go
+++ b/pkg/limit/flight.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Result says how a request at an upstream ended.
+// Result is how a request at an upstream ended.
 type Result uint8
 
 // Results of a request at an upstream.
@@ -14,13 +14,13 @@
 	Succeeded Result = iota
 	// Failed: the upstream broke the connection, erred or timed out.
 	Failed
-	// Rejected: the upstream said that it is too busy and did not start.
+	// Rejected: the upstream reported that it is overloaded and did not start the request.
 	Rejected
-	// Abandoned: the caller or the gateway gave up; it says nothing of the upstream.
+	// Abandoned: the caller or the gateway aborted; this is no evidence about the upstream.
 	Abandoned
 )
 
-// String is the result in words.
+// String returns the result's name.
 func (r Result) String() string {
 	return [...]string{Succeeded: "succeeded", Failed: "failed", Rejected: "rejected", Abandoned: "abandoned"}[r]
 }
@@ -52,13 +52,11 @@
 	})
 }
 
-// Done gives the place back. It must be called once the request has ended,
-// however it ended.
+// Done releases the slot. It must be called once the request has ended, however it ended.
 func (f *Flight) Done(result Result) { f.end(result, 0) }
 
-// Reject is Done for a request that the upstream did not start, for lack of
-// capacity. The upstream then gets none for a while: at least about retryAfter, up to
-// LongestAsked.
+// Reject is Done for a request that the upstream did not start, for lack of capacity. The
+// upstream then gets no requests for at least about retryAfter, up to MaxRequestedBackoff.
 func (f *Flight) Reject(retryAfter time.Duration) { f.end(Rejected, retryAfter) }
 
 func (f *Flight) end(result Result, retryAfter time.Duration) {
@@ -81,7 +79,7 @@
 	})
 }
 
-// ratio is the measured time over the expected one; zero without an expectation.
+// ratio is the measured time over the predicted one; zero without a prediction.
 func (f *Flight) ratio(waited time.Duration) float64 {
 	if f.expected <= 0 {
 		return 0
--- a/pkg/limit/named.go
+++ b/pkg/limit/named.go
@@ -9,61 +9,63 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Named is what an upstream says of how much it takes.
+// Named is the rate limit that an upstream advertises.
 type Named struct {
 	// PerSecond is the requests a second from all instances together.
 	PerSecond float64
-	// Limited is false where the upstream says nothing of it, and takes what it can.
+	// Limited is false if the upstream advertises no limit.
 	Limited bool
 }
 
-// ToldLimit is what an instance tells others of an upstream's limit.
+// ToldLimit is an upstream's limit as published to other instances.
 type ToldLimit struct {
 	Upstream string
 	Named    Named
-	// Age is how long ago the upstream said so, where it is told.
+	// Age is the time since the upstream advertised the limit, at the time of publishing.
 	Age time.Duration
 }
 
-// Parameters of shares of a named limit.
+// Parameters of the shares of an advertised limit.
 const (
-	// minShare, in requests a second, is the smallest part that an instance gets of a limit.
-	// Below it so many requests would be saved up, one at each instance, that all instances
-	// together could send them in a moment.
+	// minShare, in requests a second, is the smallest share of a limit that an instance
+	// gets. With smaller ones each instance could still accumulate one request, and all
+	// instances together could send them in one burst.
 	minShare = 1.0
-	// minRate, in requests a second, is what an upstream gets that takes less: without any
-	// request nobody would hear when it takes more.
+	// minRate, in requests a second, is what an upstream gets that accepts less: without
+	// any request no instance would learn when it accepts more.
 	minRate = 0.25
-	// burstWindow is for how long an instance's share may be saved up; at least one request is.
+	// burstWindow is the time for which an instance's share may be accumulated; at least
+	// one request is.
 	burstWindow = 500 * time.Millisecond
-	// staleAfter is how long an upstream may be silent before instances that have no part try
-	// it as well, and how long the turn of each of them lasts.
+	// staleAfter is the time without an answer of an upstream after which instances without
+	// a share probe it as well, and the length of each one's turn.
 	staleAfter = 5 * time.Second
-	// publishChangeFor is for how long a change is told in each message, and tellEvery how often an
-	// unchanged limit is told, for a round and a half (tellFor).
+	// publishChangeFor is how long a change is published in each message. publishInterval
+	// is the interval at which an unchanged limit is published, for the length of
+	// publishWindow, a gossip round and a half.
 	publishChangeFor = time.Second
 	publishInterval  = 3 * time.Second
 	publishWindow    = 150 * time.Millisecond
-	// minNewer is by how much news must be newer to be news: what goes from hand to hand ages
-	// by the ways, which nobody measures.
+	// minNewer is by how much a report must be newer than the known one to replace it:
+	// relayed reports get older by network delays that are not measured.
 	minNewer = 50 * time.Millisecond
 )
 
-// Senders is how many of a region's instances send to an upstream that takes so many requests
-// a second.
+// Senders returns how many of a region's instances send to an upstream that accepts so many
+// requests a second.
 func Senders(perSecond float64, instances int) int {
 	return min(max(1, int(perSecond/minShare)), max(1, instances))
 }
 
-// SenderRank is one instance's place among those that send to an upstream.
+// SenderRank is one instance's rank among those that may send to an upstream.
 type SenderRank struct {
-	// Instances is how many the region has, Place this one's among them by a ranking that all
-	// of them make alike, from 0.
+	// Instances is the number of instances in the region. Place is this one's rank, from 0,
+	// in an order that all of them compute alike.
 	Instances, Place int
 }
 
-// NamedLimits holds the limits that upstreams name in their answers. An upstream that is not
-// in need names none. It is safe for concurrent use.
+// NamedLimits holds the limits that upstreams advertise in their answers. An upstream
+// without an entry advertises none. It is safe for concurrent use.
 type NamedLimits struct {
 	now func() time.Time
 	// size is the number of entries, read without the lock.
@@ -74,22 +76,22 @@
 
 type namedLimit struct {
 	Named
-	// reportedAt is when the upstream last named a limit, or answered without one; changed is when
-	// this instance learned that it is another.
+	// reportedAt is when the upstream last advertised a limit, or answered without one;
+	// changed is when this instance learned of the last change.
 	reportedAt, changed time.Time
-	// tokens is what this instance may send at once, as of filled.
+	// tokens is what this instance may send at once, as of refilledAt.
 	tokens     float64
 	refilledAt time.Time
 }
 
-// NewNamedLimits returns limits of which none is known.
+// NewNamedLimits returns empty NamedLimits.
 func NewNamedLimits(now func() time.Time) *NamedLimits {
 	return &NamedLimits{now: now, byID: make(map[string]*namedLimit)}
 }
 
-// Answered takes what an answer says of its upstream's limit, and whether that is news. One
-// without a limit ends the limit that was known only if its request was sent after that was
-// last named: answers may overtake each other.
+// Answered records the limit that an answer carries, and reports whether it changed. An
+// answer without a limit ends the known limit only if its request was sent after that was
+// last advertised, since answers may overtake each other.
 func (n *NamedLimits) Answered(upstream string, advertised Named, sent time.Time) (changed bool) {
 	if !advertised.Limited && n.size.Load() == 0 {
 		return false
@@ -103,7 +105,7 @@
 	return n.set(upstream, advertised, n.now())
 }
 
-// Learn takes what another instance tells, and says whether that is news.
+// Learn merges a limit published by another instance, and reports whether it changed.
 func (n *NamedLimits) Learn(report ToldLimit) (changed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,7 +120,7 @@
 	return n.set(report.Upstream, report.Named, at)
 }
 
-// set notes what an upstream said at a time. The caller holds n.mu.
+// set records what an upstream advertised at a time. The caller holds n.mu.
 func (n *NamedLimits) set(upstream string, advertised Named, at time.Time) (changed bool) {
 	now := n.now()
 	known := n.byID[upstream]
@@ -132,14 +134,14 @@
 		known.changed = now
 	}
 	if advertised.Limited && !known.Limited {
-		// Nothing is saved up from before.
+		// A new limit starts without accumulated tokens.
 		known.tokens, known.refilledAt = 0, now
 	}
 	known.Named, known.reportedAt = advertised, at
 	return changed
 }
 
-// Of returns the limit of an upstream.
+// Of returns the limit that an upstream advertises.
 func (n *NamedLimits) Of(upstream string) Named {
 	if n.size.Load() == 0 {
 		return Named{}
@@ -152,11 +154,11 @@
 	return Named{}
 }
 
-// Any says whether there may be an upstream with a limit.
+// Any reports whether there may be an upstream with a limit.
 func (n *NamedLimits) Any() bool { return n.size.Load() > 0 }
 
 // Wait returns how long this instance must wait until it may send a request to an upstream;
-// zero: it may now.
+// zero if it may now.
 func (n *NamedLimits) Wait(upstream string, part SenderRank) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -175,7 +177,7 @@
 	}
 }
 
-// Take counts a request that is about to be sent; false: it must not be.
+// Take counts a request that is about to be sent; false if it must not be sent.
 func (n *NamedLimits) Take(upstream string, part SenderRank) bool {
 	if n.size.Load() == 0 {
 		return true
@@ -193,8 +195,8 @@
 	return true
 }
 
-// fill adds what has come in since it was last asked, and returns this instance's part of
-// the limit, in requests a second.
+// fill adds the tokens accumulated since the last call, and returns this instance's share
+// of the limit, in requests a second.
 func (k *namedLimit) fill(part SenderRank, now time.Time) float64 {
 	total := max(minRate, k.PerSecond)
 	senders := Senders(total, part.Instances)
@@ -204,15 +206,16 @@
 	}
 	k.tokens = min(k.tokens+rate*max(0, now.Sub(k.refilledAt).Seconds()), max(1, rate*burstWindow.Seconds()))
 	if rate == 0 {
-		// One that becomes a sender has nothing saved up.
+		// An instance that becomes a sender starts without accumulated tokens.
 		k.tokens = 0
 	}
 	k.refilledAt = now
 	return rate
 }
 
-// sends says whether this instance is one of the senders. As long as the upstream is not heard,
-// further ones take turns beside the first: those may have nothing to send.
+// sends reports whether this instance is one of the senders. While no answer of the
+// upstream is received, further instances take turns beside the first ones, which may have
+// no requests to send.
 func (k *namedLimit) sends(part SenderRank, senders int, now time.Time) bool {
 	if part.Place < senders {
 		return true
@@ -225,8 +228,8 @@
 	return turn > 0 && place < senders
 }
 
-// Told returns what to tell other instances now: what changed lately, and each of the others
-// from time to time.
+// Told returns what to publish to other instances now: recent changes, and each of the
+// other limits at intervals.
 func (n *NamedLimits) Told() []ToldLimit {
 	if n.size.Load() == 0 {
 		return nil
@@ -243,13 +246,13 @@
 	return reports
 }
 
-// isPublishTurn spreads the upstreams over the time in which each is told once.
+// isPublishTurn spreads the upstreams over the interval in which each is published once.
 func isPublishTurn(upstream string, now time.Time) bool {
 	phase := time.Duration(xxhash.Sum64String(upstream) % uint64(publishInterval))
 	return time.Duration(now.UnixNano()+int64(phase))%publishInterval < publishWindow
 }
 
-// Forget drops what is known of an upstream that is gone.
+// Forget drops the limit of an upstream that was deleted.
 func (n *NamedLimits) Forget(upstream string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -257,8 +260,8 @@
 	n.size.Store(int64(len(n.byID)))
 }
 
-// Slots is how many of an upstream's slots a limit leaves to use, where requests hold one for
-// a time.
+// Slots returns how many of an upstream's slots are usable under the limit, where each
+// request occupies one for holding.
 func (k Named) Slots(slots int, holding time.Duration) int {
 	if !k.Limited {
 		return slots
--- a/pkg/limit/named_test.go
+++ b/pkg/limit/named_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestLimitLastsUntilALaterAnswerOmitsIt guards against an answer that was under way when
-// its upstream named a limit, and ends it.
+// its upstream advertised a limit, and that removes the limit.
 func TestLimitLastsUntilALaterAnswerOmitsIt(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
@@ -31,8 +31,8 @@
 	is.Equal(named.Of("u"), limit.Named{})
 }
 
-// TestSharesOfALimitAddUpToIt guards against instances that save up a request each, and against
-// a limit that is not used.
+// TestSharesOfALimitAddUpToIt guards against bursts of requests accumulated at each
+// instance, and against a limit that is not used up.
 func TestSharesOfALimitAddUpToIt(t *testing.T) {
 	for _, instances := range []int{1, 3, 7, 85, 300} {
 		for _, perSecond := range []float64{0, 0.4, 1, 2.5, 40, 700} {
@@ -44,11 +44,11 @@
 				all[i].Answered("u", limit.Named{PerSecond: perSecond, Limited: true}, now)
 			}
 			var sent []time.Time
-			for range 1500 { // 15 s: all want to send at any time
+			for range 1500 { // 15 s in which all instances have requests to send
 				now = now.Add(10 * time.Millisecond)
 				for i := range all {
 					part := limit.SenderRank{Instances: instances, Place: i}
-					all[i].Answered("u", limit.Named{PerSecond: perSecond, Limited: true}, now) // it is heard
+					all[i].Answered("u", limit.Named{PerSecond: perSecond, Limited: true}, now) // an answer is received
 					wait := all[i].Wait("u", part)
 					for all[i].Take("u", part) {
 						is.Equal(wait, time.Duration(0))
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestStaleLimitIsProbedByFurtherInstances guards against an upstream that nobody sends to any more, as
-// those with a part of its limit have no requests.
+// TestStaleLimitIsProbedByFurtherInstances guards against an upstream that no instance
+// sends to any more, because those with a share of its limit have no requests.
 func TestStaleLimitIsProbedByFurtherInstances(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
@@ -86,7 +86,7 @@
 		is.True(!named.Take("u", part))
 	}
 	tries := 0
-	for range 100 { // two turns of 5 s in 50 s, each with a part of one a second
+	for range 100 { // two turns of 5 s in 50 s, each with a share of one a second
 		now = now.Add(500 * time.Millisecond)
 		if named.Take("u", part) {
 			tries++
@@ -95,8 +95,8 @@
 	is.True(tries >= 4 && tries <= 10)
 }
 
-// TestLimitsSpreadByGossip guards against news that go round for ever, that are lost, or that
-// take the place of newer ones.
+// TestLimitsSpreadByGossip guards against reports that circulate for ever, that are lost,
+// or that replace newer ones.
 func TestLimitsSpreadByGossip(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
@@ -120,7 +120,8 @@
 	is.True(b.Learn(a.Told()[0]))
 	is.True(!b.Of("u").Limited)
 
-	// Without news each limit is told once in three seconds, for more than one message.
+	// Without changes each limit is published once in three seconds, in more than one
+	// message.
 	a.Answered("u", limit.Named{PerSecond: 1, Limited: true}, now)
 	now = now.Add(10 * time.Second)
 	rounds := 0
@@ -129,7 +130,7 @@
 		rounds += len(a.Told())
 	}
 	is.Equal(rounds, 15)
-	is.True(!b.Learn(limit.ToldLimit{Upstream: "v"})) // no limit that was not known is no news
+	is.True(!b.Learn(limit.ToldLimit{Upstream: "v"})) // the absence of an unknown limit is no change
 	is.True(!b.Any() || b.Of("v") == limit.Named{})
 }
 
@@ -142,8 +143,8 @@
 	}
 }
 
-// TestAnIdleLimitIsNotOverrunWhenCallersReturn guards against instances that each save up a
-// request while nobody asks for anything, and send them all in the same moment.
+// TestAnIdleLimitIsNotOverrunWhenCallersReturn guards against instances that each
+// accumulate a request while there is no traffic, and send them all in the same moment.
 func TestAnIdleLimitIsNotOverrunWhenCallersReturn(t *testing.T) {
 	for _, idle := range []time.Duration{time.Second, 30 * time.Second, 10 * time.Minute} {
 		now := time.Unix(1_000_000, 0)
--- a/pkg/limit/retry.go
+++ b/pkg/limit/retry.go
@@ -6,12 +6,12 @@
 const (
 	// RetryShare is how many retries each success earns.
 	RetryShare = 0.08
-	// retryBurst is how many retries can be saved up.
+	// retryBurst is how many retries can be accumulated.
 	retryBurst = 10.0
 )
 
-// RetryBudget permits retries in proportion to successes, so that a failing pool
-// is not loaded further by them. The zero value has earned nothing yet.
+// RetryBudget permits retries in proportion to successes, so that retries add little load
+// to a failing pool. The zero value has earned nothing yet.
 type RetryBudget struct {
 	mu     sync.Mutex
 	saved  float64
@@ -25,7 +25,7 @@
 	b.saved = min(retryBurst, b.saved+RetryShare)
 }
 
-// Take asks for one retry; false means that the request must be given up.
+// Take uses one retry; if it returns false the request must fail.
 func (b *RetryBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/limit/shares.go
+++ b/pkg/limit/shares.go
@@ -1,10 +1,10 @@
-// Package limit bounds what one gateway sends to each upstream: its share of the
-// upstream's concurrency, an adaptive bound below that share, a rest after an
-// upstream's rejection, ejection of failing upstreams, and a budget for retries.
+// Package limit bounds what one gateway sends to each upstream: its share of the upstream's
+// concurrency, an adaptive bound below that share, a backoff after an upstream's rejection,
+// ejection of failing upstreams, and a budget for retries.
 //
-// Guarantees: gateways that hold the same view of their domain never exceed an
-// upstream's limit together; the last usable upstream of a pool is never ejected;
-// retries add at most RetryShare of the successes to the load.
+// Guarantees: gateways that hold the same view of their domain never exceed an upstream's
+// limit together; the last usable upstream of a pool is never ejected; retries add at most
+// RetryShare of the successes to the load.
 package limit
 
 import (
@@ -18,7 +18,8 @@
 type Demand struct {
 	// Name is the gateway's instance name.
 	Name string
-	// Weight grows with the gateway's work in hand; negative counts as zero.
+	// Weight is in proportion to the gateway's requests in flight or waiting; negative
+	// counts as zero.
 	Weight int
 }
 
@@ -43,8 +44,8 @@
 	return shares
 }
 
-// Share returns one gateway's part of Shares; zero when it is not in demands.
-// It counts who goes before the gateway, and sorts nobody.
+// Share returns one gateway's element of Shares; zero if it is not in demands. It counts
+// the gateways that rank before it instead of sorting them.
 func Share(upstream string, total int, self string, demands []Demand) int {
 	own := slices.IndexFunc(demands, func(d Demand) bool { return d.Name == self })
 	if own < 0 || total <= 0 {
@@ -65,8 +66,8 @@
 	return int(quotas[own])
 }
 
-// evenShare is the part of a limit that is split without regard to demand, so that
-// a gateway whose demand is not known yet can start at once.
+// evenShare is the share of a limit that is split evenly regardless of demand, so that a
+// gateway without known demand can start at once.
 const evenShare = 0.5
 
 func quotas(total int, demands []Demand) []float64 {
@@ -87,7 +88,7 @@
 	return quotas
 }
 
-// byRemainder orders the indices of demands by falling fraction of their quota.
+// byRemainder orders the indices of demands by decreasing fraction of their quota.
 func byRemainder(upstream string, demands []Demand, quotas []float64) []int {
 	ranked := rank(upstream, demands, quotas)
 	slices.SortFunc(ranked, compareRankings)
@@ -98,8 +99,8 @@
 	return order
 }
 
-// ranking is what one demand is ordered by. Its hash is worked out once, since
-// equal fractions are the rule.
+// ranking is the sort key of one demand. Its hash is computed once, since equal fractions
+// are common.
 type ranking struct {
 	index    int
 	fraction float64
--- a/pkg/limit/shares_test.go
+++ b/pkg/limit/shares_test.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// One gateway's part, which is worked out alone, is its part of the whole split.
+// Share, which computes one gateway's share alone, agrees with Shares.
 func TestShareMatchesShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := drawDemands(t)
--- a/pkg/limit/tracker.go
+++ b/pkg/limit/tracker.go
@@ -12,21 +12,21 @@
 // Unlimited is the limit of an upstream for which no share has been set.
 const Unlimited = 1 << 30
 
-// Load is what this gateway knows at first hand of one upstream.
+// Load is this gateway's own load at one upstream and the limits that apply there.
 type Load struct {
 	// InFlight counts this gateway's requests at the upstream.
 	InFlight int
-	// Prefill counts the prompt tokens of those whose first byte has not come.
+	// Prefill counts the prompt tokens of those without a first byte yet.
 	Prefill int
 	// Limit is how many requests this gateway may have there now.
 	Limit int
-	// Holding is the mean time for which a request occupies the upstream; zero
-	// when not known yet.
+	// Holding is the mean time for which a request occupies a slot of the upstream; zero if
+	// not known yet.
 	Holding time.Duration
 	// Ejected is true while the upstream gets no requests because of failures.
 	Ejected bool
-	// Backoff is how long the upstream gets no requests because it rejected some;
-	// zero when it may get them. RequestedBackoff is how much of that it has asked for.
+	// Backoff is how long the upstream gets no requests because it rejected some; zero if
+	// it may get them. RequestedBackoff is how much of that it has requested.
 	Backoff, RequestedBackoff time.Duration
 }
 
@@ -48,22 +48,22 @@
 	backoff  backoff
 }
 
-// NewTracker returns a Tracker that asks ejector, if not nil, before each start.
+// NewTracker returns a Tracker that consults ejector, if not nil, before each start.
 func NewTracker(c clock.Clock, ejector *Ejector) *Tracker {
 	t := &Tracker{clock: c, ejector: ejector}
 	t.entries.Store(&map[string]*entry{})
 	return t
 }
 
-// SetShares sets this gateway's share of each upstream's concurrency. Upstreams
-// that are not named keep their last share, for requests that still run there.
+// SetShares sets this gateway's share of each upstream's concurrency. Upstreams that are
+// not named keep their last share, for requests that still run there.
 func (t *Tracker) SetShares(shares map[string]int) {
 	for name, share := range shares {
 		t.entry(name).share.Store(int64(share))
 	}
 }
 
-// Load returns what is known of an upstream.
+// Load returns the load and limits of an upstream.
 func (t *Tracker) Load(upstream string) Load {
 	e := (*t.entries.Load())[upstream]
 	if e == nil {
@@ -80,12 +80,13 @@
 	}
 }
 
-// RequestBackoff takes an upstream's word that it wants nothing from this gateway for a while.
+// RequestBackoff records that an upstream requested no requests from this gateway for a
+// period.
 func (t *Tracker) RequestBackoff(upstream string, period time.Duration) {
 	t.entry(upstream).backoff.request(t.clock.Now(), period)
 }
 
-// RequestedBackoff returns for how long an upstream still wants nothing by its own word.
+// RequestedBackoff returns the time until the backoff that an upstream requested ends.
 func (t *Tracker) RequestedBackoff(upstream string) time.Duration {
 	e := (*t.entries.Load())[upstream]
 	if e == nil {
@@ -94,8 +95,7 @@
 	return e.backoff.requestedRemaining(t.clock.Now)
 }
 
-// Snapshot returns the in-flight requests by upstream, without upstreams that have
-// none.
+// Snapshot returns the in-flight requests by upstream, without upstreams that have none.
 func (t *Tracker) Snapshot() map[string]int {
 	inFlight := map[string]int{}
 	for name, e := range *t.entries.Load() {
@@ -106,9 +106,9 @@
 	return inFlight
 }
 
-// Start takes a place at an upstream, or returns false when this gateway's limit
-// is reached, the upstream rests, or it is ejected. Expected is the predicted time to the
-// first byte; zero when there is no prediction.
+// Start occupies a slot at an upstream, or returns false if this gateway's limit is
+// reached, or the upstream is backing off or ejected. Expected is the predicted time to the
+// first byte; zero if there is no prediction.
 func (t *Tracker) Start(upstream string, promptTokens int, expected time.Duration) (*Flight, bool) {
 	e := t.entry(upstream)
 	if e.inFlight.Add(1) > int64(e.limit()) {
--- a/pkg/limit/tracker_test.go
+++ b/pkg/limit/tracker_test.go
@@ -44,7 +44,7 @@
 		}
 		for range 20 {
 			finish(limit.Rejected)
-			is.True(tracker.Load("u").Limit >= 1) // it goes on being tried
+			is.True(tracker.Load("u").Limit >= 1) // it continues to get requests
 		}
 		is.Equal(tracker.Load("u").Limit, 1)
 		for range 100 {
@@ -105,8 +105,8 @@
 	})
 }
 
-// An upstream rests after a rejection, longer after each in a row, with one probe
-// after each rest; rejections of requests that were on their way together count once.
+// An upstream backs off after a rejection, longer after each in a row, with one probe after
+// each backoff; rejections of requests that were in flight together count once.
 func TestRejectedUpstreamBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -129,12 +129,12 @@
 			time.Sleep(backoff)
 			is.Equal(tracker.Load("u").Backoff, time.Duration(0))
 			probe := start(true)
-			is.Equal(tracker.Load("u").Backoff, limit.MinBackoff) // one probe alone
+			is.Equal(tracker.Load("u").Backoff, limit.MinBackoff) // only one probe
 			start(false)
 			probe.Reject(0)
 		}
 		time.Sleep(limit.MaxBackoff)
-		start(true).Done(limit.Abandoned) // says nothing: the next one probes
+		start(true).Done(limit.Abandoned) // no evidence: the next one probes
 		start(true).FirstByte()
 		start(true).Reject(time.Minute)
 		is.Equal(tracker.Load("u").Backoff, 59*time.Second) // whole seconds, rounded up
@@ -192,7 +192,7 @@
 	})
 }
 
-// Retries stay under a tenth of the requests however many fail.
+// Retries stay below a tenth of the requests however many fail.
 func TestRetryBudgetLimitsAmplification(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var budget limit.RetryBudget
@@ -215,8 +215,9 @@
 	})
 }
 
-// TestRequestedBackoffIsHonoured guards against a rest that ends with a good answer of a request that was
-// on its way, with a later answer that asks for less, or sooner than it was asked for.
+// TestRequestedBackoffIsHonoured guards against a backoff that ends early: with the success
+// of a request that was in flight, with a later answer that requests less, or before the
+// requested time.
 func TestRequestedBackoffIsHonoured(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -240,7 +241,7 @@
 		probe, ok := tracker.Start("u", 0, 0)
 		is.True(ok)
 		_, ok = tracker.Start("u", 0, 0)
-		is.True(!ok) // one alone finds out
+		is.True(!ok) // only one probe
 		probe.FirstByte()
 		_, ok = tracker.Start("u", 0, 0)
 		is.True(ok)
--- a/pkg/limit/window.go
+++ b/pkg/limit/window.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Share is what one of several equal instances may use of an allowance that holds
-// over all of them together, with no leader and no call between them. The parts of
-// instances that agree on their number add up to the whole; where they do not, the
+// The limits in this file hold over several equal instances together. Each instance
+// enforces its share of the total without a leader and without calls between them. The
+// shares of instances that agree on their number add up to the total; if they disagree, the
 // callers of these limits count the larger number.
 
-// RetryShares bounds repeats of requests, by service and over a sliding window, so
-// that all instances together stay within ratio times the requests plus slack. It is
-// safe for concurrent use.
+// RetryShares bounds retries of requests, by service and over a sliding window, so that all
+// instances together stay within ratio times the requests plus slack. It is safe for
+// concurrent use.
 type RetryShares struct {
-	// Ratio is repeats for each request; Slack is further repeats in a window, for
-	// all instances together; Window is the window's length.
+	// Ratio is retries for each request; Slack is further retries in a window, for all
+	// instances together; Window is the window's length.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
@@ -26,11 +26,11 @@
 
 type retryCounts struct{ requests, repeats window }
 
-// retryMargin of the allowance is used: requests of one window are counted by others
-// in a window that begins a little earlier or later.
+// retryMargin is the share of the allowance that is used: requests of one window are
+// counted by other instances in a window that begins slightly earlier or later.
 const retryMargin = 0.8
 
-// NewRetryShares returns shares that have counted nothing.
+// NewRetryShares returns RetryShares that have counted nothing.
 func NewRetryShares(ratio, slack float64, length time.Duration, now func() time.Time) *RetryShares {
 	return &RetryShares{Ratio: ratio, Slack: slack, Window: length, now: now, byName: make(map[string]*retryCounts)}
 }
@@ -51,7 +51,7 @@
 	s.counts(service).requests.add(s.now(), s.Window)
 }
 
-// Take asks for one repeat at the service, as one of so many instances.
+// Take uses one retry at the service, as one of so many instances.
 func (s *RetryShares) Take(service string, instances int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +64,7 @@
 	return true
 }
 
-// Left is how many repeats the service has left now, for one of so many instances.
+// Left returns how many retries the service has left now, for one of so many instances.
 func (s *RetryShares) Left(service string, instances int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,13 +73,13 @@
 	return int(s.allowed(counts, now, instances)) - counts.repeats.sum(now, s.Window)
 }
 
-// allowed is how many repeats of a window may come from one of so many instances.
+// allowed returns how many retries of a window may come from one of so many instances.
 func (s *RetryShares) allowed(counts *retryCounts, now time.Time, instances int) float64 {
 	return retryMargin * (s.Ratio*float64(counts.requests.sum(now, s.Window)) + s.Slack/float64(max(1, instances)))
 }
 
-// window counts events over a sliding time in windowSteps steps. What is counted is
-// the time asked for and up to one step more.
+// window counts events over a sliding time in windowSteps steps. The window covers the
+// configured length and up to one step more.
 type window struct {
 	steps [windowSteps + 1]int
 	at    [windowSteps + 1]int64
@@ -119,19 +119,20 @@
 	byName map[string]*window
 }
 
-// ColdWindow is the time over which cold requests are counted: a second, and what
-// requests may differ in the time of their way.
+// ColdWindow is the time over which requests to cold upstreams are counted: a second, plus
+// the variation of network delays.
 const ColdWindow = 1100 * time.Millisecond
 
-// maxColdUpstreams is how many upstreams' counts are kept before old ones are dropped.
+// maxColdUpstreams is the number of upstreams with counts from which on old ones are
+// dropped.
 const maxColdUpstreams = 256
 
-// NewColdShares returns shares that have counted nothing.
+// NewColdShares returns ColdShares that have counted nothing.
 func NewColdShares(now func() time.Time) *ColdShares {
 	return &ColdShares{now: now, byName: make(map[string]*window)}
 }
 
-// Left says whether the upstream may get one more request now, where all of the
+// Left reports whether the upstream may get one more request now, where all of the
 // instances together may send it perSecond.
 func (s *ColdShares) Left(upstream string, perSecond float64, instances int) bool {
 	s.mu.Lock()
--- a/pkg/limit/window_test.go
+++ b/pkg/limit/window_test.go
@@ -10,15 +10,15 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// manualClock is a clock that a test moves.
+// manualClock is a clock that a test advances.
 type manualClock struct{ at time.Time }
 
 func newManualClock() *manualClock { return &manualClock{at: time.Unix(1_000_000, 0)} }
 
 func (h *manualClock) now() time.Time { return h.at }
 
-// TestColdSharesStayWithinTheTotal sends requests through several instances in any
-// order and at any pace: in no second does the upstream get more than it bears.
+// TestColdSharesStayWithinTheTotal sends requests through several instances in any order
+// and at any rate: in no second does the upstream get more than its limit.
 func TestColdSharesStayWithinTheTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.IntRange(1, 5).Draw(t, "instances")
@@ -51,7 +51,7 @@
 	})
 }
 
-// TestRetrySharesStayWithinTheTotal does the same for repeats over their window.
+// TestRetrySharesStayWithinTheTotal does the same for retries over their window.
 func TestRetrySharesStayWithinTheTotal(t *testing.T) {
 	const ratio, slack, window = 0.2, 54.0, 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
