--- a/pkg/limit/window.go
+++ b/pkg/limit/window.go
@@ -24,7 +24,7 @@
 	byName map[string]*retryCounts
 }
 
-type retryCounts struct{ requests, repeats window }
+type retryCounts struct{ requests, retries window }
 
 // retryMargin is the share of the allowance that is used: requests of one window are
 // counted by other instances in a window that begins slightly earlier or later.
@@ -57,10 +57,10 @@
 	defer s.mu.Unlock()
 	counts := s.counts(service)
 	now := s.now()
-	if float64(counts.repeats.sum(now, s.Window)+1) > s.allowed(counts, now, instances) {
+	if float64(counts.retries.sum(now, s.Window)+1) > s.allowed(counts, now, instances) {
 		return false
 	}
-	counts.repeats.add(now, s.Window)
+	counts.retries.add(now, s.Window)
 	return true
 }
 
@@ -70,7 +70,7 @@
 	defer s.mu.Unlock()
 	counts := s.counts(service)
 	now := s.now()
-	return int(s.allowed(counts, now, instances)) - counts.repeats.sum(now, s.Window)
+	return int(s.allowed(counts, now, instances)) - counts.retries.sum(now, s.Window)
 }
 
 // allowed returns how many retries of a window may come from one of so many instances.
--- a/pkg/limit/window_test.go
+++ b/pkg/limit/window_test.go
@@ -61,7 +61,7 @@
 		for i := range shares {
 			shares[i] = limit.NewRetryShares(ratio, slack, window, clock.now)
 		}
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 1500).Draw(t, "events") {
 			clock.at = clock.at.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "pause")) * time.Millisecond)
 			share := shares[rapid.IntRange(0, instances-1).Draw(t, "instance")]
@@ -70,12 +70,12 @@
 				requests = append(requests, clock.at)
 			}
 			if share.Take("s", instances) {
-				repeats = append(repeats, clock.at)
+				retries = append(retries, clock.at)
 			}
 		}
-		for i, start := range repeats {
+		for i, start := range retries {
 			within := 0
-			for _, at := range repeats[i:] {
+			for _, at := range retries[i:] {
 				if at.Sub(start) < window {
 					within++
 				}
@@ -83,7 +83,7 @@
 			// The requests of the window, or of the one half a window before it.
 			most := max(countIn(requests, start, window), countIn(requests, start.Add(-window/2), window))
 			if float64(within) > ratio*float64(most)+slack {
-				t.Fatalf("%d repeats for %d requests", within, most)
+				t.Fatalf("%d retries for %d requests", within, most)
 			}
 		}
 	})
