--- a/pkg/route/affinity.go
+++ b/pkg/route/affinity.go
@@ -59,15 +59,15 @@
 	return x ^ x>>31
 }
 
-// longestAffinity is the last message that may decide where a prompt is sent:
+// maxAffinityMessage is the last message that may decide where a prompt is sent:
 // commonly the history that follows the instructions. Later ones differ from turn
 // to turn.
-const longestAffinity = 1
+const maxAffinityMessage = 1
 
 // affinityMessage is the index of the message up to which a prompt's prefix decides
 // where it is sent. The last message is new each time, and decides only alone.
 func affinityMessage(req *Request) int {
-	return max(0, min(longestAffinity, len(req.Prefixes)-2))
+	return max(0, min(maxAffinityMessage, len(req.Prefixes)-2))
 }
 
 // affinityKey returns the hash that a request's placement follows.
--- a/pkg/route/affinity_test.go
+++ b/pkg/route/affinity_test.go
@@ -21,11 +21,11 @@
 
 // Requests with the same history meet at one upstream, from any gateway, whatever
 // their questions; different histories spread.
-func TestSharedPrefixMeetsAtOneUpstream(t *testing.T) {
+func TestSharedPrefixGoesToOneUpstream(t *testing.T) {
 	for _, size := range []int{4, 100} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(size)
+			w := newHarness(size)
 			table := w.table()
 			used := map[string]bool{}
 			for history := range uint64(40) {
@@ -42,9 +42,9 @@
 }
 
 // A popular prefix does not pile up on one upstream while others idle.
-func TestAffinityGivesWayToLoad(t *testing.T) {
+func TestAffinityYieldsToLoad(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(4)
+	w := newHarness(4)
 	table := w.table()
 	favourite, _ := w.pick(table, review(1, 2))
 	w.load[favourite.Upstream.Name] = limit.Load{InFlight: 12, Limit: limit.Unlimited}
@@ -54,9 +54,9 @@
 
 // Where an upstream says that it holds the prefix, that counts more than where
 // hashing would have put it.
-func TestReportedPrefixIsFollowed(t *testing.T) {
+func TestReportedPrefixOverridesHashing(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(100)
+	w := newHarness(100)
 	favourite, _ := w.pick(w.table(), review(1, 2))
 	holder := "u-7"
 	is.True(favourite.Upstream.Name != holder)
--- a/pkg/route/bench_test.go
+++ b/pkg/route/bench_test.go
@@ -9,10 +9,10 @@
 	"github.com/lilacweir/lilacweir/pkg/board"
 )
 
-func TestPickAllocatesNothing(t *testing.T) {
+func TestPickDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
 	for _, size := range []int{3, 25, 200} {
-		w := newWorld(size)
+		w := newHarness(size)
 		w.fill(2)
 		table := w.table()
 		req := request("ra", "rb")
@@ -28,7 +28,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, size := range []int{10, 25, 100, 1000} {
 		b.Run(fmt.Sprintf("upstreams=%d", size), func(b *testing.B) {
-			w := newWorld(size)
+			w := newHarness(size)
 			w.fill(2)
 			table := w.table()
 			req := request("ra", "rb")
@@ -47,7 +47,7 @@
 func BenchmarkCompile(b *testing.B) {
 	for _, size := range []int{10, 25, 100, 1000} {
 		b.Run(fmt.Sprintf("upstreams=%d", size), func(b *testing.B) {
-			w := newWorld(size)
+			w := newHarness(size)
 			b.ReportAllocs()
 			for b.Loop() {
 				w.table()
@@ -61,7 +61,7 @@
 func BenchmarkCompileRemote(b *testing.B) {
 	for _, domains := range []int{1, 5, 10, 20, 41} {
 		b.Run(fmt.Sprintf("domains=%d", domains), func(b *testing.B) {
-			w := newWorld(25)
+			w := newHarness(25)
 			w.input.Domains = &board.Domains{}
 			for i := range domains {
 				digest := digestOf(fmt.Sprintf("domain-%02d", i), "rb", 8)
--- a/pkg/route/filter.go
+++ b/pkg/route/filter.go
@@ -12,11 +12,11 @@
 // Keep implements Filter.
 func (NotEjected) Keep(_ *Request, _ string, own limit.Load) bool { return !own.Ejected }
 
-// NotResting rules out upstreams that have just said that they are too busy.
-type NotResting struct{}
+// NotBackingOff rules out upstreams that have just said that they are too busy.
+type NotBackingOff struct{}
 
 // Keep implements Filter.
-func (NotResting) Keep(_ *Request, _ string, own limit.Load) bool { return own.Backoff <= 0 }
+func (NotBackingOff) Keep(_ *Request, _ string, own limit.Load) bool { return own.Backoff <= 0 }
 
 // NotTried rules out upstreams that have failed this very request.
 type NotTried struct{}
--- a/pkg/route/fixture_test.go
+++ b/pkg/route/fixture_test.go
@@ -14,9 +14,9 @@
 
 var epoch = time.Unix(1000, 0)
 
-// world is three regions with one failure domain each; this gateway is gw-1 in
+// harness is three regions with one failure domain each; this gateway is gw-1 in
 // domain a. Model m runs everywhere, version v1 in full.
-type world struct {
+type harness struct {
 	declaration config.Declaration
 	input       route.Input
 	load        fakeLoad
@@ -32,8 +32,8 @@
 	return limit.Load{Limit: limit.Unlimited}
 }
 
-func newWorld(locals int) *world {
-	w := &world{load: fakeLoad{}, rnd: rand.New(rand.NewPCG(1, 2))}
+func newHarness(locals int) *harness {
+	w := &harness{load: fakeLoad{}, rnd: rand.New(rand.NewPCG(1, 2))}
 	d := &w.declaration
 	d.Regions = []config.Region{
 		{Name: "ra", Domains: []string{"a"}},
@@ -74,18 +74,18 @@
 	}
 }
 
-func (w *world) table() *route.Table {
+func (w *harness) table() *route.Table {
 	declaration := w.declaration
 	w.input.Head = &config.Head{Revision: 7, Declaration: &declaration}
 	return route.Compile(w.input)
 }
 
-func (w *world) pick(table *route.Table, req *route.Request) (route.Decision, *outcome.Refusal) {
+func (w *harness) pick(table *route.Table, req *route.Request) (route.Decision, *outcome.Refusal) {
 	return table.Pick(req, w.load, w.rnd, w.input.Now)
 }
 
 // fill puts that many requests of this gateway at every local upstream.
-func (w *world) fill(requests int) {
+func (w *harness) fill(requests int) {
 	for _, upstream := range w.declaration.Upstreams {
 		w.load[upstream.Name] = limit.Load{InFlight: requests, Limit: limit.Unlimited, Holding: 5 * time.Second}
 	}
--- a/pkg/route/ledger.go
+++ b/pkg/route/ledger.go
@@ -26,17 +26,17 @@
 
 // ledger counts what was sent to one pool of one domain.
 type ledger struct {
-	heard time.Time // guarded by SpillState.mu
+	reportedAt time.Time // guarded by SpillState.mu
 	// current counts requests sent since the domain was last heard from.
-	current  atomic.Int64
-	strongAt atomic.Int64
+	current     atomic.Int64
+	marginMetAt atomic.Int64
 }
 
-func (l *ledger) send()                { l.current.Add(1) }
-func (l *ledger) used() int            { return int(l.current.Load()) }
-func (l *ledger) strong(now time.Time) { l.strongAt.Store(now.UnixNano()) }
-func (l *ledger) lastStrong() time.Time {
-	return time.Unix(0, l.strongAt.Load())
+func (l *ledger) send()                   { l.current.Add(1) }
+func (l *ledger) used() int               { return int(l.current.Load()) }
+func (l *ledger) marginMet(now time.Time) { l.marginMetAt.Store(now.UnixNano()) }
+func (l *ledger) lastMarginMet() time.Time {
+	return time.Unix(0, l.marginMetAt.Load())
 }
 
 // creditInterval is the least time between two renewals of credit.
@@ -50,11 +50,11 @@
 	id := ledgerID{digest.Domain, pool}
 	l := s.ledgers[id]
 	if l == nil {
-		l = &ledger{heard: digest.HeardAt}
+		l = &ledger{reportedAt: digest.HeardAt}
 		s.ledgers[id] = l
 	}
-	if digest.HeardAt.Sub(l.heard) >= creditInterval {
-		l.heard = digest.HeardAt
+	if digest.HeardAt.Sub(l.reportedAt) >= creditInterval {
+		l.reportedAt = digest.HeardAt
 		l.current.Store(0)
 	}
 	return l
@@ -63,25 +63,25 @@
 // arrived counts a request towards the base of the spill rules' percents.
 func (s *SpillState) arrived() { s.arrivals.Add(1) }
 
-// windowTime is the time over which a spill rule's percent is kept.
-const windowTime = 10 * time.Second
+// spillWindow is the time over which a spill rule's percent is kept.
+const spillWindow = 10 * time.Second
 
 // window counts requests sent to one region in the present and the last period.
 type window struct {
-	started    time.Time
-	base, last int64 // arrivals at the start of this and of the last period
-	sent, was  int64 // sent in this and in the last period
+	started        time.Time
+	base, last     int64 // arrivals at the start of this and of the last period
+	sent, lastSent int64 // sent in this and in the last period
 }
 
-// take uses up one credit of r and one place of the spill rule; false when there
+// reserve uses up one credit of r and one place of the spill rule; false when there
 // is none. Far tells whether the rule applies.
-func (s *SpillState) take(r *remote, far bool, percent int, now time.Time) bool {
+func (s *SpillState) reserve(r *remote, crossRegion bool, percent int, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.ledger.used() >= r.credit {
 		return false
 	}
-	if far && !s.withinRule(r.digest.Region, percent, now) {
+	if crossRegion && !s.withinRule(r.digest.Region, percent, now) {
 		return false
 	}
 	r.ledger.send()
@@ -96,25 +96,25 @@
 		w = &window{started: now}
 		s.windows[region] = w
 	}
-	w.turn(arrivals, now)
-	if 100*(w.sent+w.was+1) > int64(percent)*(arrivals-w.last) {
+	w.advance(arrivals, now)
+	if 100*(w.sent+w.lastSent+1) > int64(percent)*(arrivals-w.last) {
 		return false
 	}
 	w.sent++
 	return true
 }
 
-// turn begins a new period when the present one is over.
-func (w *window) turn(arrivals int64, now time.Time) {
+// advance begins a new period when the present one is over.
+func (w *window) advance(arrivals int64, now time.Time) {
 	age := now.Sub(w.started)
-	if age < windowTime {
+	if age < spillWindow {
 		return
 	}
 	w.started = now
-	if age >= 2*windowTime {
-		w.last, w.was = arrivals, 0
+	if age >= 2*spillWindow {
+		w.last, w.lastSent = arrivals, 0
 	} else {
-		w.last, w.was = w.base, w.sent
+		w.last, w.lastSent = w.base, w.sent
 	}
 	w.base, w.sent = arrivals, 0
 }
--- a/pkg/route/local.go
+++ b/pkg/route/local.go
@@ -18,9 +18,9 @@
 	defaultPrefillRate = 4000.0
 )
 
-// reportLife is the age at which a report has lost most (1-1/e) of its weight
+// reportTimeConstant is the age at which a report has lost most (1-1/e) of its weight
 // against the pool's mean.
-const reportLife = 5 * time.Second
+const reportTimeConstant = 5 * time.Second
 
 // rampTime is how long an upstream that became usable again is taken to have less
 // room than it declares, while its cache fills.
@@ -32,7 +32,7 @@
 	hash     uint64
 	// others estimates the requests that are at the upstream on behalf of others
 	// than this gateway, and ownThen is what this gateway had there at that time.
-	others, ownThen float64
+	others, ownAtReport float64
 	// age is how old the report was when the table was compiled; negative: none.
 	age                     time.Duration
 	decodeRate, prefillRate float64
@@ -53,7 +53,7 @@
 			continue
 		}
 		c := newCandidate(upstream, report, in)
-		c.usableSince = t.sinceWhen(upstream.Name, in)
+		c.usableSince = t.usableSinceOf(upstream.Name, in)
 		c.share = limit.Share(upstream.Name, upstream.Concurrency, in.Self, demands(gateways, upstream))
 		p := t.pool(poolID{upstream.Serves, loadedVersion(upstream, report)})
 		p.peers = float64(len(gateways) - 1)
@@ -83,9 +83,9 @@
 	return upstream.Version
 }
 
-// sinceWhen returns since when an upstream has been usable without a break; what
+// usableSinceOf returns since when an upstream has been usable without a break; what
 // was usable at the start needs no ramp.
-func (t *Table) sinceWhen(name string, in *Input) time.Time {
+func (t *Table) usableSinceOf(name string, in *Input) time.Time {
 	since := in.Now
 	if in.Previous == nil || in.Previous.revision == 0 {
 		since = time.Time{}
@@ -107,7 +107,7 @@
 	}
 	peers, self := inFlightOf(in, upstream.Name)
 	c.others = float64(peers)
-	c.ownThen = float64(self)
+	c.ownAtReport = float64(self)
 	if report == nil || report.ReportedAt.IsZero() {
 		return c
 	}
@@ -140,29 +140,29 @@
 	return peers, self
 }
 
-// present estimates what others have at the upstream now. What they had is drawn
+// othersNow estimates what others have at the upstream now. What they had is drawn
 // towards the pool's mean as the report ages; since then, each of the peers is taken
 // to have sent as much as this gateway. Without that, all gateways send to whatever
 // looked idle in the same report until the next one comes.
-func (c *candidate) present(own int, peers, mean float64, sinceCompile time.Duration) float64 {
+func (c *candidate) othersNow(own int, peers, mean float64, sinceCompile time.Duration) float64 {
 	others := c.others
 	if c.age >= 0 {
-		trust := math.Exp(-float64(c.age+sinceCompile) / float64(reportLife))
+		trust := math.Exp(-float64(c.age+sinceCompile) / float64(reportTimeConstant))
 		others = trust*c.others + (1-trust)*mean
 	}
-	return max(0, others+peers*(float64(own)-c.ownThen))
+	return max(0, others+peers*(float64(own)-c.ownAtReport))
 }
 
-// room is the concurrency that is counted on: less while the upstream's cache
+// rampedSlots is the concurrency that is counted on: less while the upstream's cache
 // fills after a return.
-func (c *candidate) room(now time.Time) float64 {
+func (c *candidate) rampedSlots(now time.Time) float64 {
 	up := now.Sub(c.usableSince)
 	if up >= rampTime {
 		return c.concurrency
 	}
-	const leastRoom = 0.25
-	part := leastRoom + (1-leastRoom)*float64(max(0, up))/float64(rampTime)
-	return max(1, c.concurrency*part)
+	const minFraction = 0.25
+	fraction := minFraction + (1-minFraction)*float64(max(0, up))/float64(rampTime)
+	return max(1, c.concurrency*fraction)
 }
 
 func (p *pool) finish() {
--- a/pkg/route/pick.go
+++ b/pkg/route/pick.go
@@ -34,7 +34,7 @@
 		local = t.pickLocal(p, req, load, rnd, now)
 	}
 	if req.Class == ClassEntry {
-		if decision, ok := t.sendAway(p, req, placement, here, local, now); ok {
+		if decision, ok := t.forward(p, req, placement, here, local, now); ok {
 			return decision, nil
 		}
 	}
@@ -57,16 +57,16 @@
 	estimate  Estimate
 	// full is true when upstreams were ruled out only by this gateway's limit.
 	full bool
-	// rest is how long it is until the first of the resting upstreams may be tried;
+	// backoff is how long it is until the first of the resting upstreams may be tried;
 	// zero when none rests.
-	rest time.Duration
+	backoff time.Duration
 }
 
-// rule records why an upstream was ruled out.
-func (c *choice) rule(own limit.Load) {
+// exclude records why an upstream was ruled out.
+func (c *choice) exclude(own limit.Load) {
 	c.full = c.full || own.InFlight >= own.Limit
-	if own.Backoff > 0 && (c.rest == 0 || own.Backoff < c.rest) {
-		c.rest = own.Backoff
+	if own.Backoff > 0 && (c.backoff == 0 || own.Backoff < c.backoff) {
+		c.backoff = own.Backoff
 	}
 }
 
@@ -83,7 +83,7 @@
 	_, holders := p.longestHint(req)
 	sampled := Sampled{Size: len(p.locals), Favourite: favourite, Holders: holders}
 	sample := t.strategy.Picker.Sample(req, sampled, rnd)
-	at := moment{now: now, sinceCompile: now.Sub(t.compiled)}
+	at := decisionTime{now: now, sinceCompile: now.Sub(t.compiled)}
 	best := t.bestOf(p, req, load, &sample, favourite, at)
 	if best.candidate != nil || sample.count == len(p.locals) {
 		return best
@@ -92,14 +92,14 @@
 }
 
 // bestOf scores the sampled upstreams that pass the filters.
-func (t *Table) bestOf(p *pool, req *Request, load LocalLoad, sample *Sample, favourite int32, at moment) choice {
+func (t *Table) bestOf(p *pool, req *Request, load LocalLoad, sample *Sample, favourite int32, at decisionTime) choice {
 	var best choice
 	lowest := 0.0
 	for _, i := range sample.indices[:sample.count] {
 		c := &p.locals[i]
 		own := load.Load(c.upstream.Name)
 		if !t.keep(req, c, own) {
-			best.rule(own)
+			best.exclude(own)
 			continue
 		}
 		estimate := p.estimate(req, i, favourite, own, at)
@@ -112,7 +112,7 @@
 }
 
 // firstUsable looks through the whole pool when no sampled upstream would do.
-func (t *Table) firstUsable(p *pool, req *Request, load LocalLoad, favourite int32, at moment, start int) choice {
+func (t *Table) firstUsable(p *pool, req *Request, load LocalLoad, favourite int32, at decisionTime, start int) choice {
 	var none choice
 	for n := range p.locals {
 		i := int32((start + n) % len(p.locals))
@@ -121,7 +121,7 @@
 		if t.keep(req, c, own) {
 			return choice{candidate: c, estimate: p.estimate(req, i, favourite, own, at)}
 		}
-		none.rule(own)
+		none.exclude(own)
 	}
 	return none
 }
@@ -144,8 +144,8 @@
 		if local.full {
 			return Decision{}, refuseFull(p, req)
 		}
-		if local.rest > 0 {
-			return Decision{}, refuseResting(local.rest)
+		if local.backoff > 0 {
+			return Decision{}, refuseBackingOff(local.backoff)
 		}
 		return Decision{}, refuseNoUpstream()
 	}
--- a/pkg/route/pick_test.go
+++ b/pkg/route/pick_test.go
@@ -19,10 +19,10 @@
 // Wherever load, declarations and digests drive a request, it stays in the regions
 // that its caller and its model permit, and one that has crossed never crosses
 // again.
-func TestPickKeepsRegionsAndClass(t *testing.T) {
+func TestPickRespectsRegionsAndClass(t *testing.T) {
 	regions := []string{"ra", "rb", "rc"}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(0, 3).Draw(t, "upstreams"))
+		w := newHarness(rapid.IntRange(0, 3).Draw(t, "upstreams"))
 		w.fill(rapid.IntRange(0, 40).Draw(t, "in flight"))
 		some := rapid.SliceOfNDistinct(rapid.SampledFrom(regions), 1, 3, rapid.ID[string])
 		w.declaration.Models[0].Regions = some.Draw(t, "placement")
@@ -58,9 +58,9 @@
 	})
 }
 
-func TestHomeBoundRequestNeverLeaves(t *testing.T) {
+func TestRequestBoundToItsRegionIsNotForwarded(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2)
+	w := newHarness(2)
 	w.fill(100)
 	decision, refusal := w.pick(w.table(), request("ra"))
 	is.True(refusal == nil)
@@ -75,48 +75,48 @@
 
 func TestRefusals(t *testing.T) {
 	cases := map[string]struct {
-		change func(*world, *route.Request)
+		change func(*harness, *route.Request)
 		reason outcome.Reason
 		retry  bool
 	}{
-		"no region in common": {func(w *world, _ *route.Request) { w.declaration.Models[0].Regions = []string{"rz"} },
+		"no region in common": {func(w *harness, _ *route.Request) { w.declaration.Models[0].Regions = []string{"rz"} },
 			outcome.ReasonForbiddenRegion, false},
-		"forwarded to a forbidden region": {func(_ *world, r *route.Request) {
+		"forwarded to a forbidden region": {func(_ *harness, r *route.Request) {
 			r.Class = route.ClassDomain
 			r.Caller = callerIn("rb")
 		}, outcome.ReasonForbiddenRegion, false},
-		"unknown model": {func(_ *world, r *route.Request) { r.Serves = "nonesuch" },
+		"unknown model": {func(_ *harness, r *route.Request) { r.Serves = "nonesuch" },
 			outcome.ReasonUnknownModel, false},
-		"model not granted": {func(_ *world, r *route.Request) { r.Caller.Models = []string{"other"} },
+		"model not granted": {func(_ *harness, r *route.Request) { r.Caller.Models = []string{"other"} },
 			outcome.ReasonForbiddenModel, false},
-		"deadline too short for any place": {func(w *world, r *route.Request) {
+		"deadline too short for any place": {func(w *harness, r *route.Request) {
 			r.Deadline = w.input.Now.Add(time.Second)
 		}, outcome.ReasonDeadline, false},
-		"deadline too short for the load": {func(w *world, r *route.Request) {
+		"deadline too short for the load": {func(w *harness, r *route.Request) {
 			w.fill(40)
 			r.Caller = callerIn("ra")
 			r.Deadline = w.input.Now.Add(10 * time.Second)
 		}, outcome.ReasonDeadline, true},
-		"limit reached after admission": {func(w *world, r *route.Request) {
+		"limit reached after admission": {func(w *harness, r *route.Request) {
 			w.declaration.Spill = nil
 			r.Admitted = true
 			for _, upstream := range w.declaration.Upstreams {
 				w.load[upstream.Name] = limit.Load{InFlight: 2, Limit: 2}
 			}
 		}, outcome.ReasonOverloaded, true},
-		"all rest": {func(w *world, r *route.Request) {
+		"all backing off": {func(w *harness, r *route.Request) {
 			r.Caller = callerIn("ra")
 			for _, upstream := range w.declaration.Upstreams {
 				w.load[upstream.Name] = limit.Load{Limit: 2, Backoff: time.Second}
 			}
 		}, outcome.ReasonOverloaded, true},
-		"all tried": {func(w *world, r *route.Request) { r.Tried = []string{"u-0", "u-1", "b", "c"} },
+		"all tried": {func(w *harness, r *route.Request) { r.Tried = []string{"u-0", "u-1", "b", "c"} },
 			outcome.ReasonNoUpstream, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(2)
+			w := newHarness(2)
 			req := request("ra", "rb", "rc")
 			c.change(w, req)
 			_, refusal := w.pick(w.table(), req)
@@ -128,25 +128,25 @@
 	}
 	t.Run("no configuration", func(t *testing.T) {
 		is := is.New(t)
-		_, refusal := newWorld(1).pick(route.Compile(route.Input{Now: epoch}), request("ra"))
+		_, refusal := newHarness(1).pick(route.Compile(route.Input{Now: epoch}), request("ra"))
 		is.Equal(refusal.Reason, outcome.ReasonNoConfiguration)
 	})
 }
 
 // A leaving mark from any source takes an upstream out of use, and so does what
 // this gateway saw itself.
-func TestUnusableUpstreamsGetNothing(t *testing.T) {
-	cases := map[string]func(*world){
-		"leaving": func(w *world) { w.setState("u-0", board.UpstreamLeaving) },
-		"silent":  func(w *world) { w.setState("u-0", board.UpstreamSilent) },
-		"drained": func(w *world) { w.declaration.Upstreams[0].Drained = true },
-		"ejected": func(w *world) { w.load["u-0"] = limit.Load{Limit: limit.Unlimited, Ejected: true} },
-		"resting": func(w *world) { w.load["u-0"] = limit.Load{Limit: limit.Unlimited, Backoff: time.Second} },
+func TestUnusableUpstreamsAreNotPicked(t *testing.T) {
+	cases := map[string]func(*harness){
+		"leaving": func(w *harness) { w.setState("u-0", board.UpstreamLeaving) },
+		"silent":  func(w *harness) { w.setState("u-0", board.UpstreamSilent) },
+		"drained": func(w *harness) { w.declaration.Upstreams[0].Drained = true },
+		"ejected": func(w *harness) { w.load["u-0"] = limit.Load{Limit: limit.Unlimited, Ejected: true} },
+		"resting": func(w *harness) { w.load["u-0"] = limit.Load{Limit: limit.Unlimited, Backoff: time.Second} },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(2)
+			w := newHarness(2)
 			change(w)
 			table := w.table()
 			for range 50 {
@@ -158,7 +158,7 @@
 	}
 }
 
-func (w *world) setState(upstream string, state board.UpstreamState) {
+func (w *harness) setState(upstream string, state board.UpstreamState) {
 	report := w.input.Upstreams.ByName[upstream]
 	report.State = state
 	w.input.Upstreams.ByName[upstream] = report
@@ -166,7 +166,7 @@
 
 func TestVersionsFollowTheDeclaredSplit(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2)
+	w := newHarness(2)
 	w.input.Domains = nil
 	w.declaration.Upstreams[1].Version = "v2"
 	w.declaration.Models[0].Versions = []config.ModelVersion{
@@ -189,7 +189,7 @@
 // upstream that it showed as idle.
 func TestOwnAndPeersInFlightAreAddedToTheReport(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2)
+	w := newHarness(2)
 	report := w.input.Upstreams.ByName["u-1"]
 	report.Running = 3
 	w.input.Upstreams.ByName["u-1"] = report
@@ -210,9 +210,9 @@
 }
 
 // The own queue counts towards the deadline once, not again in admission.
-func TestRunLeavesOutTheOwnQueue(t *testing.T) {
+func TestRunExcludesTheOwnQueue(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1)
+	w := newHarness(1)
 	table := w.table()
 	first, _ := w.pick(table, request("ra"))
 	waiting := request("ra")
@@ -227,7 +227,7 @@
 func TestGatewaysWithOneReportDoNotHerd(t *testing.T) {
 	is := is.New(t)
 	const gateways, there = 5, 8
-	w := newWorld(2)
+	w := newHarness(2)
 	report := w.input.Upstreams.ByName["u-1"]
 	report.Running = there
 	w.input.Upstreams.ByName["u-1"] = report
--- a/pkg/route/refuse.go
+++ b/pkg/route/refuse.go
@@ -14,8 +14,8 @@
 	retryNoUpstream = 2 * time.Second
 	// retryNoConfiguration is about how long a fresh instance takes to get one.
 	retryNoConfiguration = 2 * time.Second
-	// leastRetry keeps callers from coming back at once.
-	leastRetry = 100 * time.Millisecond
+	// minRetryAfter keeps callers from coming back at once.
+	minRetryAfter = 100 * time.Millisecond
 )
 
 func refuseNoConfiguration() *outcome.Refusal {
@@ -48,13 +48,13 @@
 func refuseFull(p *pool, req *Request) *outcome.Refusal {
 	holding := answerTokens(req) / defaultDecodeRate / float64(len(p.locals))
 	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded,
-		max(leastRetry, seconds(holding)), "this gateway's limit is reached at every usable upstream")
+		max(minRetryAfter, seconds(holding)), "this gateway's limit is reached at every usable upstream")
 }
 
-// refuseResting is for a pool whose upstreams have all just rejected requests.
-func refuseResting(rest time.Duration) *outcome.Refusal {
+// refuseBackingOff is for a pool whose upstreams have all just rejected requests.
+func refuseBackingOff(backoff time.Duration) *outcome.Refusal {
 	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded,
-		max(leastRetry, rest), "every usable upstream has just said that it is too busy")
+		max(minRetryAfter, backoff), "every usable upstream has just said that it is too busy")
 }
 
 // refuseLate is for a deadline that would be missed by late. Waiting, in seconds,
@@ -62,7 +62,7 @@
 // down by late, the same request can succeed. Where it is too small for that,
 // coming back does not help.
 func refuseLate(late time.Duration, waiting float64) *outcome.Refusal {
-	retry := max(leastRetry, late)
+	retry := max(minRetryAfter, late)
 	if seconds(waiting) < late {
 		retry = 0
 	}
--- a/pkg/route/remote.go
+++ b/pkg/route/remote.go
@@ -17,16 +17,16 @@
 
 // Link delays, one way, that are assumed where none has been measured.
 const (
-	defaultFarLink  = 55 * time.Millisecond
-	defaultNearLink = time.Millisecond
+	defaultCrossRegionDelay = 55 * time.Millisecond
+	defaultSameRegionDelay  = time.Millisecond
 )
 
 // remote is a pool as another failure domain has it.
 type remote struct {
 	digest *board.DomainDigest
 	state  board.PoolDigest
-	// link is the one-way delay in seconds.
-	link float64
+	// delay is the one-way delay in seconds.
+	delay float64
 	// credit is how many requests this gateway may send on the digest's word.
 	credit int
 	ledger *ledger
@@ -41,7 +41,7 @@
 		return
 	}
 	gateways := demandsOf(liveGateways(in))
-	domains := everyDomain(in)
+	domains := allDomains(in)
 	for i := range in.Domains.Remote {
 		digest := &in.Domains.Remote[i]
 		if digest.Domain == in.Domain {
@@ -56,7 +56,7 @@
 			p.remotes = append(p.remotes, remote{
 				digest: digest,
 				state:  state,
-				link:   t.link(in, digest).Seconds(),
+				delay:  t.linkDelay(in, digest).Seconds(),
 				credit: creditOf(in, digest, state, senders, gateways),
 				ledger: t.spill.ledger(digest, p.key),
 			})
@@ -64,14 +64,14 @@
 	}
 }
 
-func (t *Table) link(in *Input, digest *board.DomainDigest) time.Duration {
+func (t *Table) linkDelay(in *Input, digest *board.DomainDigest) time.Duration {
 	if measured, ok := in.Links[digest.Domain]; ok {
 		return measured
 	}
 	if digest.Region == t.region {
-		return defaultNearLink
+		return defaultSameRegionDelay
 	}
-	return defaultFarLink
+	return defaultCrossRegionDelay
 }
 
 // creditOf splits a domain's spare capacity among the domains that may send, and
@@ -91,8 +91,8 @@
 	return demands
 }
 
-// everyDomain lists every domain that is declared or heard of, sorted.
-func everyDomain(in *Input) []string {
+// allDomains lists every domain that is declared or heard of, sorted.
+func allDomains(in *Input) []string {
 	names := []string{in.Domain}
 	for i := range in.Domains.Remote {
 		names = append(names, in.Domains.Remote[i].Domain)
@@ -118,7 +118,7 @@
 // estimate predicts a request's course in another domain, its caches taken as cold.
 func (r *remote) estimate(req *Request) Estimate {
 	ahead := float64(r.state.Busy + r.state.Waiting + r.ledger.used())
-	e := Estimate{Link: 2 * r.link, AtUpstream: ahead}
+	e := Estimate{Link: 2 * r.delay, AtUpstream: ahead}
 	slots := float64(r.state.Slots)
 	if req.Kind == config.KindService {
 		e.Decode = defaultHolding.Seconds()
--- a/pkg/route/score.go
+++ b/pkg/route/score.go
@@ -67,17 +67,17 @@
 }
 
 // estimate predicts a request's course at a local upstream.
-func (p *pool) estimate(req *Request, i, favourite int32, own limit.Load, clock moment) Estimate {
+func (p *pool) estimate(req *Request, i, favourite int32, own limit.Load, clock decisionTime) Estimate {
 	c := &p.locals[i]
-	others := c.present(own.InFlight, p.peers, p.mean, clock.sinceCompile)
+	others := c.othersNow(own.InFlight, p.peers, p.mean, clock.sinceCompile)
 	e := Estimate{AtUpstream: others + float64(own.InFlight), Own: float64(own.InFlight)}
-	room := c.room(clock.now)
+	slots := c.rampedSlots(clock.now)
 	holding := own.Holding.Seconds()
 	if c.upstream.Kind == config.KindService {
 		if holding == 0 {
 			holding = defaultHolding.Seconds()
 		}
-		e.Wait = slotWait(e.AtUpstream, room, holding)
+		e.Wait = slotWait(e.AtUpstream, slots, holding)
 		e.Decode = holding
 		return e
 	}
@@ -90,22 +90,22 @@
 	if holding == 0 {
 		holding = e.EngineSeconds + e.Decode
 	}
-	e.Wait = slotWait(e.AtUpstream, room, holding)
+	e.Wait = slotWait(e.AtUpstream, slots, holding)
 	return e
 }
 
 // slotWait is how long a request waits for one of room slots, behind ahead others
 // that each hold a slot for holding seconds.
-func slotWait(ahead, room, holding float64) float64 {
-	over := ahead + 1 - room
+func slotWait(ahead, slots, holding float64) float64 {
+	over := ahead + 1 - slots
 	if over <= 0 {
 		return 0
 	}
-	return over / room * holding
+	return over / slots * holding
 }
 
-// moment is the time of a decision.
-type moment struct {
+// decisionTime is the time of a decision.
+type decisionTime struct {
 	now          time.Time
 	sinceCompile time.Duration
 }
--- a/pkg/route/spill.go
+++ b/pkg/route/spill.go
@@ -10,24 +10,24 @@
 const (
 	// defaultMargin is used where the policy declares no spill margin.
 	defaultMargin = 300 * time.Millisecond
-	// keepPart of the margin suffices to go on sending to a domain.
-	keepPart = 0.5
+	// hysteresisShare of the margin suffices to go on sending to a domain.
+	hysteresisShare = 0.5
 	// returnTime is how long it takes, once the gain has fallen below the margin,
 	// until all traffic has come back to the local caches.
 	returnTime = 10 * time.Second
 )
 
-// sendAway returns a decision for another domain when that is the better place.
-func (t *Table) sendAway(p *pool, req *Request, placement []string, here bool, local choice, now time.Time) (Decision, bool) {
+// forward returns a decision for another domain when that is the better place.
+func (t *Table) forward(p *pool, req *Request, placement []string, here bool, local choice, now time.Time) (Decision, bool) {
 	best, estimate := t.bestRemote(p, req, placement, here, now)
 	if best == nil {
 		return Decision{}, false
 	}
-	if here && !t.worthIt(best, req, local, estimate, now) {
+	if here && !t.worthForwarding(best, req, local, estimate, now) {
 		return Decision{}, false
 	}
-	far := best.digest.Region != t.region
-	if here && !t.spill.take(best, far, t.rules[best.digest.Region], now) {
+	crossRegion := best.digest.Region != t.region
+	if here && !t.spill.reserve(best, crossRegion, t.rules[best.digest.Region], now) {
 		return Decision{}, false
 	}
 	if !here {
@@ -40,7 +40,7 @@
 		FirstToken: seconds(estimate.FirstToken()),
 		Predicted:  seconds(estimate.Total()),
 		Run:        seconds(estimate.Total()),
-		Spilled:    here && far,
+		Spilled:    here && crossRegion,
 	}, true
 }
 
@@ -93,9 +93,9 @@
 	return r.ledger.used() < r.credit
 }
 
-// worthIt says whether the predicted end there beats the one here by the margin,
+// worthForwarding says whether the predicted end there beats the one here by the margin,
 // less for a domain that is being sent to already.
-func (t *Table) worthIt(r *remote, req *Request, local choice, there Estimate, now time.Time) bool {
+func (t *Table) worthForwarding(r *remote, req *Request, local choice, there Estimate, now time.Time) bool {
 	if local.candidate == nil || lateBy(req, local.total(req), now) > 0 {
 		return true
 	}
@@ -103,24 +103,24 @@
 	gain := score.Score(req, local.estimate) + req.Waiting.Seconds() - score.Score(req, there)
 	margin := t.margin()
 	if gain >= margin {
-		r.ledger.strong(now)
+		r.ledger.marginMet(now)
 		return true
 	}
-	if gain < keepPart*margin {
+	if gain < hysteresisShare*margin {
 		return false
 	}
-	return t.stillReturning(r, req, now)
+	return t.inReturnRamp(r, req, now)
 }
 
-// stillReturning lets a falling part of the requests go on to the other domain for
+// inReturnRamp lets a falling part of the requests go on to the other domain for
 // a while, so that local caches fill step by step.
-func (t *Table) stillReturning(r *remote, req *Request, now time.Time) bool {
-	since := now.Sub(r.ledger.lastStrong())
+func (t *Table) inReturnRamp(r *remote, req *Request, now time.Time) bool {
+	since := now.Sub(r.ledger.lastMarginMet())
 	if since >= returnTime {
 		return false
 	}
-	part := 1 - float64(since)/float64(returnTime)
-	return float64(mix(req.Roll))/math.MaxUint64 < part
+	share := 1 - float64(since)/float64(returnTime)
+	return float64(mix(req.Roll))/math.MaxUint64 < share
 }
 
 func (t *Table) margin() float64 {
--- a/pkg/route/spill_test.go
+++ b/pkg/route/spill_test.go
@@ -16,8 +16,8 @@
 
 // overloaded is a world whose local upstreams have long queues, while domain b has
 // spare places.
-func overloaded(spare int) *world {
-	w := newWorld(2)
+func overloaded(spare int) *harness {
+	w := newHarness(2)
 	w.fill(40)
 	w.input.Domains.Remote = []board.DomainDigest{digestOf("b", "rb", spare)}
 	w.input.Spill = route.NewSpillState()
@@ -25,7 +25,7 @@
 }
 
 // decide sends one request and says whether it left.
-func (w *world) decide(t interface{ Fatal(...any) }, table *route.Table, roll uint64) bool {
+func (w *harness) decide(t interface{ Fatal(...any) }, table *route.Table, roll uint64) bool {
 	req := request("ra", "rb")
 	req.Roll = roll
 	decision, refusal := w.pick(table, req)
@@ -36,7 +36,7 @@
 }
 
 // advance moves time on; at each whole second a new digest comes.
-func (w *world) advance(step time.Duration) *route.Table {
+func (w *harness) advance(step time.Duration) *route.Table {
 	w.input.Now = w.input.Now.Add(step)
 	digest := &w.input.Domains.Remote[0]
 	digest.HeardAt = w.input.Now
@@ -46,18 +46,18 @@
 
 func TestSpillNeedsMarginRuleAndFreshDigest(t *testing.T) {
 	cases := map[string]struct {
-		change func(*world)
+		change func(*harness)
 		leaves bool
 	}{
-		"much sooner there":  {func(*world) {}, true},
-		"not worth the way":  {func(w *world) { w.fill(1) }, false},
-		"just as busy there": {func(w *world) { w.input.Domains.Remote[0].Pools[0].Waiting = 300 }, false},
-		"no rule":            {func(w *world) { w.declaration.Spill = nil }, false},
-		"rule of 0 percent":  {func(w *world) { w.declaration.Spill[0].Percent = 0 }, false},
-		"no spare":           {func(w *world) { w.input.Domains.Remote[0].Pools[0].Spare = 0 }, false},
-		"stale digest":       {func(w *world) { w.input.Now = epoch.Add(route.DigestLife + time.Second) }, false},
-		"margin not reached": {func(w *world) { w.declaration.Policy.SpillMargin = config.Duration(time.Hour) }, false},
-		"model not there":    {func(w *world) { w.declaration.Models[0].Regions = []string{"ra"} }, false},
+		"much sooner there":  {func(*harness) {}, true},
+		"not worth the trip": {func(w *harness) { w.fill(1) }, false},
+		"just as busy there": {func(w *harness) { w.input.Domains.Remote[0].Pools[0].Waiting = 300 }, false},
+		"no rule":            {func(w *harness) { w.declaration.Spill = nil }, false},
+		"rule of 0 percent":  {func(w *harness) { w.declaration.Spill[0].Percent = 0 }, false},
+		"no spare":           {func(w *harness) { w.input.Domains.Remote[0].Pools[0].Spare = 0 }, false},
+		"stale digest":       {func(w *harness) { w.input.Now = epoch.Add(route.DigestLife + time.Second) }, false},
+		"margin not reached": {func(w *harness) { w.declaration.Policy.SpillMargin = config.Duration(time.Hour) }, false},
+		"model not there":    {func(w *harness) { w.declaration.Models[0].Regions = []string{"ra"} }, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 
 // However many gateways of however many domains decide on the same digest, they
 // send no more than it offers, until the next one.
-func TestOneDigestStartsNoStampede(t *testing.T) {
+func TestDigestCreditIsNotExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spare := rapid.IntRange(0, 20).Draw(t, "spare")
 		gateways := rapid.IntRange(1, 4).Draw(t, "gateways a domain")
@@ -134,7 +134,7 @@
 
 // A rule's percent holds over the requests that arrive, however often a request is
 // decided on.
-func TestSpillKeepsThePercent(t *testing.T) {
+func TestSpillRespectsThePercent(t *testing.T) {
 	is := is.New(t)
 	w := overloaded(1000)
 	w.declaration.Spill[0].Percent = 20
@@ -164,7 +164,7 @@
 	is := is.New(t)
 	w := overloaded(1000)
 	w.input.Domains.Remote[0].Pools[0].Slots = 1000
-	part := func(inFlight int) int {
+	share := func(inFlight int) int {
 		w.fill(inFlight)
 		table := w.advance(time.Second)
 		left := 0
@@ -176,12 +176,12 @@
 		return left
 	}
 	strong, band := inFlightFor(w, 1.2), inFlightFor(w, 0.75)
-	is.Equal(part(band), 0) // not begun yet
-	is.Equal(part(strong), 100)
+	is.Equal(share(band), 0) // not begun yet
+	is.Equal(share(strong), 100)
 	last := 100
 	falls := 0
 	for range 12 {
-		now := part(band)
+		now := share(band)
 		is.True(now <= last) // never back and forth
 		if now < last {
 			falls++
@@ -194,19 +194,19 @@
 
 // inFlightFor sets the margin so that a whole number of local requests makes the
 // gain that part of it: at 20 requests the gain is the margin.
-func inFlightFor(w *world, part float64) int {
+func inFlightFor(w *harness, share float64) int {
 	const atMargin = 20
 	gain := func(inFlight int) time.Duration {
 		w.fill(inFlight)
 		here, _ := w.pick(w.table(), request("ra"))
 		there := overloaded(1000)
 		there.input.Domains.Remote[0].Pools[0].Slots = 1000
-		away, _ := there.pick(there.table(), request("ra", "rb"))
-		return here.Predicted - away.Predicted
+		remote, _ := there.pick(there.table(), request("ra", "rb"))
+		return here.Predicted - remote.Predicted
 	}
 	w.declaration.Policy.SpillMargin = config.Duration(gain(atMargin))
 	for inFlight := 1; ; inFlight++ {
-		if gain(inFlight).Seconds() >= part*gain(atMargin).Seconds() {
+		if gain(inFlight).Seconds() >= share*gain(atMargin).Seconds() {
 			return inFlight
 		}
 	}
@@ -214,9 +214,9 @@
 
 // An upstream that came back is given less than it has room for, until its cache
 // has had time to fill.
-func TestReturningUpstreamIsRamped(t *testing.T) {
+func TestReturningUpstreamIsRampedUp(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2)
+	w := newHarness(2)
 	w.setState("u-0", board.UpstreamSilent)
 	w.input.Previous = w.table()
 	w.setState("u-0", board.UpstreamLive)
--- a/pkg/route/strategy.go
+++ b/pkg/route/strategy.go
@@ -66,7 +66,7 @@
 // of cost against latency, 0 to 1.
 func DefaultStrategy(costWeight float64) Strategy {
 	return Strategy{
-		Filters: []Filter{NotEjected{}, NotResting{}, NotTried{}, BelowLimit{}},
+		Filters: []Filter{NotEjected{}, NotBackingOff{}, NotTried{}, BelowLimit{}},
 		Scorer:  TimeAndCost{CostWeight: costWeight, PrefillWeight: prefillWeight},
 		Picker:  AffinityAndChoices{},
 	}
--- a/pkg/route/table.go
+++ b/pkg/route/table.go
@@ -136,21 +136,21 @@
 // Upstreams that rest offer no place, unless all do: a rest ends sooner than the
 // next table comes.
 func (t *Table) Slots(info PoolInfo, load LocalLoad) int {
-	awake, resting := 0, 0
+	available, backingOff := 0, 0
 	for _, name := range info.Upstreams {
 		l := load.Load(name)
 		switch {
 		case l.Ejected:
 		case l.Backoff > 0:
-			resting += l.Limit
+			backingOff += l.Limit
 		default:
-			awake += l.Limit
+			available += l.Limit
 		}
 	}
-	if awake == 0 {
-		return resting
+	if available == 0 {
+		return backingOff
 	}
-	return awake
+	return available
 }
 
 func (t *Table) index(d *config.Declaration) {
