--- a/pkg/route/affinity.go
+++ b/pkg/route/affinity.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// groupSize is about how many candidates share a group. Rendezvous hashing first
-// picks a group and then a candidate inside it, so that a lookup among n
-// candidates hashes n/groupSize + groupSize times instead of n times.
+// groupSize is the approximate number of candidates in a group. Rendezvous hashing first
+// picks a group and then a candidate inside it, so that a lookup among n candidates hashes
+// n/groupSize + groupSize times instead of n times.
 const groupSize = 16
 
-// group is a part of a pool that is fixed by the candidates' names.
+// group is a subset of a pool that is determined by the candidates' names.
 type group struct {
 	hash    uint64
 	members []int32
 }
 
-// groupCandidates divides candidates by a hash of their names.
+// groupCandidates divides candidates into groups by a hash of their names.
 func groupCandidates(locals []candidate) []group {
 	count := 1 << bits.Len(uint(len(locals)/groupSize))
 	groups := make([]group, count)
@@ -30,7 +30,8 @@
 	return slices.DeleteFunc(groups, func(g group) bool { return len(g.members) == 0 })
 }
 
-// favourite returns the candidate that rendezvous hashing gives to a key, or -1.
+// favourite returns the index of the candidate to which rendezvous hashing assigns a key,
+// or -1.
 func (p *pool) favourite(key uint64) int32 {
 	if len(p.groups) == 0 {
 		return -1
@@ -59,18 +60,18 @@
 	return x ^ x>>31
 }
 
-// maxAffinityMessage is the last message that may decide where a prompt is sent:
-// commonly the history that follows the instructions. Later ones differ from turn
-// to turn.
+// maxAffinityMessage is the index of the last message that may decide where a prompt is
+// sent: usually the history that follows the instructions. Later ones differ from turn to
+// turn.
 const maxAffinityMessage = 1
 
-// affinityMessage is the index of the message up to which a prompt's prefix decides
-// where it is sent. The last message is new each time, and decides only alone.
+// affinityMessage is the index of the message up to which a prompt's prefix decides where
+// it is sent. The last message is new each time, and counts only if it is the only one.
 func affinityMessage(req *Request) int {
 	return max(0, min(maxAffinityMessage, len(req.Prefixes)-2))
 }
 
-// affinityKey returns the hash that a request's placement follows.
+// affinityKey returns the hash by which a request is placed.
 func affinityKey(req *Request) (key uint64, ok bool) {
 	if len(req.Prefixes) == 0 {
 		return 0, false
@@ -104,16 +105,16 @@
 	return -1, nil
 }
 
-// Trust in what is believed of a cache.
+// Confidence in the contents of a cache.
 const (
-	// hintTrust is for a prefix that the upstream reported: reports are late.
+	// hintTrust is for a prefix that the upstream reported: reports arrive late.
 	hintTrust = 0.9
-	// favouriteTrust is for the upstream to which rendezvous hashing sends a
-	// prefix: it may be the first request with it, or the cache was evicted.
+	// favouriteTrust is for the upstream to which rendezvous hashing assigns a prefix: this
+	// may be the first request with it, or it may have been evicted.
 	favouriteTrust = 0.5
 )
 
-// cachedTokens estimates how many prompt tokens of the request candidate i holds.
+// cachedTokens estimates how many prompt tokens of the request candidate i has cached.
 func (p *pool) cachedTokens(req *Request, i, favourite int32) float64 {
 	cached := 0.0
 	for message := len(req.Prefixes) - 1; message >= 0; message-- {
--- a/pkg/route/affinity_test.go
+++ b/pkg/route/affinity_test.go
@@ -10,7 +10,7 @@
 	"github.com/lilacweir/lilacweir/pkg/route"
 )
 
-// review is a request that shares its history, but not its question, with others.
+// review returns a request that shares its history, but not its question, with others.
 func review(history, question uint64) *route.Request {
 	req := request("ra")
 	req.Prefixes = []uint64{history, question}
@@ -19,8 +19,8 @@
 	return req
 }
 
-// Requests with the same history meet at one upstream, from any gateway, whatever
-// their questions; different histories spread.
+// Requests with the same history go to one upstream, from any gateway, whatever their
+// questions; different histories spread over the upstreams.
 func TestSharedPrefixGoesToOneUpstream(t *testing.T) {
 	for _, size := range []int{4, 100} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// A popular prefix does not pile up on one upstream while others idle.
+// A popular prefix does not overload one upstream while others are idle.
 func TestAffinityYieldsToLoad(t *testing.T) {
 	is := is.New(t)
 	w := newHarness(4)
@@ -52,8 +52,7 @@
 	is.True(other.Upstream.Name != favourite.Upstream.Name)
 }
 
-// Where an upstream says that it holds the prefix, that counts more than where
-// hashing would have put it.
+// A report that an upstream has cached the prefix takes precedence over hashing.
 func TestReportedPrefixOverridesHashing(t *testing.T) {
 	is := is.New(t)
 	w := newHarness(100)
--- a/pkg/route/bench_test.go
+++ b/pkg/route/bench_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// BenchmarkCompile is the making of a table from so many local upstreams.
+// BenchmarkCompile compiles a table from so many local upstreams.
 func BenchmarkCompile(b *testing.B) {
 	for _, size := range []int{10, 25, 100, 1000} {
 		b.Run(fmt.Sprintf("upstreams=%d", size), func(b *testing.B) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// BenchmarkCompileRemote is the making of a table from 25 local upstreams and the
-// digests of so many other failure domains with five pools each.
+// BenchmarkCompileRemote compiles a table from 25 local upstreams and the digests of so
+// many other failure domains with five pools each.
 func BenchmarkCompileRemote(b *testing.B) {
 	for _, domains := range []int{1, 5, 10, 20, 41} {
 		b.Run(fmt.Sprintf("domains=%d", domains), func(b *testing.B) {
--- a/pkg/route/filter.go
+++ b/pkg/route/filter.go
@@ -6,19 +6,19 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// NotEjected rules out upstreams that have of late failed too often.
+// NotEjected excludes upstreams that are ejected because of failures.
 type NotEjected struct{}
 
 // Keep implements Filter.
 func (NotEjected) Keep(_ *Request, _ string, own limit.Load) bool { return !own.Ejected }
 
-// NotBackingOff rules out upstreams that have just said that they are too busy.
+// NotBackingOff excludes upstreams that have just reported that they are overloaded.
 type NotBackingOff struct{}
 
 // Keep implements Filter.
 func (NotBackingOff) Keep(_ *Request, _ string, own limit.Load) bool { return own.Backoff <= 0 }
 
-// NotTried rules out upstreams that have failed this very request.
+// NotTried excludes upstreams that have already failed this request.
 type NotTried struct{}
 
 // Keep implements Filter.
@@ -26,8 +26,8 @@
 	return !slices.Contains(req.Tried, upstream)
 }
 
-// BelowLimit rules out upstreams at which this gateway's limit is reached, for
-// requests that are to start at once.
+// BelowLimit excludes upstreams at which this gateway's limit is reached, for requests that
+// are to start at once.
 type BelowLimit struct{}
 
 // Keep implements Filter.
--- a/pkg/route/fixture_test.go
+++ b/pkg/route/fixture_test.go
@@ -14,8 +14,8 @@
 
 var epoch = time.Unix(1000, 0)
 
-// harness is three regions with one failure domain each; this gateway is gw-1 in
-// domain a. Model m runs everywhere, version v1 in full.
+// harness has three regions with one failure domain each; this gateway is gw-1 in domain a.
+// Model m runs everywhere, version v1 in full.
 type harness struct {
 	declaration config.Declaration
 	input       route.Input
@@ -84,7 +84,7 @@
 	return table.Pick(req, w.load, w.rnd, w.input.Now)
 }
 
-// fill puts that many requests of this gateway at every local upstream.
+// fill sets so many requests of this gateway at every local upstream.
 func (w *harness) fill(requests int) {
 	for _, upstream := range w.declaration.Upstreams {
 		w.load[upstream.Name] = limit.Load{InFlight: requests, Limit: limit.Unlimited, Holding: 5 * time.Second}
--- a/pkg/route/gateways.go
+++ b/pkg/route/gateways.go
@@ -8,8 +8,8 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// liveGateways returns the domain's instances that take requests, this one
-// included, in the order of their names.
+// liveGateways returns the domain's instances that accept requests, in the order of their
+// names, with this one last.
 func liveGateways(in *Input) []board.Instance {
 	self := board.Instance{Name: in.Self, Domain: in.Domain, State: board.InstanceLive}
 	if in.Members == nil {
@@ -28,8 +28,8 @@
 	return append(live, self)
 }
 
-// demands returns what each gateway has in hand for an upstream: its requests
-// there, and those that wait for its pool.
+// demands returns each gateway's requests in flight at an upstream plus those that wait for
+// its pool.
 func demands(gateways []board.Instance, upstream *config.Upstream) []limit.Demand {
 	out := make([]limit.Demand, len(gateways))
 	for i := range gateways {
--- a/pkg/route/ledger.go
+++ b/pkg/route/ledger.go
@@ -8,8 +8,8 @@
 	"github.com/lilacweir/lilacweir/pkg/board"
 )
 
-// SpillState remembers, from table to table, what this gateway has sent away. It
-// is safe for concurrent use.
+// SpillState records what this gateway has forwarded, across successive tables. It is safe
+// for concurrent use.
 type SpillState struct {
 	arrivals atomic.Int64
 	mu       sync.Mutex
@@ -27,7 +27,7 @@
 // ledger counts what was sent to one pool of one domain.
 type ledger struct {
 	reportedAt time.Time // guarded by SpillState.mu
-	// current counts requests sent since the domain was last heard from.
+	// current counts requests sent since the last report of the domain.
 	current     atomic.Int64
 	marginMetAt atomic.Int64
 }
@@ -39,11 +39,11 @@
 	return time.Unix(0, l.marginMetAt.Load())
 }
 
-// creditInterval is the least time between two renewals of credit.
+// creditInterval is the minimum interval between two renewals of credit.
 const creditInterval = 500 * time.Millisecond
 
-// ledger returns the record of a pool, turned over when the domain was heard from
-// again: with a new digest, or with word that the last one still holds.
+// ledger returns the ledger of a pool. It is reset when a new report of the domain was
+// received: a new digest, or a confirmation of the last one.
 func (s *SpillState) ledger(digest *board.DomainDigest, pool string) *ledger {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 // arrived counts a request towards the base of the spill rules' percents.
 func (s *SpillState) arrived() { s.arrivals.Add(1) }
 
-// spillWindow is the time over which a spill rule's percent is kept.
+// spillWindow is the time over which a spill rule's percent is enforced.
 const spillWindow = 10 * time.Second
 
 // window counts requests sent to one region in the present and the last period.
@@ -73,8 +73,8 @@
 	sent, lastSent int64 // sent in this and in the last period
 }
 
-// reserve uses up one credit of r and one place of the spill rule; false when there
-// is none. Far tells whether the rule applies.
+// reserve uses up one credit of r and one request of the spill rule's percent; false if
+// there is none. The rule applies only if crossRegion is true.
 func (s *SpillState) reserve(r *remote, crossRegion bool, percent int, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/route/local.go
+++ b/pkg/route/local.go
@@ -12,28 +12,28 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// Rates that are assumed of an engine that has not said, tokens a second.
+// Rates that are assumed of an engine that reports none, in tokens a second.
 const (
 	defaultDecodeRate  = 30.0
 	defaultPrefillRate = 4000.0
 )
 
 // reportTimeConstant is the age at which a report has lost most (1-1/e) of its weight
-// against the pool's mean.
+// relative to the pool's mean.
 const reportTimeConstant = 5 * time.Second
 
-// rampTime is how long an upstream that became usable again is taken to have less
-// room than it declares, while its cache fills.
+// rampTime is the time for which an upstream that became usable again counts with less than
+// its declared concurrency, while its cache fills.
 const rampTime = 10 * time.Second
 
 // candidate is one usable local upstream.
 type candidate struct {
 	upstream *config.Upstream
 	hash     uint64
-	// others estimates the requests that are at the upstream on behalf of others
-	// than this gateway, and ownThen is what this gateway had there at that time.
+	// others estimates the requests at the upstream from all senders but this gateway, and
+	// ownAtReport is what this gateway had there at that time.
 	others, ownAtReport float64
-	// age is how old the report was when the table was compiled; negative: none.
+	// age is the report's age when the table was compiled; negative if there is none.
 	age                     time.Duration
 	decodeRate, prefillRate float64
 	concurrency             float64
@@ -64,7 +64,7 @@
 	}
 }
 
-// usable is false for what must get no new work.
+// usable reports whether an upstream may get new work.
 func usable(upstream *config.Upstream, report *board.UpstreamLoad) bool {
 	if upstream.Drained {
 		return false
@@ -72,7 +72,7 @@
 	return report == nil || report.State == board.UpstreamLive || report.State == ""
 }
 
-// loadedVersion is the version that the engine said it has, else the declared one.
+// loadedVersion is the version that the engine reported as loaded, else the declared one.
 func loadedVersion(upstream *config.Upstream, report *board.UpstreamLoad) string {
 	if upstream.Kind == config.KindService {
 		return ""
@@ -83,8 +83,8 @@
 	return upstream.Version
 }
 
-// usableSinceOf returns since when an upstream has been usable without a break; what
-// was usable at the start needs no ramp.
+// usableSinceOf returns since when an upstream has been continuously usable; zero if it was
+// usable at the start and needs no ramp.
 func (t *Table) usableSinceOf(name string, in *Input) time.Time {
 	since := in.Now
 	if in.Previous == nil || in.Previous.revision == 0 {
@@ -114,15 +114,15 @@
 	c.age = max(0, in.Now.Sub(report.ReportedAt))
 	c.decodeRate = cmp.Or(report.DecodeRate, c.decodeRate)
 	c.prefillRate = cmp.Or(report.PrefillRate, c.prefillRate)
-	// The report counts this gateway's requests as well: take off those that it
-	// had when it last spoke, about as long ago as the report.
+	// The report includes this gateway's own requests. They are subtracted as of its last
+	// published load, which is about as old as the report.
 	reported := float64(report.Running + report.Queued - self)
 	c.others = max(c.others, reported)
 	return c
 }
 
-// inFlightOf adds up the peers' requests at an upstream, and this gateway's own as
-// it last told them.
+// inFlightOf returns the sum of the peers' requests at an upstream, and this gateway's own
+// as last published.
 func inFlightOf(in *Input, upstream string) (peers, self int) {
 	if in.Members == nil {
 		return peers, self
@@ -140,10 +140,10 @@
 	return peers, self
 }
 
-// othersNow estimates what others have at the upstream now. What they had is drawn
-// towards the pool's mean as the report ages; since then, each of the peers is taken
-// to have sent as much as this gateway. Without that, all gateways send to whatever
-// looked idle in the same report until the next one comes.
+// othersNow estimates the present requests of others at the upstream. The reported number
+// approaches the pool's mean as the report ages; since the report, each of the peers is
+// assumed to have sent as much as this gateway. Without that, all gateways would send to
+// the upstream that the same report showed as idle, until the next report.
 func (c *candidate) othersNow(own int, peers, mean float64, sinceCompile time.Duration) float64 {
 	others := c.others
 	if c.age >= 0 {
@@ -153,8 +153,8 @@
 	return max(0, others+peers*(float64(own)-c.ownAtReport))
 }
 
-// rampedSlots is the concurrency that is counted on: less while the upstream's cache
-// fills after a return.
+// rampedSlots is the concurrency that is assumed: less than declared while the upstream's
+// cache fills after it became usable again.
 func (c *candidate) rampedSlots(now time.Time) float64 {
 	up := now.Sub(c.usableSince)
 	if up >= rampTime {
--- a/pkg/route/pick.go
+++ b/pkg/route/pick.go
@@ -9,9 +9,9 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// Pick decides where a request goes. It allocates nothing unless it refuses; the
-// refusal is always "not run". A decision to send to another domain uses up
-// credit, so it is taken once for each request that is then sent.
+// Pick decides where a request goes. It allocates only if it refuses; the refusal is always
+// "not run". A decision to send to another domain uses up credit, so it must be made only
+// once for each request that is then sent.
 func (t *Table) Pick(req *Request, load LocalLoad, rnd Rand, now time.Time) (Decision, *outcome.Refusal) {
 	placement, refusal := t.placement(req)
 	if refusal != nil {
@@ -41,8 +41,8 @@
 	return t.decideLocal(p, req, here, local, now)
 }
 
-// count counts a caller's request once towards the spill rules, however often it
-// is decided on.
+// count counts a caller's request once towards the spill rules, however often Pick is
+// called for it.
 func (t *Table) count(req *Request) {
 	if req.counted || req.Class != ClassEntry || len(req.Tried) > 0 {
 		return
@@ -55,14 +55,14 @@
 type choice struct {
 	candidate *candidate
 	estimate  Estimate
-	// full is true when upstreams were ruled out only by this gateway's limit.
+	// full is true if upstreams were excluded only by this gateway's limit.
 	full bool
-	// backoff is how long it is until the first of the resting upstreams may be tried;
-	// zero when none rests.
+	// backoff is the shortest time until one of the upstreams that are backing off may be
+	// tried; zero if none is backing off.
 	backoff time.Duration
 }
 
-// exclude records why an upstream was ruled out.
+// exclude records why an upstream was excluded.
 func (c *choice) exclude(own limit.Load) {
 	c.full = c.full || own.InFlight >= own.Limit
 	if own.Backoff > 0 && (c.backoff == 0 || own.Backoff < c.backoff) {
@@ -111,7 +111,7 @@
 	return best
 }
 
-// firstUsable looks through the whole pool when no sampled upstream would do.
+// firstUsable searches the whole pool if no sampled upstream is usable.
 func (t *Table) firstUsable(p *pool, req *Request, load LocalLoad, favourite int32, at decisionTime, start int) choice {
 	var none choice
 	for n := range p.locals {
@@ -163,7 +163,7 @@
 	}, nil
 }
 
-// lateBy is how far after the deadline a request of that predicted length ends.
+// lateBy returns by how much a request of that predicted duration exceeds its deadline.
 func lateBy(req *Request, total float64, now time.Time) time.Duration {
 	if req.Deadline.IsZero() {
 		return 0
@@ -171,7 +171,7 @@
 	return seconds(total) - req.Deadline.Sub(now)
 }
 
-// placement returns the regions in which what the request asks for may run.
+// placement returns the regions in which the model or service may run.
 func (t *Table) placement(req *Request) ([]string, *outcome.Refusal) {
 	if t.revision == 0 {
 		return nil, refuseNoConfiguration()
@@ -192,7 +192,7 @@
 	return model.Regions, nil
 }
 
-// permitted says whether the request may be processed in a region.
+// permitted reports whether the request may be processed in a region.
 func (t *Table) permitted(req *Request, placement []string, region string) bool {
 	return slices.Contains(req.Caller.Regions, region) && slices.Contains(placement, region)
 }
--- a/pkg/route/pick_test.go
+++ b/pkg/route/pick_test.go
@@ -16,9 +16,8 @@
 	"github.com/lilacweir/lilacweir/pkg/route"
 )
 
-// Wherever load, declarations and digests drive a request, it stays in the regions
-// that its caller and its model permit, and one that has crossed never crosses
-// again.
+// Whatever the load, declarations and digests are, a request stays in the regions that its
+// caller and its model permit, and a forwarded one is never forwarded again.
 func TestPickRespectsRegionsAndClass(t *testing.T) {
 	regions := []string{"ra", "rb", "rc"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -35,7 +34,7 @@
 		decision, refusal := w.pick(w.table(), req)
 		if refusal != nil {
 			if refusal.Outcome != outcome.NotRun || decision.Upstream != nil || decision.Domain != nil {
-				t.Fatal("a refusal from here means that nothing ran")
+				t.Fatal("a refusal by Pick must be not run")
 			}
 			return
 		}
@@ -46,7 +45,7 @@
 				t.Fatal("a forwarded request was sent on")
 			}
 			if age > route.DigestLife {
-				t.Fatal("sent away on a stale digest")
+				t.Fatal("forwarded on a stale digest")
 			}
 		}
 		if (decision.Upstream == nil) == (decision.Domain == nil) {
@@ -64,7 +63,7 @@
 	w.fill(100)
 	decision, refusal := w.pick(w.table(), request("ra"))
 	is.True(refusal == nil)
-	is.True(decision.Upstream != nil) // full, and still here
+	is.True(decision.Upstream != nil) // full, but not forwarded
 	for i := range w.declaration.Upstreams {
 		w.declaration.Upstreams[i].Drained = true
 	}
@@ -123,7 +122,7 @@
 			is.True(refusal != nil)
 			is.Equal(refusal.Reason, c.reason)
 			is.Equal(refusal.Outcome, outcome.NotRun)
-			is.Equal(refusal.RetryAfter > 0, c.retry) // says when coming back helps
+			is.Equal(refusal.RetryAfter > 0, c.retry) // set only if a retry can succeed
 		})
 	}
 	t.Run("no configuration", func(t *testing.T) {
@@ -133,8 +132,8 @@
 	})
 }
 
-// A leaving mark from any source takes an upstream out of use, and so does what
-// this gateway saw itself.
+// An upstream that any source reports as leaving is not picked, nor is one with failures or
+// rejections that this gateway observed itself.
 func TestUnusableUpstreamsAreNotPicked(t *testing.T) {
 	cases := map[string]func(*harness){
 		"leaving": func(w *harness) { w.setState("u-0", board.UpstreamLeaving) },
@@ -181,12 +180,12 @@
 		is.True(refusal == nil)
 		counts[decision.Version]++
 	}
-	// v3 is loaded nowhere: its part goes to the others in proportion.
+	// v3 is loaded nowhere: its share goes to the others in proportion.
 	is.Equal(counts, map[string]int{"v1": 600, "v2": 100})
 }
 
-// Two gateways that read the same old report do not both send everything to the
-// upstream that it showed as idle.
+// Two gateways with the same old report do not both send everything to the upstream that it
+// showed as idle.
 func TestOwnAndPeersInFlightAreAddedToTheReport(t *testing.T) {
 	is := is.New(t)
 	w := newHarness(2)
@@ -222,8 +221,8 @@
 	is.Equal(second.Predicted, first.Predicted+waiting.Waiting)
 }
 
-// Gateways that read the same old report and decide alike do not together pile onto
-// the upstream that looked idle in it.
+// Gateways that decide alike on the same old report do not all send to the upstream that it
+// showed as idle.
 func TestGatewaysWithOneReportDoNotHerd(t *testing.T) {
 	is := is.New(t)
 	const gateways, there = 5, 8
--- a/pkg/route/picker.go
+++ b/pkg/route/picker.go
@@ -2,7 +2,7 @@
 
 // Bounds of a sample.
 const (
-	// exhaustive is the size up to which every upstream of a pool is looked at.
+	// exhaustive is the pool size up to which every upstream is considered.
 	exhaustive = 8
 	// choices is how many upstreams of a larger pool are drawn at random.
 	choices = 4
@@ -10,8 +10,8 @@
 	maxHolders = 3
 )
 
-// AffinityAndChoices looks at every upstream of a small pool; of a large one, at
-// the prefix's favourite, some that reported the prefix, and a few at random.
+// AffinityAndChoices considers every upstream of a small pool; of a large one, the prefix's
+// favourite, some that reported the prefix, and a few at random.
 type AffinityAndChoices struct{}
 
 // Sample implements Picker.
--- a/pkg/route/refuse.go
+++ b/pkg/route/refuse.go
@@ -7,14 +7,15 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// Times after which a refused caller is asked to come back.
+// Times after which a refused caller is asked to retry.
 const (
-	// retryNoUpstream is about how long it takes until a domain that came back,
-	// or an upstream that was ejected, is used again.
+	// retryNoUpstream is about the time until a domain that has recovered, or an upstream
+	// that was ejected, is used again.
 	retryNoUpstream = 2 * time.Second
-	// retryNoConfiguration is about how long a fresh instance takes to get one.
+	// retryNoConfiguration is about the time that a new instance takes to get a
+	// configuration.
 	retryNoConfiguration = 2 * time.Second
-	// minRetryAfter keeps callers from coming back at once.
+	// minRetryAfter prevents immediate retries.
 	minRetryAfter = 100 * time.Millisecond
 )
 
@@ -43,24 +44,23 @@
 		"no usable upstream in the permitted regions")
 }
 
-// refuseFull is for a request that would have to wait although it has left the
-// queue; it can come back once a request has ended.
+// refuseFull is for a request that has left the queue and would have to wait again; it can
+// be retried once a running request has ended.
 func refuseFull(p *pool, req *Request) *outcome.Refusal {
 	holding := answerTokens(req) / defaultDecodeRate / float64(len(p.locals))
 	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded,
 		max(minRetryAfter, seconds(holding)), "this gateway's limit is reached at every usable upstream")
 }
 
-// refuseBackingOff is for a pool whose upstreams have all just rejected requests.
+// refuseBackingOff is for a pool in which all upstreams have just rejected requests.
 func refuseBackingOff(backoff time.Duration) *outcome.Refusal {
 	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded,
 		max(minRetryAfter, backoff), "every usable upstream has just said that it is too busy")
 }
 
-// refuseLate is for a deadline that would be missed by late. Waiting, in seconds,
-// is the part of the predicted time that passes with the load: once it has gone
-// down by late, the same request can succeed. Where it is too small for that,
-// coming back does not help.
+// refuseLate is for a request that would miss its deadline by late. Waiting, in seconds, is
+// the part of the predicted time that depends on the load: once it has fallen by late, the
+// same request can succeed. If waiting is less than late, a retry does not help.
 func refuseLate(late time.Duration, waiting float64) *outcome.Refusal {
 	retry := max(minRetryAfter, late)
 	if seconds(waiting) < late {
--- a/pkg/route/remote.go
+++ b/pkg/route/remote.go
@@ -11,23 +11,23 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// DigestLife is the age from which another domain's digest no longer counts: it
-// grants no credit and the domain is taken for unreachable.
+// DigestLife is the age from which another domain's digest is ignored: it grants no credit
+// and the domain counts as unreachable.
 const DigestLife = 5 * time.Second
 
-// Link delays, one way, that are assumed where none has been measured.
+// One-way network delays that are assumed where none has been measured.
 const (
 	defaultCrossRegionDelay = 55 * time.Millisecond
 	defaultSameRegionDelay  = time.Millisecond
 )
 
-// remote is a pool as another failure domain has it.
+// remote is a pool of another failure domain, as its digest reports it.
 type remote struct {
 	digest *board.DomainDigest
 	state  board.PoolDigest
-	// delay is the one-way delay in seconds.
+	// delay is the one-way network delay in seconds.
 	delay float64
-	// credit is how many requests this gateway may send on the digest's word.
+	// credit is how many requests this gateway may send on the basis of the digest.
 	credit int
 	ledger *ledger
 }
@@ -74,9 +74,8 @@
 	return defaultCrossRegionDelay
 }
 
-// creditOf splits a domain's spare capacity among the domains that may send, and
-// this domain's part among its gateways. The odd ones go round from digest to
-// digest.
+// creditOf splits a domain's spare capacity among the domains that may send, and this
+// domain's share among its gateways. The remainders rotate from digest to digest.
 func creditOf(in *Input, digest *board.DomainDigest, state board.PoolDigest, senders, gateways []limit.Demand) int {
 	round := digest.Domain + "/" + state.Serves + "/" + strconv.FormatUint(digest.Sequence, 16)
 	mine := limit.Share(round, state.Spare, in.Domain, senders)
@@ -91,7 +90,7 @@
 	return demands
 }
 
-// allDomains lists every domain that is declared or heard of, sorted.
+// allDomains returns every domain that is declared or has sent a digest, sorted.
 func allDomains(in *Input) []string {
 	names := []string{in.Domain}
 	for i := range in.Domains.Remote {
@@ -104,7 +103,7 @@
 	return slices.Compact(names)
 }
 
-// sendersTo lists every domain but the receiver.
+// sendersTo returns every domain but the receiver.
 func sendersTo(receiver string, domains []string) []limit.Demand {
 	demands := make([]limit.Demand, 0, len(domains))
 	for _, name := range domains {
@@ -115,7 +114,8 @@
 	return demands
 }
 
-// estimate predicts a request's course in another domain, its caches taken as cold.
+// estimate predicts a request's times in another domain; the caches there are assumed to be
+// cold.
 func (r *remote) estimate(req *Request) Estimate {
 	ahead := float64(r.state.Busy + r.state.Waiting + r.ledger.used())
 	e := Estimate{Link: 2 * r.delay, AtUpstream: ahead}
--- a/pkg/route/request.go
+++ b/pkg/route/request.go
@@ -1,12 +1,12 @@
-// Package route decides where a request runs: on an upstream of the own failure
-// domain, in another failure domain, or nowhere.
+// Package route decides where a request runs: on an upstream of the own failure domain, in
+// another failure domain, or nowhere.
 //
-// A Table is compiled from the blackboard's sections whenever one changes; Pick is
-// then a function of the request, the table and this gateway's own work in hand.
+// A Table is compiled from the blackboard's sections whenever one changes; Pick is then a
+// function of the request, the table and this gateway's own load.
 //
-// Guarantees: a decision never leaves the regions that the caller and the model or
-// service both permit; a request of ClassDomain is never sent to another domain; a
-// refusal from here is always "not run".
+// Guarantees: a decision never leaves the regions that the caller and the model or service
+// both permit; a request of ClassDomain is never sent to another domain; a refusal by this
+// package is always "not run".
 package route
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// Class is how far a request may still travel. It only ever falls.
+// Class limits how far a request may be forwarded. It only ever becomes more restrictive.
 type Class uint8
 
 // Classes of a request.
@@ -29,28 +29,28 @@
 	ClassDomain
 )
 
-// Request is what a decision needs to know of a request. Use the same one for all
-// decisions on a request.
+// Request holds the properties of a request that a decision depends on. All decisions on a
+// request must use the same Request.
 type Request struct {
-	// Caller is who sent it. Never nil.
+	// Caller is the sender of the request. It is never nil.
 	Caller *config.Caller
-	// Serves names the model or service, and Kind says which of both it is.
+	// Serves is the name of the model or service, and Kind the kind of its upstreams.
 	Serves string
 	Kind   config.UpstreamKind
-	// Version asks for one model version; empty leaves it to the declared split.
+	// Version selects one model version; if empty, the declared split decides.
 	Version string
 	// Prefixes holds cumulative hashes of the prompt at each message's end, and
-	// PrefixTokens the estimated prompt tokens up to there. PrefixTokens may be
-	// empty: messages then count as equally long.
+	// PrefixTokens the estimated prompt tokens up to there. PrefixTokens may be empty:
+	// messages then count as equally long.
 	Prefixes     []uint64
 	PrefixTokens []int
-	// PromptTokens is the estimated length of the prompt, MaxTokens the longest
-	// answer; zero when the request does not say.
+	// PromptTokens is the estimated length of the prompt, MaxTokens the longest answer;
+	// zero if the request does not specify it.
 	PromptTokens, MaxTokens int
-	// Deadline is when the answer must be whole; zero means none.
+	// Deadline is when the answer must be complete; zero if there is none.
 	Deadline time.Time
-	// Class and Origin say how the request came here; Origin is the sending
-	// failure domain, empty for ClassEntry.
+	// Class is the request's class. Origin is the failure domain that forwarded it, empty
+	// for ClassEntry.
 	Class  Class
 	Origin string
 	// Tried names the upstreams and failure domains that have failed this
@@ -61,10 +61,10 @@
 	// Waiting is the predicted wait in this gateway's own queue, if the request
 	// runs in this domain.
 	Waiting time.Duration
-	// Admitted says that the request has left this gateway's queue: upstreams at
-	// which the gateway's limit is reached are then not picked.
+	// Admitted is true if the request has left this gateway's queue: upstreams at which the
+	// gateway's limit is reached are then not picked.
 	Admitted bool
-	// counted is set once the request has been counted towards the spill rules.
+	// counted is true once the request has been counted towards the spill rules.
 	counted bool
 }
 
@@ -72,9 +72,9 @@
 type Decision struct {
 	// Upstream is an upstream of the own failure domain.
 	Upstream *config.Upstream
-	// Domain is another failure domain, to one of whose Entries the request goes.
+	// Domain is another failure domain; the request is sent to one of its Entries.
 	Domain *board.DomainDigest
-	// Pool names the pool that was chosen, PoolKey(serves, version). It is the
+	// Pool is the key of the pool that was chosen, PoolKey(serves, version). It is also the
 	// key of this gateway's queue.
 	Pool string
 	// Version is the model version that was chosen; empty for services.
@@ -84,13 +84,13 @@
 	FirstToken, Predicted time.Duration
 	// Run is the part of Predicted that follows the own queue.
 	Run time.Duration
-	// Spilled is true when the request leaves a region that could run it.
+	// Spilled is true if the request leaves a region that could run it.
 	Spilled bool
 }
 
-// LocalLoad tells this gateway's own, present load. *limit.Tracker implements it.
+// LocalLoad provides this gateway's own present load. *limit.Tracker implements it.
 type LocalLoad interface {
-	// Load returns what the gateway knows at first hand of an upstream.
+	// Load returns the gateway's own load at an upstream and the limits that apply there.
 	Load(upstream string) limit.Load
 }
 
@@ -100,7 +100,8 @@
 	Uint64() uint64
 }
 
-// PoolKey names the upstreams that serve one model version, or one service.
+// PoolKey returns the key of the pool of upstreams that serve one model version, or one
+// service.
 func PoolKey(serves, version string) string {
 	if version == "" {
 		return serves
@@ -108,8 +109,8 @@
 	return serves + poolSeparator + version
 }
 
-// poolSeparator stands between the name and the version in a PoolKey. Declared
-// names do not hold it.
+// poolSeparator separates the name and the version in a PoolKey. Declared names do not
+// contain it.
 const poolSeparator = "@"
 
 // PoolServes returns the model or service that a PoolKey names.
--- a/pkg/route/score.go
+++ b/pkg/route/score.go
@@ -7,26 +7,26 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// ExpectedAnswer is the length in tokens that an answer is taken to have, unless
-// the request asks for less.
+// ExpectedAnswer is the assumed length of an answer in tokens, unless the request limits it
+// to less.
 const ExpectedAnswer = 256
 
-// defaultHolding is how long a service call is taken to last when none has been
-// measured.
+// defaultHolding is the assumed duration of a service call if none has been measured.
 const defaultHolding = 100 * time.Millisecond
 
-// Estimate is what is predicted for a request at one place. Times are in seconds.
+// Estimate is the prediction for a request at one place. Times are in seconds.
 type Estimate struct {
-	// Wait is until the request gets a slot, Prefill until its prompt is worked
-	// off, prompts ahead of it included, Decode until the answer's end.
+	// Wait is the time until the request gets a slot, Prefill the time until its prompt is
+	// processed, including prompts ahead of it, and Decode the time from there to the end
+	// of the answer.
 	Wait, Prefill, Decode float64
-	// Link is what the way there and back adds.
+	// Link is the network round trip time.
 	Link float64
-	// EngineSeconds is what the request's uncached prompt costs.
+	// EngineSeconds is the engine time that the request's uncached prompt takes.
 	EngineSeconds float64
-	// AtUpstream estimates the requests that are there already.
+	// AtUpstream estimates the requests that are already there.
 	AtUpstream float64
-	// Own is this gateway's part of them.
+	// Own is the number of them that this gateway sent.
 	Own float64
 }
 
@@ -36,18 +36,18 @@
 // Total is the predicted time to the whole answer, in seconds.
 func (e Estimate) Total() float64 { return e.FirstToken() + e.Decode }
 
-// TimeAndCost scores by predicted time, with the cost of prefill added by weight.
+// TimeAndCost scores by predicted time plus the weighted cost of prefill.
 type TimeAndCost struct {
 	// CostWeight is 0 (latency alone) to 1.
 	CostWeight float64
-	// PrefillWeight counts engine-seconds whatever the cost weighs.
+	// PrefillWeight is a weight of engine-seconds that is independent of CostWeight.
 	PrefillWeight float64
 }
 
 // Weights of an engine-second of prefill, in seconds of the request's own time.
 const (
-	// prefillWeight is used among the upstreams of a pool: a prompt in prefill holds up those behind it,
-	// and what it puts into the cache drives out what others would have used.
+	// prefillWeight is used among the upstreams of a pool: a prompt in prefill delays those
+	// behind it, and what it adds to the cache evicts what other requests would have used.
 	prefillWeight = 3.0
 	// costScale is added at full CostWeight.
 	costScale = 5.0
@@ -66,7 +66,7 @@
 	return ExpectedAnswer
 }
 
-// estimate predicts a request's course at a local upstream.
+// estimate predicts a request's times at a local upstream.
 func (p *pool) estimate(req *Request, i, favourite int32, own limit.Load, clock decisionTime) Estimate {
 	c := &p.locals[i]
 	others := c.othersNow(own.InFlight, p.peers, p.mean, clock.sinceCompile)
@@ -83,8 +83,8 @@
 	}
 	uncached := float64(req.PromptTokens) - p.cachedTokens(req, i, favourite)
 	e.EngineSeconds = uncached / c.prefillRate
-	// A prompt in prefill is gone before the peers could tell of it: they are taken
-	// to have as much there as this gateway.
+	// A prompt in prefill is done before the peers could publish it: they are assumed to
+	// have as many there as this gateway.
 	e.Prefill = e.EngineSeconds + (1+p.peers)*float64(own.Prefill)/c.prefillRate
 	e.Decode = answerTokens(req) / c.decodeRate
 	if holding == 0 {
@@ -94,8 +94,8 @@
 	return e
 }
 
-// slotWait is how long a request waits for one of room slots, behind ahead others
-// that each hold a slot for holding seconds.
+// slotWait returns how long a request waits for one of the slots, behind ahead others that
+// each occupy a slot for holding seconds.
 func slotWait(ahead, slots, holding float64) float64 {
 	over := ahead + 1 - slots
 	if over <= 0 {
@@ -104,7 +104,6 @@
 	return over / slots * holding
 }
 
-// decisionTime is the time of a decision.
 type decisionTime struct {
 	now          time.Time
 	sinceCompile time.Duration
--- a/pkg/route/spill.go
+++ b/pkg/route/spill.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// Parameters of sending away.
+// Parameters of forwarding to other domains.
 const (
 	// defaultMargin is used where the policy declares no spill margin.
 	defaultMargin = 300 * time.Millisecond
-	// hysteresisShare of the margin suffices to go on sending to a domain.
+	// hysteresisShare is the share of the margin that suffices to continue sending to a
+	// domain.
 	hysteresisShare = 0.5
-	// returnTime is how long it takes, once the gain has fallen below the margin,
-	// until all traffic has come back to the local caches.
+	// returnTime is the time, after the gain has fallen below the margin, until all traffic
+	// has returned to the local caches.
 	returnTime = 10 * time.Second
 )
 
-// forward returns a decision for another domain when that is the better place.
+// forward returns a decision for another domain if that is the better place.
 func (t *Table) forward(p *pool, req *Request, placement []string, here bool, local choice, now time.Time) (Decision, bool) {
 	best, estimate := t.bestRemote(p, req, placement, here, now)
 	if best == nil {
@@ -44,8 +45,8 @@
 	}, true
 }
 
-// bestRemote returns the domain where the request is predicted to end soonest,
-// among those that it may be sent to.
+// bestRemote returns the domain in which the request is predicted to end soonest, among
+// those that it may be sent to.
 func (t *Table) bestRemote(p *pool, req *Request, placement []string, here bool, now time.Time) (*remote, Estimate) {
 	var best *remote
 	var lowest Estimate
@@ -74,9 +75,8 @@
 	return score
 }
 
-// mayReceive applies the filters to another domain. Without a permitted place
-// here, neither spill rules nor credits stand in the way: the request is not work
-// that this region could keep.
+// mayReceive applies the filters to another domain. Without a permitted place here, neither
+// spill rules nor credits apply: the request is not work that this region could do itself.
 func (t *Table) mayReceive(r *remote, req *Request, placement []string, here bool, now time.Time) bool {
 	if !r.fresh(now) || !t.permitted(req, placement, r.digest.Region) {
 		return false
@@ -93,8 +93,8 @@
 	return r.ledger.used() < r.credit
 }
 
-// worthForwarding says whether the predicted end there beats the one here by the margin,
-// less for a domain that is being sent to already.
+// worthForwarding reports whether the predicted end there is sooner than here by the
+// margin. The margin is reduced for a domain that already receives requests.
 func (t *Table) worthForwarding(r *remote, req *Request, local choice, there Estimate, now time.Time) bool {
 	if local.candidate == nil || lateBy(req, local.total(req), now) > 0 {
 		return true
@@ -112,8 +112,8 @@
 	return t.inReturnRamp(r, req, now)
 }
 
-// inReturnRamp lets a falling part of the requests go on to the other domain for
-// a while, so that local caches fill step by step.
+// inReturnRamp lets a decreasing share of the requests continue to go to the other domain
+// for some time, so that local caches fill gradually.
 func (t *Table) inReturnRamp(r *remote, req *Request, now time.Time) bool {
 	since := now.Sub(r.ledger.lastMarginMet())
 	if since >= returnTime {
--- a/pkg/route/spill_test.go
+++ b/pkg/route/spill_test.go
@@ -14,8 +14,8 @@
 	"github.com/lilacweir/lilacweir/pkg/route"
 )
 
-// overloaded is a world whose local upstreams have long queues, while domain b has
-// spare places.
+// overloaded returns a harness with long queues at the local upstreams, while domain b has
+// spare capacity.
 func overloaded(spare int) *harness {
 	w := newHarness(2)
 	w.fill(40)
@@ -24,7 +24,7 @@
 	return w
 }
 
-// decide sends one request and says whether it left.
+// decide sends one request and reports whether it was forwarded.
 func (w *harness) decide(t interface{ Fatal(...any) }, table *route.Table, roll uint64) bool {
 	req := request("ra", "rb")
 	req.Roll = roll
@@ -35,7 +35,7 @@
 	return decision.Domain != nil
 }
 
-// advance moves time on; at each whole second a new digest comes.
+// advance advances the time by a step and brings a new digest.
 func (w *harness) advance(step time.Duration) *route.Table {
 	w.input.Now = w.input.Now.Add(step)
 	digest := &w.input.Domains.Remote[0]
@@ -69,8 +69,8 @@
 	}
 }
 
-// However many gateways of however many domains decide on the same digest, they
-// send no more than it offers, until the next one.
+// However many gateways of however many domains decide on the same digest, they send no
+// more than its spare capacity, until the next one.
 func TestDigestCreditIsNotExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spare := rapid.IntRange(0, 20).Draw(t, "spare")
@@ -105,12 +105,12 @@
 			}
 		}
 		if sent > spare {
-			t.Fatalf("%d sent on an offer of %d", sent, spare)
+			t.Fatalf("%d sent with a spare capacity of %d", sent, spare)
 		}
 	})
 }
 
-// A digest that is confirmed without change offers its spare places anew.
+// A digest that is confirmed without change renews its credit.
 func TestConfirmedDigestRenewsCredit(t *testing.T) {
 	is := is.New(t)
 	w := overloaded(4)
@@ -123,7 +123,7 @@
 		}
 		return count
 	}
-	is.Equal(sent(), 2) // half of the offer: domain c may send as well
+	is.Equal(sent(), 2) // half of the spare capacity: domain c may send as well
 	is.Equal(sent(), 0)
 	w.input.Now = w.input.Now.Add(time.Second)
 	is.Equal(sent(), 0) // the same digest, only later
@@ -132,8 +132,8 @@
 	is.Equal(sent(), 2)
 }
 
-// A rule's percent holds over the requests that arrive, however often a request is
-// decided on.
+// A rule's percent applies to the requests that arrive, however often a request is decided
+// on.
 func TestSpillRespectsThePercent(t *testing.T) {
 	is := is.New(t)
 	w := overloaded(1000)
@@ -155,11 +155,11 @@
 		}
 	}
 	is.True(sent*100 <= 20*arrived)
-	is.True(sent*100 >= 15*arrived) // and it is used
+	is.True(sent*100 >= 15*arrived) // the rule is used
 }
 
-// Around the margin nothing flaps: sending starts above it, and ends, step by
-// step, below.
+// Decisions do not flap around the margin: forwarding starts above it, and ends gradually
+// below.
 func TestSpillHysteresisAndRamp(t *testing.T) {
 	is := is.New(t)
 	w := overloaded(1000)
@@ -176,24 +176,24 @@
 		return left
 	}
 	strong, band := inFlightFor(w, 1.2), inFlightFor(w, 0.75)
-	is.Equal(share(band), 0) // not begun yet
+	is.Equal(share(band), 0) // not started yet
 	is.Equal(share(strong), 100)
 	last := 100
 	falls := 0
 	for range 12 {
 		now := share(band)
-		is.True(now <= last) // never back and forth
+		is.True(now <= last) // no flapping
 		if now < last {
 			falls++
 		}
 		last = now
 	}
 	is.Equal(last, 0)
-	is.True(falls >= 5) // step by step
+	is.True(falls >= 5) // gradually
 }
 
-// inFlightFor sets the margin so that a whole number of local requests makes the
-// gain that part of it: at 20 requests the gain is the margin.
+// inFlightFor sets the margin to the gain at 20 local requests, and returns the least
+// number of local requests with a gain of at least that share of the margin.
 func inFlightFor(w *harness, share float64) int {
 	const atMargin = 20
 	gain := func(inFlight int) time.Duration {
@@ -212,8 +212,8 @@
 	}
 }
 
-// An upstream that came back is given less than it has room for, until its cache
-// has had time to fill.
+// An upstream that became usable again gets less than its declared concurrency, until its
+// cache has had time to fill.
 func TestReturningUpstreamIsRampedUp(t *testing.T) {
 	is := is.New(t)
 	w := newHarness(2)
--- a/pkg/route/strategy.go
+++ b/pkg/route/strategy.go
@@ -2,9 +2,9 @@
 
 import "github.com/lilacweir/lilacweir/pkg/limit"
 
-// Filter says whether an upstream may take a request now.
+// Filter decides whether an upstream may take a request now.
 type Filter interface {
-	// Keep returns false to rule the upstream out.
+	// Keep returns false to exclude the upstream.
 	Keep(req *Request, upstream string, own limit.Load) bool
 }
 
@@ -14,24 +14,24 @@
 	Score(req *Request, estimate Estimate) float64
 }
 
-// Picker chooses which of a pool's upstreams are looked at.
+// Picker chooses the upstreams of a pool that are considered.
 type Picker interface {
 	// Sample returns indices below pool.Size.
 	Sample(req *Request, pool Sampled, rnd Rand) Sample
 }
 
-// Sampled is what a Picker sees of a pool.
+// Sampled is a Picker's view of a pool.
 type Sampled struct {
 	// Size is the number of usable upstreams.
 	Size int
-	// Favourite is the upstream that rendezvous hashing gives to the request's
-	// prefix; -1 for none.
+	// Favourite is the upstream to which rendezvous hashing assigns the request's prefix;
+	// -1 if there is none.
 	Favourite int32
 	// Holders are the upstreams that reported the longest cached prefix.
 	Holders []int32
 }
 
-// MaxSample is how many upstreams one decision looks at, at most.
+// MaxSample bounds the upstreams that one decision considers.
 const MaxSample = 16
 
 // Sample is a small set of upstreams.
@@ -55,15 +55,15 @@
 	s.count++
 }
 
-// Strategy is how a local upstream is chosen.
+// Strategy determines how a local upstream is chosen.
 type Strategy struct {
 	Filters []Filter
 	Scorer  Scorer
 	Picker  Picker
 }
 
-// DefaultStrategy is the one that gateways use; costWeight is the declared weight
-// of cost against latency, 0 to 1.
+// DefaultStrategy returns the gateways' strategy; costWeight is the declared weight of cost
+// against latency, 0 to 1.
 func DefaultStrategy(costWeight float64) Strategy {
 	return Strategy{
 		Filters: []Filter{NotEjected{}, NotBackingOff{}, NotTried{}, BelowLimit{}},
--- a/pkg/route/table.go
+++ b/pkg/route/table.go
@@ -16,10 +16,11 @@
 	Domains   *board.Domains
 	// Self, Domain and Region are this instance's name, failure domain and region.
 	Self, Domain, Region string
-	// Links holds measured one-way delays by failure domain; a missing one is
-	// taken as the default for its distance.
+	// Links holds measured one-way delays by failure domain; for a missing one a default by
+	// region is used.
 	Links map[string]time.Duration
-	// Spill keeps what was sent away from table to table; nil starts anew.
+	// Spill holds the counts of forwarded requests across successive tables; nil starts new
+	// ones.
 	Spill *SpillState
 	// Previous is the table that this one replaces, if any.
 	Previous *Table
@@ -46,7 +47,7 @@
 
 type poolID struct{ serves, version string }
 
-// pool holds all that serves one model version or one service.
+// pool holds the upstreams and remote pools that serve one model version or one service.
 type pool struct {
 	id      poolID
 	key     string
@@ -54,8 +55,8 @@
 	groups  []group
 	hints   map[uint64][]int32
 	remotes []remote
-	// mean is the mean of the candidates' others, peers the number of the domain's
-	// other gateways.
+	// mean is the mean of the candidates' others, peers the number of the domain's other
+	// gateways.
 	mean, peers float64
 }
 
@@ -130,11 +131,11 @@
 	return shares
 }
 
-// Slots returns how many requests of a pool this gateway may run at once, the
-// capacity of its queue.
+// Slots returns how many requests of a pool this gateway may run at once, the capacity of
+// its queue.
 //
-// Upstreams that rest offer no place, unless all do: a rest ends sooner than the
-// next table comes.
+// Upstreams that are backing off offer no slots, unless all are: a backoff ends before the
+// next table is compiled.
 func (t *Table) Slots(info PoolInfo, load LocalLoad) int {
 	available, backingOff := 0, 0
 	for _, name := range info.Upstreams {
--- a/pkg/route/version.go
+++ b/pkg/route/version.go
@@ -6,9 +6,9 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// choosePool returns the pool for a request: the version that it asks for, or one
-// drawn by the declared shares among those that something usable serves; nil when
-// there is none.
+// choosePool returns the pool for a request: that of the version that it selects, or one
+// drawn by the declared percents among the versions that have a usable pool; nil if there
+// is none.
 func (t *Table) choosePool(req *Request, placement []string, here bool, now time.Time) *pool {
 	if req.Kind == config.KindService || req.Version != "" {
 		return t.usablePool(poolID{req.Serves, req.Version}, req, placement, here, now)
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// usablePool returns the pool when something that the request may use serves it.
+// usablePool returns the pool if it has something usable that the request may use.
 func (t *Table) usablePool(id poolID, req *Request, placement []string, here bool, now time.Time) *pool {
 	p := t.pools[id]
 	if p == nil {
