--- a/pkg/httproute/configuration.go
+++ b/pkg/httproute/configuration.go
@@ -18,14 +18,14 @@
 	Limits   Limits
 	Routes   []Route
 	services map[string]*Service
-	byPrefix map[key]*Route
+	byPrefix map[routeKey]*Route
 	byHost   map[string][]*Route
 
 	organisations map[string]*Organisation
 	byKey         map[KeyDigest]*Organisation
 }
 
-type key struct{ host, prefix string }
+type routeKey struct{ host, prefix string }
 
 // Fault is a declaration that cannot be brought into force.
 type Fault struct {
@@ -47,7 +47,7 @@
 		Limits:   limits,
 		Routes:   routes,
 		services: make(map[string]*Service, len(services)),
-		byPrefix: make(map[key]*Route, len(routes)),
+		byPrefix: make(map[routeKey]*Route, len(routes)),
 		byHost:   make(map[string][]*Route),
 	}
 	for i := range services {
@@ -108,7 +108,7 @@
 		}
 	}
 	host := strings.ToLower(route.Host)
-	c.byPrefix[key{host, route.Prefix}] = route
+	c.byPrefix[routeKey{host, route.Prefix}] = route
 	c.byHost[host] = append(c.byHost[host], route)
 	return nil
 }
@@ -153,7 +153,7 @@
 		if slash < 0 {
 			return nil
 		}
-		if route := c.byPrefix[key{host, path[:slash+1]}]; route != nil {
+		if route := c.byPrefix[routeKey{host, path[:slash+1]}]; route != nil {
 			return route
 		}
 		end = slash
--- a/pkg/httproute/configuration_test.go
+++ b/pkg/httproute/configuration_test.go
@@ -84,7 +84,7 @@
 	is.True(!(&httproute.Route{Kind: httproute.Unsafe, Resumable: true}).Repeatable())
 }
 
-func TestAConfigurationIsNewerByItsVersionAlone(t *testing.T) {
+func TestNewerComparesVersions(t *testing.T) {
 	is := is.New(t)
 	older, newer := compile(t, 3), compile(t, 5)
 	is.True(newer.Newer(older))
@@ -93,8 +93,8 @@
 	is.True(older.Newer(nil))
 }
 
-// TestTheRoutesOfAHostThatARegionIsPermittedToAreCounted, without regard to a port.
-func TestTheRoutesOfAHostThatARegionIsPermittedToAreCounted(t *testing.T) {
+// TestPermittedRoutesCountsTheRoutesOfAHost, without regard to a port.
+func TestPermittedRoutesCountsTheRoutesOfAHost(t *testing.T) {
 	is := is.New(t)
 	bound, free := route("bound", "a.example", "/x/"), route("free", "a.example", "/y/")
 	bound.Homes = []string{"north"}
@@ -104,8 +104,8 @@
 	is.Equal(config.PermittedRoutes("b.example", "south"), 0)
 }
 
-// TestLessUrgentRoutesYieldToTheMostDemandingThatIsMoreUrgent and shares a service.
-func TestLessUrgentRoutesYieldToTheMostDemandingThatIsMoreUrgent(t *testing.T) {
+// TestLessUrgentRoutesYieldToTheShortestMoreUrgentTarget and shares a service.
+func TestLessUrgentRoutesYieldToTheShortestMoreUrgentTarget(t *testing.T) {
 	is := is.New(t)
 	ranked := func(name, prefix string, rank int, target time.Duration) httproute.Route {
 		r := route(name, "a.example", prefix)
--- a/pkg/httproute/organisation.go
+++ b/pkg/httproute/organisation.go
@@ -141,7 +141,7 @@
 		return r
 	}
 	route := *r
-	route.callerHomes = organisation.Homes
+	route.organisationHomes = organisation.Homes
 	if organisation.Priority != nil {
 		route.Priority = *organisation.Priority
 	}
--- a/pkg/httproute/organisation_test.go
+++ b/pkg/httproute/organisation_test.go
@@ -9,8 +9,8 @@
 	"github.com/lilacweir/lilacweir/pkg/httproute"
 )
 
-// TestAKeyHasOneHolder: which organisation a request is of must not depend on an order.
-func TestAKeyHasOneHolder(t *testing.T) {
+// TestKeyBelongsToOneOrganisation: which organisation a request is of must not depend on an order.
+func TestKeyBelongsToOneOrganisation(t *testing.T) {
 	is := is.New(t)
 	shared := []httproute.KeyDigest{httproute.DigestKey("k")}
 	for _, bad := range [][]httproute.Organisation{
@@ -29,8 +29,8 @@
 	holder, digest := config.Holder("k")
 	is.Equal(holder.Name, "a")
 	is.Equal(digest, shared[0])
-	nobody, _ := config.Holder("K")
-	is.Equal(nobody, nil)
+	unknown, _ := config.Holder("K")
+	is.Equal(unknown, nil)
 }
 
 // TestCost: what a request counts that tells its tokens, or does not.
--- a/pkg/httproute/route.go
+++ b/pkg/httproute/route.go
@@ -52,8 +52,8 @@
 	Backends []Backend
 	// Homes are the regions in which requests may be processed; empty: all.
 	Homes []string
-	// callerHomes are those of the request's organisation, which bind as well.
-	callerHomes []string
+	// organisationHomes are those of the request's organisation, which bind as well.
+	organisationHomes []string
 	// Public requests need no key.
 	Public bool
 	// Resumable streams may be continued on another upstream after a given event.
@@ -76,7 +76,7 @@
 
 // PermittedIn says whether the route's requests may be processed in a region.
 func (r *Route) PermittedIn(region string) bool {
-	return permits(r.Homes, region) && permits(r.callerHomes, region)
+	return permits(r.Homes, region) && permits(r.organisationHomes, region)
 }
 
 // permits says whether homes, all regions if there are none, hold a region.
