--- a/pkg/prefix/prefix.go
+++ b/pkg/prefix/prefix.go
@@ -52,4 +52,4 @@
 	return tokens
 }
 
-func tokensOf(bytes int) int { return (bytes + bytesPerToken - 1) / bytesPerToken }
+func tokensOf(size int) int { return (size + bytesPerToken - 1) / bytesPerToken }
--- a/pkg/prefix/prefix_test.go
+++ b/pkg/prefix/prefix_test.go
@@ -8,7 +8,7 @@
 	"github.com/lilacweir/lilacweir/pkg/prefix"
 )
 
-func TestHashesCoverBeginnings(t *testing.T) {
+func TestHashesCoverPrefixes(t *testing.T) {
 	is := is.New(t)
 	long := prefix.Hashes([]prefix.Message{{Role: "system", Content: "you help nurses"}, {Role: "user", Content: "hi"}})
 	short := prefix.Hashes([]prefix.Message{{Role: "system", Content: "you help nurses"}, {Role: "user", Content: "ho"}})
