--- a/pkg/spread/keeper.go
+++ b/pkg/spread/keeper.go
@@ -28,15 +28,15 @@
 // Keeper holds the newest head that this process has seen. It is safe for
 // concurrent use.
 type Keeper struct {
-	mu      sync.Mutex
-	section *board.Section[config.Head]
-	onTaken func(*config.Head, Source)
+	mu         sync.Mutex
+	section    *board.Section[config.Head]
+	onAccepted func(*config.Head, Source)
 }
 
 // NewKeeper returns a keeper that writes the given section and calls onTaken,
 // which must not block, after each head that was taken.
-func NewKeeper(section *board.Section[config.Head], onTaken func(*config.Head, Source)) *Keeper {
-	return &Keeper{section: section, onTaken: onTaken}
+func NewKeeper(section *board.Section[config.Head], onAccepted func(*config.Head, Source)) *Keeper {
+	return &Keeper{section: section, onAccepted: onAccepted}
 }
 
 // Offer takes the head when its revision is higher than the one held, and says
@@ -45,14 +45,14 @@
 	if head == nil || head.Declaration == nil {
 		return false
 	}
-	if !k.take(head) {
+	if !k.store(head) {
 		return false
 	}
-	k.onTaken(head, source)
+	k.onAccepted(head, source)
 	return true
 }
 
-func (k *Keeper) take(head *config.Head) bool {
+func (k *Keeper) store(head *config.Head) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if head.Revision <= k.revision() {
--- a/pkg/spread/spread_test.go
+++ b/pkg/spread/spread_test.go
@@ -26,7 +26,7 @@
 // Heads that arrive from the watch, the peers and the gateway, in any order and
 // at once, leave the highest in force, and none that was seen on the way is lower
 // than the one before.
-func TestRevisionNeverFalls(t *testing.T) {
+func TestRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		section := new(board.Section[config.Head])
 		keeper := NewKeeper(section, func(*config.Head, Source) {})
@@ -38,13 +38,13 @@
 			}
 		}
 		var senders, reader sync.WaitGroup
-		var done, fell atomic.Bool
+		var done, decreased atomic.Bool
 		reader.Go(func() {
 			last := config.Revision(0)
 			for !done.Load() {
 				now := keeper.Revision()
 				if now < last {
-					fell.Store(true)
+					decreased.Store(true)
 				}
 				last = now
 			}
@@ -53,9 +53,9 @@
 			senders.Go(func() {
 				for _, revision := range revisions {
 					before := keeper.Revision()
-					taken := keeper.Offer(head(config.Revision(revision)), SourceMesh)
-					if taken && config.Revision(revision) <= before {
-						fell.Store(true)
+					accepted := keeper.Offer(head(config.Revision(revision)), SourceMesh)
+					if accepted && config.Revision(revision) <= before {
+						decreased.Store(true)
 					}
 				}
 			})
@@ -63,8 +63,8 @@
 		senders.Wait()
 		done.Store(true)
 		reader.Wait()
-		if fell.Load() {
-			t.Fatal("the revision fell")
+		if decreased.Load() {
+			t.Fatal("the revision decreased")
 		}
 		if keeper.Revision() != highest {
 			t.Fatalf("revision %d in the end, want %d", keeper.Revision(), highest)
@@ -72,7 +72,7 @@
 	})
 }
 
-func TestOfferRefusesNothing(t *testing.T) {
+func TestOfferRejectsEmptyHeads(t *testing.T) {
 	is := is.New(t)
 	keeper := NewKeeper(new(board.Section[config.Head]), func(*config.Head, Source) {})
 	is.True(!keeper.Offer(nil, SourceGateway))
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestWatcherFollowsAndCountsItsCalls(t *testing.T) {
+func TestWatcherFollowsTheHeadWithFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := service{platformtest.New(clock.System{})}
@@ -154,10 +154,10 @@
 		s.fail(true)
 		before := s.calls()
 		time.Sleep(time.Hour)
-		asked := s.calls() - before
+		calls := s.calls() - before
 		// A watcher that waits between half of RetryMax and RetryMax, and no longer.
-		is.True(asked <= int(time.Hour/(RetryMax/2))+10)
-		is.True(asked >= int(time.Hour/RetryMax))
+		is.True(calls <= int(time.Hour/(RetryMax/2))+10)
+		is.True(calls >= int(time.Hour/RetryMax))
 
 		s.fail(false)
 		s.write("4")
--- a/pkg/spread/watcher.go
+++ b/pkg/spread/watcher.go
@@ -55,10 +55,10 @@
 	// Rand gives the jitter, from 0 up to 1.
 	Rand func() float64
 
-	// after is the last modification revision seen, readAt when the head was
+	// lastRevision is the last modification revision seen, readAt when the head was
 	// last read; both belong to Run.
-	after  int64
-	readAt time.Time
+	lastRevision int64
+	readAt       time.Time
 }
 
 // Run watches until ctx ends.
@@ -66,7 +66,7 @@
 	wait := RetryMin
 	for ctx.Err() == nil {
 		if !w.OnDuty() {
-			pause(ctx, DutyCheck)
+			sleep(ctx, DutyCheck)
 			continue
 		}
 		started := w.Clock.Now()
@@ -77,7 +77,7 @@
 		if w.Clock.Now().Sub(started) >= StableAfter {
 			wait = RetryMin
 		}
-		pause(ctx, w.jitter(wait))
+		sleep(ctx, w.jitter(wait))
 		wait = min(wait*2, RetryMax)
 	}
 }
@@ -93,15 +93,15 @@
 func (w *Watcher) follow(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if w.after == 0 || w.Clock.Now().Sub(w.readAt) >= RereadEvery {
+	if w.lastRevision == 0 || w.Clock.Now().Sub(w.readAt) >= RereadEvery {
 		if err := w.read(ctx); err != nil {
 			return err
 		}
 	}
-	changes, err := w.KeyValue.Watch(ctx, w.Key, w.after)
+	changes, err := w.KeyValue.Watch(ctx, w.Key, w.lastRevision)
 	w.report(ctx, err)
 	if errors.Is(err, platform.ErrCompacted) {
-		w.after = 0
+		w.lastRevision = 0
 	}
 	if err != nil {
 		return err
@@ -120,8 +120,8 @@
 				// quiet, and the next call tells.
 				return ErrWatchEnded
 			}
-			w.after = max(w.after, entry.ModRevision)
-			w.take(entry.Value)
+			w.lastRevision = max(w.lastRevision, entry.ModRevision)
+			w.offer(entry.Value)
 		case <-duty.C:
 			if !w.OnDuty() {
 				return nil
@@ -143,13 +143,13 @@
 	}
 	w.readAt = w.Clock.Now()
 	if ok {
-		w.after = entry.ModRevision
-		w.take(entry.Value)
+		w.lastRevision = entry.ModRevision
+		w.offer(entry.Value)
 	}
 	return nil
 }
 
-func (w *Watcher) take(value []byte) {
+func (w *Watcher) offer(value []byte) {
 	if len(value) == 0 {
 		return
 	}
@@ -167,7 +167,7 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
