--- a/pkg/spread/spread_test.go
+++ b/pkg/spread/spread_test.go
@@ -131,7 +131,7 @@
 		is.Equal(s.calls(), 0) // not on duty: not a call
 
 		duty.Store(true)
-		time.Sleep(DutyCheck)
+		time.Sleep(DutyCheckInterval)
 		synctest.Wait()
 		is.Equal(keeper.Revision(), config.Revision(1))
 		s.write("2")
@@ -166,7 +166,7 @@
 		is.Equal(keeper.Revision(), config.Revision(4)) // back by itself
 
 		duty.Store(false)
-		time.Sleep(DutyCheck)
+		time.Sleep(DutyCheckInterval)
 		before = s.calls()
 		time.Sleep(time.Hour)
 		is.Equal(s.calls(), before) // gave the duty up
--- a/pkg/spread/watcher.go
+++ b/pkg/spread/watcher.go
@@ -25,12 +25,12 @@
 	StableAfter = 10 * time.Second
 	// ReadTimeout bounds one read of the head.
 	ReadTimeout = 3 * time.Second
-	// DutyCheck is how often an instance looks whether it is a watcher.
-	DutyCheck = 500 * time.Millisecond
-	// RereadEvery is how often a watcher reads the whole head beside its watch, in
+	// DutyCheckInterval is how often an instance looks whether it is a watcher.
+	DutyCheckInterval = 500 * time.Millisecond
+	// RereadInterval is how often a watcher reads the whole head beside its watch, in
 	// case the service was set back to an earlier state. A watch that ended is
 	// otherwise taken up where it stood, without the value.
-	RereadEvery = 10 * time.Minute
+	RereadInterval = 10 * time.Minute
 )
 
 // ErrWatchEnded: the watch's stream ended.
@@ -66,7 +66,7 @@
 	wait := RetryMin
 	for ctx.Err() == nil {
 		if !w.OnDuty() {
-			sleep(ctx, DutyCheck)
+			sleep(ctx, DutyCheckInterval)
 			continue
 		}
 		started := w.Clock.Now()
@@ -93,7 +93,7 @@
 func (w *Watcher) follow(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if w.lastRevision == 0 || w.Clock.Now().Sub(w.readAt) >= RereadEvery {
+	if w.lastRevision == 0 || w.Clock.Now().Sub(w.readAt) >= RereadInterval {
 		if err := w.read(ctx); err != nil {
 			return err
 		}
@@ -110,7 +110,7 @@
 }
 
 func (w *Watcher) receive(ctx context.Context, changes <-chan platform.Entry) error {
-	duty := time.NewTicker(DutyCheck)
+	duty := time.NewTicker(DutyCheckInterval)
 	defer duty.Stop()
 	for {
 		select {
