--- a/pkg/httproute/configuration.go
+++ b/pkg/httproute/configuration.go
@@ -13,7 +13,7 @@
 type Configuration struct {
 	// Version orders configurations; it grows in uneven steps.
 	Version uint64
-	// InForce is since when it is in force here; zero: it is not.
+	// InForce is since when the configuration has been in force here; zero if it is not.
 	InForce  time.Time
 	Limits   Limits
 	Routes   []Route
@@ -27,9 +27,9 @@
 
 type routeKey struct{ host, prefix string }
 
-// Fault is a declaration that cannot be brought into force.
+// Fault is the error of a declaration that cannot be put in force.
 type Fault struct {
-	// Version is the configuration's; Place names the part at fault.
+	// Version is the version of the configuration; Place names the faulty element.
 	Version uint64
 	Place   string
 	Problem string
@@ -65,7 +65,8 @@
 	return c, nil
 }
 
-// setYields tells each route which target of more urgent ones it must leave room for.
+// setYields sets for each route the target of more urgent routes that it must reserve
+// capacity for.
 func (c *Configuration) setYields() {
 	byService := make(map[string][]*Route)
 	for i := range c.Routes {
@@ -82,7 +83,7 @@
 	}
 }
 
-// yieldTo takes another route of the same service into account.
+// yieldTo applies the target of another route of the same service.
 func (r *Route) yieldTo(other *Route) {
 	if other.Priority >= r.Priority || other.TargetLatency == 0 {
 		return
@@ -113,7 +114,8 @@
 	return nil
 }
 
-// PermittedRoutes counts the routes of a host whose requests may be processed in a region.
+// PermittedRoutes returns the number of a host's routes with requests that may be processed
+// in a region.
 func (c *Configuration) PermittedRoutes(host, region string) int {
 	permitted := 0
 	for _, route := range c.byHost[bareHost(host)] {
@@ -124,7 +126,7 @@
 	return permitted
 }
 
-// bareHost is a host in lower case, without its port.
+// bareHost returns a host in lower case, without its port.
 func bareHost(hostPort string) string {
 	host := strings.ToLower(hostPort)
 	if bare, _, err := net.SplitHostPort(host); err == nil {
@@ -133,7 +135,7 @@
 	return host
 }
 
-// Newer says whether c may take the place of the present configuration.
+// Newer reports whether c may replace the present configuration.
 func (c *Configuration) Newer(present *Configuration) bool {
 	return present == nil || c.Version > present.Version
 }
@@ -144,8 +146,8 @@
 // ServiceNames lists the declared services, in no order.
 func (c *Configuration) ServiceNames() []string { return slices.Collect(maps.Keys(c.services)) }
 
-// Match returns the route of a request, or nil: among those of the host, the one
-// with the longest prefix of the path.
+// Match returns the route of a request, or nil: among those of the host, the one with the
+// longest matching path prefix.
 func (c *Configuration) Match(hostPort, path string) *Route {
 	host := bareHost(hostPort)
 	for end := len(path); end > 0; {
--- a/pkg/httproute/configuration_test.go
+++ b/pkg/httproute/configuration_test.go
@@ -93,7 +93,8 @@
 	is.True(older.Newer(nil))
 }
 
-// TestPermittedRoutesCountsTheRoutesOfAHost, without regard to a port.
+// TestPermittedRoutesCountsTheRoutesOfAHost that a region may process, regardless of the
+// port.
 func TestPermittedRoutesCountsTheRoutesOfAHost(t *testing.T) {
 	is := is.New(t)
 	bound, free := route("bound", "a.example", "/x/"), route("free", "a.example", "/y/")
@@ -104,7 +105,8 @@
 	is.Equal(config.PermittedRoutes("b.example", "south"), 0)
 }
 
-// TestLessUrgentRoutesYieldToTheShortestMoreUrgentTarget and shares a service.
+// TestLessUrgentRoutesYieldToTheShortestMoreUrgentTarget among the routes that share a
+// service.
 func TestLessUrgentRoutesYieldToTheShortestMoreUrgentTarget(t *testing.T) {
 	is := is.New(t)
 	ranked := func(name, prefix string, rank int, target time.Duration) httproute.Route {
--- a/pkg/httproute/organisation.go
+++ b/pkg/httproute/organisation.go
@@ -8,30 +8,31 @@
 	"slices"
 )
 
-// Organisation is a caller of the deployment with what is declared of it.
+// Organisation is a caller of the deployment with its declared properties.
 type Organisation struct {
 	Name string
-	// Keys are the digests of the keys by which its requests are known.
+	// Keys are the digests of the keys that identify its requests.
 	Keys []KeyDigest
-	// Priority takes the place of its routes' priorities; nil: those of the routes hold.
+	// Priority overrides the priorities of routes; nil if those of the routes apply.
 	Priority *int
-	// Homes are the regions in which its requests may be processed; empty: all.
+	// Homes are the regions in which its requests may be processed; all regions if empty.
 	Homes []string
 	Limit UsageLimit
 }
 
 // UsageLimit bounds what an organisation may use, over all instances together.
 type UsageLimit struct {
-	// Rate is in units a second, Burst in units; a Rate of zero: no limit.
+	// Rate is in units a second, Burst in units; a Rate of zero means no limit.
 	Rate, Burst float64
-	// Tokens says that the unit is a token of prompt and answer; otherwise it is a request.
+	// Tokens is true if the unit is a token of prompt and answer; otherwise it is a
+	// request.
 	Tokens bool
-	// Plain is how many tokens a request counts that does not tell any.
+	// Plain is the number of tokens that is counted for a request that declares none.
 	Plain int
 }
 
-// Cost is what a request counts that tells the tokens of its prompt and of its longest
-// answer; zero tokens: it does not tell.
+// Cost returns the units that a request counts; tokens is the declared number of tokens of
+// its prompt and its longest answer, zero if it declares none.
 func (l *UsageLimit) Cost(tokens int) int {
 	switch {
 	case !l.Tokens:
@@ -43,14 +44,14 @@
 	}
 }
 
-// KeyDigest stands for a key: keys themselves are not kept.
+// KeyDigest is the SHA-256 digest of a key. Keys themselves are not stored.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of a key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// setOrganisations indexes the organisations by key. A key of two organisations would
-// make it a matter of luck whose a request is: it is a *Fault.
+// setOrganisations indexes the organisations by key. A key of two organisations is a
+// *Fault, because the owner of its requests would be ambiguous.
 func (c *Configuration) setOrganisations(organisations []Organisation) *Fault {
 	c.organisations = make(map[string]*Organisation, len(organisations))
 	c.byKey = make(map[KeyDigest]*Organisation, len(organisations))
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// Keyed says whether requests must carry a key, those of public routes apart.
+// Keyed reports whether requests must carry a key, except those of public routes.
 func (c *Configuration) Keyed() bool { return len(c.organisations) > 0 }
 
 // Organisation returns a declared organisation, or nil.
@@ -92,7 +93,8 @@
 	return all
 }
 
-// Holder returns whose key it is, with the digest of the key; nil: nobody's.
+// Holder returns the organisation that owns the key, nil if there is none, and the digest
+// of the key.
 func (c *Configuration) Holder(key string) (*Organisation, KeyDigest) {
 	digest := DigestKey(key)
 	holder := c.byKey[digest]
@@ -110,8 +112,8 @@
 // proofContext separates these proofs from any other use of a key's digest.
 const proofContext = "lilacweir forwarded request\x00"
 
-// Proof shows another instance, without the key, that a request carried the key with this
-// digest.
+// Proof returns an HMAC that proves to another instance, without disclosing the key, that a
+// request carried the key with this digest.
 func (d KeyDigest) Proof(organisation, requestID string) string {
 	code := hmac.New(sha256.New, d[:])
 	// A hash never returns an error.
@@ -119,8 +121,8 @@
 	return hex.EncodeToString(code.Sum(nil))
 }
 
-// Proven returns the organisation of a forwarded request whose proof holds under one of
-// its present keys, and that key's digest; nil: there is none.
+// Proven returns the organisation of a forwarded request with a proof that is valid under
+// one of its present keys, and that key's digest; nil if there is none.
 func (c *Configuration) Proven(organisation, requestID, proof string) (*Organisation, KeyDigest) {
 	holder := c.organisations[organisation]
 	if holder == nil {
@@ -134,8 +136,8 @@
 	return nil, KeyDigest{}
 }
 
-// For is the route as it holds for an organisation's requests; nil: for requests without
-// one.
+// For returns the route as it applies to an organisation's requests; nil stands for
+// requests without an organisation.
 func (r *Route) For(organisation *Organisation) *Route {
 	if organisation == nil || (organisation.Priority == nil && len(organisation.Homes) == 0) {
 		return r
--- a/pkg/httproute/organisation_test.go
+++ b/pkg/httproute/organisation_test.go
@@ -9,7 +9,8 @@
 	"github.com/lilacweir/lilacweir/pkg/httproute"
 )
 
-// TestKeyBelongsToOneOrganisation: which organisation a request is of must not depend on an order.
+// TestKeyBelongsToOneOrganisation guards against an owner of requests that depends on the
+// order of the declaration.
 func TestKeyBelongsToOneOrganisation(t *testing.T) {
 	is := is.New(t)
 	shared := []httproute.KeyDigest{httproute.DigestKey("k")}
@@ -33,7 +34,7 @@
 	is.Equal(unknown, nil)
 }
 
-// TestCost: what a request counts that tells its tokens, or does not.
+// TestCost covers requests that declare their tokens and requests that do not.
 func TestCost(t *testing.T) {
 	is := is.New(t)
 	tokens := httproute.UsageLimit{Tokens: true, Plain: 200}
--- a/pkg/httproute/route.go
+++ b/pkg/httproute/route.go
@@ -1,9 +1,9 @@
-// Package httproute holds declared HTTP routes: which requests they take, by host
-// and longest path prefix, to which service they lead, and what may be done with
-// a request on its way there.
+// Package httproute holds declared HTTP routes: which requests they match, by host and
+// longest path prefix, to which service they lead, and what may be done with a request on
+// its way there.
 //
-// A Configuration is immutable once compiled. Its version never goes back within
-// a process's life; the holder sees to that with Newer.
+// A Configuration is immutable once compiled. Its version never decreases within a
+// process's lifetime; its owner ensures that with Newer.
 package httproute
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Kind says what may be repeated on a route.
+// Kind determines which requests of a route may be retried.
 type Kind string
 
 // Kinds of route.
@@ -33,33 +33,32 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a caller is kept waiting, from the moment its
-	// request was read. Zero: no bound but the caller's own deadline.
+	// Timeout is the longest time to an answer, from the moment the request was read. If
+	// zero, only the caller's own deadline applies.
 	Timeout time.Duration
-	// TargetLatency is the time to the answer, or to a stream's first event, that
-	// the operators aim at.
+	// TargetLatency is the intended time to the answer, or to a stream's first event.
 	TargetLatency time.Duration
-	// TargetGap is the longest pause between a stream's events that they aim at.
+	// TargetGap is the intended longest pause between a stream's events.
 	TargetGap time.Duration
-	// Priority is the rank under overload; 0 goes first.
+	// Priority is the rank under overload; 0 is the most urgent.
 	Priority int
-	// Yields is the target of the most demanding more urgent route that shares a service
-	// with this one; zero: there is none. Compile sets it.
+	// Yields is the shortest target of the more urgent routes that share a service with
+	// this one; zero if there are none. Compile sets it.
 	Yields time.Duration
-	// MaxAttempts is on how many upstreams one request may run.
+	// MaxAttempts is the number of upstreams on which one request may run.
 	MaxAttempts int
 	// Backends are the services that share the route's requests by weight.
 	Backends []Backend
-	// Homes are the regions in which requests may be processed; empty: all.
+	// Homes are the regions in which requests may be processed; all regions if empty.
 	Homes []string
-	// organisationHomes are those of the request's organisation, which bind as well.
+	// organisationHomes are the homes of the request's organisation, which apply as well.
 	organisationHomes []string
 	// Public requests need no key.
 	Public bool
 	// Resumable streams may be continued on another upstream after a given event.
 	Resumable bool
-	// SharedPrompts says that requests tell the parts of their prompt, and are
-	// cheaper where earlier parts are cached.
+	// SharedPrompts is true if requests declare the segments of their prompt, and are
+	// cheaper if earlier segments are cached.
 	SharedPrompts bool
 }
 
@@ -69,23 +68,23 @@
 	Weight  int
 }
 
-// Repeatable says whether a request may run again after it may have run.
+// Repeatable reports whether a request may run again after it may have run.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
 
-// PermittedIn says whether the route's requests may be processed in a region.
+// PermittedIn reports whether the route's requests may be processed in a region.
 func (r *Route) PermittedIn(region string) bool {
 	return permits(r.Homes, region) && permits(r.organisationHomes, region)
 }
 
-// permits says whether homes, all regions if there are none, hold a region.
+// permits reports whether homes, all regions if empty, include a region.
 func permits(homes []string, region string) bool {
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-// Pick returns the service of a request; roll is any number that is the same on
-// each try of the request.
+// Pick returns the service of a request; roll is a random number that is the same for each
+// attempt of the request.
 func (r *Route) Pick(roll uint64) string {
 	total := 0
 	for _, backend := range r.Backends {
@@ -104,33 +103,34 @@
 	return ""
 }
 
-// Service is a set of upstreams that stand in for each other.
+// Service is a set of upstreams that can substitute for each other.
 type Service struct {
 	Name string
-	// MaxConnections is what one upstream accepts from all instances together.
+	// MaxConnections is how many connections one upstream accepts from all instances
+	// together.
 	MaxConnections int
-	// ColdRate is how many requests a second an upstream bears while it is cold;
-	// zero: no bound.
+	// ColdRate is how many requests a second an upstream can serve while it is cold; zero
+	// if unlimited.
 	ColdRate float64
-	// WarmUp is for how long an upstream is cold after its start, HealthPath where it says whether it
-	// is; zero: not said.
+	// WarmUp is the time for which an upstream is cold after its start, HealthPath the path
+	// at which it reports whether it is; zero if not declared.
 	WarmUp     time.Duration
 	HealthPath string
 	// Engine describes model engines; nil for plain services.
 	Engine *Engine
 }
 
-// Engine is what the upstreams of a service of model engines have in common.
+// Engine holds the common properties of the upstreams of a service of model engines.
 type Engine struct {
 	// Slots is how many requests run at once.
 	Slots int
-	// CacheTokens is the memory for running requests and cached prompt parts.
+	// CacheTokens is the memory for running requests and cached prompt segments, in tokens.
 	CacheTokens int
-	// Copies says that an engine can copy cached prompt parts from another.
+	// Copies is true if an engine can copy cached prompt segments from another.
 	Copies bool
 }
 
-// Limits bound what callers may send and how long they may take.
+// Limits bound the size of requests and the time that callers may take.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
