--- a/pkg/prefix/prefix.go
+++ b/pkg/prefix/prefix.go
@@ -1,5 +1,5 @@
-// Package prefix hashes the beginnings of a prompt, so that gateways and engines
-// name the same cached prefix by the same number.
+// Package prefix hashes prompt prefixes, so that gateways and engines identify the same
+// cached prefix by the same number.
 package prefix
 
 import "github.com/cespare/xxhash/v2"
@@ -10,10 +10,10 @@
 	Content string `json:"content"`
 }
 
-// bytesPerToken is the estimate of one token's length in a prompt.
+// bytesPerToken is the estimated length of a token in a prompt.
 const bytesPerToken = 4
 
-// separator ends each field, so that moving bytes between fields changes the hash.
+// separator terminates each field, so that moving bytes between fields changes the hash.
 var separator = []byte{0}
 
 // Hashes returns the cumulative xxhash64 of the messages at the end of each one:
@@ -40,7 +40,7 @@
 	return tokensOf(total)
 }
 
-// TokensUpTo estimates the tokens at the end of each message: element i covers
+// TokensUpTo estimates the cumulative tokens at the end of each message: element i covers
 // messages 0 to i, as in Hashes.
 func TokensUpTo(messages []Message) []int {
 	tokens := make([]int, len(messages))
