--- a/pkg/header/header.go
+++ b/pkg/header/header.go
@@ -1,5 +1,5 @@
-// Package header names the HTTP headers that callers, gateways and upstreams
-// exchange, and tells which of them are passed on.
+// Package header names the HTTP headers that callers, gateways and upstreams exchange, and
+// determines which of them are forwarded.
 package header
 
 import (
@@ -29,13 +29,14 @@
 	Origin = "X-Lilacweir-Origin"
 	Class  = "X-Lilacweir-Class"
 	Caller = "X-Lilacweir-Caller"
-	// CallerProof shows that the sender saw a key of the caller.
+	// CallerProof proves that the sender received a key of the caller.
 	CallerProof = "X-Lilacweir-Caller-Proof"
 	Revision    = "X-Lilacweir-Revision"
 	// Version is the model version that the answer must come from.
 	Version = "X-Lilacweir-Version"
-	// Attempts is on how many upstreams the receiver may run a forwarded request; on its
-	// refusal, to how many it has sent it.
+	// Attempts is the number of upstreams on which the receiver may run a forwarded
+	// request; on a refusal by the receiver, the number of upstreams that it has sent it
+	// to.
 	Attempts = "X-Lilacweir-Attempts"
 	// Reason is why the receiver of a forwarded request refused it.
 	Reason = "X-Lilacweir-Reason"
@@ -45,10 +46,10 @@
 // of its own failure domain and never forwards it again.
 const ClassDomain = "domain"
 
-// Headers between operators and agents; Revision says which revision the answer
-// comes from.
+// Headers between operators and agents; Revision is the revision that the answer is based
+// on.
 const (
-	// Operator names who asks; the key comes as a bearer token.
+	// Operator is the name of the operator; the key is sent as a bearer token.
 	Operator = "X-Lilacweir-Operator"
 	// Verdict is ok, accepted, refused or unknown.
 	Verdict = "X-Lilacweir-Verdict"
@@ -56,18 +57,18 @@
 
 // Headers between gateways and upstreams.
 const (
-	// ResumeOffset asks an engine to skip that many chunks.
+	// ResumeOffset is the number of chunks that an engine is asked to skip.
 	ResumeOffset = "X-Resume-Offset"
-	// NotStarted is "true" when the upstream did not start the request.
+	// NotStarted is "true" if the upstream did not start the request.
 	NotStarted = "X-Not-Started"
-	// Leaving is "true" when the upstream is about to leave.
+	// Leaving is "true" if the upstream is about to leave.
 	Leaving = "X-Leaving"
 )
 
-// True is the value of a header that is set.
+// True is the value of a boolean header that is set.
 const True = "true"
 
-// ownPrefix starts the names of headers that gateways alone set.
+// ownPrefix is the prefix of headers that only gateways may set.
 const ownPrefix = "X-Lilacweir-"
 
 // hopByHop lists headers that concern one connection (RFC 9110, section 7.6.1),
@@ -118,7 +119,7 @@
 	return named
 }
 
-// Size is how many bytes the names and values of a header have.
+// Size returns the total length in bytes of a header's names and values.
 func Size(fields http.Header) int {
 	size := 0
 	for name, values := range fields {
