--- a/pkg/spread/keeper.go
+++ b/pkg/spread/keeper.go
@@ -1,8 +1,8 @@
-// Package spread brings the accepted configuration to one instance and onwards:
-// from the platform's watch, from other instances, from the own gateway.
+// Package spread brings the accepted configuration to one instance: from the platform's
+// watch, from other instances and from the own gateway.
 //
-// Guarantee: the configuration held never goes to a lower revision, whatever
-// the order in which heads arrive.
+// Guarantee: the revision of the stored configuration never decreases, whatever the order
+// in which heads arrive.
 package spread
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/lilacweir/lilacweir/pkg/config"
 )
 
-// Source names where a head came from, for logs and counters.
+// Source is where a head came from, for logs and counters.
 type Source string
 
 // Sources of a head.
@@ -25,22 +25,22 @@
 	SourceChange Source = "change"
 )
 
-// Keeper holds the newest head that this process has seen. It is safe for
-// concurrent use.
+// Keeper stores the newest head that this process has received. It is safe for concurrent
+// use.
 type Keeper struct {
 	mu         sync.Mutex
 	section    *board.Section[config.Head]
 	onAccepted func(*config.Head, Source)
 }
 
-// NewKeeper returns a keeper that writes the given section and calls onTaken,
-// which must not block, after each head that was taken.
+// NewKeeper returns a keeper that writes the given section and calls onAccepted, which must
+// not block, after each accepted head.
 func NewKeeper(section *board.Section[config.Head], onAccepted func(*config.Head, Source)) *Keeper {
 	return &Keeper{section: section, onAccepted: onAccepted}
 }
 
-// Offer takes the head when its revision is higher than the one held, and says
-// whether it did.
+// Offer stores the head if its revision is higher than the stored one, and reports whether
+// it did.
 func (k *Keeper) Offer(head *config.Head, source Source) bool {
 	if head == nil || head.Declaration == nil {
 		return false
@@ -62,10 +62,10 @@
 	return true
 }
 
-// Head returns the head held, or nil.
+// Head returns the stored head, or nil.
 func (k *Keeper) Head() *config.Head { return k.section.Load() }
 
-// Revision returns the revision held; 0 when there is none.
+// Revision returns the stored revision; 0 if there is none.
 func (k *Keeper) Revision() config.Revision { return k.revision() }
 
 func (k *Keeper) revision() config.Revision {
--- a/pkg/spread/spread_test.go
+++ b/pkg/spread/spread_test.go
@@ -24,8 +24,8 @@
 }
 
 // Heads that arrive from the watch, the peers and the gateway, in any order and
-// at once, leave the highest in force, and none that was seen on the way is lower
-// than the one before.
+// concurrently, leave the highest revision in force, and no revision that is read meanwhile
+// is lower than the one before.
 func TestRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		section := new(board.Section[config.Head])
@@ -80,12 +80,12 @@
 	is.Equal(keeper.Revision(), config.Revision(0))
 }
 
-// service is a key-value service that counts what it is asked.
+// service is a key-value service that counts the calls that it receives.
 type service struct{ *platformtest.Service }
 
 func (s service) write(value string) { s.Set("head", []byte(value)) }
 
-// fail breaks all watches; up or down says what later calls meet.
+// fail ends all watches; if down is true, later calls fail.
 func (s service) fail(down bool) {
 	s.BreakWatches()
 	s.SetDown(down)
@@ -128,7 +128,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go newWatcher(s, keeper, &duty, &faults).Run(ctx)
 		time.Sleep(10 * time.Second)
-		is.Equal(s.calls(), 0) // not on duty: not a call
+		is.Equal(s.calls(), 0) // no calls while not on duty
 
 		duty.Store(true)
 		time.Sleep(DutyCheckInterval)
@@ -141,12 +141,12 @@
 		synctest.Wait()
 		is.Equal(keeper.Revision(), config.Revision(2))
 		is.Equal(faults.Load(), int64(1))
-		is.Equal(s.calls(), 2) // one read, one waiting watch
+		is.Equal(s.calls(), 2) // one read, one open watch
 
 		s.fail(false)
 		time.Sleep(RetryMin)
 		synctest.Wait()
-		is.Equal(s.calls(), 3) // a watch that ended is taken up without the value
+		is.Equal(s.calls(), 3) // a watch that ended is resumed without reading the value
 		s.write("3")
 		synctest.Wait()
 		is.Equal(keeper.Revision(), config.Revision(3))
@@ -155,7 +155,7 @@
 		before := s.calls()
 		time.Sleep(time.Hour)
 		calls := s.calls() - before
-		// A watcher that waits between half of RetryMax and RetryMax, and no longer.
+		// The watcher waits between half of RetryMax and RetryMax.
 		is.True(calls <= int(time.Hour/(RetryMax/2))+10)
 		is.True(calls >= int(time.Hour/RetryMax))
 
@@ -163,13 +163,13 @@
 		s.write("4")
 		time.Sleep(RetryMax)
 		synctest.Wait()
-		is.Equal(keeper.Revision(), config.Revision(4)) // back by itself
+		is.Equal(keeper.Revision(), config.Revision(4)) // recovers by itself
 
 		duty.Store(false)
 		time.Sleep(DutyCheckInterval)
 		before = s.calls()
 		time.Sleep(time.Hour)
-		is.Equal(s.calls(), before) // gave the duty up
+		is.Equal(s.calls(), before) // no calls after the end of the duty
 		cancel()
 		synctest.Wait()
 	})
--- a/pkg/spread/watcher.go
+++ b/pkg/spread/watcher.go
@@ -10,30 +10,30 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// Watchers is how many instances of a failure domain watch the head key: the
-// second covers the first while its silence is being noticed.
+// Watchers is the number of instances of a failure domain that watch the head key: the
+// second one covers for the first until its failure is detected.
 const Watchers = 2
 
 // Timing of the watch.
 const (
-	// RetryMin and RetryMax bound the wait after a failed call. With two watchers
-	// a domain makes some three calls in ten seconds during an outage.
+	// RetryMin and RetryMax bound the wait after a failed call. With two watchers a domain
+	// makes about three calls in ten seconds during an outage.
 	RetryMin = 250 * time.Millisecond
 	RetryMax = 8 * time.Second
-	// StableAfter is how long a watch must have stood for its break to count as
-	// a first failure again.
+	// StableAfter is the duration of a watch after which its end counts as a first failure
+	// again.
 	StableAfter = 10 * time.Second
 	// ReadTimeout bounds one read of the head.
 	ReadTimeout = 3 * time.Second
-	// DutyCheckInterval is how often an instance looks whether it is a watcher.
+	// DutyCheckInterval is how often an instance checks whether it is a watcher.
 	DutyCheckInterval = 500 * time.Millisecond
-	// RereadInterval is how often a watcher reads the whole head beside its watch, in
-	// case the service was set back to an earlier state. A watch that ended is
-	// otherwise taken up where it stood, without the value.
+	// RereadInterval is how often a watcher reads the whole head in addition to its watch,
+	// in case the service was restored to an earlier state. A watch that ended is otherwise
+	// resumed at its last revision, without reading the value.
 	RereadInterval = 10 * time.Minute
 )
 
-// ErrWatchEnded: the watch's stream ended.
+// ErrWatchEnded is returned when the watch's stream ended.
 var ErrWatchEnded = errors.New("watch ended")
 
 // Watcher follows the head key while it is on duty.
@@ -43,20 +43,20 @@
 	Key      string
 	// Decode reads a head.
 	Decode func([]byte) (*config.Head, error)
-	// Keeper takes the heads.
+	// Keeper stores the heads.
 	Keeper *Keeper
-	// OnDuty says whether this instance is one of its domain's watchers.
+	// OnDuty reports whether this instance is one of its domain's watchers.
 	OnDuty func() bool
-	// OnResult is told of each call's success or failure, and OnFault of a value
-	// that is not a head.
+	// OnResult is called with the result of each call, and OnFault with the error of a
+	// value that is not a head.
 	OnResult func(err error)
 	OnFault  func(err error)
 	Clock    clock.Clock
-	// Rand gives the jitter, from 0 up to 1.
+	// Rand returns the jitter, from 0 up to 1.
 	Rand func() float64
 
-	// lastRevision is the last modification revision seen, readAt when the head was
-	// last read; both belong to Run.
+	// lastRevision is the last modification revision received, readAt is when the head was
+	// last read; both are used by Run alone.
 	lastRevision int64
 	readAt       time.Time
 }
@@ -82,14 +82,14 @@
 	}
 }
 
-// jitter returns a wait between half and the whole of its bound.
+// jitter returns a random wait between half of bound and bound.
 func (w *Watcher) jitter(bound time.Duration) time.Duration {
 	half := bound / 2
 	return half + time.Duration(w.Rand()*float64(half))
 }
 
-// follow watches the head, which it reads first where needed, while on duty. It returns nil when
-// the duty or ctx ended.
+// follow watches the head while on duty, and reads it first if necessary. It returns nil
+// when the duty or ctx has ended.
 func (w *Watcher) follow(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -116,8 +116,8 @@
 		select {
 		case entry, open := <-changes:
 			if !open {
-				// No fault in itself: an adapter ends a watch that has long been
-				// quiet, and the next call tells.
+				// This is not an error in itself: an adapter ends a watch that has been
+				// idle for long, and the next call shows whether the service fails.
 				return ErrWatchEnded
 			}
 			w.lastRevision = max(w.lastRevision, entry.ModRevision)
@@ -132,7 +132,7 @@
 	}
 }
 
-// read gets the head and notes where it stands.
+// read reads the head and records its modification revision.
 func (w *Watcher) read(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, ReadTimeout)
 	defer cancel()
