--- a/pkg/httproute/organisation.go
+++ b/pkg/httproute/organisation.go
@@ -64,7 +64,7 @@
 		c.organisations[organisation.Name] = organisation
 		for _, digest := range organisation.Keys {
 			if c.byKey[digest] != nil {
-				return &Fault{Version: c.Version, Place: place, Problem: "a key is that of another organisation, too"}
+				return &Fault{Version: c.Version, Place: place, Problem: "a key belongs to another organisation as well"}
 			}
 			c.byKey[digest] = organisation
 		}
