--- a/pkg/limit/named.go
+++ b/pkg/limit/named.go
@@ -159,14 +159,14 @@
 
 // Wait returns how long this instance must wait until it may send a request to an upstream;
 // zero if it may now.
-func (n *NamedLimits) Wait(upstream string, part SenderRank) time.Duration {
+func (n *NamedLimits) Wait(upstream string, sender SenderRank) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	known := n.byID[upstream]
 	if known == nil || !known.Limited {
 		return 0
 	}
-	rate := known.fill(part, n.now())
+	rate := known.fill(sender, n.now())
 	switch {
 	case known.tokens >= 1:
 		return 0
@@ -178,7 +178,7 @@
 }
 
 // Take counts a request that is about to be sent; false if it must not be sent.
-func (n *NamedLimits) Take(upstream string, part SenderRank) bool {
+func (n *NamedLimits) Take(upstream string, sender SenderRank) bool {
 	if n.size.Load() == 0 {
 		return true
 	}
@@ -188,7 +188,7 @@
 	if known == nil || !known.Limited {
 		return true
 	}
-	if known.fill(part, n.now()); known.tokens < 1 {
+	if known.fill(sender, n.now()); known.tokens < 1 {
 		return false
 	}
 	known.tokens--
@@ -197,11 +197,11 @@
 
 // fill adds the tokens accumulated since the last call, and returns this instance's share
 // of the limit, in requests a second.
-func (k *namedLimit) fill(part SenderRank, now time.Time) float64 {
+func (k *namedLimit) fill(sender SenderRank, now time.Time) float64 {
 	total := max(minRate, k.PerSecond)
-	senders := Senders(total, part.Instances)
+	senders := Senders(total, sender.Instances)
 	rate := 0.0
-	if k.sends(part, senders, now) {
+	if k.sends(sender, senders, now) {
 		rate = total / float64(senders)
 	}
 	k.tokens = min(k.tokens+rate*max(0, now.Sub(k.refilledAt).Seconds()), max(1, rate*burstWindow.Seconds()))
@@ -216,14 +216,14 @@
 // sends reports whether this instance is one of the senders. While no answer of the
 // upstream is received, further instances take turns beside the first ones, which may have
 // no requests to send.
-func (k *namedLimit) sends(part SenderRank, senders int, now time.Time) bool {
-	if part.Place < senders {
+func (k *namedLimit) sends(sender SenderRank, senders int, now time.Time) bool {
+	if sender.Place < senders {
 		return true
 	}
 	turn := int(now.Sub(k.reportedAt) / staleAfter)
-	place := (part.Place - turn*senders) % max(1, part.Instances)
+	place := (sender.Place - turn*senders) % max(1, sender.Instances)
 	if place < 0 {
-		place += part.Instances
+		place += sender.Instances
 	}
 	return turn > 0 && place < senders
 }
--- a/pkg/limit/named_test.go
+++ b/pkg/limit/named_test.go
@@ -47,10 +47,10 @@
 			for range 1500 { // 15 s in which all instances have requests to send
 				now = now.Add(10 * time.Millisecond)
 				for i := range all {
-					part := limit.SenderRank{Instances: instances, Place: i}
+					sender := limit.SenderRank{Instances: instances, Place: i}
 					all[i].Answered("u", limit.Named{PerSecond: perSecond, Limited: true}, now) // an answer is received
-					wait := all[i].Wait("u", part)
-					for all[i].Take("u", part) {
+					wait := all[i].Wait("u", sender)
+					for all[i].Take("u", sender) {
 						is.Equal(wait, time.Duration(0))
 						sent = append(sent, now)
 					}
@@ -80,15 +80,15 @@
 	now := time.Unix(1_000_000, 0)
 	named := limit.NewNamedLimits(func() time.Time { return now })
 	named.Answered("u", limit.Named{PerSecond: 2, Limited: true}, now)
-	part := limit.SenderRank{Instances: 10, Place: 9}
+	sender := limit.SenderRank{Instances: 10, Place: 9}
 	for range 4 {
 		now = now.Add(time.Second)
-		is.True(!named.Take("u", part))
+		is.True(!named.Take("u", sender))
 	}
 	tries := 0
 	for range 100 { // two turns of 5 s in 50 s, each with a share of one a second
 		now = now.Add(500 * time.Millisecond)
-		if named.Take("u", part) {
+		if named.Take("u", sender) {
 			tries++
 		}
 	}
--- a/pkg/spread/spread_test.go
+++ b/pkg/spread/spread_test.go
@@ -154,10 +154,10 @@
 		s.fail(true)
 		before := s.calls()
 		time.Sleep(time.Hour)
-		calls := s.calls() - before
+		attempts := s.calls() - before
 		// The watcher waits between half of RetryMax and RetryMax.
-		is.True(calls <= int(time.Hour/(RetryMax/2))+10)
-		is.True(calls >= int(time.Hour/RetryMax))
+		is.True(attempts <= int(time.Hour/(RetryMax/2))+10)
+		is.True(attempts >= int(time.Hour/RetryMax))
 
 		s.fail(false)
 		s.write("4")
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -142,7 +142,7 @@
 	// requested a backoff; RestWait is the shortest time until one of the latter gets a
 	// request again.
 	Cold, Resting int
-	RestWait      time.Duration
+	BackoffWait      time.Duration
 	// Limited counts the upstreams that were skipped because of the rate limit that they
 	// advertise, LimitWait is the shortest time until one of them may get a request.
 	Limited   int
@@ -200,7 +200,7 @@
 	case own.Ejected:
 		s.Resting++
 	case own.Backoff > 0:
-		s.RestWait = shortest(s.RestWait, own.RequestedBackoff)
+		s.BackoffWait = shortest(s.BackoffWait, own.RequestedBackoff)
 		s.Resting++
 	case tried(req, upstream.ID):
 	case !w.Admits(upstream, req.Service):
@@ -225,7 +225,7 @@
 
 // Wait returns the shortest time until an upstream that requested a backoff, or whose limit
 // is used up, may get a request; zero if there is none.
-func (s *Survey) Wait() time.Duration { return shortest(s.RestWait, s.LimitWait) }
+func (s *Survey) Wait() time.Duration { return shortest(s.BackoffWait, s.LimitWait) }
 
 // shortest returns the shorter of two times; zero means that there is none.
 func shortest(a, b time.Duration) time.Duration {
