--- a/pkg/limit/named.go
+++ b/pkg/limit/named.go
@@ -13,7 +13,7 @@
 type Named struct {
 	// PerSecond is the requests a second from all instances together.
 	PerSecond float64
-	// Limited is false if the upstream advertises no limit.
+	// Limited is false if the upstream advertises no limit and accepts what it can.
 	Limited bool
 }
 
@@ -64,8 +64,8 @@
 	Instances, Place int
 }
 
-// NamedLimits holds the limits that upstreams advertise in their answers. An upstream
-// without an entry advertises none. It is safe for concurrent use.
+// NamedLimits holds the limits that upstreams advertise in their answers. Upstreams that
+// need none advertise none. It is safe for concurrent use.
 type NamedLimits struct {
 	now func() time.Time
 	// size is the number of entries, read without the lock.
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -139,7 +139,7 @@
 	Known, Usable, Slots, InFlight, Prefill int
 	// Cold counts the upstreams that were skipped because they are cold. Resting counts
 	// those that were skipped because they failed or rejected a request recently, or have
-	// requested a backoff; RestWait is the shortest time until one of the latter gets a
+	// requested a backoff; BackoffWait is the shortest time until one of the latter gets a
 	// request again.
 	Cold, Resting int
 	BackoffWait      time.Duration
