--- a/pkg/edge/handler.go
+++ b/pkg/edge/handler.go
@@ -234,7 +234,7 @@
 // Error implements error.
 func (e *surveyError) Error() string {
 	s := e.survey
-	return fmt.Sprintf("known=%d usable=%d resting=%d cold=%d limited=%d in_flight=%d slots=%d", s.Known, s.Usable, s.Resting, s.Cold, s.Limited, s.InFlight, s.Slots)
+	return fmt.Sprintf("known=%d usable=%d resting=%d cold=%d limited=%d in_flight=%d slots=%d", s.Known, s.Usable, s.BackingOff, s.Cold, s.Limited, s.InFlight, s.Slots)
 }
 
 // path is the path of a request without its query, as it was sent.
--- a/pkg/edge/lines.go
+++ b/pkg/edge/lines.go
@@ -163,7 +163,7 @@
 			return
 		}
 		line.Int(event.KeyKnown, none.survey.Known).Int(event.KeyUsable, none.survey.Usable).
-			Int(event.KeyResting, none.survey.Resting).Int(event.KeyCold, none.survey.Cold).Int(event.KeyLimited, none.survey.Limited).Int(event.KeyInFlight, none.survey.InFlight).
+			Int(event.KeyResting, none.survey.BackingOff).Int(event.KeyCold, none.survey.Cold).Int(event.KeyLimited, none.survey.Limited).Int(event.KeyInFlight, none.survey.InFlight).
 			Int(event.KeySlots, none.survey.Slots)
 	})
 }
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -137,11 +137,11 @@
 	// Known counts the upstreams of the service in the region and Usable those that may get
 	// work. Slots, InFlight and Prefill are sums over the usable ones.
 	Known, Usable, Slots, InFlight, Prefill int
-	// Cold counts the upstreams that were skipped because they are cold. Resting counts
+	// Cold counts the upstreams that were skipped because they are cold. BackingOff counts
 	// those that were skipped because they failed or rejected a request recently, or have
 	// requested a backoff; BackoffWait is the shortest time until one of the latter gets a
 	// request again.
-	Cold, Resting int
+	Cold, BackingOff int
 	BackoffWait      time.Duration
 	// Limited counts the upstreams that were skipped because of the rate limit that they
 	// advertise, LimitWait is the shortest time until one of them may get a request.
@@ -198,10 +198,10 @@
 func (s *Survey) usable(w *Snapshot, req *Request, upstream *fleet.Upstream, own *limit.Load) bool {
 	switch {
 	case own.Ejected:
-		s.Resting++
+		s.BackingOff++
 	case own.Backoff > 0:
 		s.BackoffWait = shortest(s.BackoffWait, own.RequestedBackoff)
-		s.Resting++
+		s.BackingOff++
 	case tried(req, upstream.ID):
 	case !w.Admits(upstream, req.Service):
 		s.Cold++
