--- a/pkg/steer/admit.go
+++ b/pkg/steer/admit.go
@@ -5,29 +5,27 @@
 	"time"
 )
 
-// An engine accepts every request that it is sent, and all requests in its queue are late
-// together. So a request is only sent where its answer is predicted to begin in time, and
-// is refused at once where there is no such place.
+// An engine accepts every request, and all requests in its queue are late together. So a
+// request is only sent where its answer is predicted to begin in time, and otherwise
+// refused at once.
 
 // Parameters of admission by predicted time to first token.
 const (
 	// targetShare is the share of a route's target that a prediction may use. The rest
-	// covers the path back to the caller and requests of other instances that this one has
-	// not yet received a report of.
+	// covers the path back to the caller and requests of others that are not reported yet.
 	targetShare = 0.85
 	// minWaitShare is the share of a target that a request may wait for others even if its
 	// own prompt uses up the rest, so that the largest prompts are served too, if late.
 	minWaitShare = 0.3
 	// yieldShare is the share of the wait tolerated by a more urgent route of the same
-	// service that a less urgent one may wait. The rest is reserved for the more urgent
-	// requests.
+	// service that a less urgent one may use; the rest is reserved for the former.
 	yieldShare = 0.4
 	// defaultHolding is the time that a request occupies its slot where none was measured.
 	defaultHolding = time.Second
 )
 
-// waitTime is the time that a request would wait at an engine, in milliseconds, for other
-// requests and for its own prompt.
+// waitTime is a request's wait at an engine, in milliseconds, for other requests and for
+// its own prompt.
 type waitTime struct{ queued, own float64 }
 
 func (w *waitTime) total() time.Duration { return milliseconds(w.queued + w.own) }
@@ -36,10 +34,9 @@
 
 func inMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// tooLate reports whether an answer after this wait would come after the route's target, or
-// would use capacity that more urgent requests need. The mean prediction error counts in
-// the caller's favour: otherwise instances that receive each other's reports late would
-// refuse requests that would have been in time.
+// tooLate reports whether an answer after this wait would miss the route's target or use
+// capacity that more urgent requests need. The mean prediction error counts in the caller's
+// favour: otherwise instances with late reports would refuse requests that are in time.
 func (w *waitTime) tooLate(req *Request, forecast *Forecast) bool {
 	target := inMilliseconds(req.Route.TargetLatency)
 	if target == 0 {
@@ -52,8 +49,8 @@
 	return w.queued-forecast.meanError > bound
 }
 
-// slotWait returns how long a request waits for one of the slots, in milliseconds, where
-// inFlight other requests run or wait and each occupies its slot for holding.
+// slotWait returns the wait for one of the slots, in milliseconds, behind inFlight requests
+// that each occupy one for holding.
 func slotWait(inFlight, slots int, holding time.Duration) float64 {
 	if holding == 0 {
 		holding = defaultHolding
@@ -100,15 +97,14 @@
 	return best
 }
 
-// RegionKey is the key under which a region's backoff is tracked for a service's requests
-// of one priority. A region that refused such a request for lack of capacity backs off
-// under that key as an upstream does: load reports are up to a second old, and each request
-// that is sent there in vain comes back 120 ms later.
+// RegionKey is the key of a region's backoff for a service's requests of one priority. A
+// region that refused such a request for lack of capacity backs off like an upstream: load
+// reports are up to a second old, and a request sent there in vain loses 120 ms.
 func RegionKey(region string, req *Request) string {
 	return region + "/" + req.Service.Name + "/" + strconv.Itoa(req.Route.Priority)
 }
 
-// better reports whether c is preferred over best; ties are broken at random.
+// better reports whether c is preferred over best, at random if they are equal.
 func (w *Snapshot) better(c, best *Candidate) bool {
 	return c.Cost < best.Cost || (c.Cost == best.Cost && w.Random&1 == 0)
 }
--- a/pkg/steer/admit_test.go
+++ b/pkg/steer/admit_test.go
@@ -15,7 +15,7 @@
 )
 
 // trainedEstimator returns an Estimator trained with answers that began after base
-// milliseconds plus perToken milliseconds for each prompt token.
+// milliseconds plus perToken for each prompt token.
 func trainedEstimator(base, perToken float64) *steer.Estimator {
 	e := steer.NewEstimator()
 	u := upstream("u", "llm", "north")
@@ -28,8 +28,8 @@
 
 func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// TestEstimatorLearnsTimeToFirstToken runs on engines that are several times faster and
-// slower than the initial estimate.
+// TestEstimatorLearnsTimeToFirstToken on engines faster and slower than the initial
+// estimate.
 func TestEstimatorLearnsTimeToFirstToken(t *testing.T) {
 	for _, perToken := range []float64{1.0 / 280, 1.0 / 70, 1.0 / 40, 1.0 / 10} {
 		t.Run(fmt.Sprint(perToken), func(t *testing.T) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestSlowUpstreamFactorDecays checks that a slow upstream is detected, and that its factor
-// returns towards 1 within seconds of its last answer, so that it is tried again.
+// TestSlowUpstreamFactorDecays checks that a slow upstream is detected, and tried again
+// some seconds after its last answer.
 func TestSlowUpstreamFactorDecays(t *testing.T) {
 	is := is.New(t)
 	e := trainedEstimator(100, 0.02)
--- a/pkg/steer/estimate.go
+++ b/pkg/steer/estimate.go
@@ -7,10 +7,9 @@
 )
 
 // Estimator learns from answers how long engines take to begin one. For each service it
-// fits the time to the first token as a linear function of the prompt tokens that had to be
-// read before it, with exponential forgetting; for each upstream it keeps how much slower
-// or faster than the service it is. It is safe for concurrent use; an upstream costs about
-// 100 bytes.
+// fits the time to the first token linearly to the prompt tokens to be read before it,
+// forgetting old answers; for each upstream it keeps a relative slowdown. It is safe for
+// concurrent use; an upstream costs about 100 bytes.
 type Estimator struct {
 	mu         sync.Mutex
 	byService  map[string]*regression
@@ -21,8 +20,7 @@
 // the mean absolute prediction error.
 type regression struct{ n, x, y, xx, xy, meanError float64 }
 
-// slowdown is the factor by which an upstream is slower than its service, and the time of
-// its last observation.
+// slowdown is an upstream's time relative to its service's, and when it was last observed.
 type slowdown struct {
 	factor     float64
 	observedAt time.Time
@@ -42,17 +40,16 @@
 	regressionDecay = 0.995
 	// errorSmoothing is the weight of the newest answer in the mean error.
 	errorSmoothing = 0.02
-	// outlier bounds the influence of one answer, as a multiple of the prediction: the time
-	// of an answer from a frozen engine does not measure how fast engines read.
+	// outlier bounds the influence of one answer, as a multiple of the prediction: that of
+	// a frozen engine does not measure reading speed.
 	outlier = 4.0
 	// factorSmoothing is the weight of the newest answer in an upstream's factor.
 	factorSmoothing = 0.15
 	// minFactor and maxFactor bound an upstream's factor.
 	minFactor = 0.5
 	maxFactor = 20.0
-	// factorHalfLife is the idle time after which the difference of an upstream's factor
-	// from 1 has halved. Without it, an upstream that was slow once would never be tried
-	// again.
+	// factorHalfLife is the idle time that halves an upstream's deviation from 1. Without
+	// it, an upstream that was slow once would never be tried again.
 	factorHalfLife = 2 * time.Second
 	// upstreamRetention is the idle time after which an upstream is dropped.
 	upstreamRetention = time.Minute
@@ -99,7 +96,7 @@
 	f.xy = f.xy*regressionDecay + x*y
 }
 
-// Observe records that an answer of the request sent to candidate at began after took.
+// Observe records that an answer of a request sent to candidate at began after took.
 func (e *Estimator) Observe(at *Candidate, took time.Duration, now time.Time) {
 	upstream, tokens := at.Upstream, at.Prefill+at.Uncached
 	e.mu.Lock()
@@ -179,11 +176,11 @@
 	return Forecast{estimator: e, base: base, perToken: perToken, meanError: f.meanError, now: now}
 }
 
-// Reading returns how long an engine of average speed takes to begin an answer when so many
-// prompt tokens have to be read before it, in milliseconds.
+// Reading returns how long an average engine takes to begin an answer with so many prompt
+// tokens to be read before it, in milliseconds.
 func (f *Forecast) Reading(tokens float64) float64 { return f.base + f.perToken*tokens }
 
-// Factor returns the factor by which an upstream is slower than its service's average.
+// Factor returns the factor by which an upstream is slower than the average.
 func (f *Forecast) Factor(upstream string) float64 {
 	f.estimator.mu.Lock()
 	defer f.estimator.mu.Unlock()
--- a/pkg/steer/flow.go
+++ b/pkg/steer/flow.go
@@ -7,8 +7,8 @@
 )
 
 // Flow measures how many prompt tokens this instance sends to the engines of each service.
-// The other instances of its region are assumed to send as many, which gives an estimate of
-// what reached an engine since the last reports. It is safe for concurrent use.
+// The others of its region are assumed to send as many, which gives an estimate of what
+// reached an engine since the last report. It is safe for concurrent use.
 type Flow struct {
 	mu        sync.Mutex
 	byService map[string]*decayingSum
@@ -20,8 +20,8 @@
 	at  time.Time
 }
 
-// flowTimeConstant is the time over which the flow is averaged: short enough to follow a
-// load that changes within seconds, long enough to smooth out single requests.
+// flowTimeConstant is the averaging time of the flow: it follows load changes within
+// seconds and smooths out single requests.
 const flowTimeConstant = 2 * time.Second
 
 // NewFlow returns a Flow without measurements.
--- a/pkg/steer/overload.go
+++ b/pkg/steer/overload.go
@@ -24,8 +24,8 @@
 const (
 	// episodeGap is the time without a request that finds no capacity that ends an episode.
 	episodeGap = time.Second
-	// minRetryAfter is the least base of the time after which a refused caller is asked to
-	// retry: the time that an engine needs to complete some tens of requests.
+	// minRetryAfter is the least base of the time to a retry: what an engine needs to
+	// complete some tens of requests.
 	minRetryAfter = 400 * time.Millisecond
 	// maxRetryShare is the share of their remaining time that callers are willing to wait
 	// for a retry.
@@ -67,16 +67,15 @@
 }
 
 // Refuses reports whether a request that would be late is refused. A short queue is still
-// served, if late. Once the queue has lasted for the length of the target, each request
-// that still joins it makes all later ones late too.
+// served, if late. Once it has lasted for the length of the target, each further request
+// makes all later ones late too.
 func (o *Overload) Refuses(req *Request, now time.Time) bool {
 	return o.Late(req.Service.Name, req.Route.Priority, now) >= req.Route.TargetLatency
 }
 
 // ReturnAfter returns after what time a refused caller should retry. An overload that has
 // lasted for some time is expected to last about as long again; callers are spread over
-// that time by a random number from 0 to 1, up to the share of their remaining time that
-// they are willing to wait.
+// that time by a random number from 0 to 1, within maxRetryShare.
 func ReturnAfter(lasted, left time.Duration, random float64) time.Duration {
 	wait := time.Duration((0.5 + random) * float64(max(minRetryAfter, lasted)))
 	return min(wait, time.Duration(maxRetryShare*float64(left)))
--- a/pkg/steer/plain.go
+++ b/pkg/steer/plain.go
@@ -8,13 +8,13 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// Calls of plain services last some tens of milliseconds, less than the age of the load
-// reports of other instances. So an upstream's reported load does not predict what a call
-// meets there, and hundreds of instances that act on the same report would all send to the
-// same upstream. The load of a region as a whole does stay valid for seconds. Inside a
-// region calls are therefore spread by the share of the report that is still valid; a
-// region with more calls in flight than its slots serve well forwards a planned share of
-// its calls to regions with spare capacity, before upstreams queue and reject.
+// Calls of plain services last some tens of milliseconds, less than the age of load
+// reports. So an upstream's reported load does not predict what a call meets there:
+// hundreds of instances that act on the same report send to the same upstream. The load of
+// a region as a whole stays valid for seconds. Inside a region calls are spread by the
+// valid share of the report; a region with more calls in flight than its slots serve well
+// forwards a planned share of them to regions with spare capacity, before upstreams queue
+// and reject.
 
 // Parameters of the spreading of plain calls. A load is the requests in flight per slot.
 const (
@@ -23,22 +23,21 @@
 	// six slots of an upstream taken at a load of 0.8, one in four at 0.9 (Erlang's loss
 	// formula).
 	spillThreshold = 0.8
-	// spillKnownBonus is added to the threshold where the present work is fully known:
-	// calls can then be placed evenly, and one that waits for another to finish waits less
-	// than the round trip takes.
+	// spillKnownBonus is added to the threshold if the present work is fully known: calls
+	// can then be placed evenly, and waiting for another to finish takes less than the
+	// round trip.
 	spillKnownBonus = 0.5
 	// spillRange is the range of load above the threshold over which the forwarded share of
 	// calls grows to all: a region that is offered 1.5 times its slots settles at a load of
 	// about 1.
 	spillRange = 0.5
-	// remoteLoadMargin is how much lower the load of a remote region must be at least.
-	// Reports from there are half a second old, and the round trip costs 0.11 s of the
-	// target.
+	// remoteLoadMargin is how much lower the load of a remote region must be. Reports from
+	// there are half a second old, and the round trip costs 0.11 s of the target.
 	remoteLoadMargin = 0.2
 )
 
-// expectedLoad is the present load of other instances at an upstream: the reported load to
-// the extent that calls of that age still run, and the region's mean for the rest.
+// expectedLoad is the present load of others at an upstream: the reported load as far as
+// calls of that age still run, and the region's mean for the rest.
 func expectedLoad(reported, mean float64, age, meanTime time.Duration) float64 {
 	valid := stillRunning(age, meanTime)
 	return valid*reported + (1-valid)*mean
@@ -83,9 +82,9 @@
 	return remote
 }
 
-// knownFraction is the fraction of a plain service's calls in flight in the own region that
-// this instance can place: its own, and those of others that still run as reported. With a
-// single upstream all are known.
+// knownFraction is the fraction of a plain service's calls in the own region with a known
+// upstream: own calls, and those of others that still run as reported. With a single
+// upstream all are known.
 func (w *Snapshot) knownFraction(service string, here *Survey) float64 {
 	if here.Usable <= 1 {
 		return 1
--- a/pkg/steer/recent.go
+++ b/pkg/steer/recent.go
@@ -29,7 +29,7 @@
 	// use.
 	cacheRetention = 20 * time.Second
 	// minPublishedTokens is the least size in tokens of a segment with published
-	// placements: a smaller one is read sooner than its placement is published.
+	// placements: smaller ones are read sooner than published.
 	minPublishedTokens = 1000
 	// publishFor is how long a placement is published: a few gossip rounds, so that a lost
 	// one does no harm.
--- a/pkg/steer/remote.go
+++ b/pkg/steer/remote.go
@@ -18,13 +18,13 @@
 	Upstreams, Slots int
 	// InFlight and Prefill are the work of all instances there.
 	InFlight, Prefill int
-	// excluded is true if the request may not be processed in the region, or if the region
-	// refused such a request recently.
+	// excluded is true if the request may not be processed there, or the region refused
+	// such a request recently.
 	excluded bool
 }
 
-// Regions returns the other regions in which the request may be processed and that have a
-// known live instance and a usable upstream, sorted by name.
+// Regions returns the other regions that may process the request and have a live instance
+// and a usable upstream, sorted by name.
 func (w *Snapshot) Regions(req *Request) []RemoteRegion {
 	var regions []RemoteRegion
 	for i := range w.peers() {
@@ -94,19 +94,19 @@
 	// that an engine reads meanwhile: 110 ms at about 40 tokens a millisecond.
 	roundTripTokens = 4400
 	// remoteMargin is how much cheaper, in prompt tokens, a remote engine must be, since
-	// reports from other regions are older than local ones.
+	// remote reports are older.
 	remoteMargin = 1500
 	// regionRoundTrip is the round trip time to another region.
 	regionRoundTrip = 110 * time.Millisecond
 	// minRemoteGain is how much sooner a plain service must answer in another region.
 	minRemoteGain = 30 * time.Millisecond
-	// localTargetShare is the share of the target below which a plain call that is served
-	// here gains nothing by being forwarded.
+	// localTargetShare is the share of the target below which a plain call gains nothing by
+	// being forwarded.
 	localTargetShare = 0.5
 )
 
-// Choose returns the region that is worth the round trip, given the survey of the own one;
-// nil if none is. Without a usable upstream here it returns the cheapest region.
+// Choose returns the region that is worth the round trip; nil if none is. Without a usable
+// upstream here it returns the cheapest region.
 func (w *Snapshot) Choose(req *Request, here Survey, regions []RemoteRegion) *RemoteRegion {
 	var best *RemoteRegion
 	lowest := math.Inf(1)
@@ -148,7 +148,7 @@
 }
 
 // remoteCost returns the request's cost in another region: for engines in prompt tokens, as
-// in Candidate.Cost; for plain services the requests in flight per slot.
+// in Candidate.Cost; for plain services requests in flight per slot.
 func (w *Snapshot) remoteCost(req *Request, remote *RemoteRegion) float64 {
 	if req.Service.Engine == nil {
 		return float64(remote.InFlight) / float64(remote.Slots)
--- a/pkg/steer/sharing.go
+++ b/pkg/steer/sharing.go
@@ -33,9 +33,9 @@
 	return total
 }
 
-// hashedUpstream returns the upstream to which rendezvous hashing assigns a shared segment,
-// so that instances choose alike without communication. If the choice among all regions
-// lies in a region, the choice among that region's upstreams is the same one.
+// hashedUpstream returns the upstream to which a shared segment is hashed, so that
+// instances choose alike without communication. The choice among all regions is also the
+// choice within its own region.
 func hashedUpstream(shared *Segment, upstreams []*fleet.Upstream) *fleet.Upstream {
 	if shared == nil || len(upstreams) == 0 {
 		return nil
@@ -53,9 +53,8 @@
 type prefixLocation struct {
 	// tokens is the size of the shared segments; zero if nothing relevant is shared.
 	tokens int
-	// holders are the upstreams that were sent the segments recently. holder is the
-	// upstream that others should copy from: one of the holders, else the one to which the
-	// segments are hashed.
+	// holders are the upstreams that were sent the segments recently. holder is the one to
+	// copy from: one of the holders, else the upstream to which the segments are hashed.
 	holders map[string]bool
 	holder  *fleet.Upstream
 	// trust is the probability that the holder caches them.
@@ -127,11 +126,11 @@
 }
 
 // minCopiedTokens is the least size in tokens that is worth copying: setting up a copy
-// takes about 3 ms, the time of reading that many tokens.
+// takes about 3 ms, the time of reading that many.
 const minCopiedTokens = 256
 
 // favouriteRegion returns the region of the upstream to which a shared segment is hashed
-// among all that the request may go to; empty if there is none.
+// among all permitted ones; empty if there is none.
 func (w *Snapshot) favouriteRegion(req *Request, shared *Segment) string {
 	key := prefixKey{service: req.Service.Name, route: req.Route, segment: shared.ID}
 	if w.prefixRegion.prefixKey != key {
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -48,8 +48,8 @@
 	Fleet  *fleet.View
 	Peers  *peer.View
 	Local  Local
-	// Admits reports whether an upstream that is cold, or may be, can take one more request
-	// now under its limit for cold upstreams.
+	// Admits reports whether an upstream that is or may be cold can take one more request
+	// now.
 	Admits func(u *fleet.Upstream, service *httproute.Service) bool
 	// Named returns the rate limit that an upstream advertises, and LimitWait how long this
 	// instance must not send to it because of that limit. Both are nil if there are no
@@ -77,20 +77,20 @@
 	// tokensPerRequest is the cost of a running request to those that run beside it: its
 	// share of each step of the batch.
 	tokensPerRequest = 15
-	// queuedPenalty is added for each request beyond the slots: it waits until a running
+	// queuedPenalty is added for each request beyond the slots, which waits until a running
 	// one ends. It is less than what an engine reads meanwhile, so that a short queue does
 	// not drive prompts away from the upstreams that cache their segments.
 	queuedPenalty = 500
-	// backlogWeight is the cost of an unread token in flight at an upstream. Prompts count
-	// in full until their answer begins, when they are half read on average, and the
-	// reports are old.
+	// backlogWeight is the cost of an unread token at an upstream. Prompts count in full
+	// until their answer begins, when they are half read on average, and the reports are
+	// old.
 	backlogWeight = 0.3
 	// plainJitter is the largest relative random increase of the load of a plain service's
-	// upstream: reports on the work of others are up to one gossip round old, and instances
-	// that act on the same reports would all send to the same upstream.
+	// upstream: reports are up to a gossip round old, and instances with the same reports
+	// would all choose the same upstream.
 	plainJitter = 0.5
-	// engineJitter is the largest random cost as a multiple of the tokens that others have
-	// sent unreported; the average is half of that.
+	// engineJitter is the largest random cost relative to the tokens that others have sent
+	// unreported; the average is half of that.
 	engineJitter = 5.0
 	// affinity is the share of a shared segment that counts as cached at the upstream to
 	// which it is hashed, if no placement of it is known.
@@ -98,11 +98,11 @@
 	// remoteAffinity is the same for segments that are collected in another region: little,
 	// but enough for those that stay here to meet at one upstream.
 	remoteAffinity = 0.15
-	// copyCost is the cost of a token that is to be copied from an upstream known to cache
-	// it, relative to a token that is read. The transfer itself takes a third of the time
-	// of reading (164 KB over 260 Gbit/s). The rest accounts for copies that fail, because
-	// the holder has not read the segment yet or has dropped it, and for the cache space
-	// that a further copy takes from other segments.
+	// copyCost is the cost of a token that is copied from an upstream known to cache it,
+	// relative to one that is read. The transfer takes a third of the time of reading (164
+	// KB over 260 Gbit/s). The rest is for copies that fail, because the holder has not
+	// read the segment yet or has dropped it, and for the cache space that a further copy
+	// takes from other segments.
 	copyCost = 0.6
 	// cachedWeight raises the cost of reading a prompt again, which also evicts what other
 	// requests would have found in the cache.
@@ -137,20 +137,19 @@
 	// Known counts the upstreams of the service in the region and Usable those that may get
 	// work. Slots, InFlight and Prefill are sums over the usable ones.
 	Known, Usable, Slots, InFlight, Prefill int
-	// Cold counts the upstreams that were skipped because they are cold. BackingOff counts
-	// those that were skipped because they failed or rejected a request recently, or have
-	// requested a backoff; BackoffWait is the shortest time until one of the latter gets a
-	// request again.
+	// Cold counts the upstreams skipped because they are cold. BackingOff counts those
+	// skipped because they failed or rejected a request recently, or requested a backoff;
+	// BackoffWait is the shortest time until one of the latter gets a request.
 	Cold, BackingOff int
 	BackoffWait      time.Duration
-	// Limited counts the upstreams that were skipped because of the rate limit that they
-	// advertise, LimitWait is the shortest time until one of them may get a request.
+	// Limited counts the upstreams skipped because of the limit that they advertise,
+	// LimitWait is the shortest time until one of them may get a request.
 	Limited   int
 	LimitWait time.Duration
 }
 
-// usable reports whether an upstream may get new work. An upstream's own announcement that
-// it is leaving takes precedence over the store, which may be unreachable or behind.
+// usable reports whether an upstream may get new work. Its own announcement that it is
+// leaving overrides the store, which may be unreachable or behind.
 func (w *Snapshot) usable(u *fleet.Upstream) bool {
 	return w.Fleet.Usable(u) && (w.Leaving == nil || !w.Leaving(u.ID))
 }
@@ -260,10 +259,10 @@
 	return kept
 }
 
-// unreportedTokens returns how many prompt tokens the other instances have sent to an
-// engine of the region, on average, since their last reports. It is not known to which
-// engines they went: the same reports make all instances choose alike. A random cost in
-// proportion to the result spreads their choices.
+// unreportedTokens returns how many prompt tokens the others have sent to an engine of the
+// region, on average, since their last reports. Where they went is not known: the same
+// reports make all instances choose alike. A random cost in proportion to the result
+// spreads their choices.
 func (w *Snapshot) unreportedTokens(service string, engines int) float64 {
 	if engines == 0 {
 		return 0
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -96,8 +96,7 @@
 	})
 }
 
-// TestIndependentInstancesHashASegmentToOneUpstream checks that the same segment goes to
-// the same upstream, and that segments spread over all upstreams.
+// TestIndependentInstancesHashASegmentToOneUpstream, and segments spread over all of them.
 func TestIndependentInstancesHashASegmentToOneUpstream(t *testing.T) {
 	is := is.New(t)
 	var upstreams []fleet.Upstream
@@ -130,8 +129,8 @@
 	is.Equal(best.Source.ID, holder)
 }
 
-// TestUncachedSegmentGoesToItsHashedUpstream although there is work at that upstream: the
-// prospect of copying from a holder that is only assumed must not draw requests away.
+// TestUncachedSegmentGoesToItsHashedUpstream although that is busy: a holder that is only
+// assumed to cache the segment must not draw requests elsewhere as a source of copies.
 func TestUncachedSegmentGoesToItsHashedUpstream(t *testing.T) {
 	is := is.New(t)
 	local := loads{}
@@ -157,11 +156,10 @@
 	return steer.RemoteRegion{Region: region, Upstreams: max(1, slots/4), Slots: slots, InFlight: inFlight, Prefill: prefill, Peers: []*peer.Known{{}}}
 }
 
-// TestPlainCallsSpillInProportionToExcessLoad: no call is forwarded while the region's
-// slots are not all taken, then a share of them, and at most as many as make both regions
-// equal. No call goes to a region without spare capacity, or is forwarded if the round trip
-// uses up the target. Many instances with old reports of each other forward calls earlier
-// than one that knows all.
+// TestPlainCallsSpillInProportionToExcessLoad: none while the region's slots are not all
+// taken, then a share, at most what makes both regions equal, and none to a region without
+// spare capacity or for a target that the round trip uses up. Many instances with old
+// reports of each other forward earlier than one that knows all.
 func TestPlainCallsSpillInProportionToExcessLoad(t *testing.T) {
 	is := is.New(t)
 	target := 500 * time.Millisecond
@@ -293,8 +291,8 @@
 	is.Equal(callTimes.Of("api"), 80*time.Millisecond)
 }
 
-// TestPlacementsOfAFormerStartAreIgnored guards against requests that are drawn to a
-// restarted upstream by placements of its former start.
+// TestPlacementsOfAFormerStartAreIgnored guards against requests that follow a former
+// start's placements to a restarted upstream.
 func TestPlacementsOfAFormerStartAreIgnored(t *testing.T) {
 	is := is.New(t)
 	w := newSnapshot(loads{}, upstream("u@2", "llm", "north"))
