--- a/pkg/limit/backoff.go
+++ b/pkg/limit/backoff.go
@@ -22,10 +22,10 @@
 )
 
 // backoff withholds requests from an upstream that has reported overload, for a short time
-// and at least as long as the upstream requests. Then one request, the probe, finds out
-// whether the upstream starts requests again. A success ends a backoff that was not
-// requested. Unlike an ejection it may exclude all upstreams of a pool, since the upstreams
-// themselves reported overload. The zero value is not backing off.
+// and at least as long as the upstream requests; then one request, the probe, finds out
+// whether it starts requests again. A success ends a backoff that was not requested. Unlike
+// an ejection it may exclude all upstreams of a pool, since they reported overload
+// themselves. The zero value is not backing off.
 type backoff struct {
 	mu sync.Mutex
 	// until is in Unix nanoseconds; zero if not backing off.
@@ -130,7 +130,7 @@
 	r.probing.Store(false)
 }
 
-// stale reports whether a request began before the backoff: it is no evidence of the
+// stale reports whether a request began before the backoff, and is no evidence of the
 // upstream's present state.
 func (r *backoff) stale(started time.Time) bool {
 	return r.until.Load() != 0 && !started.After(r.since)
--- a/pkg/limit/departures.go
+++ b/pkg/limit/departures.go
@@ -11,14 +11,13 @@
 // each costs about 150 bytes. The oldest are dropped first.
 const maxDepartures = 4096
 
-// departureRetention is how long a start of an upstream is recorded after its deletion from
-// the platform's store: its entry may reappear from a copy of the store that is some
-// seconds old.
+// departureRetention is how long a start is recorded after its deletion from the platform's
+// store: its entry may reappear from a copy of the store that is some seconds old.
 const departureRetention = time.Minute
 
 // Departures records the upstreams that have announced that they are leaving. An upstream
-// is one start of a server, and leaving is final, so that no other source overrides an
-// announcement. It is safe for concurrent use; reads take no lock.
+// is one start of a server, and leaving is final, so no other source overrides it. It is
+// safe for concurrent use; reads take no lock.
 type Departures struct {
 	now  func() time.Time
 	mu   sync.Mutex
@@ -66,8 +65,8 @@
 	return true
 }
 
-// Told returns what to publish to other instances now, of the upstreams that still exist:
-// all that was learned recently, and each of the others at intervals.
+// Told returns the leaving upstreams to publish to other instances now, of those that still
+// exist: recent ones, and the others at intervals.
 func (d *Departures) Told(exists func(upstream string) bool) []string {
 	now := d.now()
 	var published []string
--- a/pkg/limit/departures_test.go
+++ b/pkg/limit/departures_test.go
@@ -35,8 +35,8 @@
 }
 
 // TestDeparturesOfDeletedUpstreamsExpire guards against messages that grow with every
-// upstream that has left, and against an upstream that is dropped while an old copy of the
-// store may still bring its entry back.
+// upstream that has left, and against expiry while an old copy of the store may still bring
+// the entry back.
 func TestDeparturesOfDeletedUpstreamsExpire(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
--- a/pkg/limit/eject.go
+++ b/pkg/limit/eject.go
@@ -14,8 +14,8 @@
 const (
 	// failuresToEject is how many failures in a row eject an upstream.
 	failuresToEject = 3
-	// outlierRatio is the ratio to the median lateness of its pool above which an upstream
-	// is ejected. Lateness is the measured time to the first byte over the predicted one.
+	// outlierRatio is the ratio of an upstream's lateness to its pool's median above which
+	// it is ejected. Lateness is the measured over the predicted time to the first byte.
 	outlierRatio = 5.0
 	// outlierSamples is how many answers that evaluation needs.
 	outlierSamples = 10
@@ -44,8 +44,8 @@
 	// For is how long the upstream gets no requests; zero if its ejection has ended.
 	For time.Duration
 	// Failures is the number of consecutive failures. An upstream that is ejected without
-	// any answers too late relative to its pool; Lateness is its measured over its
-	// predicted time.
+	// any is too late relative to its pool; Lateness is its measured over its predicted
+	// time.
 	Failures int
 	Lateness float64
 }
--- a/pkg/limit/named.go
+++ b/pkg/limit/named.go
@@ -38,7 +38,7 @@
 	// one request is.
 	burstWindow = 500 * time.Millisecond
 	// staleAfter is the time without an answer of an upstream after which instances without
-	// a share probe it as well, and the length of each one's turn.
+	// a share probe it as well, and how long each one's turn lasts.
 	staleAfter = 5 * time.Second
 	// publishChangeFor is how long a change is published in each message. publishInterval
 	// is the interval at which an unchanged limit is published, for the length of
@@ -213,9 +213,8 @@
 	return rate
 }
 
-// sends reports whether this instance is one of the senders. While no answer of the
-// upstream is received, further instances take turns beside the first ones, which may have
-// no requests to send.
+// sends reports whether this instance is one of the senders. While no answer is received,
+// further instances take turns beside the first ones, which may have no requests.
 func (k *namedLimit) sends(sender SenderRank, senders int, now time.Time) bool {
 	if sender.Place < senders {
 		return true
@@ -246,7 +245,7 @@
 	return reports
 }
 
-// isPublishTurn spreads the upstreams over the interval in which each is published once.
+// isPublishTurn spreads the upstreams over the interval.
 func isPublishTurn(upstream string, now time.Time) bool {
 	phase := time.Duration(xxhash.Sum64String(upstream) % uint64(publishInterval))
 	return time.Duration(now.UnixNano()+int64(phase))%publishInterval < publishWindow
--- a/pkg/limit/tracker_test.go
+++ b/pkg/limit/tracker_test.go
@@ -215,9 +215,8 @@
 	})
 }
 
-// TestRequestedBackoffIsHonoured guards against a backoff that ends early: with the success
-// of a request that was in flight, with a later answer that requests less, or before the
-// requested time.
+// TestRequestedBackoffIsHonoured guards against a backoff that ends with the success of a
+// request in flight, with a later answer that requests less, or early.
 func TestRequestedBackoffIsHonoured(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/pkg/limit/window.go
+++ b/pkg/limit/window.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The limits in this file hold over several equal instances together. Each instance
-// enforces its share of the total without a leader and without calls between them. The
-// shares of instances that agree on their number add up to the total; if they disagree, the
-// callers of these limits count the larger number.
+// The limits in this file hold over several equal instances together. Each enforces its
+// share of the total, without a leader or calls between them. The shares of instances that
+// agree on their number add up to the total; if they disagree, the callers of these limits
+// count the larger number.
 
 // RetryShares bounds retries of requests, by service and over a sliding window, so that all
 // instances together stay within ratio times the requests plus slack. It is safe for
