--- a/pkg/route/local.go
+++ b/pkg/route/local.go
@@ -83,8 +83,8 @@
 	return upstream.Version
 }
 
-// usableSinceOf returns since when an upstream has been continuously usable; zero if it was
-// usable at the start and needs no ramp.
+// usableSinceOf returns since when an upstream has been continuously usable; zero if since
+// the start, when no ramp is needed.
 func (t *Table) usableSinceOf(name string, in *Input) time.Time {
 	since := in.Now
 	if in.Previous == nil || in.Previous.revision == 0 {
@@ -141,9 +141,9 @@
 }
 
 // othersNow estimates the present requests of others at the upstream. The reported number
-// approaches the pool's mean as the report ages; since the report, each of the peers is
-// assumed to have sent as much as this gateway. Without that, all gateways would send to
-// the upstream that the same report showed as idle, until the next report.
+// approaches the pool's mean as the report ages; since then each peer is assumed to have
+// sent as much as this gateway. Without that, all gateways would send to the upstream that
+// the report showed as idle, until the next one.
 func (c *candidate) othersNow(own int, peers, mean float64, sinceCompile time.Duration) float64 {
 	others := c.others
 	if c.age >= 0 {
--- a/pkg/route/spill.go
+++ b/pkg/route/spill.go
@@ -112,8 +112,8 @@
 	return t.inReturnRamp(r, req, now)
 }
 
-// inReturnRamp lets a decreasing share of the requests continue to go to the other domain
-// for some time, so that local caches fill gradually.
+// inReturnRamp lets a decreasing share of the requests go on to the other domain for some
+// time, so that local caches fill gradually.
 func (t *Table) inReturnRamp(r *remote, req *Request, now time.Time) bool {
 	since := now.Sub(r.ledger.lastMarginMet())
 	if since >= returnTime {
