--- a/pkg/httproute/organisation.go
+++ b/pkg/httproute/organisation.go
@@ -31,8 +31,8 @@
 	Plain int
 }
 
-// Cost returns the units that a request counts; tokens is the declared number of tokens of
-// its prompt and its longest answer, zero if it declares none.
+// Cost returns the units of a request that declares so many tokens for its prompt and its
+// longest answer; zero tokens if it declares none.
 func (l *UsageLimit) Cost(tokens int) int {
 	switch {
 	case !l.Tokens:
@@ -112,8 +112,8 @@
 // proofContext separates these proofs from any other use of a key's digest.
 const proofContext = "lilacweir forwarded request\x00"
 
-// Proof returns an HMAC that proves to another instance, without disclosing the key, that a
-// request carried the key with this digest.
+// Proof returns an HMAC that proves to another instance, without the key, that a request
+// carried the key with this digest.
 func (d KeyDigest) Proof(organisation, requestID string) string {
 	code := hmac.New(sha256.New, d[:])
 	// A hash never returns an error.
@@ -121,8 +121,8 @@
 	return hex.EncodeToString(code.Sum(nil))
 }
 
-// Proven returns the organisation of a forwarded request with a proof that is valid under
-// one of its present keys, and that key's digest; nil if there is none.
+// Proven returns the organisation of a forwarded request with a valid proof by one of its
+// present keys, and that key's digest; nil if there is none.
 func (c *Configuration) Proven(organisation, requestID, proof string) (*Organisation, KeyDigest) {
 	holder := c.organisations[organisation]
 	if holder == nil {
@@ -136,8 +136,8 @@
 	return nil, KeyDigest{}
 }
 
-// For returns the route as it applies to an organisation's requests; nil stands for
-// requests without an organisation.
+// For returns the route as it applies to an organisation's requests; nil for requests
+// without one.
 func (r *Route) For(organisation *Organisation) *Route {
 	if organisation == nil || (organisation.Priority == nil && len(organisation.Homes) == 0) {
 		return r
--- a/pkg/httproute/route.go
+++ b/pkg/httproute/route.go
@@ -106,14 +106,12 @@
 // Service is a set of upstreams that can substitute for each other.
 type Service struct {
 	Name string
-	// MaxConnections is how many connections one upstream accepts from all instances
-	// together.
+	// MaxConnections bounds one upstream's connections from all instances together.
 	MaxConnections int
-	// ColdRate is how many requests a second an upstream can serve while it is cold; zero
-	// if unlimited.
+	// ColdRate is how many requests a second a cold upstream can serve; zero if unlimited.
 	ColdRate float64
-	// WarmUp is the time for which an upstream is cold after its start, HealthPath the path
-	// at which it reports whether it is; zero if not declared.
+	// WarmUp is the time for which an upstream is cold after its start, HealthPath where it
+	// reports whether it is; zero if not declared.
 	WarmUp     time.Duration
 	HealthPath string
 	// Engine describes model engines; nil for plain services.
