--- a/pkg/header/header.go
+++ b/pkg/header/header.go
@@ -35,8 +35,7 @@
 	// Version is the model version that the answer must come from.
 	Version = "X-Lilacweir-Version"
 	// Attempts is the number of upstreams on which the receiver may run a forwarded
-	// request; on a refusal by the receiver, the number of upstreams that it has sent it
-	// to.
+	// request; on a refusal, the number that it was sent to.
 	Attempts = "X-Lilacweir-Attempts"
 	// Reason is why the receiver of a forwarded request refused it.
 	Reason = "X-Lilacweir-Reason"
@@ -46,8 +45,7 @@
 // of its own failure domain and never forwards it again.
 const ClassDomain = "domain"
 
-// Headers between operators and agents; Revision is the revision that the answer is based
-// on.
+// Headers between operators and agents; Revision is that of the answer.
 const (
 	// Operator is the name of the operator; the key is sent as a bearer token.
 	Operator = "X-Lilacweir-Operator"
