--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -105,7 +105,7 @@
 	toKeep    chan keeping
 	overload  *steer.Overload
 	recent    *steer.Recent
-	pace      *steer.Pace
+	pace      *steer.CallTimes
 	estimates *steer.Estimator
 	flow      *steer.Flow
 	upstreams *exchange.Pool
@@ -176,7 +176,7 @@
 		toKeep:     make(chan keeping, mostToKeep),
 		overload:   steer.NewOverload(),
 		recent:     steer.NewRecent(),
-		pace:       steer.NewPace(),
+		pace:       steer.NewCallTimes(),
 		estimates:  steer.NewEstimator(),
 		flow:       steer.NewFlow(),
 		upstreams:  exchange.NewPool(medium.Dial, upstreamDial, system.Now),
--- a/pkg/edge/job.go
+++ b/pkg/edge/job.go
@@ -185,9 +185,9 @@
 }
 
 // world is the snapshots by which the request is steered now.
-func (j *job) world() *steer.World {
+func (j *job) world() *steer.Snapshot {
 	now := j.now()
-	return &steer.World{
+	return &steer.Snapshot{
 		Region:    j.settings.Region,
 		Fleet:     j.board.Fleet.Load(),
 		Peers:     j.gossip.View().Load(),
@@ -197,7 +197,7 @@
 		LimitWait: j.limitWait,
 		Leaving:   j.leaves(),
 		Recent:    j.recent,
-		Pace:      j.pace,
+		CallTimes: j.pace,
 		Estimates: j.estimates,
 		Flow:      j.flow,
 		Now:       now,
@@ -211,7 +211,7 @@
 	query := &steer.Request{
 		Route:        j.route,
 		Service:      j.service,
-		Parts:        j.attributes.Parts,
+		Segments:     j.attributes.Parts,
 		PromptTokens: j.attributes.PromptTokens,
 		Contended:    j.overload.Contended(j.service.Name, j.route.Priority, j.now()),
 		Tried:        j.tried,
@@ -253,13 +253,13 @@
 // look surveys the own region. A server that answered with a failure may well serve the
 // next try, and is nearer than another region: it is looked at again where there is no
 // other.
-func (j *job) look(world *steer.World, query *steer.Request) steer.Survey {
-	survey := world.Look(query)
+func (j *job) look(world *steer.Snapshot, query *steer.Request) steer.Survey {
+	survey := world.SurveyRegion(query)
 	if survey.Best.Upstream != nil || j.kept == nil {
 		return survey
 	}
 	query.Tried = nil
-	return world.Look(query)
+	return world.SurveyRegion(query)
 }
 
 func (j *job) noUpstream(here bool, survey *steer.Survey) *outcome.Refusal {
--- a/pkg/edge/lines.go
+++ b/pkg/edge/lines.go
@@ -62,7 +62,7 @@
 }
 
 // noteChoice logs where the request goes, with the inputs that decided it and their age.
-func (j *job) noteChoice(world *steer.World, chosen *target) {
+func (j *job) noteChoice(world *steer.Snapshot, chosen *target) {
 	send, forwarded, runs, after := j.sends+1, j.forwarded, j.runs, j.after()
 	storeAge := j.age(j.store.Reached())
 	j.note(event.RequestRouted, func(line *zerolog.Event) {
@@ -163,7 +163,7 @@
 			return
 		}
 		line.Int(event.KeyKnown, none.survey.Known).Int(event.KeyUsable, none.survey.Usable).
-			Int(event.KeyResting, none.survey.Resting).Int(event.KeyCold, none.survey.Cold).Int(event.KeyLimited, none.survey.Limited).Int(event.KeyInFlight, none.survey.InFlight).
+			Int(event.KeyResting, none.survey.BackingOff).Int(event.KeyCold, none.survey.Cold).Int(event.KeyLimited, none.survey.Limited).Int(event.KeyInFlight, none.survey.InFlight).
 			Int(event.KeySlots, none.survey.Slots)
 	})
 }
@@ -193,7 +193,7 @@
 }
 
 // sharedID names the prompt's last shared part; empty when nothing is shared.
-func sharedID(parts []steer.Part) string {
+func sharedID(parts []steer.Segment) string {
 	if len(parts) < 2 {
 		return ""
 	}
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -170,7 +170,7 @@
 	r := &request{kind: kind, asked: m.Now()}
 	r.Route, r.Service = m.routes[kind.Name], m.service
 	r.PromptTokens = kind.Shared + own
-	r.Parts = []steer.Part{
+	r.Segments = []steer.Segment{
 		{ID: fmt.Sprint(kind.Name, "-", m.random.IntN(max(1, kind.Things))), Tokens: kind.Shared},
 		{ID: fmt.Sprint("own-", m.requests), Tokens: own},
 	}
@@ -180,13 +180,13 @@
 // arrive has an instance decide on a request.
 func (m *emulation) arrive(r *request) {
 	i := m.instances[m.random.IntN(len(m.instances))]
-	world := &steer.World{
-		Region: region, Fleet: m.view, Peers: i.others, Local: i.tracker, Recent: i.recent, Pace: steer.NewPace(),
+	world := &steer.Snapshot{
+		Region: region, Fleet: m.view, Peers: i.others, Local: i.tracker, Recent: i.recent, CallTimes: steer.NewCallTimes(),
 		Estimates: i.estimates, Flow: i.flow, Now: m.Now(), Random: m.random.Uint64(),
 		Admits: func(*fleet.Upstream, *httproute.Service) bool { return true },
 	}
 	r.Contended = i.overload.Contended(serviceName, r.rank(), m.Now())
-	best := world.Look(&r.Request).Best
+	best := world.SurveyRegion(&r.Request).Best
 	if m.options.Admits && best.Late && i.overload.Refuses(&r.Request, m.Now()) {
 		m.refuse(i, r)
 		return
@@ -208,7 +208,7 @@
 // send has an engine run a request.
 func (m *emulation) send(i *instance, r *request, to steer.Candidate) {
 	flight, _ := i.tracker.Start(to.Upstream.ID, to.Uncached, 0)
-	i.recent.Add(r.Parts, to.Upstream.ID, m.Now())
+	i.recent.Add(r.Segments, to.Upstream.ID, m.Now())
 	i.flow.Add(serviceName, to.Uncached, m.Now())
 	engine := m.engines[to.Upstream.ID]
 	sent := m.Now()
--- a/pkg/emulator/engine.go
+++ b/pkg/emulator/engine.go
@@ -52,7 +52,7 @@
 
 // accept queues a request by its rank.
 func (e *engine) accept(r *run) {
-	r.unread = max(1, r.request.prompt()-e.cache.held(r.request.Parts))
+	r.unread = max(1, r.request.prompt()-e.cache.held(r.request.Segments))
 	at, _ := slices.BinarySearchFunc(e.queue, r.request.rank()+1, func(other *run, rank int) int {
 		return cmp.Compare(other.request.rank(), rank)
 	})
@@ -79,7 +79,7 @@
 			if r.unread > 0 {
 				continue
 			}
-			e.cache.add(r.request.Parts)
+			e.cache.add(r.request.Segments)
 			begun = append(begun, r)
 		}
 		context += r.request.prompt()
@@ -106,7 +106,7 @@
 }
 
 // held is how many tokens of the prompt's first parts are cached.
-func (c *cache) held(parts []steer.Part) int {
+func (c *cache) held(parts []steer.Segment) int {
 	held := 0
 	for _, part := range parts {
 		element := c.byID[part.ID]
@@ -120,7 +120,7 @@
 }
 
 // add caches the parts of a prompt.
-func (c *cache) add(parts []steer.Part) {
+func (c *cache) add(parts []steer.Segment) {
 	for _, part := range parts {
 		if element := c.byID[part.ID]; element != nil {
 			c.order.MoveToFront(element)
@@ -130,7 +130,7 @@
 		c.used += part.Tokens
 	}
 	for c.used > c.room {
-		last := c.order.Remove(c.order.Back()).(steer.Part)
+		last := c.order.Remove(c.order.Back()).(steer.Segment)
 		delete(c.byID, last.ID)
 		c.used -= last.Tokens
 	}
--- a/pkg/emulator/plain.go
+++ b/pkg/emulator/plain.go
@@ -60,7 +60,7 @@
 type plainInstance struct {
 	region  string
 	tracker *limit.Tracker
-	pace    *steer.Pace
+	pace    *steer.CallTimes
 	others  *peer.View
 }
 
@@ -120,7 +120,7 @@
 			d.instances[region.Name] = append(d.instances[region.Name], &plainInstance{
 				region:  region.Name,
 				tracker: limit.NewTracker(&d.Timeline, nil),
-				pace:    steer.NewPace(),
+				pace:    steer.NewCallTimes(),
 			})
 		}
 	}
@@ -151,12 +151,12 @@
 
 // decide has an instance send a call, or refuse it.
 func (d *plainDay) decide(i *plainInstance, c *plainCall) {
-	world := &steer.World{
-		Region: i.region, Fleet: d.view, Peers: i.others, Local: i.tracker, Recent: steer.NewRecent(), Pace: i.pace,
+	world := &steer.Snapshot{
+		Region: i.region, Fleet: d.view, Peers: i.others, Local: i.tracker, Recent: steer.NewRecent(), CallTimes: i.pace,
 		Estimates: steer.NewEstimator(), Flow: steer.NewFlow(), Now: d.Now(), Random: d.random.Uint64(),
 		Admits: func(*fleet.Upstream, *httproute.Service) bool { return true },
 	}
-	survey := world.Look(&c.request)
+	survey := world.SurveyRegion(&c.request)
 	if !c.crossed && !d.options.Alone {
 		if away := world.Choose(&c.request, survey, world.Regions(&c.request)); away != nil {
 			c.crossed = true
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -135,7 +135,7 @@
 	h.set("log-n1", "refuse", "1")
 	unused := http.Header{header.IdempotencyKey: {prefix + ".fedcba9876543210"}}
 	is.Equal(h.reported(h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, unused)), notRun)
-	eventually(t, "the end of the upstream's backoff", func() bool { return h.north.tracker.Load("log-n1").Rest == 0 })
+	eventually(t, "the end of the upstream's backoff", func() bool { return h.north.tracker.Load("log-n1").Backoff == 0 })
 	is.Equal(h.reported(h.send(testContext(t), upload.method, upload.path, residentKey, upload.body, unused)), complete)
 	is.Equal(h.runs(), 2)
 }
--- /dev/null
+++ b/pkg/limit/backoff.go
@@ -0,0 +1,137 @@
+package limit
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// Bounds of the backoff after a rejection.
+const (
+	// MinBackoff follows a first rejection; each further one in a row doubles it.
+	MinBackoff = 100 * time.Millisecond
+	// MaxBackoff is the longest backoff that the upstream has not requested.
+	MaxBackoff = 2 * time.Second
+	// MaxRequestedBackoff bounds the backoff requested by Retry-After: an upstream that
+	// requests hours is tried again by then, and may request them again.
+	MaxRequestedBackoff = 10 * time.Minute
+	// maxDoublings keeps the shift small; it reaches MaxBackoff.
+	maxDoublings = 5
+	// retryAfterResolution is the resolution of Retry-After: whole seconds, rounded up.
+	retryAfterResolution = time.Second
+)
+
+// backoff withholds requests from an upstream that has reported overload, for a short time
+// and at least as long as the upstream requests; then one request, the probe, finds out
+// whether it starts requests again. A success ends a backoff that was not requested. Unlike
+// an ejection it may exclude all upstreams of a pool, since they reported overload
+// themselves. The zero value is not backing off.
+type backoff struct {
+	mu sync.Mutex
+	// until is in Unix nanoseconds; zero if not backing off.
+	until   atomic.Int64
+	probing atomic.Bool
+	// requested is the end of the backoff that the upstream requested; nil if it requested
+	// none. It is a monotonic time, so that wall clock jumps do not move it.
+	requested atomic.Pointer[time.Time]
+	since     time.Time
+	rejected  int
+}
+
+// remaining returns the time until the backoff ends; at least MinBackoff while the probe is
+// running, zero if not backing off.
+func (r *backoff) remaining(now func() time.Time) time.Duration {
+	return max(r.requestedRemaining(now), r.ownRemaining(now))
+}
+
+// ownRemaining is remaining for the backoff after rejections, regardless of what the
+// upstream requested.
+func (r *backoff) ownRemaining(now func() time.Time) time.Duration {
+	until := r.until.Load()
+	if until == 0 {
+		return 0
+	}
+	if wait := time.Duration(until - now().UnixNano()); wait > 0 {
+		return wait
+	}
+	if r.probing.Load() {
+		return MinBackoff
+	}
+	return 0
+}
+
+// request records that the upstream requested a backoff. Answers may overtake each other:
+// the later end counts.
+func (r *backoff) request(now time.Time, period time.Duration) {
+	until := now.Add(min(period, MaxRequestedBackoff))
+	for {
+		known := r.requested.Load()
+		if (known != nil && !known.Before(until)) || r.requested.CompareAndSwap(known, &until) {
+			return
+		}
+	}
+}
+
+// requestedRemaining returns the time until the backoff that the upstream requested ends.
+func (r *backoff) requestedRemaining(now func() time.Time) time.Duration {
+	until := r.requested.Load()
+	if until == nil {
+		return 0
+	}
+	return max(0, until.Sub(now()))
+}
+
+// begin claims the probe of an upstream after its backoff; false while it is backing off.
+func (r *backoff) begin(now func() time.Time) bool {
+	if r.requestedRemaining(now) > 0 {
+		return false
+	}
+	until := r.until.Load()
+	if until == 0 {
+		return true
+	}
+	return now().UnixNano() >= until && r.probing.CompareAndSwap(false, true)
+}
+
+// reject begins a backoff, or a longer one if the probe was rejected. Of requests that were
+// in flight together, only the first rejection counts. retryAfter is the upstream's
+// Retry-After; zero for none.
+func (r *backoff) reject(started, now time.Time, retryAfter time.Duration) {
+	if retryAfter > retryAfterResolution {
+		r.request(now, retryAfter-retryAfterResolution)
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.stale(started) {
+		return
+	}
+	period := MinBackoff << min(r.rejected, maxDoublings)
+	r.rejected++
+	r.since = now
+	r.until.Store(now.Add(min(MaxBackoff, period)).UnixNano())
+	r.probing.Store(false)
+}
+
+// end records the end of a request that was not rejected, or the beginning of its answer;
+// recovered is true if the upstream has started it.
+func (r *backoff) end(started time.Time, recovered bool) {
+	if r.until.Load() == 0 {
+		return
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.stale(started) {
+		return
+	}
+	if recovered {
+		r.rejected = 0
+		r.until.Store(0)
+	}
+	r.probing.Store(false)
+}
+
+// stale reports whether a request began before the backoff, and is no evidence of the
+// upstream's present state.
+func (r *backoff) stale(started time.Time) bool {
+	return r.until.Load() != 0 && !started.After(r.since)
+}
--- a/pkg/limit/departures.go
+++ b/pkg/limit/departures.go
@@ -7,44 +7,45 @@
 	"time"
 )
 
-// mostDepartures bounds the upstreams that are remembered, those that have ended included;
-// each costs about 150 bytes. The ones that were learned first are forgotten first.
-const mostDepartures = 4096
+// maxDepartures bounds the upstreams that are recorded, including those that have ended;
+// each costs about 150 bytes. The oldest are dropped first.
+const maxDepartures = 4096
 
-// departureKept is for how long a start that is gone from the platform's store is remembered: its
-// entry may come back with a copy of the store that is some seconds old.
-const departureKept = time.Minute
+// departureRetention is how long a start is recorded after its deletion from the platform's
+// store: its entry may reappear from a copy of the store that is some seconds old.
+const departureRetention = time.Minute
 
-// Departures holds the upstreams that have said themselves that they leave. An upstream is one
-// start of a server, which does not come back from leaving, so that no other source can take
-// its word back. It is safe for concurrent use; reads take no lock.
+// Departures records the upstreams that have announced that they are leaving. An upstream
+// is one start of a server, and leaving is final, so no other source overrides it. It is
+// safe for concurrent use; reads take no lock.
 type Departures struct {
 	now  func() time.Time
 	mu   sync.Mutex
 	byID atomic.Pointer[map[string]departure]
 }
 
-// departure is when an upstream's word was learned, and when the upstream was last there.
-type departure struct{ learned, there time.Time }
+// departure is when an announcement was learned, and when the upstream was last in the
+// store.
+type departure struct{ learned, lastSeen time.Time }
 
-// NewDepartures returns departures of which none is known.
+// NewDepartures returns empty Departures.
 func NewDepartures(now func() time.Time) *Departures {
 	d := &Departures{now: now}
 	d.byID.Store(&map[string]departure{})
 	return d
 }
 
-// Any says whether an upstream is known to have said that it leaves.
+// Any reports whether any upstream is recorded.
 func (d *Departures) Any() bool { return len(*d.byID.Load()) > 0 }
 
-// Leaving says whether an upstream has said that it leaves.
+// Leaving reports whether an upstream has announced that it is leaving.
 func (d *Departures) Leaving(upstream string) bool {
 	_, leaving := (*d.byID.Load())[upstream]
 	return leaving
 }
 
-// Learn takes an upstream's word that it leaves, and says whether that is news.
-func (d *Departures) Learn(upstream string) (news bool) {
+// Learn records that an upstream is leaving, and reports whether that was not known yet.
+func (d *Departures) Learn(upstream string) (isNew bool) {
 	if d.Leaving(upstream) {
 		return false
 	}
@@ -55,30 +56,30 @@
 		return false
 	}
 	next := maps.Clone(known)
-	if len(next) >= mostDepartures {
-		delete(next, first(next))
+	if len(next) >= maxDepartures {
+		delete(next, oldest(next))
 	}
 	now := d.now()
-	next[upstream] = departure{learned: now, there: now}
+	next[upstream] = departure{learned: now, lastSeen: now}
 	d.byID.Store(&next)
 	return true
 }
 
-// Told returns what to tell other instances now, of the upstreams that are still there: what was
-// learned lately, and each of the others from time to time.
-func (d *Departures) Told(there func(upstream string) bool) []string {
+// Told returns the leaving upstreams to publish to other instances now, of those that still
+// exist: recent ones, and the others at intervals.
+func (d *Departures) Told(exists func(upstream string) bool) []string {
 	now := d.now()
-	var told []string
+	var published []string
 	for upstream, known := range *d.byID.Load() {
-		if (now.Sub(known.learned) < freshFor || isTurn(upstream, now)) && there(upstream) {
-			told = append(told, upstream)
+		if (now.Sub(known.learned) < publishChangeFor || isPublishTurn(upstream, now)) && exists(upstream) {
+			published = append(published, upstream)
 		}
 	}
-	return told
+	return published
 }
 
-// Sweep forgets the upstreams that have been gone for long.
-func (d *Departures) Sweep(there func(upstream string) bool) {
+// Sweep drops the upstreams that were deleted longer than departureRetention ago.
+func (d *Departures) Sweep(exists func(upstream string) bool) {
 	if !d.Any() {
 		return
 	}
@@ -88,18 +89,18 @@
 	next := maps.Clone(*d.byID.Load())
 	for upstream, known := range next {
 		switch {
-		case there(upstream):
-			known.there = now
+		case exists(upstream):
+			known.lastSeen = now
 			next[upstream] = known
-		case now.Sub(known.there) > departureKept:
+		case now.Sub(known.lastSeen) > departureRetention:
 			delete(next, upstream)
 		}
 	}
 	d.byID.Store(&next)
 }
 
-// first returns the upstream that was learned first.
-func first(known map[string]departure) string {
+// oldest returns the upstream that was learned oldest.
+func oldest(known map[string]departure) string {
 	found := ""
 	for upstream, each := range known {
 		if found == "" || each.learned.Before(known[found].learned) {
--- a/pkg/limit/flight.go
+++ b/pkg/limit/flight.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Result says how a request at an upstream ended.
+// Result is how a request at an upstream ended.
 type Result uint8
 
 // Results of a request at an upstream.
@@ -14,13 +14,13 @@
 	Succeeded Result = iota
 	// Failed: the upstream broke the connection, erred or timed out.
 	Failed
-	// Rejected: the upstream said that it is too busy and did not start.
+	// Rejected: the upstream reported that it is overloaded and did not start the request.
 	Rejected
-	// Abandoned: the caller or the gateway gave up; it says nothing of the upstream.
+	// Abandoned: the caller or the gateway aborted; this is no evidence about the upstream.
 	Abandoned
 )
 
-// String is the result in words.
+// String returns the result's name.
 func (r Result) String() string {
 	return [...]string{Succeeded: "succeeded", Failed: "failed", Rejected: "rejected", Abandoned: "abandoned"}[r]
 }
@@ -42,7 +42,7 @@
 func (f *Flight) FirstByte() {
 	f.first.Do(func() {
 		f.entry.prefill.Add(-int64(f.prompt))
-		f.entry.rest.end(f.started, true)
+		f.entry.backoff.end(f.started, true)
 		waited := f.tracker.clock.Now().Sub(f.started)
 		ratio := f.ratio(waited)
 		f.entry.adaptive.observe(ratio, int(f.entry.share.Load()))
@@ -52,13 +52,11 @@
 	})
 }
 
-// Done gives the place back. It must be called once the request has ended,
-// however it ended.
+// Done releases the slot. It must be called once the request has ended, however it ended.
 func (f *Flight) Done(result Result) { f.end(result, 0) }
 
-// Reject is Done for a request that the upstream did not start, for lack of
-// capacity. The upstream then gets none for a while: at least about retryAfter, up to
-// LongestAsked.
+// Reject is Done for a request that the upstream did not start, for lack of capacity. The
+// upstream then gets no requests for at least about retryAfter, up to MaxRequestedBackoff.
 func (f *Flight) Reject(retryAfter time.Duration) { f.end(Rejected, retryAfter) }
 
 func (f *Flight) end(result Result, retryAfter time.Duration) {
@@ -71,9 +69,9 @@
 		}
 		f.entry.adaptive.finish(result, int(f.entry.share.Load()))
 		if result == Rejected {
-			f.entry.rest.reject(f.started, now, retryAfter)
+			f.entry.backoff.reject(f.started, now, retryAfter)
 		} else {
-			f.entry.rest.end(f.started, result == Succeeded)
+			f.entry.backoff.end(f.started, result == Succeeded)
 		}
 		if f.tracker.ejector != nil {
 			f.tracker.ejector.finish(f.upstream, result, f.started)
@@ -81,7 +79,7 @@
 	})
 }
 
-// ratio is the measured time over the expected one; zero without an expectation.
+// ratio is the measured time over the predicted one; zero without a prediction.
 func (f *Flight) ratio(waited time.Duration) float64 {
 	if f.expected <= 0 {
 		return 0
--- a/pkg/limit/named_test.go
+++ b/pkg/limit/named_test.go
@@ -9,9 +9,9 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// TestALimitLastsUntilALaterAnswerHasNone guards against an answer that was under way when
-// its upstream named a limit, and ends it.
-func TestALimitLastsUntilALaterAnswerHasNone(t *testing.T) {
+// TestLimitLastsUntilALaterAnswerOmitsIt guards against an answer that was under way when
+// its upstream advertised a limit, and that removes the limit.
+func TestLimitLastsUntilALaterAnswerOmitsIt(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
 	named := limit.NewNamedLimits(func() time.Time { return now })
@@ -31,9 +31,9 @@
 	is.Equal(named.Of("u"), limit.Named{})
 }
 
-// TestPartsOfALimitAddUpToIt guards against instances that save up a request each, and against
-// a limit that is not used.
-func TestPartsOfALimitAddUpToIt(t *testing.T) {
+// TestSharesOfALimitAddUpToIt guards against bursts of requests accumulated at each
+// instance, and against a limit that is not used up.
+func TestSharesOfALimitAddUpToIt(t *testing.T) {
 	for _, instances := range []int{1, 3, 7, 85, 300} {
 		for _, perSecond := range []float64{0, 0.4, 1, 2.5, 40, 700} {
 			is := is.New(t)
@@ -44,13 +44,13 @@
 				all[i].Answered("u", limit.Named{PerSecond: perSecond, Limited: true}, now)
 			}
 			var sent []time.Time
-			for range 1500 { // 15 s: all want to send at any time
+			for range 1500 { // 15 s in which all instances have requests to send
 				now = now.Add(10 * time.Millisecond)
 				for i := range all {
-					part := limit.Part{Instances: instances, Place: i}
-					all[i].Answered("u", limit.Named{PerSecond: perSecond, Limited: true}, now) // it is heard
-					wait := all[i].Wait("u", part)
-					for all[i].Take("u", part) {
+					sender := limit.SenderRank{Instances: instances, Place: i}
+					all[i].Answered("u", limit.Named{PerSecond: perSecond, Limited: true}, now) // an answer is received
+					wait := all[i].Wait("u", sender)
+					for all[i].Take("u", sender) {
 						is.Equal(wait, time.Duration(0))
 						sent = append(sent, now)
 					}
@@ -73,45 +73,45 @@
 	}
 }
 
-// TestWhatNobodyHearsIsTriedAgain guards against an upstream that nobody sends to any more, as
-// those with a part of its limit have no requests.
-func TestWhatNobodyHearsIsTriedAgain(t *testing.T) {
+// TestStaleLimitIsProbedByFurtherInstances guards against an upstream that no instance
+// sends to any more, because those with a share of its limit have no requests.
+func TestStaleLimitIsProbedByFurtherInstances(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
 	named := limit.NewNamedLimits(func() time.Time { return now })
 	named.Answered("u", limit.Named{PerSecond: 2, Limited: true}, now)
-	part := limit.Part{Instances: 10, Place: 9}
+	sender := limit.SenderRank{Instances: 10, Place: 9}
 	for range 4 {
 		now = now.Add(time.Second)
-		is.True(!named.Take("u", part))
+		is.True(!named.Take("u", sender))
 	}
 	tries := 0
-	for range 100 { // two turns of 5 s in 50 s, each with a part of one a second
+	for range 100 { // two turns of 5 s in 50 s, each with a share of one a second
 		now = now.Add(500 * time.Millisecond)
-		if named.Take("u", part) {
+		if named.Take("u", sender) {
 			tries++
 		}
 	}
 	is.True(tries >= 4 && tries <= 10)
 }
 
-// TestLimitsGoFromHandToHand guards against news that go round for ever, that are lost, or that
-// take the place of newer ones.
-func TestLimitsGoFromHandToHand(t *testing.T) {
+// TestLimitsSpreadByGossip guards against reports that circulate for ever, that are lost,
+// or that replace newer ones.
+func TestLimitsSpreadByGossip(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
 	clock := func() time.Time { return now }
 	a, b := limit.NewNamedLimits(clock), limit.NewNamedLimits(clock)
 	a.Answered("u", limit.Named{PerSecond: 2, Limited: true}, now)
-	told := a.Told()
-	is.Equal(len(told), 1)
-	is.True(b.Learn(told[0]))
-	is.True(!b.Learn(told[0]))
+	reports := a.Told()
+	is.Equal(len(reports), 1)
+	is.True(b.Learn(reports[0]))
+	is.True(!b.Learn(reports[0]))
 	now = now.Add(2 * time.Second)
 	a.Answered("u", limit.Named{PerSecond: 5, Limited: true}, now)
 	old := b.Told()
-	for _, told := range old {
-		is.True(!a.Learn(told)) // older than what it knows
+	for _, report := range old {
+		is.True(!a.Learn(report)) // older than what it knows
 	}
 	is.True(b.Learn(a.Told()[0]))
 	is.Equal(b.Of("u").PerSecond, 5.0)
@@ -120,7 +120,8 @@
 	is.True(b.Learn(a.Told()[0]))
 	is.True(!b.Of("u").Limited)
 
-	// Without news each limit is told once in three seconds, for more than one message.
+	// Without changes each limit is published once in three seconds, in more than one
+	// message.
 	a.Answered("u", limit.Named{PerSecond: 1, Limited: true}, now)
 	now = now.Add(10 * time.Second)
 	rounds := 0
@@ -129,7 +130,7 @@
 		rounds += len(a.Told())
 	}
 	is.Equal(rounds, 15)
-	is.True(!b.Learn(limit.ToldLimit{Upstream: "v"})) // no limit that was not known is no news
+	is.True(!b.Learn(limit.ToldLimit{Upstream: "v"})) // the absence of an unknown limit is no change
 	is.True(!b.Any() || b.Of("v") == limit.Named{})
 }
 
@@ -142,8 +143,8 @@
 	}
 }
 
-// TestAnIdleLimitIsNotOverrunWhenCallersReturn guards against instances that each save up a
-// request while nobody asks for anything, and send them all in the same moment.
+// TestAnIdleLimitIsNotOverrunWhenCallersReturn guards against instances that each
+// accumulate a request while there is no traffic, and send them all in the same moment.
 func TestAnIdleLimitIsNotOverrunWhenCallersReturn(t *testing.T) {
 	for _, idle := range []time.Duration{time.Second, 30 * time.Second, 10 * time.Minute} {
 		now := time.Unix(1_000_000, 0)
@@ -155,13 +156,13 @@
 		}
 		for end := now.Add(idle); now.Before(end); now = now.Add(500 * time.Millisecond) {
 			for i := range all {
-				all[i].Wait("u", limit.Part{Instances: instances, Place: i})
+				all[i].Wait("u", limit.SenderRank{Instances: instances, Place: i})
 			}
 		}
 		sent := 0
 		for range 40 { // 4 s in which the upstream's answers are late
 			for i := range all {
-				for all[i].Take("u", limit.Part{Instances: instances, Place: i}) {
+				for all[i].Take("u", limit.SenderRank{Instances: instances, Place: i}) {
 					sent++
 				}
 			}
--- a/pkg/limit/tracker_test.go
+++ b/pkg/limit/tracker_test.go
@@ -12,7 +12,7 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-func TestTrackerHoldsTheShare(t *testing.T) {
+func TestTrackerEnforcesTheShare(t *testing.T) {
 	is := is.New(t)
 	tracker := limit.NewTracker(clock.System{}, nil)
 	tracker.SetShares(map[string]int{"u": 2})
@@ -37,14 +37,14 @@
 		tracker := limit.NewTracker(clock.System{}, nil)
 		tracker.SetShares(map[string]int{"u": 10})
 		finish := func(result limit.Result) {
-			time.Sleep(tracker.Load("u").Rest)
+			time.Sleep(tracker.Load("u").Backoff)
 			flight, ok := tracker.Start("u", 0, 0)
 			is.True(ok)
 			flight.Done(result)
 		}
 		for range 20 {
 			finish(limit.Rejected)
-			is.True(tracker.Load("u").Limit >= 1) // it goes on being tried
+			is.True(tracker.Load("u").Limit >= 1) // it continues to get requests
 		}
 		is.Equal(tracker.Load("u").Limit, 1)
 		for range 100 {
@@ -105,9 +105,9 @@
 	})
 }
 
-// An upstream rests after a rejection, longer after each in a row, with one probe
-// after each rest; rejections of requests that were on their way together count once.
-func TestRejectedUpstreamRests(t *testing.T) {
+// An upstream backs off after a rejection, longer after each in a row, with one probe after
+// each backoff; rejections of requests that were in flight together count once.
+func TestRejectedUpstreamBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tracker := limit.NewTracker(clock.System{}, nil)
@@ -121,26 +121,26 @@
 		time.Sleep(time.Millisecond)
 		first.Reject(time.Second) // whole seconds, rounded up: may mean at once
 		second.Reject(0)
-		is.Equal(tracker.Load("u").Rest, limit.FirstRest)
-		for _, rest := range []time.Duration{1, 2, 4, 8, 16, 20, 20} {
-			rest *= limit.FirstRest
-			is.Equal(tracker.Load("u").Rest, rest)
+		is.Equal(tracker.Load("u").Backoff, limit.MinBackoff)
+		for _, backoff := range []time.Duration{1, 2, 4, 8, 16, 20, 20} {
+			backoff *= limit.MinBackoff
+			is.Equal(tracker.Load("u").Backoff, backoff)
 			start(false)
-			time.Sleep(rest)
-			is.Equal(tracker.Load("u").Rest, time.Duration(0))
+			time.Sleep(backoff)
+			is.Equal(tracker.Load("u").Backoff, time.Duration(0))
 			probe := start(true)
-			is.Equal(tracker.Load("u").Rest, limit.FirstRest) // one probe alone
+			is.Equal(tracker.Load("u").Backoff, limit.MinBackoff) // only one probe
 			start(false)
 			probe.Reject(0)
 		}
-		time.Sleep(limit.LongestRest)
-		start(true).Done(limit.Abandoned) // says nothing: the next one probes
+		time.Sleep(limit.MaxBackoff)
+		start(true).Done(limit.Abandoned) // no evidence: the next one probes
 		start(true).FirstByte()
 		start(true).Reject(time.Minute)
-		is.Equal(tracker.Load("u").Rest, 59*time.Second) // whole seconds, rounded up
+		is.Equal(tracker.Load("u").Backoff, 59*time.Second) // whole seconds, rounded up
 		time.Sleep(time.Minute)
 		start(true).Reject(24 * time.Hour)
-		is.Equal(tracker.Load("u").Rest, limit.LongestAsked)
+		is.Equal(tracker.Load("u").Backoff, limit.MaxRequestedBackoff)
 	})
 }
 
@@ -192,8 +192,8 @@
 	})
 }
 
-// Retries stay under a tenth of the requests however many fail.
-func TestRetriesAmplifyLittle(t *testing.T) {
+// Retries stay below a tenth of the requests however many fail.
+func TestRetryBudgetLimitsAmplification(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var budget limit.RetryBudget
 		failing := rapid.IntRange(0, 100).Draw(t, "percent failing")
@@ -215,32 +215,32 @@
 	})
 }
 
-// TestAnAskedRestIsKept guards against a rest that ends with a good answer of a request that was
-// on its way, with a later answer that asks for less, or sooner than it was asked for.
-func TestAnAskedRestIsKept(t *testing.T) {
+// TestRequestedBackoffIsHonoured guards against a backoff that ends with the success of a
+// request in flight, with a later answer that requests less, or early.
+func TestRequestedBackoffIsHonoured(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tracker := limit.NewTracker(clock.System{}, nil)
 		good, _ := tracker.Start("u", 0, 0)
-		away, _ := tracker.Start("u", 0, 0)
+		rejected, _ := tracker.Start("u", 0, 0)
 		time.Sleep(time.Millisecond)
-		tracker.AskRest("u", time.Minute)
-		away.Done(limit.Rejected)
-		tracker.AskRest("u", time.Second)
+		tracker.RequestBackoff("u", time.Minute)
+		rejected.Done(limit.Rejected)
+		tracker.RequestBackoff("u", time.Second)
 		good.FirstByte()
 		good.Done(limit.Succeeded)
 		for range 59 {
 			time.Sleep(time.Second)
-			is.True(tracker.Load("u").Rest > 0)
+			is.True(tracker.Load("u").Backoff > 0)
 			_, ok := tracker.Start("u", 0, 0)
 			is.True(!ok)
 		}
 		time.Sleep(time.Second)
-		is.Equal(tracker.Load("u").Rest, time.Duration(0))
+		is.Equal(tracker.Load("u").Backoff, time.Duration(0))
 		probe, ok := tracker.Start("u", 0, 0)
 		is.True(ok)
 		_, ok = tracker.Start("u", 0, 0)
-		is.True(!ok) // one alone finds out
+		is.True(!ok) // only one probe
 		probe.FirstByte()
 		_, ok = tracker.Start("u", 0, 0)
 		is.True(ok)
--- a/pkg/route/affinity_test.go
+++ b/pkg/route/affinity_test.go
@@ -10,7 +10,7 @@
 	"github.com/lilacweir/lilacweir/pkg/route"
 )
 
-// review is a request that shares its history, but not its question, with others.
+// review returns a request that shares its history, but not its question, with others.
 func review(history, question uint64) *route.Request {
 	req := request("ra")
 	req.Prefixes = []uint64{history, question}
@@ -19,13 +19,13 @@
 	return req
 }
 
-// Requests with the same history meet at one upstream, from any gateway, whatever
-// their questions; different histories spread.
-func TestSharedPrefixMeetsAtOneUpstream(t *testing.T) {
+// Requests with the same history go to one upstream, from any gateway, whatever their
+// questions; different histories spread over the upstreams.
+func TestSharedPrefixGoesToOneUpstream(t *testing.T) {
 	for _, size := range []int{4, 100} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(size)
+			w := newHarness(size)
 			table := w.table()
 			used := map[string]bool{}
 			for history := range uint64(40) {
@@ -41,10 +41,10 @@
 	}
 }
 
-// A popular prefix does not pile up on one upstream while others idle.
-func TestAffinityGivesWayToLoad(t *testing.T) {
+// A popular prefix does not overload one upstream while others are idle.
+func TestAffinityYieldsToLoad(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(4)
+	w := newHarness(4)
 	table := w.table()
 	favourite, _ := w.pick(table, review(1, 2))
 	w.load[favourite.Upstream.Name] = limit.Load{InFlight: 12, Limit: limit.Unlimited}
@@ -52,11 +52,10 @@
 	is.True(other.Upstream.Name != favourite.Upstream.Name)
 }
 
-// Where an upstream says that it holds the prefix, that counts more than where
-// hashing would have put it.
-func TestReportedPrefixIsFollowed(t *testing.T) {
+// A report that an upstream has cached the prefix takes precedence over hashing.
+func TestReportedPrefixOverridesHashing(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(100)
+	w := newHarness(100)
 	favourite, _ := w.pick(w.table(), review(1, 2))
 	holder := "u-7"
 	is.True(favourite.Upstream.Name != holder)
--- a/pkg/route/pick.go
+++ b/pkg/route/pick.go
@@ -9,9 +9,9 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// Pick decides where a request goes. It allocates nothing unless it refuses; the
-// refusal is always "not run". A decision to send to another domain uses up
-// credit, so it is taken once for each request that is then sent.
+// Pick decides where a request goes. It allocates only if it refuses; the refusal is always
+// "not run". A decision to send to another domain uses up credit, so it must be made only
+// once for each request that is then sent.
 func (t *Table) Pick(req *Request, load LocalLoad, rnd Rand, now time.Time) (Decision, *outcome.Refusal) {
 	placement, refusal := t.placement(req)
 	if refusal != nil {
@@ -34,15 +34,15 @@
 		local = t.pickLocal(p, req, load, rnd, now)
 	}
 	if req.Class == ClassEntry {
-		if decision, ok := t.sendAway(p, req, placement, here, local, now); ok {
+		if decision, ok := t.forward(p, req, placement, here, local, now); ok {
 			return decision, nil
 		}
 	}
 	return t.decideLocal(p, req, here, local, now)
 }
 
-// count counts a caller's request once towards the spill rules, however often it
-// is decided on.
+// count counts a caller's request once towards the spill rules, however often Pick is
+// called for it.
 func (t *Table) count(req *Request) {
 	if req.counted || req.Class != ClassEntry || len(req.Tried) > 0 {
 		return
@@ -55,18 +55,18 @@
 type choice struct {
 	candidate *candidate
 	estimate  Estimate
-	// full is true when upstreams were ruled out only by this gateway's limit.
+	// full is true if upstreams were excluded only by this gateway's limit.
 	full bool
-	// rest is how long it is until the first of the resting upstreams may be tried;
-	// zero when none rests.
-	rest time.Duration
+	// backoff is the shortest time until one of the upstreams that are backing off may be
+	// tried; zero if none is backing off.
+	backoff time.Duration
 }
 
-// rule records why an upstream was ruled out.
-func (c *choice) rule(own limit.Load) {
+// exclude records why an upstream was excluded.
+func (c *choice) exclude(own limit.Load) {
 	c.full = c.full || own.InFlight >= own.Limit
-	if own.Rest > 0 && (c.rest == 0 || own.Rest < c.rest) {
-		c.rest = own.Rest
+	if own.Backoff > 0 && (c.backoff == 0 || own.Backoff < c.backoff) {
+		c.backoff = own.Backoff
 	}
 }
 
@@ -83,7 +83,7 @@
 	_, holders := p.longestHint(req)
 	sampled := Sampled{Size: len(p.locals), Favourite: favourite, Holders: holders}
 	sample := t.strategy.Picker.Sample(req, sampled, rnd)
-	at := moment{now: now, sinceCompile: now.Sub(t.compiled)}
+	at := decisionTime{now: now, sinceCompile: now.Sub(t.compiled)}
 	best := t.bestOf(p, req, load, &sample, favourite, at)
 	if best.candidate != nil || sample.count == len(p.locals) {
 		return best
@@ -92,14 +92,14 @@
 }
 
 // bestOf scores the sampled upstreams that pass the filters.
-func (t *Table) bestOf(p *pool, req *Request, load LocalLoad, sample *Sample, favourite int32, at moment) choice {
+func (t *Table) bestOf(p *pool, req *Request, load LocalLoad, sample *Sample, favourite int32, at decisionTime) choice {
 	var best choice
 	lowest := 0.0
 	for _, i := range sample.indices[:sample.count] {
 		c := &p.locals[i]
 		own := load.Load(c.upstream.Name)
 		if !t.keep(req, c, own) {
-			best.rule(own)
+			best.exclude(own)
 			continue
 		}
 		estimate := p.estimate(req, i, favourite, own, at)
@@ -111,8 +111,8 @@
 	return best
 }
 
-// firstUsable looks through the whole pool when no sampled upstream would do.
-func (t *Table) firstUsable(p *pool, req *Request, load LocalLoad, favourite int32, at moment, start int) choice {
+// firstUsable searches the whole pool if no sampled upstream is usable.
+func (t *Table) firstUsable(p *pool, req *Request, load LocalLoad, favourite int32, at decisionTime, start int) choice {
 	var none choice
 	for n := range p.locals {
 		i := int32((start + n) % len(p.locals))
@@ -121,7 +121,7 @@
 		if t.keep(req, c, own) {
 			return choice{candidate: c, estimate: p.estimate(req, i, favourite, own, at)}
 		}
-		none.rule(own)
+		none.exclude(own)
 	}
 	return none
 }
@@ -144,8 +144,8 @@
 		if local.full {
 			return Decision{}, refuseFull(p, req)
 		}
-		if local.rest > 0 {
-			return Decision{}, refuseResting(local.rest)
+		if local.backoff > 0 {
+			return Decision{}, refuseBackingOff(local.backoff)
 		}
 		return Decision{}, refuseNoUpstream()
 	}
@@ -163,7 +163,7 @@
 	}, nil
 }
 
-// lateBy is how far after the deadline a request of that predicted length ends.
+// lateBy returns by how much a request of that predicted duration exceeds its deadline.
 func lateBy(req *Request, total float64, now time.Time) time.Duration {
 	if req.Deadline.IsZero() {
 		return 0
@@ -171,7 +171,7 @@
 	return seconds(total) - req.Deadline.Sub(now)
 }
 
-// placement returns the regions in which what the request asks for may run.
+// placement returns the regions in which the model or service may run.
 func (t *Table) placement(req *Request) ([]string, *outcome.Refusal) {
 	if t.revision == 0 {
 		return nil, refuseNoConfiguration()
@@ -192,7 +192,7 @@
 	return model.Regions, nil
 }
 
-// permitted says whether the request may be processed in a region.
+// permitted reports whether the request may be processed in a region.
 func (t *Table) permitted(req *Request, placement []string, region string) bool {
 	return slices.Contains(req.Caller.Regions, region) && slices.Contains(placement, region)
 }
--- a/pkg/route/remote.go
+++ b/pkg/route/remote.go
@@ -11,23 +11,23 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// DigestLife is the age from which another domain's digest no longer counts: it
-// grants no credit and the domain is taken for unreachable.
+// DigestLife is the age from which another domain's digest is ignored: it grants no credit
+// and the domain counts as unreachable.
 const DigestLife = 5 * time.Second
 
-// Link delays, one way, that are assumed where none has been measured.
+// One-way network delays that are assumed where none has been measured.
 const (
-	defaultFarLink  = 55 * time.Millisecond
-	defaultNearLink = time.Millisecond
+	defaultCrossRegionDelay = 55 * time.Millisecond
+	defaultSameRegionDelay  = time.Millisecond
 )
 
-// remote is a pool as another failure domain has it.
+// remote is a pool of another failure domain, as its digest reports it.
 type remote struct {
 	digest *board.DomainDigest
 	state  board.PoolDigest
-	// link is the one-way delay in seconds.
-	link float64
-	// credit is how many requests this gateway may send on the digest's word.
+	// delay is the one-way network delay in seconds.
+	delay float64
+	// credit is how many requests this gateway may send on the basis of the digest.
 	credit int
 	ledger *ledger
 }
@@ -41,7 +41,7 @@
 		return
 	}
 	gateways := demandsOf(liveGateways(in))
-	domains := everyDomain(in)
+	domains := allDomains(in)
 	for i := range in.Domains.Remote {
 		digest := &in.Domains.Remote[i]
 		if digest.Domain == in.Domain {
@@ -56,7 +56,7 @@
 			p.remotes = append(p.remotes, remote{
 				digest: digest,
 				state:  state,
-				link:   t.link(in, digest).Seconds(),
+				delay:  t.linkDelay(in, digest).Seconds(),
 				credit: creditOf(in, digest, state, senders, gateways),
 				ledger: t.spill.ledger(digest, p.key),
 			})
@@ -64,19 +64,18 @@
 	}
 }
 
-func (t *Table) link(in *Input, digest *board.DomainDigest) time.Duration {
+func (t *Table) linkDelay(in *Input, digest *board.DomainDigest) time.Duration {
 	if measured, ok := in.Links[digest.Domain]; ok {
 		return measured
 	}
 	if digest.Region == t.region {
-		return defaultNearLink
+		return defaultSameRegionDelay
 	}
-	return defaultFarLink
+	return defaultCrossRegionDelay
 }
 
-// creditOf splits a domain's spare capacity among the domains that may send, and
-// this domain's part among its gateways. The odd ones go round from digest to
-// digest.
+// creditOf splits a domain's spare capacity among the domains that may send, and this
+// domain's share among its gateways. The remainders rotate from digest to digest.
 func creditOf(in *Input, digest *board.DomainDigest, state board.PoolDigest, senders, gateways []limit.Demand) int {
 	round := digest.Domain + "/" + state.Serves + "/" + strconv.FormatUint(digest.Sequence, 16)
 	mine := limit.Share(round, state.Spare, in.Domain, senders)
@@ -91,8 +90,8 @@
 	return demands
 }
 
-// everyDomain lists every domain that is declared or heard of, sorted.
-func everyDomain(in *Input) []string {
+// allDomains returns every domain that is declared or has sent a digest, sorted.
+func allDomains(in *Input) []string {
 	names := []string{in.Domain}
 	for i := range in.Domains.Remote {
 		names = append(names, in.Domains.Remote[i].Domain)
@@ -104,7 +103,7 @@
 	return slices.Compact(names)
 }
 
-// sendersTo lists every domain but the receiver.
+// sendersTo returns every domain but the receiver.
 func sendersTo(receiver string, domains []string) []limit.Demand {
 	demands := make([]limit.Demand, 0, len(domains))
 	for _, name := range domains {
@@ -115,10 +114,11 @@
 	return demands
 }
 
-// estimate predicts a request's course in another domain, its caches taken as cold.
+// estimate predicts a request's times in another domain; the caches there are assumed to be
+// cold.
 func (r *remote) estimate(req *Request) Estimate {
 	ahead := float64(r.state.Busy + r.state.Waiting + r.ledger.used())
-	e := Estimate{Link: 2 * r.link, AtUpstream: ahead}
+	e := Estimate{Link: 2 * r.delay, AtUpstream: ahead}
 	slots := float64(r.state.Slots)
 	if req.Kind == config.KindService {
 		e.Decode = defaultHolding.Seconds()
--- a/pkg/route/spill_test.go
+++ b/pkg/route/spill_test.go
@@ -14,18 +14,18 @@
 	"github.com/lilacweir/lilacweir/pkg/route"
 )
 
-// overloaded is a world whose local upstreams have long queues, while domain b has
-// spare places.
-func overloaded(spare int) *world {
-	w := newWorld(2)
+// overloaded returns a harness with long queues at the local upstreams, while domain b has
+// spare capacity.
+func overloaded(spare int) *harness {
+	w := newHarness(2)
 	w.fill(40)
 	w.input.Domains.Remote = []board.DomainDigest{digestOf("b", "rb", spare)}
 	w.input.Spill = route.NewSpillState()
 	return w
 }
 
-// decide sends one request and says whether it left.
-func (w *world) decide(t interface{ Fatal(...any) }, table *route.Table, roll uint64) bool {
+// decide sends one request and reports whether it was forwarded.
+func (w *harness) decide(t interface{ Fatal(...any) }, table *route.Table, roll uint64) bool {
 	req := request("ra", "rb")
 	req.Roll = roll
 	decision, refusal := w.pick(table, req)
@@ -35,8 +35,8 @@
 	return decision.Domain != nil
 }
 
-// advance moves time on; at each whole second a new digest comes.
-func (w *world) advance(step time.Duration) *route.Table {
+// advance advances the time by a step and brings a new digest.
+func (w *harness) advance(step time.Duration) *route.Table {
 	w.input.Now = w.input.Now.Add(step)
 	digest := &w.input.Domains.Remote[0]
 	digest.HeardAt = w.input.Now
@@ -46,18 +46,18 @@
 
 func TestSpillNeedsMarginRuleAndFreshDigest(t *testing.T) {
 	cases := map[string]struct {
-		change func(*world)
+		change func(*harness)
 		leaves bool
 	}{
-		"much sooner there":  {func(*world) {}, true},
-		"not worth the way":  {func(w *world) { w.fill(1) }, false},
-		"just as busy there": {func(w *world) { w.input.Domains.Remote[0].Pools[0].Waiting = 300 }, false},
-		"no rule":            {func(w *world) { w.declaration.Spill = nil }, false},
-		"rule of 0 percent":  {func(w *world) { w.declaration.Spill[0].Percent = 0 }, false},
-		"no spare":           {func(w *world) { w.input.Domains.Remote[0].Pools[0].Spare = 0 }, false},
-		"stale digest":       {func(w *world) { w.input.Now = epoch.Add(route.DigestLife + time.Second) }, false},
-		"margin not reached": {func(w *world) { w.declaration.Policy.SpillMargin = config.Duration(time.Hour) }, false},
-		"model not there":    {func(w *world) { w.declaration.Models[0].Regions = []string{"ra"} }, false},
+		"much sooner there":  {func(*harness) {}, true},
+		"not worth the trip": {func(w *harness) { w.fill(1) }, false},
+		"just as busy there": {func(w *harness) { w.input.Domains.Remote[0].Pools[0].Waiting = 300 }, false},
+		"no rule":            {func(w *harness) { w.declaration.Spill = nil }, false},
+		"rule of 0 percent":  {func(w *harness) { w.declaration.Spill[0].Percent = 0 }, false},
+		"no spare":           {func(w *harness) { w.input.Domains.Remote[0].Pools[0].Spare = 0 }, false},
+		"stale digest":       {func(w *harness) { w.input.Now = epoch.Add(route.DigestLife + time.Second) }, false},
+		"margin not reached": {func(w *harness) { w.declaration.Policy.SpillMargin = config.Duration(time.Hour) }, false},
+		"model not there":    {func(w *harness) { w.declaration.Models[0].Regions = []string{"ra"} }, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -69,9 +69,9 @@
 	}
 }
 
-// However many gateways of however many domains decide on the same digest, they
-// send no more than it offers, until the next one.
-func TestOneDigestStartsNoStampede(t *testing.T) {
+// However many gateways of however many domains decide on the same digest, they send no
+// more than its spare capacity, until the next one.
+func TestDigestCreditIsNotExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spare := rapid.IntRange(0, 20).Draw(t, "spare")
 		gateways := rapid.IntRange(1, 4).Draw(t, "gateways a domain")
@@ -105,12 +105,12 @@
 			}
 		}
 		if sent > spare {
-			t.Fatalf("%d sent on an offer of %d", sent, spare)
+			t.Fatalf("%d sent with a spare capacity of %d", sent, spare)
 		}
 	})
 }
 
-// A digest that is confirmed without change offers its spare places anew.
+// A digest that is confirmed without change renews its credit.
 func TestConfirmedDigestRenewsCredit(t *testing.T) {
 	is := is.New(t)
 	w := overloaded(4)
@@ -123,7 +123,7 @@
 		}
 		return count
 	}
-	is.Equal(sent(), 2) // half of the offer: domain c may send as well
+	is.Equal(sent(), 2) // half of the spare capacity: domain c may send as well
 	is.Equal(sent(), 0)
 	w.input.Now = w.input.Now.Add(time.Second)
 	is.Equal(sent(), 0) // the same digest, only later
@@ -132,9 +132,9 @@
 	is.Equal(sent(), 2)
 }
 
-// A rule's percent holds over the requests that arrive, however often a request is
-// decided on.
-func TestSpillKeepsThePercent(t *testing.T) {
+// A rule's percent applies to the requests that arrive, however often a request is decided
+// on.
+func TestSpillRespectsThePercent(t *testing.T) {
 	is := is.New(t)
 	w := overloaded(1000)
 	w.declaration.Spill[0].Percent = 20
@@ -155,16 +155,16 @@
 		}
 	}
 	is.True(sent*100 <= 20*arrived)
-	is.True(sent*100 >= 15*arrived) // and it is used
+	is.True(sent*100 >= 15*arrived) // the rule is used
 }
 
-// Around the margin nothing flaps: sending starts above it, and ends, step by
-// step, below.
+// Decisions do not flap around the margin: forwarding starts above it, and ends gradually
+// below.
 func TestSpillHysteresisAndRamp(t *testing.T) {
 	is := is.New(t)
 	w := overloaded(1000)
 	w.input.Domains.Remote[0].Pools[0].Slots = 1000
-	part := func(inFlight int) int {
+	share := func(inFlight int) int {
 		w.fill(inFlight)
 		table := w.advance(time.Second)
 		left := 0
@@ -176,47 +176,47 @@
 		return left
 	}
 	strong, band := inFlightFor(w, 1.2), inFlightFor(w, 0.75)
-	is.Equal(part(band), 0) // not begun yet
-	is.Equal(part(strong), 100)
+	is.Equal(share(band), 0) // not started yet
+	is.Equal(share(strong), 100)
 	last := 100
 	falls := 0
 	for range 12 {
-		now := part(band)
-		is.True(now <= last) // never back and forth
+		now := share(band)
+		is.True(now <= last) // no flapping
 		if now < last {
 			falls++
 		}
 		last = now
 	}
 	is.Equal(last, 0)
-	is.True(falls >= 5) // step by step
+	is.True(falls >= 5) // gradually
 }
 
-// inFlightFor sets the margin so that a whole number of local requests makes the
-// gain that part of it: at 20 requests the gain is the margin.
-func inFlightFor(w *world, part float64) int {
+// inFlightFor sets the margin to the gain at 20 local requests, and returns the least
+// number of local requests with a gain of at least that share of the margin.
+func inFlightFor(w *harness, share float64) int {
 	const atMargin = 20
 	gain := func(inFlight int) time.Duration {
 		w.fill(inFlight)
 		here, _ := w.pick(w.table(), request("ra"))
 		there := overloaded(1000)
 		there.input.Domains.Remote[0].Pools[0].Slots = 1000
-		away, _ := there.pick(there.table(), request("ra", "rb"))
-		return here.Predicted - away.Predicted
+		remote, _ := there.pick(there.table(), request("ra", "rb"))
+		return here.Predicted - remote.Predicted
 	}
 	w.declaration.Policy.SpillMargin = config.Duration(gain(atMargin))
 	for inFlight := 1; ; inFlight++ {
-		if gain(inFlight).Seconds() >= part*gain(atMargin).Seconds() {
+		if gain(inFlight).Seconds() >= share*gain(atMargin).Seconds() {
 			return inFlight
 		}
 	}
 }
 
-// An upstream that came back is given less than it has room for, until its cache
-// has had time to fill.
-func TestReturningUpstreamIsRamped(t *testing.T) {
+// An upstream that became usable again gets less than its declared concurrency, until its
+// cache has had time to fill.
+func TestReturningUpstreamIsRampedUp(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2)
+	w := newHarness(2)
 	w.setState("u-0", board.UpstreamSilent)
 	w.input.Previous = w.table()
 	w.setState("u-0", board.UpstreamLive)
--- a/pkg/spread/spread_test.go
+++ b/pkg/spread/spread_test.go
@@ -24,9 +24,9 @@
 }
 
 // Heads that arrive from the watch, the peers and the gateway, in any order and
-// at once, leave the highest in force, and none that was seen on the way is lower
-// than the one before.
-func TestRevisionNeverFalls(t *testing.T) {
+// concurrently, leave the highest revision in force, and no revision that is read meanwhile
+// is lower than the one before.
+func TestRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		section := new(board.Section[config.Head])
 		keeper := NewKeeper(section, func(*config.Head, Source) {})
@@ -38,13 +38,13 @@
 			}
 		}
 		var senders, reader sync.WaitGroup
-		var done, fell atomic.Bool
+		var done, decreased atomic.Bool
 		reader.Go(func() {
 			last := config.Revision(0)
 			for !done.Load() {
 				now := keeper.Revision()
 				if now < last {
-					fell.Store(true)
+					decreased.Store(true)
 				}
 				last = now
 			}
@@ -53,9 +53,9 @@
 			senders.Go(func() {
 				for _, revision := range revisions {
 					before := keeper.Revision()
-					taken := keeper.Offer(head(config.Revision(revision)), SourceMesh)
-					if taken && config.Revision(revision) <= before {
-						fell.Store(true)
+					accepted := keeper.Offer(head(config.Revision(revision)), SourceMesh)
+					if accepted && config.Revision(revision) <= before {
+						decreased.Store(true)
 					}
 				}
 			})
@@ -63,8 +63,8 @@
 		senders.Wait()
 		done.Store(true)
 		reader.Wait()
-		if fell.Load() {
-			t.Fatal("the revision fell")
+		if decreased.Load() {
+			t.Fatal("the revision decreased")
 		}
 		if keeper.Revision() != highest {
 			t.Fatalf("revision %d in the end, want %d", keeper.Revision(), highest)
@@ -72,7 +72,7 @@
 	})
 }
 
-func TestOfferRefusesNothing(t *testing.T) {
+func TestOfferRejectsEmptyHeads(t *testing.T) {
 	is := is.New(t)
 	keeper := NewKeeper(new(board.Section[config.Head]), func(*config.Head, Source) {})
 	is.True(!keeper.Offer(nil, SourceGateway))
@@ -80,12 +80,12 @@
 	is.Equal(keeper.Revision(), config.Revision(0))
 }
 
-// service is a key-value service that counts what it is asked.
+// service is a key-value service that counts the calls that it receives.
 type service struct{ *platformtest.Service }
 
 func (s service) write(value string) { s.Set("head", []byte(value)) }
 
-// fail breaks all watches; up or down says what later calls meet.
+// fail ends all watches; if down is true, later calls fail.
 func (s service) fail(down bool) {
 	s.BreakWatches()
 	s.SetDown(down)
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestWatcherFollowsAndCountsItsCalls(t *testing.T) {
+func TestWatcherFollowsTheHeadWithFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := service{platformtest.New(clock.System{})}
@@ -128,10 +128,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go newWatcher(s, keeper, &duty, &faults).Run(ctx)
 		time.Sleep(10 * time.Second)
-		is.Equal(s.calls(), 0) // not on duty: not a call
+		is.Equal(s.calls(), 0) // no calls while not on duty
 
 		duty.Store(true)
-		time.Sleep(DutyCheck)
+		time.Sleep(DutyCheckInterval)
 		synctest.Wait()
 		is.Equal(keeper.Revision(), config.Revision(1))
 		s.write("2")
@@ -141,12 +141,12 @@
 		synctest.Wait()
 		is.Equal(keeper.Revision(), config.Revision(2))
 		is.Equal(faults.Load(), int64(1))
-		is.Equal(s.calls(), 2) // one read, one waiting watch
+		is.Equal(s.calls(), 2) // one read, one open watch
 
 		s.fail(false)
 		time.Sleep(RetryMin)
 		synctest.Wait()
-		is.Equal(s.calls(), 3) // a watch that ended is taken up without the value
+		is.Equal(s.calls(), 3) // a watch that ended is resumed without reading the value
 		s.write("3")
 		synctest.Wait()
 		is.Equal(keeper.Revision(), config.Revision(3))
@@ -154,22 +154,22 @@
 		s.fail(true)
 		before := s.calls()
 		time.Sleep(time.Hour)
-		asked := s.calls() - before
-		// A watcher that waits between half of RetryMax and RetryMax, and no longer.
-		is.True(asked <= int(time.Hour/(RetryMax/2))+10)
-		is.True(asked >= int(time.Hour/RetryMax))
+		attempts := s.calls() - before
+		// The watcher waits between half of RetryMax and RetryMax.
+		is.True(attempts <= int(time.Hour/(RetryMax/2))+10)
+		is.True(attempts >= int(time.Hour/RetryMax))
 
 		s.fail(false)
 		s.write("4")
 		time.Sleep(RetryMax)
 		synctest.Wait()
-		is.Equal(keeper.Revision(), config.Revision(4)) // back by itself
+		is.Equal(keeper.Revision(), config.Revision(4)) // recovers by itself
 
 		duty.Store(false)
-		time.Sleep(DutyCheck)
+		time.Sleep(DutyCheckInterval)
 		before = s.calls()
 		time.Sleep(time.Hour)
-		is.Equal(s.calls(), before) // gave the duty up
+		is.Equal(s.calls(), before) // no calls after the end of the duty
 		cancel()
 		synctest.Wait()
 	})
--- a/pkg/steer/admit.go
+++ b/pkg/steer/admit.go
@@ -5,109 +5,106 @@
 	"time"
 )
 
-// An engine takes whatever it is sent, and everyone in its queue is late together. So a
-// request is only sent where its answer is predicted to begin in time, and refused at once
-// where there is no such place.
+// An engine accepts every request, and all requests in its queue are late together. So a
+// request is only sent where its answer is predicted to begin in time, and otherwise
+// refused at once.
 
-// Parameters of what counts as in time.
+// Parameters of admission by predicted time to first token.
 const (
-	// inTime is the part of a route's target that a prediction may take up: the rest is
-	// for the way to the caller, and for what others send before they hear of this.
-	inTime = 0.85
-	// aheadAtLeast is the part of a target for which a request may wait for others though
-	// its own prompt takes the rest: the largest prompts are served too, if late.
-	aheadAtLeast = 0.3
-	// yields is the part of the wait that a more urgent route of the same service bears
-	// for which a less urgent one may wait: what it leaves is room for the others.
-	yields = 0.4
-	// usualHolding is for how long a request holds its place where that was not measured.
-	usualHolding = time.Second
+	// targetShare is the share of a route's target that a prediction may use. The rest
+	// covers the path back to the caller and requests of others that are not reported yet.
+	targetShare = 0.85
+	// minWaitShare is the share of a target that a request may wait for others even if its
+	// own prompt uses up the rest, so that the largest prompts are served too, if late.
+	minWaitShare = 0.3
+	// yieldShare is the share of the wait tolerated by a more urgent route of the same
+	// service that a less urgent one may use; the rest is reserved for the former.
+	yieldShare = 0.4
+	// defaultHolding is the time that a request occupies its slot where none was measured.
+	defaultHolding = time.Second
 )
 
-// wait is how long a request would wait at an engine, in milliseconds: for others, and for
+// waitTime is a request's wait at an engine, in milliseconds, for other requests and for
 // its own prompt.
-type wait struct{ ahead, own float64 }
+type waitTime struct{ queued, own float64 }
 
-func (w *wait) total() time.Duration { return milliseconds(w.ahead + w.own) }
+func (w *waitTime) total() time.Duration { return milliseconds(w.queued + w.own) }
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 func inMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// tooLate says whether an answer after such a wait is no longer worth beginning now: it
-// comes after the route's target, or takes what more urgent requests need. The doubt is the
-// caller's, by the mean error of predictions: instances that hear of each other late would
-// refuse what would have been in time.
-func (w *wait) tooLate(req *Request, forecast *Forecast) bool {
+// tooLate reports whether an answer after this wait would miss the route's target or use
+// capacity that more urgent requests need. The mean prediction error counts in the caller's
+// favour: otherwise instances with late reports would refuse requests that are in time.
+func (w *waitTime) tooLate(req *Request, forecast *Forecast) bool {
 	target := inMilliseconds(req.Route.TargetLatency)
 	if target == 0 {
 		return false
 	}
-	bound := max(inTime*target-w.own, aheadAtLeast*target)
+	bound := max(targetShare*target-w.own, minWaitShare*target)
 	if urgent := inMilliseconds(req.Route.Yields); req.Contended && urgent > 0 {
-		bound = min(bound, yields*(inTime*urgent-forecast.base))
+		bound = min(bound, yieldShare*(targetShare*urgent-forecast.base))
 	}
-	return w.ahead-forecast.wrong > bound
+	return w.queued-forecast.meanError > bound
 }
 
-// places is how long a request waits for one of the slots, in milliseconds, where so many
-// others are in hand and each holds its place for a time.
-func places(inFlight, slots int, holding time.Duration) float64 {
+// slotWait returns the wait for one of the slots, in milliseconds, behind inFlight requests
+// that each occupy one for holding.
+func slotWait(inFlight, slots int, holding time.Duration) float64 {
 	if holding == 0 {
-		holding = usualHolding
+		holding = defaultHolding
 	}
 	beyond := max(0, inFlight+1-slots)
 	return float64(beyond) / float64(max(1, slots)) * inMilliseconds(holding)
 }
 
-// predict fills in when the answer would begin at a candidate, and whether that is too
-// late.
-func (w *World) predict(req *Request, c *Candidate, forecast *Forecast, holding time.Duration) {
+// predict sets when the answer would begin at a candidate, and whether that is too late.
+func (w *Snapshot) predict(req *Request, c *Candidate, forecast *Forecast, holding time.Duration) {
 	factor := forecast.Factor(c.Upstream.ID)
 	own := factor * forecast.Reading(float64(c.Uncached))
-	ahead := places(c.InFlight, c.Upstream.Slots, holding) + factor*forecast.perToken*float64(c.Prefill)
-	expected := wait{ahead: ahead, own: own}
+	ahead := slotWait(c.InFlight, c.Upstream.Slots, holding) + factor*forecast.perToken*float64(c.Prefill)
+	expected := waitTime{queued: ahead, own: own}
 	c.First = expected.total()
 	c.Late = expected.tooLate(req, forecast)
 }
 
-// waitAway is how long a request would wait in another region.
-func (w *World) waitAway(req *Request, away *Away, forecast *Forecast) wait {
-	prefill := float64(away.Prefill) / float64(away.Upstreams)
-	uncached := float64(req.PromptTokens) - w.cachedAway(req, away)
-	return wait{
-		ahead: places(away.InFlight, away.Slots, 0) + forecast.perToken*prefill,
-		own:   inMilliseconds(farTime) + forecast.Reading(uncached),
+// remoteWait returns how long a request would wait in another region.
+func (w *Snapshot) remoteWait(req *Request, remote *RemoteRegion, forecast *Forecast) waitTime {
+	prefill := float64(remote.Prefill) / float64(remote.Upstreams)
+	uncached := float64(req.PromptTokens) - w.remoteCached(req, remote)
+	return waitTime{
+		queued: slotWait(remote.InFlight, remote.Slots, 0) + forecast.perToken*prefill,
+		own:    inMilliseconds(regionRoundTrip) + forecast.Reading(uncached),
 	}
 }
 
-// inTimeAway returns the cheapest region where the answer begins in time, and sooner than
-// here by more than predictions are usually wrong; nil when there is none.
-func (w *World) inTimeAway(req *Request, here *Candidate, regions []Away) *Away {
-	var best *Away
+// timelyRegion returns the cheapest region where the answer begins in time, and earlier
+// than here by more than the mean prediction error; nil if there is none.
+func (w *Snapshot) timelyRegion(req *Request, here *Candidate, regions []RemoteRegion) *RemoteRegion {
+	var best *RemoteRegion
 	forecast := w.Estimates.Forecast(req.Service.Name, w.Now)
 	for i := range regions {
-		away := &regions[i]
-		there := w.waitAway(req, away, &forecast)
-		if there.tooLate(req, &forecast) || there.total()+milliseconds(forecast.wrong) > here.First {
+		remote := &regions[i]
+		there := w.remoteWait(req, remote, &forecast)
+		if there.tooLate(req, &forecast) || there.total()+milliseconds(forecast.meanError) > here.First {
 			continue
 		}
-		if best == nil || w.farCost(req, away) < w.farCost(req, best) {
-			best = away
+		if best == nil || w.remoteCost(req, remote) < w.remoteCost(req, best) {
+			best = remote
 		}
 	}
 	return best
 }
 
-// RegionKey names a region as a place for a service's requests of a rank. One that refused
-// such a request for want of capacity rests under that name as an upstream does: what is
-// told of its load is up to a second old, and each request that is sent there in vain
-// comes back 120 ms older.
+// RegionKey is the key of a region's backoff for a service's requests of one priority. A
+// region that refused such a request for lack of capacity backs off like an upstream: load
+// reports are up to a second old, and a request sent there in vain loses 120 ms.
 func RegionKey(region string, req *Request) string {
 	return region + "/" + req.Service.Name + "/" + strconv.Itoa(req.Route.Priority)
 }
 
-// better says whether a candidate is to be preferred.
-func (w *World) better(c, best *Candidate) bool {
+// better reports whether c is preferred over best, at random if they are equal.
+func (w *Snapshot) better(c, best *Candidate) bool {
 	return c.Cost < best.Cost || (c.Cost == best.Cost && w.Random&1 == 0)
 }
--- a/pkg/steer/flow.go
+++ b/pkg/steer/flow.go
@@ -7,31 +7,31 @@
 )
 
 // Flow measures how many prompt tokens this instance sends to the engines of each service.
-// The others of its region are taken to send as many, so that it can tell how much reached
-// an engine since it was last told. It is safe for concurrent use.
+// The others of its region are assumed to send as many, which gives an estimate of what
+// reached an engine since the last report. It is safe for concurrent use.
 type Flow struct {
 	mu        sync.Mutex
-	byService map[string]*rate
+	byService map[string]*decayingSum
 }
 
-// rate is a sum that decays by the time since it was last added to.
-type rate struct {
+// decayingSum is a sum that decays exponentially with the time since the last addition.
+type decayingSum struct {
 	sum float64
 	at  time.Time
 }
 
-// flowMemory is the time over which the flow is averaged: a load that changes within
-// seconds is followed, one request more or less does not matter.
-const flowMemory = 2 * time.Second
+// flowTimeConstant is the averaging time of the flow: it follows load changes within
+// seconds and smooths out single requests.
+const flowTimeConstant = 2 * time.Second
 
-// NewFlow returns a Flow that has measured nothing.
-func NewFlow() *Flow { return &Flow{byService: make(map[string]*rate)} }
+// NewFlow returns a Flow without measurements.
+func NewFlow() *Flow { return &Flow{byService: make(map[string]*decayingSum)} }
 
-func (r *rate) decayed(now time.Time) float64 {
+func (r *decayingSum) decayed(now time.Time) float64 {
 	if r == nil || r.at.IsZero() {
 		return 0
 	}
-	return r.sum * math.Exp(-float64(now.Sub(r.at))/float64(flowMemory))
+	return r.sum * math.Exp(-float64(now.Sub(r.at))/float64(flowTimeConstant))
 }
 
 // Add counts prompt tokens that were sent to a service's engines.
@@ -40,7 +40,7 @@
 	defer f.mu.Unlock()
 	r := f.byService[service]
 	if r == nil {
-		r = &rate{}
+		r = &decayingSum{}
 		f.byService[service] = r
 	}
 	r.sum = r.decayed(now) + float64(tokens)
@@ -51,5 +51,5 @@
 func (f *Flow) Of(service string, now time.Time) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.byService[service].decayed(now) / flowMemory.Seconds()
+	return f.byService[service].decayed(now) / flowTimeConstant.Seconds()
 }
--- a/pkg/steer/plain.go
+++ b/pkg/steer/plain.go
@@ -8,46 +8,48 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// Calls of plain services last some tens of milliseconds, less than what is told of the
-// others' work is old. So an upstream's load as it was told says little of what a call
-// meets there: hundreds of instances that all believe it send to the same upstream. What
-// does hold for seconds is how much a region as a whole has in hand. Inside a region calls
-// are spread by what is left of the news; a region that has more in hand than its slots
-// serve well sends a share of its calls, by plan, to where there is room, before upstreams
-// queue and reject.
+// Calls of plain services last some tens of milliseconds, less than the age of load
+// reports. So an upstream's reported load does not predict what a call meets there:
+// hundreds of instances that act on the same report send to the same upstream. The load of
+// a region as a whole stays valid for seconds. Inside a region calls are spread by the
+// valid share of the report; a region with more calls in flight than its slots serve well
+// forwards a planned share of them to regions with spare capacity, before upstreams queue
+// and reject.
 
-// Parameters of the spreading of plain calls. A load is requests in hand by slots.
+// Parameters of the spreading of plain calls. A load is the requests in flight per slot.
 const (
-	// spillFrom is the load from which on a region sends calls away whose instances know
+	// spillThreshold is the load above which a region forwards calls if its instances know
 	// nothing of each other's present work: with Poisson arrivals one call in six finds all
 	// six slots of an upstream taken at a load of 0.8, one in four at 0.9 (Erlang's loss
 	// formula).
-	spillFrom = 0.8
-	// spillKnown is how much higher that load is where all is known: calls can be placed
-	// evenly then, and one that waits for the end of another waits less than the way takes.
-	spillKnown = 0.5
-	// spillRange is over how much more load the share of calls that are sent away grows to
-	// all: a region that is offered 1.5 times its slots settles at a load of about 1.
+	spillThreshold = 0.8
+	// spillKnownBonus is added to the threshold if the present work is fully known: calls
+	// can then be placed evenly, and waiting for another to finish takes less than the
+	// round trip.
+	spillKnownBonus = 0.5
+	// spillRange is the range of load above the threshold over which the forwarded share of
+	// calls grows to all: a region that is offered 1.5 times its slots settles at a load of
+	// about 1.
 	spillRange = 0.5
-	// wayLoad is how much lower the load far away must be at least. What is known of it is
-	// half a second old, and the way costs 0.11 s of the target.
-	wayLoad = 0.2
+	// remoteLoadMargin is how much lower the load of a remote region must be. Reports from
+	// there are half a second old, and the round trip costs 0.11 s of the target.
+	remoteLoadMargin = 0.2
 )
 
-// expected is the load of other instances at an upstream by now: as it was told, as far as
-// calls of that age still run, and the region's mean otherwise.
-func expected(told, mean float64, age, pace time.Duration) float64 {
-	part := stays(age, pace)
-	return part*told + (1-part)*mean
+// expectedLoad is the present load of others at an upstream: the reported load as far as
+// calls of that age still run, and the region's mean for the rest.
+func expectedLoad(reported, mean float64, age, meanTime time.Duration) float64 {
+	valid := stillRunning(age, meanTime)
+	return valid*reported + (1-valid)*mean
 }
 
-// stays is the part of the calls in hand that still run after a time.
-func stays(age, pace time.Duration) float64 {
-	return math.Exp(-float64(age) / float64(max(pace, time.Millisecond)))
+// stillRunning is the fraction of the calls in flight that still run after age.
+func stillRunning(age, meanTime time.Duration) float64 {
+	return math.Exp(-float64(age) / float64(max(meanTime, time.Millisecond)))
 }
 
-// meanOf is the mean work of the others at the upstreams.
-func meanOf(loads []peer.Load) float64 {
+// meanInFlight is the mean requests in flight of the other instances at the upstreams.
+func meanInFlight(loads []peer.Load) float64 {
 	if len(loads) == 0 {
 		return 0
 	}
@@ -58,52 +60,54 @@
 	return float64(total) / float64(len(loads))
 }
 
-// spill returns the region to which a plain call goes by plan; nil when it stays.
-func (w *World) spill(req *Request, here *Survey, regions []Away) *Away {
-	if !w.wayFits(req) || here.Slots == 0 {
+// spill returns the region to which a plain call is forwarded as part of the planned share;
+// nil if it stays.
+func (w *Snapshot) spill(req *Request, here *Survey, regions []RemoteRegion) *RemoteRegion {
+	if !w.roundTripFits(req) || here.Slots == 0 {
 		return nil
 	}
 	load := float64(here.InFlight) / float64(here.Slots)
-	away := w.roomiest(load, regions)
-	if away == nil {
+	remote := w.drawRegion(load, regions)
+	if remote == nil {
 		return nil
 	}
-	there := away.load()
-	from := spillFrom + spillKnown*w.knownPart(req.Service.Name, here)
-	share := (load - max(from, there+wayLoad)) / spillRange
-	// More than what makes both equal would come back.
+	there := remote.load()
+	from := spillThreshold + spillKnownBonus*w.knownFraction(req.Service.Name, here)
+	share := (load - max(from, there+remoteLoadMargin)) / spillRange
+	// Forwarding more than what makes both loads equal would bring the excess back.
 	share = min(share, (load-there)/load)
 	if w.fraction(req.Service.Name) >= share {
 		return nil
 	}
-	return away
+	return remote
 }
 
-// knownPart is the part of a plain service's calls in hand in the own region of which this
-// instance knows where they are: its own, and those of others that still run as told. With
-// one upstream there is nothing to know.
-func (w *World) knownPart(service string, here *Survey) float64 {
+// knownFraction is the fraction of a plain service's calls in the own region with a known
+// upstream: own calls, and those of others that still run as reported. With a single
+// upstream all are known.
+func (w *Snapshot) knownFraction(service string, here *Survey) float64 {
 	if here.Usable <= 1 {
 		return 1
 	}
 	others, age := w.Peers.RegionPeers(w.Now)
 	own := 1 / float64(1+others)
-	return own + (1-own)*stays(age, w.Pace.Of(service))
+	return own + (1-own)*stillRunning(age, w.CallTimes.Of(service))
 }
 
-// wayFits says whether a call that goes to another region can still be in time.
-func (w *World) wayFits(req *Request) bool {
-	took := farTime + w.Pace.Of(req.Service.Name)
-	return float64(took) <= inTime*float64(req.Route.TargetLatency)
+// roundTripFits reports whether a call that is forwarded to another region can still be in
+// time.
+func (w *Snapshot) roundTripFits(req *Request) bool {
+	took := regionRoundTrip + w.CallTimes.Of(req.Service.Name)
+	return float64(took) <= targetShare*float64(req.Route.TargetLatency)
 }
 
-// roomiest draws one of the regions with a lower load, each by its free slots: if all
-// instances chose the emptiest, it would be full before they hear of it.
-func (w *World) roomiest(load float64, regions []Away) *Away {
+// drawRegion draws one of the regions with a lower load, weighted by free slots: if all
+// instances chose the emptiest, it would be full before they receive a report of it.
+func (w *Snapshot) drawRegion(load float64, regions []RemoteRegion) *RemoteRegion {
 	room := make([]float64, len(regions))
 	total := 0.0
 	for i := range regions {
-		room[i] = max(0, (load-wayLoad-regions[i].load())*float64(regions[i].Slots))
+		room[i] = max(0, (load-remoteLoadMargin-regions[i].load())*float64(regions[i].Slots))
 		total += room[i]
 	}
 	if total == 0 {
@@ -119,5 +123,5 @@
 	return &regions[slices.Index(room, slices.Max(room))]
 }
 
-// load is the region's requests in hand by its slots.
-func (a *Away) load() float64 { return float64(a.InFlight) / float64(max(1, a.Slots)) }
+// load is the region's requests in flight per slot.
+func (a *RemoteRegion) load() float64 { return float64(a.InFlight) / float64(max(1, a.Slots)) }
--- a/pkg/steer/recent.go
+++ b/pkg/steer/recent.go
@@ -7,143 +7,145 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// Recent remembers where prompt parts were sent lately, by this instance and, as far as
-// they told, by others. It is safe for concurrent use; its size is bounded.
+// Recent records to which upstreams prompt segments were sent recently, by this instance
+// and, as far as reported, by others. It is safe for concurrent use; its size is bounded.
 type Recent struct {
-	mu    sync.Mutex
-	parts map[string]map[string]time.Time
-	// told holds this instance's own placements of large parts, oldest first.
-	told []placed
+	mu      sync.Mutex
+	holders map[string]map[string]time.Time
+	// published holds this instance's own placements of large segments, oldest first.
+	published []publishedPlacement
 }
 
-type placed struct {
+type publishedPlacement struct {
 	peer.Placement
 	at time.Time
 }
 
-// Bounds of what is remembered.
+// Bounds of what is recorded.
 const (
-	// recentParts is how many parts are remembered; each costs about 200 bytes.
-	recentParts = 8192
-	// heldFor is how long an upstream is taken to hold a part that nobody used since.
-	heldFor = 20 * time.Second
-	// leastTold is the size in tokens from which on a placement is told to others: less
-	// is read sooner than told.
-	leastTold = 1000
-	// toldFor is for how long it is told: a few rounds, so that a lost one does no harm.
-	toldFor = 2 * time.Second
-	// mostTold bounds what is told at once.
-	mostTold = 64
+	// maxSegments bounds the segments that are recorded; each costs about 200 bytes.
+	maxSegments = 8192
+	// cacheRetention is how long an upstream is assumed to cache a segment since its last
+	// use.
+	cacheRetention = 20 * time.Second
+	// minPublishedTokens is the least size in tokens of a segment with published
+	// placements: smaller ones are read sooner than published.
+	minPublishedTokens = 1000
+	// publishFor is how long a placement is published: a few gossip rounds, so that a lost
+	// one does no harm.
+	publishFor = 2 * time.Second
+	// maxPublished bounds the placements that are published at once.
+	maxPublished = 64
 )
 
-// NewRecent returns an empty memory.
-func NewRecent() *Recent { return &Recent{parts: make(map[string]map[string]time.Time)} }
+// NewRecent returns an empty Recent.
+func NewRecent() *Recent { return &Recent{holders: make(map[string]map[string]time.Time)} }
 
-// Held says whether the upstream is taken to hold the part.
-func (r *Recent) Held(part, upstream string, now time.Time) bool {
+// Held reports whether the upstream is assumed to cache the segment.
+func (r *Recent) Held(segment, upstream string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at, ok := r.parts[part][upstream]
-	return ok && now.Sub(at) < heldFor
+	at, ok := r.holders[segment][upstream]
+	return ok && now.Sub(at) < cacheRetention
 }
 
-// Holders returns the upstreams, and regions to which this instance has sent it, that
-// are taken to hold the part.
-func (r *Recent) Holders(part string, now time.Time) []string {
+// Holders returns the upstreams that are assumed to cache the segment, and the regions to
+// which this instance has forwarded it.
+func (r *Recent) Holders(segment string, now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var names []string
-	for name, at := range r.parts[part] {
-		if now.Sub(at) < heldFor {
+	for name, at := range r.holders[segment] {
+		if now.Sub(at) < cacheRetention {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// Add notes that this instance has sent the parts to the upstream.
-func (r *Recent) Add(parts []Part, upstream string, now time.Time) {
+// Add records that this instance has sent the segments to the upstream.
+func (r *Recent) Add(segments []Segment, upstream string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, part := range parts {
-		if part.Tokens < leastShared {
+	for i, segment := range segments {
+		if segment.Tokens < minSharedTokens {
 			continue
 		}
-		r.note(part.ID, upstream, now)
-		// The last part is the request's own: nobody else will ask for it.
-		if part.Tokens >= leastTold && i < len(parts)-1 {
-			r.told = append(r.told, placed{peer.Placement{Part: part.ID, Upstream: upstream}, now})
+		r.record(segment.ID, upstream, now)
+		// The last segment belongs to this request alone: no other request uses it.
+		if segment.Tokens >= minPublishedTokens && i < len(segments)-1 {
+			r.published = append(r.published, publishedPlacement{peer.Placement{Part: segment.ID, Upstream: upstream}, now})
 		}
 	}
 }
 
-// Sent notes that this instance has sent the parts to another region, whose instances
-// tell of the upstream.
-func (r *Recent) Sent(parts []Part, region string, now time.Time) {
+// Sent records that this instance has forwarded the segments to another region; the
+// instances there publish the upstream.
+func (r *Recent) Sent(segments []Segment, region string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, part := range parts {
-		if part.Tokens >= leastTold {
-			r.note(part.ID, region, now)
+	for _, segment := range segments {
+		if segment.Tokens >= minPublishedTokens {
+			r.record(segment.ID, region, now)
 		}
 	}
 }
 
-// Learn notes a placement by another instance.
+// Learn records a placement by another instance.
 func (r *Recent) Learn(placement peer.Placement, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at.After(r.parts[placement.Part][placement.Upstream]) {
-		r.note(placement.Part, placement.Upstream, at)
+	if at.After(r.holders[placement.Part][placement.Upstream]) {
+		r.record(placement.Part, placement.Upstream, at)
 	}
 }
 
-// Told returns this instance's own placements that others should know of.
+// Told returns this instance's own placements that are to be published to others.
 func (r *Recent) Told(now time.Time) []peer.Placement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := 0
-	for old < len(r.told) && (now.Sub(r.told[old].at) > toldFor || len(r.told)-old > mostTold) {
+	for old < len(r.published) && (now.Sub(r.published[old].at) > publishFor || len(r.published)-old > maxPublished) {
 		old++
 	}
-	r.told = append(r.told[:0], r.told[old:]...)
-	told := make([]peer.Placement, len(r.told))
-	for i := range r.told {
-		told[i] = r.told[i].Placement
+	r.published = append(r.published[:0], r.published[old:]...)
+	placements := make([]peer.Placement, len(r.published))
+	for i := range r.published {
+		placements[i] = r.published[i].Placement
 	}
-	return told
+	return placements
 }
 
-// note records a placement. The caller holds r.mu.
-func (r *Recent) note(part, upstream string, at time.Time) {
-	held := r.parts[part]
+// record records a placement. The caller holds r.mu.
+func (r *Recent) record(segment, upstream string, at time.Time) {
+	held := r.holders[segment]
 	if held == nil {
 		r.shrink(at)
 		held = make(map[string]time.Time, 1)
-		r.parts[part] = held
+		r.holders[segment] = held
 	}
 	held[upstream] = at
 }
 
-// shrink makes room for one more part.
+// shrink makes space for one more segment.
 func (r *Recent) shrink(now time.Time) {
-	if len(r.parts) < recentParts {
+	if len(r.holders) < maxSegments {
 		return
 	}
-	for part, at := range r.parts {
+	for segment, at := range r.holders {
 		for upstream, used := range at {
-			if now.Sub(used) >= heldFor {
+			if now.Sub(used) >= cacheRetention {
 				delete(at, upstream)
 			}
 		}
 		if len(at) == 0 {
-			delete(r.parts, part)
+			delete(r.holders, segment)
 		}
 	}
-	for part := range r.parts {
-		if len(r.parts) < recentParts {
+	for segment := range r.holders {
+		if len(r.holders) < maxSegments {
 			return
 		}
-		delete(r.parts, part)
+		delete(r.holders, segment)
 	}
 }
--- a/pkg/steer/sharing.go
+++ b/pkg/steer/sharing.go
@@ -6,36 +6,37 @@
 	"github.com/lilacweir/lilacweir/pkg/member"
 )
 
-// leastShared is the size in tokens from which on a shared part is worth steering
-// for: engines cache whole blocks of about that size.
-const leastShared = 16
-
-// sharedPart returns the prompt's last shared part, nil when nothing is shared that
-// matters. Prompts that share a later part share what comes before it as well.
-func sharedPart(req *Request) *Part {
-	if !req.Route.SharedPrompts || len(req.Parts) < 2 {
+// minSharedTokens is the least size in tokens of a shared segment that affects routing:
+// engines cache whole blocks of about that size.
+const minSharedTokens = 16
+
+// sharedSegment returns the prompt's last shared segment; nil if nothing relevant is
+// shared. Prompts that share a later segment share what comes before it as well.
+func sharedSegment(req *Request) *Segment {
+	if !req.Route.SharedPrompts || len(req.Segments) < 2 {
 		return nil
 	}
-	shared := &req.Parts[len(req.Parts)-2]
-	if shared.Tokens < leastShared {
+	shared := &req.Segments[len(req.Segments)-2]
+	if shared.Tokens < minSharedTokens {
 		return nil
 	}
 	return shared
 }
 
-// sharedTokens is the prompt without its last part, which is the request's own.
+// sharedTokens is the length of the prompt without its last segment, which belongs to the
+// request alone.
 func sharedTokens(req *Request) int {
 	total := 0
-	for _, part := range req.Parts[:len(req.Parts)-1] {
-		total += part.Tokens
+	for _, segment := range req.Segments[:len(req.Segments)-1] {
+		total += segment.Tokens
 	}
 	return total
 }
 
-// favouriteOf returns the upstream to which a shared part is hashed, so that
-// instances that know nothing of each other choose alike. That of one region is that
-// of all regions together where it lies in that region.
-func favouriteOf(shared *Part, upstreams []*fleet.Upstream) *fleet.Upstream {
+// hashedUpstream returns the upstream to which a shared segment is hashed, so that
+// instances choose alike without communication. The choice among all regions is also the
+// choice within its own region.
+func hashedUpstream(shared *Segment, upstreams []*fleet.Upstream) *fleet.Upstream {
 	if shared == nil || len(upstreams) == 0 {
 		return nil
 	}
@@ -47,30 +48,31 @@
 	return upstreams[first]
 }
 
-// sharing is where the shared parts of one request's prompt are thought to be.
-type sharing struct {
-	// tokens is the size of the shared parts; zero: nothing is shared that matters.
+// prefixLocation is where the shared segments of one request's prompt are assumed to be
+// cached.
+type prefixLocation struct {
+	// tokens is the size of the shared segments; zero if nothing relevant is shared.
 	tokens int
-	// holders are the upstreams that were sent the parts lately, holder the one that
-	// others should copy from: one of these, else the one to which the parts are hashed.
+	// holders are the upstreams that were sent the segments recently. holder is the one to
+	// copy from: one of the holders, else the upstream to which the segments are hashed.
 	holders map[string]bool
 	holder  *fleet.Upstream
-	// trust is how likely the holder holds them.
+	// trust is the probability that the holder caches them.
 	trust float64
-	// copies is true when engines can copy from each other.
+	// copies is true if engines can copy from each other.
 	copies bool
 }
 
-// sharing looks for the request's shared parts among the upstreams of the region.
-func (w *World) sharing(req *Request, upstreams []*fleet.Upstream) sharing {
-	part := sharedPart(req)
-	if part == nil {
-		return sharing{}
+// locatePrefix looks up the request's shared segments among the upstreams of the region.
+func (w *Snapshot) locatePrefix(req *Request, upstreams []*fleet.Upstream) prefixLocation {
+	segment := sharedSegment(req)
+	if segment == nil {
+		return prefixLocation{}
 	}
-	s := sharing{tokens: sharedTokens(req), holders: make(map[string]bool), copies: req.Service.Engine != nil && req.Service.Engine.Copies}
-	favourite := favouriteOf(part, upstreams)
+	s := prefixLocation{tokens: sharedTokens(req), holders: make(map[string]bool), copies: req.Service.Engine != nil && req.Service.Engine.Copies}
+	favourite := hashedUpstream(segment, upstreams)
 	for _, upstream := range upstreams {
-		if w.Recent.Held(part.ID, upstream.ID, w.Now) {
+		if w.Recent.Held(segment.ID, upstream.ID, w.Now) {
 			s.holders[upstream.ID] = true
 			if s.holder == nil || upstream == favourite {
 				s.holder = upstream
@@ -80,7 +82,7 @@
 	s.trust = 1
 	if s.holder == nil {
 		s.holder, s.trust = favourite, remoteAffinity
-		if !worthTheWay(s.tokens) || w.favouriteRegion(req, part) == w.Region {
+		if !worthRoundTrip(s.tokens) || w.favouriteRegion(req, segment) == w.Region {
 			s.trust = affinity
 		}
 	}
@@ -90,18 +92,19 @@
 	return s
 }
 
-// worthTheWay says whether shared parts of that size are gathered in one region, since
-// reading them costs more than the way there. Smaller ones are gathered in each.
-func worthTheWay(tokens int) bool {
-	return cachedWeight*affinity*float64(tokens) > wayTokens+farMargin
+// worthRoundTrip reports whether shared segments of that size are collected in one region,
+// since reading them costs more than the round trip. Smaller ones are collected in each
+// region.
+func worthRoundTrip(tokens int) bool {
+	return cachedWeight*affinity*float64(tokens) > roundTripTokens+remoteMargin
 }
 
-// known says whether the holder was sent the parts, as opposed to being where they would
-// be gathered.
-func (s *sharing) known() bool { return s.trust == 1 }
+// known reports whether the holder was sent the segments, as opposed to being the upstream
+// to which they are hashed.
+func (s *prefixLocation) known() bool { return s.trust == 1 }
 
-// held estimates how many of the shared tokens the upstream holds.
-func (s *sharing) held(upstream *fleet.Upstream) int {
+// held estimates how many of the shared tokens the upstream caches.
+func (s *prefixLocation) held(upstream *fleet.Upstream) int {
 	switch {
 	case s.tokens == 0:
 		return 0
@@ -114,49 +117,50 @@
 	}
 }
 
-// copied is how many tokens the upstream should copy from the holder.
-func (s *sharing) copied(upstream *fleet.Upstream) int {
-	if !s.copies || s.holder == nil || s.holder == upstream || s.holders[upstream.ID] || s.tokens < leastCopied {
+// copied returns how many tokens the upstream should copy from the holder.
+func (s *prefixLocation) copied(upstream *fleet.Upstream) int {
+	if !s.copies || s.holder == nil || s.holder == upstream || s.holders[upstream.ID] || s.tokens < minCopiedTokens {
 		return 0
 	}
 	return s.tokens
 }
 
-// leastCopied is the size in tokens from which on copying is worth setting up, which
-// takes about 3 ms: the time of reading that many.
-const leastCopied = 256
+// minCopiedTokens is the least size in tokens that is worth copying: setting up a copy
+// takes about 3 ms, the time of reading that many.
+const minCopiedTokens = 256
 
-// favouriteRegion returns the region of the upstream to which a shared part is hashed
-// among all that the request may go to; empty when there is none.
-func (w *World) favouriteRegion(req *Request, shared *Part) string {
-	key := gathering{service: req.Service.Name, route: req.Route, part: shared.ID}
-	if w.gathered.gathering != key {
-		w.gathered = gathered{key, w.hashedRegion(req, shared)}
+// favouriteRegion returns the region of the upstream to which a shared segment is hashed
+// among all permitted ones; empty if there is none.
+func (w *Snapshot) favouriteRegion(req *Request, shared *Segment) string {
+	key := prefixKey{service: req.Service.Name, route: req.Route, segment: shared.ID}
+	if w.prefixRegion.prefixKey != key {
+		w.prefixRegion = prefixRegion{key, w.hashedRegion(req, shared)}
 	}
-	return w.gathered.region
+	return w.prefixRegion.region
 }
 
-// gathering is a shared part that a route's requests gather in one region, gathered where
-// that is. A decision asks for it several times, and hashes all upstreams for it.
-type gathering struct {
+// prefixKey identifies a shared segment that a route's requests collect in one region, and
+// prefixRegion holds that region. It is cached because a decision asks for it several
+// times, and each computation hashes all upstreams.
+type prefixKey struct {
 	service string
 	route   *httproute.Route
-	part    string
+	segment string
 }
 
-type gathered struct {
-	gathering
+type prefixRegion struct {
+	prefixKey
 	region string
 }
 
-func (w *World) hashedRegion(req *Request, shared *Part) string {
+func (w *Snapshot) hashedRegion(req *Request, shared *Segment) string {
 	var permitted []*fleet.Upstream
 	for _, upstream := range w.Fleet.Service(req.Service.Name) {
 		if w.usable(upstream) && req.Route.PermittedIn(upstream.Region) {
 			permitted = append(permitted, upstream)
 		}
 	}
-	if favourite := favouriteOf(shared, permitted); favourite != nil {
+	if favourite := hashedUpstream(shared, permitted); favourite != nil {
 		return favourite.Region
 	}
 	return ""
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -1,8 +1,8 @@
-// Package steer decides which discovered upstream, or which other region, gets a
-// request of a declared route.
+// Package steer decides which discovered upstream, or which other region, gets a request of
+// a declared route.
 //
-// A decision is a pure function of snapshots, local counts, a clock and a random
-// number: it does no input or output and waits for nothing.
+// A decision is a pure function of snapshots, local counts, a clock and a random number: it
+// does no I/O and does not block.
 package steer
 
 import (
@@ -15,152 +15,153 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// Part is one part of a prompt. A part is cached for a request only where all parts
-// before it are cached too.
-type Part struct {
+// Segment is one segment of a prompt. A segment is cached for a request only if all
+// segments before it are cached too.
+type Segment struct {
 	ID     string
 	Tokens int
 }
 
-// Request is what a decision needs to know of a request.
+// Request holds the properties of a request that a decision depends on.
 type Request struct {
 	Route   *httproute.Route
 	Service *httproute.Service
-	// Parts are the prompt's parts in order; the last belongs to the request or its
+	// Segments are the prompt's segments in order; the last belongs to the request or its
 	// session alone.
-	Parts []Part
-	// PromptTokens is the whole prompt.
+	Segments []Segment
+	// PromptTokens is the length of the whole prompt.
 	PromptTokens int
-	// Contended is true while more urgent requests of the service find no room in time.
+	// Contended is true while more urgent requests of the service find no capacity in time.
 	Contended bool
 	// Tried names the upstreams and instances that must not be chosen again.
 	Tried []string
 }
 
-// Local is what this instance knows at first hand of an upstream.
+// Local provides this instance's own load at an upstream.
 type Local interface {
 	Load(upstream string) limit.Load
 }
 
-// World is the snapshots that a decision reads. Each decision has its own.
-type World struct {
+// Snapshot is the state that a decision reads. Each decision has its own.
+type Snapshot struct {
 	Region string
 	Fleet  *fleet.View
 	Peers  *peer.View
 	Local  Local
-	// Admits says whether an upstream may get one more request now, as far as it is, or
-	// may be, cold.
+	// Admits reports whether an upstream that is or may be cold can take one more request
+	// now.
 	Admits func(u *fleet.Upstream, service *httproute.Service) bool
-	// Named is the limit that an upstream names, and LimitWait how long this instance must not
-	// send to it for that; nil: there are none.
+	// Named returns the rate limit that an upstream advertises, and LimitWait how long this
+	// instance must not send to it because of that limit. Both are nil if there are no
+	// limits.
 	Named     func(upstream string) limit.Named
 	LimitWait func(u *fleet.Upstream) time.Duration
-	// Leaving says whether an upstream has said itself that it leaves; nil: none has.
+	// Leaving reports whether an upstream has announced that it is leaving; nil if none
+	// has.
 	Leaving func(upstream string) bool
-	// Recent is where prompt parts went lately, Pace how long plain calls take, Estimates
-	// how long engines take to begin an answer.
+	// Recent records where prompt segments were sent recently, CallTimes how long plain
+	// calls take, Estimates how long engines take to begin an answer.
 	Recent    *Recent
-	Pace      *Pace
+	CallTimes *CallTimes
 	Estimates *Estimator
-	// Flow is what this instance sends.
-	Flow *Flow
-	Now  time.Time
-	// Random is a random number.
+	// Flow measures what this instance sends.
+	Flow   *Flow
+	Now    time.Time
 	Random uint64
-	// gathered is the last answer of favouriteRegion.
-	gathered gathered
+	// prefixRegion caches the last result of favouriteRegion.
+	prefixRegion prefixRegion
 }
 
 // Weights of a candidate's cost, in prompt tokens that an engine would have to read.
 const (
-	// tokensPerRequest is what a running request costs those beside it: its share of
-	// each step of the batch.
+	// tokensPerRequest is the cost of a running request to those that run beside it: its
+	// share of each step of the batch.
 	tokensPerRequest = 15
-	// queuedPenalty is added for each request beyond the slots: it waits until one of those
-	// that run ends. It is below what an engine reads meanwhile, so that a short queue does
-	// not drive prompts from the upstreams that hold their parts.
+	// queuedPenalty is added for each request beyond the slots, which waits until a running
+	// one ends. It is less than what an engine reads meanwhile, so that a short queue does
+	// not drive prompts away from the upstreams that cache their segments.
 	queuedPenalty = 500
-	// backlogWeight is what an unread token in hand at an upstream counts: they count whole
-	// until their answer begins and are half read on the average, and what is known of them
-	// is old.
+	// backlogWeight is the cost of an unread token at an upstream. Prompts count in full
+	// until their answer begins, when they are half read on average, and the reports are
+	// old.
 	backlogWeight = 0.3
-	// plainSpread is by how much the load of a plain service's upstream is taken to be
-	// higher, at random: what is known of the others' work is up to a round old, and
-	// instances that all believe the same would all send to the same upstream.
-	plainSpread = 0.5
-	// spread is the largest random cost in units of what others have sent unseen; it is half
-	// of that on the average.
-	spread = 5.0
-	// affinity is the part of a shared prompt part that counts as cached at the
-	// upstream to which it is hashed, when nothing is known of it.
+	// plainJitter is the largest relative random increase of the load of a plain service's
+	// upstream: reports are up to a gossip round old, and instances with the same reports
+	// would all choose the same upstream.
+	plainJitter = 0.5
+	// engineJitter is the largest random cost relative to the tokens that others have sent
+	// unreported; the average is half of that.
+	engineJitter = 5.0
+	// affinity is the share of a shared segment that counts as cached at the upstream to
+	// which it is hashed, if no placement of it is known.
 	affinity = 0.75
-	// remoteAffinity is the same for parts that are gathered in another region: little, but
-	// enough for those that stay here to meet at one upstream.
+	// remoteAffinity is the same for segments that are collected in another region: little,
+	// but enough for those that stay here to meet at one upstream.
 	remoteAffinity = 0.15
-	// copyCost is what a token costs that is to be copied from an upstream that is known to
-	// hold it, in tokens that are read. The way itself takes a third of the time of reading
-	// (164 KB over 260 Gbit/s); the rest stands for copies that come to nothing, as the
-	// holder has not read the part yet or has dropped it, and for the room that a further
-	// copy takes from other parts.
+	// copyCost is the cost of a token that is copied from an upstream known to cache it,
+	// relative to one that is read. The transfer takes a third of the time of reading (164
+	// KB over 260 Gbit/s). The rest is for copies that fail, because the holder has not
+	// read the segment yet or has dropped it, and for the cache space that a further copy
+	// takes from other segments.
 	copyCost = 0.6
-	// cachedWeight raises what a second reading costs: it also drives out what other
-	// requests would have found.
+	// cachedWeight raises the cost of reading a prompt again, which also evicts what other
+	// requests would have found in the cache.
 	cachedWeight = 1.5
 )
 
-// Candidate is an upstream with what the request would meet there.
+// Candidate is an upstream with the load and cost that the request would meet there.
 type Candidate struct {
 	Upstream *fleet.Upstream
 	// Cost orders candidates; lower is better. For engines it is in prompt tokens.
 	Cost float64
 	// InFlight and Prefill are the work of all instances there.
 	InFlight, Prefill int
-	// Uncached estimates the prompt tokens that it would have to read.
+	// Uncached estimates the prompt tokens that the upstream would have to read.
 	Uncached int
-	// First predicts, for engines, after what time the answer begins; Late says that it
-	// would be too late for the route's target.
+	// First is, for engines, the predicted time until the answer begins; Late is true if
+	// that is too late for the route's target.
 	First time.Duration
 	Late  bool
-	// Source is the upstream from which it should copy what that one holds of the
-	// prompt; nil when nobody is known to hold more.
+	// Source is the upstream from which it should copy the cached segments of the prompt;
+	// nil if no upstream is known to cache more.
 	Source *fleet.Upstream
 }
 
-// Full says whether every slot is taken.
+// Full reports whether every slot is taken.
 func (c *Candidate) Full() bool { return c.InFlight >= c.Upstream.Slots }
 
-// Survey is what a look at the own region's upstreams found.
+// Survey is the state of the own region's upstreams for one request.
 type Survey struct {
 	// Best is the cheapest candidate; its Upstream is nil when there is none.
 	Best Candidate
-	// Known counts upstreams of the service in the region, Usable those that may get
-	// work, Slots and InFlight add up over the usable ones.
+	// Known counts the upstreams of the service in the region and Usable those that may get
+	// work. Slots, InFlight and Prefill are sums over the usable ones.
 	Known, Usable, Slots, InFlight, Prefill int
-	// Cold counts those that were passed over because they are cold, Resting those that
-	// were because they failed or rejected a request lately, or have asked for rest; RestWait
-	// is the shortest time until one of the latter gets a request again.
-	Cold, Resting int
-	RestWait      time.Duration
-	// Limited counts those that were passed over for the limit that they name, LimitWait is
-	// the shortest time until one of them may get a request.
+	// Cold counts the upstreams skipped because they are cold. BackingOff counts those
+	// skipped because they failed or rejected a request recently, or requested a backoff;
+	// BackoffWait is the shortest time until one of the latter gets a request.
+	Cold, BackingOff int
+	BackoffWait      time.Duration
+	// Limited counts the upstreams skipped because of the limit that they advertise,
+	// LimitWait is the shortest time until one of them may get a request.
 	Limited   int
 	LimitWait time.Duration
 }
 
-// usable says whether an upstream may get new work. Its own word that it leaves counts whatever
-// the store says, which may be away or behind.
-func (w *World) usable(u *fleet.Upstream) bool {
+// usable reports whether an upstream may get new work. Its own announcement that it is
+// leaving overrides the store, which may be unreachable or behind.
+func (w *Snapshot) usable(u *fleet.Upstream) bool {
 	return w.Fleet.Usable(u) && (w.Leaving == nil || !w.Leaving(u.ID))
 }
 
-// Look surveys the own region.
-func (w *World) Look(req *Request) Survey {
+// SurveyRegion returns the state of the own region's upstreams.
+func (w *Snapshot) SurveyRegion(req *Request) Survey {
 	var survey Survey
 	upstreams := w.regional(req.Service.Name)
-	shared := w.sharing(req, upstreams)
+	shared := w.locatePrefix(req, upstreams)
 	forecast := w.Estimates.Forecast(req.Service.Name, w.Now)
-	unseen := w.unseen(req.Service.Name, len(upstreams))
-	others, mean := w.told(upstreams)
+	unseen := w.unreportedTokens(req.Service.Name, len(upstreams))
+	others, mean := w.reported(upstreams)
 	_, age := w.Peers.RegionPeers(w.Now)
 	for i, upstream := range upstreams {
 		survey.Known++
@@ -177,12 +178,12 @@
 			continue
 		}
 		if req.Service.Engine == nil {
-			// The call itself counts: idle upstreams are chosen at random as well.
-			load := 1 + float64(own.InFlight) + expected(float64(others[i].InFlight), mean, age, w.Pace.Of(req.Service.Name))
-			c.Cost = load * (1 + plainSpread*w.fraction(upstream.ID))
+			// The call itself counts, so that idle upstreams are chosen at random as well.
+			load := 1 + float64(own.InFlight) + expectedLoad(float64(others[i].InFlight), mean, age, w.CallTimes.Of(req.Service.Name))
+			c.Cost = load * (1 + plainJitter*w.fraction(upstream.ID))
 		} else {
 			w.cost(req, &c, &shared)
-			c.Cost += spread * backlogWeight * unseen * w.fraction(upstream.ID)
+			c.Cost += engineJitter * backlogWeight * unseen * w.fraction(upstream.ID)
 			w.predict(req, &c, &forecast, own.Holding)
 		}
 		if survey.Best.Upstream == nil || w.better(&c, &survey.Best) {
@@ -192,14 +193,14 @@
 	return survey
 }
 
-// usable says whether the upstream may be considered, and counts why not.
-func (s *Survey) usable(w *World, req *Request, upstream *fleet.Upstream, own *limit.Load) bool {
+// usable reports whether the upstream may be considered, and counts the reason if not.
+func (s *Survey) usable(w *Snapshot, req *Request, upstream *fleet.Upstream, own *limit.Load) bool {
 	switch {
 	case own.Ejected:
-		s.Resting++
-	case own.Rest > 0:
-		s.RestWait = shortest(s.RestWait, own.Asked)
-		s.Resting++
+		s.BackingOff++
+	case own.Backoff > 0:
+		s.BackoffWait = shortest(s.BackoffWait, own.RequestedBackoff)
+		s.BackingOff++
 	case tried(req, upstream.ID):
 	case !w.Admits(upstream, req.Service):
 		s.Cold++
@@ -210,8 +211,8 @@
 	return false
 }
 
-// limited says whether an upstream's limit keeps this instance from sending to it, and counts
-// it if so.
+// limited reports whether an upstream's advertised limit forbids sending to it now, and
+// counts it if so.
 func (s *Survey) limited(wait time.Duration) bool {
 	if wait == 0 {
 		return false
@@ -221,11 +222,11 @@
 	return true
 }
 
-// Wait is the shortest time until an upstream may get a request that wants nothing now, or takes no
-// more by its limit; zero: there is none.
-func (s *Survey) Wait() time.Duration { return shortest(s.RestWait, s.LimitWait) }
+// Wait returns the shortest time until an upstream that requested a backoff, or whose limit
+// is used up, may get a request; zero if there is none.
+func (s *Survey) Wait() time.Duration { return shortest(s.BackoffWait, s.LimitWait) }
 
-// shortest returns the shorter of two times of which zero means that there is none.
+// shortest returns the shorter of two times; zero means that there is none.
 func shortest(a, b time.Duration) time.Duration {
 	if a == 0 || b == 0 {
 		return max(a, b)
@@ -233,21 +234,21 @@
 	return min(a, b)
 }
 
-// slots is how many requests an upstream works on at once, as far as the limit that it names
-// lets it.
-func (w *World) slots(upstream *fleet.Upstream, service *httproute.Service) int {
+// slots returns how many requests an upstream runs at once, within the limit that it
+// advertises.
+func (w *Snapshot) slots(upstream *fleet.Upstream, service *httproute.Service) int {
 	if w.Named == nil {
 		return upstream.Slots
 	}
-	holding := usualHolding
+	holding := defaultHolding
 	if service.Engine == nil {
-		holding = w.Pace.Of(service.Name)
+		holding = w.CallTimes.Of(service.Name)
 	}
 	return w.Named(upstream.ID).Slots(upstream.Slots, holding)
 }
 
 // regional returns the service's upstreams in the own region.
-func (w *World) regional(service string) []*fleet.Upstream {
+func (w *Snapshot) regional(service string) []*fleet.Upstream {
 	all := w.Fleet.Service(service)
 	kept := make([]*fleet.Upstream, 0, len(all))
 	for _, upstream := range all {
@@ -258,10 +259,11 @@
 	return kept
 }
 
-// unseen is how many prompt tokens the others have sent to an engine of the region, on the
-// average, since they were last heard. Where they went is not known: the same news makes
-// all of them choose alike. A random cost in proportion to it keeps them apart.
-func (w *World) unseen(service string, engines int) float64 {
+// unreportedTokens returns how many prompt tokens the others have sent to an engine of the
+// region, on average, since their last reports. Where they went is not known: the same
+// reports make all instances choose alike. A random cost in proportion to the result
+// spreads their choices.
+func (w *Snapshot) unreportedTokens(service string, engines int) float64 {
 	if engines == 0 {
 		return 0
 	}
@@ -269,8 +271,8 @@
 	return w.Flow.Of(service, w.Now) * float64(others) / float64(engines) * age.Seconds()
 }
 
-// fraction is a random number from 0 to 1 for one upstream and this decision.
-func (w *World) fraction(upstream string) float64 {
+// fraction returns a random number from 0 to 1 for one upstream and this decision.
+func (w *Snapshot) fraction(upstream string) float64 {
 	return float64(member.Key("spread", upstream)*(w.Random|1)>>11) / (1 << 53)
 }
 
@@ -283,17 +285,18 @@
 	return false
 }
 
-// told is the others' work at the upstreams, and their mean requests at one.
-func (w *World) told(upstreams []*fleet.Upstream) (others []peer.Load, mean float64) {
+// reported returns the reported work of other instances at the upstreams, and the mean of
+// their requests at one.
+func (w *Snapshot) reported(upstreams []*fleet.Upstream) (others []peer.Load, mean float64) {
 	others = make([]peer.Load, len(upstreams))
 	for i, upstream := range upstreams {
 		others[i] = w.Peers.Upstream(upstream.ID)
 	}
-	return others, meanOf(others)
+	return others, meanInFlight(others)
 }
 
-// cost estimates what the request would cost at an engine.
-func (w *World) cost(req *Request, c *Candidate, shared *sharing) {
+// cost sets what the request would cost at an engine.
+func (w *Snapshot) cost(req *Request, c *Candidate, shared *prefixLocation) {
 	beyond := max(0, c.InFlight+1-c.Upstream.Slots)
 	c.Uncached = max(0, req.PromptTokens-shared.held(c.Upstream))
 	read := float64(c.Uncached)
