--- a/pkg/edge/bed_test.go
+++ b/pkg/edge/bed_test.go
@@ -83,7 +83,7 @@
 	reading := Reading{RequestID: fields.Get(testID), NotRun: fields.Get(testNotRun) != "", Proven: fields.Get(testProof) != "", Leaving: fields.Get(testLeaving) != ""}
 	if seconds, err := strconv.ParseFloat(fields.Get("Retry-After"), 64); err == nil {
 		reading.RetryAfter = time.Duration(seconds * float64(time.Second))
-		reading.Resting = status == http.StatusServiceUnavailable
+		reading.BackingOff = status == http.StatusServiceUnavailable
 	}
 	reading.Upstream = fields.Get(testInstance)
 	if ms, err := strconv.Atoi(fields.Get(testColdMS)); err == nil {
--- a/pkg/edge/dialect.go
+++ b/pkg/edge/dialect.go
@@ -55,7 +55,7 @@
 	// RetryAfter is when the server asks to come back; zero when it does not say. Resting is
 	// true where it turned the request away and wants nothing from this instance until then.
 	RetryAfter time.Duration
-	Resting    bool
+	BackingOff bool
 	// Limit is how many requests a second the server says that it takes from all instances
 	// together. LimitErr is set where it says something that is no number.
 	Limit    limit.Named
--- a/pkg/edge/state.go
+++ b/pkg/edge/state.go
@@ -67,7 +67,7 @@
 
 // noteRest takes an upstream's word that it wants nothing from this instance for a while.
 func (e *Edge) noteRest(upstream *fleet.Upstream, reading *Reading) {
-	if !reading.Resting {
+	if !reading.BackingOff {
 		return
 	}
 	before := e.tracker.AskedRest(upstream.ID)
