--- a/pkg/edge/admits_bench_test.go
+++ b/pkg/edge/admits_bench_test.go
@@ -18,7 +18,7 @@
 	settings := &Settings{Instance: "n-0", Region: testRegion}
 	settings.Limits.fill()
 	e := &Edge{
-		settings: settings, clock: clock.System{}, began: time.Now().Add(-time.Hour), suspicions: newSuspicions(),
+		settings: settings, clock: clock.System{}, startedAt: time.Now().Add(-time.Hour), suspicions: newSuspicions(),
 		tracker: limit.NewTracker(clock.System{}, nil),
 		self:    fleet.Instance{Name: "n-0", Region: testRegion},
 		cold:    limit.NewColdShares(time.Now), gossip: peer.New(peer.Options{Clock: clock.System{}}),
--- a/pkg/edge/attempt.go
+++ b/pkg/edge/attempt.go
@@ -15,26 +15,26 @@
 		return j.forward(ctx, to)
 	}
 	upstream := to.survey.Best.Upstream
-	if !j.takeLimited(upstream) {
+	if !j.takeLimitShare(upstream) {
 		j.tried = append(j.tried, upstream.ID)
 		return notRun
 	}
-	j.countUnwanted(upstream)
+	j.countUnwantedSends(upstream)
 	flight, ok := j.tracker.Start(upstream.ID, to.survey.Best.Uncached, 0)
 	j.tried = append(j.tried, upstream.ID)
 	if !ok {
 		return notRun
 	}
-	if to.survey.Best.Uncached >= urgentTokens {
+	if to.survey.Best.Uncached >= longPromptTokens {
 		j.gossip.RequestRound()
 	}
 	if j.service.ColdRate > 0 {
 		// One that turns cold has to bear what it got just before.
 		j.cold.Sent(upstream.ID)
-		j.countUnasked(upstream)
+		j.countUnconfirmed(upstream)
 	}
 	if j.mayBeCold(upstream, j.service) {
-		j.counts.cold(upstream.ID)
+		j.counts.sentCold(upstream.ID)
 	}
 	j.recent.Add(j.attributes.Parts, upstream.ID, j.now())
 	j.flow.Add(j.service.Name, to.survey.Best.Uncached, j.now())
@@ -43,8 +43,8 @@
 		to:     to,
 		pool:   j.upstreams,
 		target: exchange.Target{ID: upstream.ID, Address: upstream.Address, MaxConnections: j.connectionShare()},
-		send:   Send{Left: j.deadline.Sub(j.now()), Upstream: upstream.Name, Priority: j.route.Priority, After: j.after()},
-		begun:  j.begun(flight, &to.survey.Best),
+		send:   Send{Left: j.deadline.Sub(j.now()), Upstream: upstream.Name, Priority: j.route.Priority, After: j.resumeAfter()},
+		onPart: j.firstByteObserver(flight, &to.survey.Best),
 	}
 	if source := to.survey.Best.Source; source != nil {
 		call.send.Source = source.Address
@@ -55,20 +55,20 @@
 		attempt, end := context.WithCancelCause(ctx)
 		defer end(nil)
 		ctx = attempt
-		stream := &pulse{service: j.service.Name, sent: sent}
+		stream := &monitoredStream{service: j.service.Name, sent: sent}
 		if j.route.Repeatable() {
-			stream.end = end
+			stream.cancel = end
 		}
-		defer j.pulses.begin(upstream.ID, stream)()
-		call.heard = func() { j.pulses.hear(stream, j.now()) }
+		defer j.streams.add(upstream.ID, stream)()
+		call.onData = func() { j.streams.received(stream, j.now()) }
 	}
 	ended := call.do(ctx)
-	flight.Done(call.verdict(ended))
+	flight.Done(call.upstreamResult(ended))
 	switch {
-	case ended == broken && !call.whole && context.Cause(ctx) == nil:
-		j.brokeOff(ctx, upstream)
+	case ended == broken && !call.complete && context.Cause(ctx) == nil:
+		j.handleBrokenAnswer(ctx, upstream)
 	case ended == done && call.status < http.StatusMultipleChoices:
-		j.ranWell()
+		j.ranToCompletion()
 	}
 	if ended != done {
 		j.suspect(upstream, call.err)
@@ -81,14 +81,14 @@
 
 // begun returns what is to be called each time that a part of the answer comes; the first
 // time counts.
-func (j *job) begun(flight *limit.Flight, at *steer.Candidate) func() {
+func (j *job) firstByteObserver(flight *limit.Flight, candidate *steer.Candidate) func() {
 	sent := j.now()
 	first := true
 	return func() {
 		flight.FirstByte()
 		if first && j.service.Engine != nil {
 			now := j.now()
-			j.estimates.Observe(at, now.Sub(sent), now)
+			j.estimates.Observe(candidate, now.Sub(sent), now)
 		}
 		first = false
 	}
@@ -109,21 +109,21 @@
 		to:       to,
 		pool:     j.peers,
 		target:   exchange.Target{ID: to.peer.Instance.Peers, Address: to.peer.Instance.Peers},
-		send:     Send{Left: j.deadline.Sub(j.now()), After: j.after()},
-		begun:    flight.FirstByte,
+		send:     Send{Left: j.deadline.Sub(j.now()), After: j.resumeAfter()},
+		onPart:   flight.FirstByte,
 		peer:     true,
-		attempts: to.attempts(j),
+		attempts: to.grantedAttempts(j),
 	}
 	ended := call.do(ctx)
-	flight.Done(call.regionVerdict(ended))
+	flight.Done(call.regionResult(ended))
 	return ended
 }
 
 // regionVerdict tells how the attempt ended to the tracker of the other region: that one
 // of its instances leaves or has no configuration says nothing of the region.
-func (c *call) regionVerdict(ended result) limit.Result {
+func (c *call) regionResult(ended result) limit.Result {
 	switch {
-	case c.regionFull:
+	case c.regionOverloaded:
 		return limit.Rejected
 	case ended == done:
 		return limit.Succeeded
@@ -133,7 +133,7 @@
 }
 
 // after is the event after which a stream goes on.
-func (j *job) after() string {
+func (j *job) resumeAfter() string {
 	if j.writer.lastEvent != "" {
 		return j.writer.lastEvent
 	}
@@ -149,7 +149,7 @@
 }
 
 // verdict tells how the attempt ended to the upstream's tracker.
-func (c *call) verdict(ended result) limit.Result {
+func (c *call) upstreamResult(ended result) limit.Result {
 	switch ended {
 	case done:
 		if c.status >= http.StatusInternalServerError {
@@ -163,7 +163,7 @@
 		// an attempt, and it may be back at any time.
 		return limit.Rejected
 	default:
-		if c.status != 0 && c.whole {
+		if c.status != 0 && c.complete {
 			return limit.Abandoned
 		}
 		return limit.Failed
--- a/pkg/edge/call.go
+++ b/pkg/edge/call.go
@@ -18,7 +18,7 @@
 
 // maxHeld bounds, in bytes, an answer that is held until it is whole; a longer one
 // is passed on as it comes.
-const maxHeld = 64 << 10
+const maxBuffered = 64 << 10
 
 // call is one attempt at one target.
 type call struct {
@@ -28,8 +28,8 @@
 	target exchange.Target
 	send   Send
 	// begun is called when a part of the answer has come, and so is heard if it is not nil.
-	begun func()
-	heard func()
+	onPart func()
+	onData func()
 	// peer is true when the target is another instance, which may run the request on
 	// as many upstreams as attempts says.
 	peer     bool
@@ -38,15 +38,15 @@
 	sent time.Time
 	// status is that of the answer; zero: none came. whole is true once all of it was
 	// read.
-	status int
-	whole  bool
+	status   int
+	complete bool
 	// regionFull is true when another instance refused for want of capacity.
-	regionFull bool
-	err        error
+	regionOverloaded bool
+	err              error
 }
 
 // held is a whole answer in memory.
-type held struct {
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -56,7 +56,7 @@
 func (c *call) do(ctx context.Context) result {
 	c.send.Keyed, c.send.Organisation = c.config.Keyed(), c.organisationName()
 	fields := c.dialect.Outgoing(c.request.Header, c.send)
-	c.nameOrganisation(fields)
+	c.setOrganisation(fields)
 	fields.Del(header.Attempts)
 	if c.peer {
 		fields.Set(header.Attempts, strconv.Itoa(c.attempts))
@@ -67,19 +67,19 @@
 		Host:   c.request.Host,
 		Header: fields,
 		Body:   c.body,
-		Ours:   c.ours,
+		Ours:   c.matchesRequest,
 	})
 	if err != nil {
-		return c.failed(ctx, err)
+		return c.classifyFailure(ctx, err)
 	}
 	defer answer.Close()
-	c.sends += c.arrivals(answer)
+	c.sends += c.upstreamSends(answer)
 	c.status = answer.Status
-	return c.judge(ctx, answer)
+	return c.handleHead(ctx, answer)
 }
 
 // failed classifies an attempt without a whole answer.
-func (c *call) failed(ctx context.Context, err error) result {
+func (c *call) classifyFailure(ctx context.Context, err error) result {
 	c.err, c.lastError = err, err
 	var failure *exchange.Error
 	unsent := errors.As(err, &failure) && failure.Stage == exchange.Unsent
@@ -89,7 +89,7 @@
 	if c.request.Context().Err() != nil {
 		return callerGone
 	}
-	c.noteAttempt(unsent)
+	c.logFailedAttempt(unsent)
 	if unsent {
 		return notRun
 	}
@@ -98,7 +98,7 @@
 
 // ours says whether an answer belongs to the request that was sent. Refusals need
 // not name it.
-func (c *call) ours(status int, fields http.Header) bool {
+func (c *call) matchesRequest(status int, fields http.Header) bool {
 	reading := c.dialect.Reading(status, fields)
 	if reading.RequestID == "" && c.attributes.RequestID != "" {
 		return reading.NotRun || status >= http.StatusBadRequest
@@ -107,34 +107,34 @@
 }
 
 // judge decides from the answer's head what becomes of it.
-func (c *call) judge(ctx context.Context, answer *exchange.Answer) result {
+func (c *call) handleHead(ctx context.Context, answer *exchange.Answer) result {
 	reading := c.dialect.Reading(answer.Status, answer.Header)
 	if !c.peer {
-		c.noteState(c.to.survey.Best.Upstream, &reading, c.sent)
+		c.recordState(c.to.survey.Best.Upstream, &reading, c.sent)
 	}
 	if reading.NotRun || c.refusedByPeer(answer) {
-		c.regionFull = c.full(answer)
-		c.quarantineAsTold(answer, reading.RetryAfter)
-		c.drain(answer)
-		c.noteRejection()
+		c.regionOverloaded = c.reportsOverload(answer)
+		c.adoptQuarantine(answer, reading.RetryAfter)
+		c.discardBody(answer)
+		c.logRejection()
 		return notRun
 	}
 	if !reading.Proven && answer.Status < http.StatusMultipleChoices {
 		answer.Spoil()
-		return c.odd("answer without the server's signature")
+		return c.rejectAnswer("answer without the server's signature")
 	}
 	if c.route.Kind == httproute.Streaming && answer.Status == http.StatusOK {
-		return c.stream(ctx, answer)
+		return c.relayStream(ctx, answer)
 	}
-	if c.writer.begun {
-		return c.odd("the stream cannot be resumed")
+	if c.writer.started {
+		return c.rejectAnswer("the stream cannot be resumed")
 	}
-	return c.answer(ctx, answer)
+	return c.relayAnswer(ctx, answer)
 }
 
 // arrivals is how often the request has come to an upstream by this attempt: another
 // instance that refuses tells how often it has sent it.
-func (c *call) arrivals(answer *exchange.Answer) int {
+func (c *call) upstreamSends(answer *exchange.Answer) int {
 	if !c.refusedByPeer(answer) {
 		return 1
 	}
@@ -151,7 +151,7 @@
 }
 
 // full says whether another instance refused for want of capacity in its region.
-func (c *call) full(answer *exchange.Answer) bool {
+func (c *call) reportsOverload(answer *exchange.Answer) bool {
 	switch outcome.Reason(answer.Header.Get(header.Reason)) {
 	case outcome.ReasonOverloaded, outcome.ReasonNoUpstream:
 		return c.refusedByPeer(answer)
@@ -161,27 +161,27 @@
 }
 
 // quarantineAsTold takes another instance's word that the request is quarantined.
-func (c *call) quarantineAsTold(answer *exchange.Answer, retryAfter time.Duration) {
+func (c *call) adoptQuarantine(answer *exchange.Answer, retryAfter time.Duration) {
 	if c.refusedByPeer(answer) && outcome.Reason(answer.Header.Get(header.Reason)) == outcome.ReasonQuarantined {
-		c.noteQuarantine(c.fingerprint(), c.quarantine.Hold(c.fingerprint(), retryAfter))
+		c.logQuarantine(c.fingerprint(), c.quarantine.Hold(c.fingerprint(), retryAfter))
 	}
 }
 
 // drain reads the rest of a refusal so that its connection can be kept.
-func (c *call) drain(answer *exchange.Answer) {
-	if n, err := io.CopyN(io.Discard, answer, maxHeld); err == nil {
+func (c *call) discardBody(answer *exchange.Answer) {
+	if n, err := io.CopyN(io.Discard, answer, maxBuffered); err == nil {
 		c.log.Debug().Int64(event.KeyBytes, n).Msg(string(event.RefusalTooLong))
 	}
 }
 
 // oddError is an answer that cannot be passed on.
-type oddError struct{ problem string }
+type invalidAnswerError struct{ problem string }
 
 // Error implements error.
-func (e *oddError) Error() string { return e.problem }
+func (e *invalidAnswerError) Error() string { return e.problem }
 
-func (c *call) odd(problem string) result {
-	c.err = &oddError{problem: problem}
+func (c *call) rejectAnswer(problem string) result {
+	c.err = &invalidAnswerError{problem: problem}
 	c.lastError = c.err
 	c.failedLog.Warn().Str(event.KeyRequest, c.attributes.RequestID).Str(event.KeyTarget, c.to.name()).
 		Int(event.KeyStatus, c.status).Str(event.KeyProblem, problem).Msg(string(event.AnswerOdd))
@@ -189,54 +189,54 @@
 }
 
 // answer passes on an answer that is no stream.
-func (c *call) answer(ctx context.Context, answer *exchange.Answer) result {
-	body, err := io.ReadAll(io.LimitReader(answer, maxHeld))
+func (c *call) relayAnswer(ctx context.Context, answer *exchange.Answer) result {
+	body, err := io.ReadAll(io.LimitReader(answer, maxBuffered))
 	if err != nil {
-		return c.failed(ctx, &exchange.Error{Stage: exchange.Sent, Target: c.target, Err: err})
+		return c.classifyFailure(ctx, &exchange.Error{Stage: exchange.Sent, Target: c.target, Err: err})
 	}
-	c.begun()
-	if !answer.Whole() && len(body) == maxHeld {
-		return c.long(ctx, answer, body)
+	c.onPart()
+	if !answer.Whole() && len(body) == maxBuffered {
+		return c.relayLongAnswer(ctx, answer, body)
 	}
-	c.whole = true
-	whole := &held{status: answer.Status, header: c.dialect.Answer(answer.Header), body: body}
+	c.complete = true
+	whole := &bufferedAnswer{status: answer.Status, header: c.dialect.Answer(answer.Header), body: body}
 	if answer.Status >= http.StatusInternalServerError && c.route.Repeatable() {
-		c.kept = whole
-		c.err = &oddError{problem: fmt.Sprintf("the upstream answered %d", answer.Status)}
+		c.upstreamFailure = whole
+		c.err = &invalidAnswerError{problem: fmt.Sprintf("the upstream answered %d", answer.Status)}
 		c.lastError = c.err
-		c.noteAttempt(false)
+		c.logFailedAttempt(false)
 		return broken
 	}
-	return c.give(whole)
+	return c.deliver(whole)
 }
 
 // give passes on an answer that is in memory.
-func (c *job) give(whole *held) result {
-	if err := c.writer.whole(whole); err != nil {
+func (c *job) deliver(whole *bufferedAnswer) result {
+	if err := c.writer.writeAnswer(whole); err != nil {
 		return callerGone
 	}
 	return done
 }
 
 // long passes on an answer that is too long to be held.
-func (c *call) long(ctx context.Context, answer *exchange.Answer, first []byte) result {
-	if err := c.writer.begin(answer.Status, c.dialect.Answer(answer.Header), answer.Length); err != nil {
+func (c *call) relayLongAnswer(ctx context.Context, answer *exchange.Answer, first []byte) result {
+	if err := c.writer.writeHead(answer.Status, c.dialect.Answer(answer.Header), answer.Length); err != nil {
 		return callerGone
 	}
-	if err := c.writer.pass(first); err != nil {
+	if err := c.writer.writePart(first); err != nil {
 		return callerGone
 	}
-	buffer := make([]byte, maxHeld)
+	buffer := make([]byte, maxBuffered)
 	for {
 		n, err := answer.Read(buffer)
-		if passed := c.writer.pass(buffer[:n]); passed != nil {
+		if passed := c.writer.writePart(buffer[:n]); passed != nil {
 			return callerGone
 		}
 		if errors.Is(err, io.EOF) {
 			return done
 		}
 		if err != nil {
-			return c.failed(ctx, &exchange.Error{Stage: exchange.Sent, Target: c.target, Err: err})
+			return c.classifyFailure(ctx, &exchange.Error{Stage: exchange.Sent, Target: c.target, Err: err})
 		}
 	}
 }
--- a/pkg/edge/cold_test.go
+++ b/pkg/edge/cold_test.go
@@ -24,7 +24,7 @@
 		settings := &Settings{Instance: "n-0", Region: testRegion}
 		settings.Limits.ColdFactor = 1
 		e := &Edge{
-			settings: settings, clock: clock.System{}, began: time.Now(), suspicions: newSuspicions(),
+			settings: settings, clock: clock.System{}, startedAt: time.Now(), suspicions: newSuspicions(),
 			self: fleet.Instance{Name: "n-0", Region: testRegion},
 			cold: limit.NewColdShares(time.Now), gossip: peer.New(peer.Options{Clock: clock.System{}}),
 		}
@@ -45,7 +45,7 @@
 		}
 		know(8) // three regions away from here it would be these
 		e.admits(upstream, service)
-		time.Sleep(2 * coldStart)
+		time.Sleep(2 * coldStartDelay)
 		is.True(e.admits(upstream, service)) // their number has not grown for long enough
 		know(9)
 		is.True(!e.admits(upstream, service))
--- a/pkg/edge/dark_test.go
+++ b/pkg/edge/dark_test.go
@@ -23,7 +23,7 @@
 }
 
 type darkInstance struct {
-	pulses *pulses
+	pulses *streamMonitor
 	// told is what it last said of each engine's streams, due when the others hear it.
 	told, next map[string]peer.Load
 	due        time.Time
@@ -32,7 +32,7 @@
 }
 
 type darkStream struct {
-	pulse  *pulse
+	pulse  *monitoredStream
 	at     *darkInstance
 	engine string
 	// heldUntil is until when the engine lets it stand still, for a more urgent one.
@@ -55,12 +55,12 @@
 		d.engines = append(d.engines, string(rune('a'+i)))
 	}
 	for range instances {
-		d.instances = append(d.instances, &darkInstance{pulses: newPulses(), found: make(map[string]time.Time)})
+		d.instances = append(d.instances, &darkInstance{pulses: newStreamMonitor(), found: make(map[string]time.Time)})
 	}
 	for i := range streams {
 		at := d.instances[d.random.IntN(instances)]
-		stream := &darkStream{pulse: &pulse{service: testService, sent: d.now}, at: at, engine: d.engines[i%engines]}
-		at.pulses.begin(stream.engine, stream.pulse)
+		stream := &darkStream{pulse: &monitoredStream{service: testService, sent: d.now}, at: at, engine: d.engines[i%engines]}
+		at.pulses.add(stream.engine, stream.pulse)
 		d.streams = append(d.streams, stream)
 	}
 	return d
@@ -70,8 +70,8 @@
 func (d *darkDay) play(length time.Duration) {
 	for end := d.now.Add(length); d.now.Before(end); d.now = d.now.Add(darkStep) {
 		for _, stream := range d.streams {
-			if !d.failed[stream.engine] && !d.now.Before(stream.heldUntil) && d.now.Sub(stream.pulse.heard) >= darkGap {
-				stream.at.pulses.hear(stream.pulse, d.now)
+			if !d.failed[stream.engine] && !d.now.Before(stream.heldUntil) && d.now.Sub(stream.pulse.lastData) >= darkGap {
+				stream.at.pulses.received(stream.pulse, d.now)
 			}
 		}
 		for i, instance := range d.instances {
@@ -109,8 +109,8 @@
 				others.Silent += other.told[engine].Silent
 			}
 		}
-		if dark(flowing, silent, others) {
-			instance.pulses.darken(engine, d.now)
+		if unresponsive(flowing, silent, others) {
+			instance.pulses.markUnresponsive(engine, d.now)
 			if instance.found[engine].IsZero() {
 				instance.found[engine] = d.now
 			}
@@ -144,7 +144,7 @@
 			is.Equal(len(instance.found), 2)
 			for _, engine := range []string{"a", "b"} {
 				slowest = max(slowest, instance.found[engine].Sub(failed))
-				is.True(instance.pulses.isDark(engine, d.now))
+				is.True(instance.pulses.isUnresponsive(engine, d.now))
 			}
 		}
 		t.Logf("seed %d: known to all after %v", seed, slowest)
--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -83,40 +83,40 @@
 	clock                       clock.Clock
 	self                        fleet.Instance
 	sequence                    atomic.Uint64
-	leaving                     atomic.Pointer[departure]
+	leaving                     atomic.Pointer[drainSchedule]
 	// began is when the process began.
-	began  time.Time
-	active atomic.Int64
+	startedAt time.Time
+	active    atomic.Int64
 
-	board      Board
-	store      *mirror.Mirror
-	tracker    *limit.Tracker
-	ejector    *limit.Ejector
-	retries    *limit.RetryShares
-	limiter    *quota.Limiter
-	cold       *limit.ColdShares
-	named      *limit.NamedLimits
-	departures *limit.Departures
-	suspicions *suspicions
-	pulses     *pulses
-	quarantine *quarantine.Table
-	inquiries  *inquiries
+	board          Board
+	store          *mirror.Mirror
+	tracker        *limit.Tracker
+	ejector        *limit.Ejector
+	retries        *limit.RetryShares
+	limiter        *quota.Limiter
+	cold           *limit.ColdShares
+	upstreamLimits *limit.NamedLimits
+	departures     *limit.Departures
+	suspicions     *suspicions
+	streams        *streamMonitor
+	quarantine     *quarantine.Table
+	crashProbes    *crashProbes
 	// toKeep holds the requests whose quarantine is to be written to the store.
-	toKeep    chan keeping
-	overload  *steer.Overload
-	recent    *steer.Recent
-	pace      *steer.Pace
-	estimates *steer.Estimator
-	flow      *steer.Flow
-	upstreams *exchange.Pool
-	peers     *exchange.Pool
-	gossip    *peer.Gossip
-	clients   *control.Clients
-	copies    *control.Clients
-	registry  metrics.Registry
-	counts    counters
+	quarantineWrites chan quarantineWrite
+	overload         *steer.Overload
+	recent           *steer.Recent
+	pace             *steer.Pace
+	estimates        *steer.Estimator
+	flow             *steer.Flow
+	upstreams        *exchange.Pool
+	peers            *exchange.Pool
+	gossip           *peer.Gossip
+	clients          *control.Clients
+	replicaClients   *control.Clients
+	registry         metrics.Registry
+	counts           counters
 	// tally is the newest count of the instances.
-	tally atomic.Pointer[tally]
+	latestCounts atomic.Pointer[instanceCounts]
 }
 
 // Times of connections.
@@ -145,7 +145,7 @@
 	network := control.NewNetworkOver(medium)
 	system := clock.System{}
 	ejector := limit.NewEjector(system)
-	ejector.Changed = func(change limit.Ejection) { noteEjection(options.Log, change) }
+	ejector.Changed = func(change limit.Ejection) { logEjection(options.Log, change) }
 	e := &Edge{
 		settings:  s,
 		dialect:   options.Dialect,
@@ -160,34 +160,34 @@
 			Incarnation: uint64(system.Now().UnixNano()),
 			Callers:     s.Listen.Callers, Peers: s.Listen.Peers, Gossip: s.Listen.Gossip,
 		},
-		began:      system.Now(),
-		store:      options.Store,
-		ejector:    ejector,
-		tracker:    limit.NewTracker(system, ejector),
-		retries:    limit.NewRetryShares(s.Limits.RetryRatio, s.Limits.RetrySlack, s.Limits.RetryWindow, system.Now),
-		limiter:    quota.NewLimiter(system, s.Limits.usageTolerance()),
-		cold:       limit.NewColdShares(system.Now),
-		named:      limit.NewNamedLimits(system.Now),
-		departures: limit.NewDepartures(system.Now),
-		suspicions: newSuspicions(),
-		pulses:     newPulses(),
-		quarantine: quarantine.NewTable(system),
-		inquiries:  newInquiries(),
-		toKeep:     make(chan keeping, mostToKeep),
-		overload:   steer.NewOverload(),
-		recent:     steer.NewRecent(),
-		pace:       steer.NewPace(),
-		estimates:  steer.NewEstimator(),
-		flow:       steer.NewFlow(),
-		upstreams:  exchange.NewPool(medium.Dial, upstreamDial, system.Now),
-		peers:      exchange.NewPool(medium.Dial, peerDial, system.Now),
-		clients:    control.NewClients(network),
-		copies:     control.NewClients(network),
-		registry:   options.Registry,
-		counts:     counters{series: options.Series},
+		startedAt:        system.Now(),
+		store:            options.Store,
+		ejector:          ejector,
+		tracker:          limit.NewTracker(system, ejector),
+		retries:          limit.NewRetryShares(s.Limits.RetryRatio, s.Limits.RetrySlack, s.Limits.RetryWindow, system.Now),
+		limiter:          quota.NewLimiter(system, s.Limits.usageTolerance()),
+		cold:             limit.NewColdShares(system.Now),
+		upstreamLimits:   limit.NewNamedLimits(system.Now),
+		departures:       limit.NewDepartures(system.Now),
+		suspicions:       newSuspicions(),
+		streams:          newStreamMonitor(),
+		quarantine:       quarantine.NewTable(system),
+		crashProbes:      newCrashProbes(),
+		quarantineWrites: make(chan quarantineWrite, maxPendingWrites),
+		overload:         steer.NewOverload(),
+		recent:           steer.NewRecent(),
+		pace:             steer.NewPace(),
+		estimates:        steer.NewEstimator(),
+		flow:             steer.NewFlow(),
+		upstreams:        exchange.NewPool(medium.Dial, upstreamDial, system.Now),
+		peers:            exchange.NewPool(medium.Dial, peerDial, system.Now),
+		clients:          control.NewClients(network),
+		replicaClients:   control.NewClients(network),
+		registry:         options.Registry,
+		counts:           counters{series: options.Series},
 	}
 	e.gossip = peer.New(peer.Options{
-		Self: e.self, Report: e.report, Placed: e.recent.Learn, Usage: e.limiter, Evidence: e.learnEvidence, Limits: e.named, LearnLimits: e.learnLimits, Departures: e.departuresTold, LearnDepartures: e.learnDepartures, Fleet: &e.board.Fleet, Store: e.store, Client: e.clients, Copies: e.copies, Clock: system, Log: e.log,
+		Self: e.self, Report: e.report, Placed: e.recent.Learn, Usage: e.limiter, Evidence: e.mergeObservations, Limits: e.upstreamLimits, LearnLimits: e.mergeLimits, Departures: e.reportedDepartures, LearnDepartures: e.mergeDepartures, Fleet: &e.board.Fleet, Store: e.store, Client: e.clients, Copies: e.replicaClients, Clock: system, Log: e.log,
 	})
 	e.registerGauges(e.registry)
 	return e, nil
@@ -201,19 +201,19 @@
 // Run serves until ctx ends, then leaves gracefully.
 func (e *Edge) Run(ctx context.Context) error {
 	if mb := e.settings.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb) << 20 * memoryPart / 100)
+		debug.SetMemoryLimit(int64(mb) << 20 * memoryLimitPercent / 100)
 	}
-	doors, err := e.open()
+	listeners, err := e.openListeners()
 	if err != nil {
 		return err
 	}
 	running, halt := context.WithCancel(context.Background())
 	defer halt()
 	group, failed := errgroup.WithContext(running)
-	for _, door := range doors.http {
-		group.Go(func() error { return door.serve() })
+	for _, listener := range listeners.http {
+		group.Go(func() error { return listener.serve() })
 	}
-	group.Go(func() error { doors.control.Serve(); return nil })
+	group.Go(func() error { listeners.control.Serve(); return nil })
 	group.Go(func() error { e.gossip.Run(running); return nil })
 	group.Go(func() error { e.sweep(running); return nil })
 	group.Go(func() error { e.followFleet(running); return nil })
@@ -222,7 +222,7 @@
 	group.Go(func() error { e.sweepQuarantine(running); return nil })
 	group.Go(func() error { e.writeQuarantines(running); return nil })
 	group.Go(func() error { e.followQuarantines(running); return nil })
-	group.Go(func() error { e.followEras(running); return nil })
+	group.Go(func() error { e.followEpochs(running); return nil })
 	registered, deregister := context.WithCancel(running)
 	registrations := e.register(registered)
 	e.log.Info().Str(event.KeyCallers, e.settings.Listen.Callers).Str(event.KeyRegion, e.settings.Region).Str(event.KeyPeers, e.settings.Listen.Peers).Msg(string(event.Start))
@@ -230,12 +230,12 @@
 	case <-ctx.Done():
 	case <-failed.Done():
 	}
-	e.leave(doors, deregister)
+	e.leave(listeners, deregister)
 	registrations()
 	halt()
-	err = doors.control.Close()
+	err = listeners.control.Close()
 	e.clients.Close()
-	e.copies.Close()
+	e.replicaClients.Close()
 	e.upstreams.Close()
 	e.peers.Close()
 	err = errors.Join(group.Wait(), err)
@@ -245,7 +245,7 @@
 
 // memoryPart of the process's memory, in percent, is what the garbage collector
 // aims to stay below; the rest is for sockets and other threads.
-const memoryPart = 60
+const memoryLimitPercent = 60
 
 // register keeps the instance's entry in the store; the returned function waits for
 // its removal.
--- a/pkg/edge/edge_test.go
+++ b/pkg/edge/edge_test.go
@@ -330,18 +330,18 @@
 	start := time.Unix(1000, 0)
 	e := &Edge{settings: &Settings{}}
 	e.settings.Limits.Grace, e.settings.Limits.DirectoryTTL = 8*time.Second, time.Second
-	leaving := e.depart(start)
+	leaving := e.scheduleDrain(start)
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
-	is.True(leaving.takes(at(2.9), at(20)))
-	is.True(!leaving.takes(at(3.1), at(9)))
-	is.True(leaving.takes(at(3.1), at(4)))
-	is.True((*departure)(nil).takes(at(0), at(1000)))
+	is.True(leaving.accepts(at(2.9), at(20)))
+	is.True(!leaving.accepts(at(3.1), at(9)))
+	is.True(leaving.accepts(at(3.1), at(4)))
+	is.True((*drainSchedule)(nil).accepts(at(0), at(1000)))
 }
 
 func TestALeavingInstanceAsksCallersToUseAnother(t *testing.T) {
 	b := newBed(t, safe, newUpstream(t, say(http.StatusOK, "ok")))
 	now := time.Now()
-	b.edge.leaving.Store(&departure{accept: now.Add(time.Hour), cut: now.Add(time.Hour)})
+	b.edge.leaving.Store(&drainSchedule{acceptUntil: now.Add(time.Hour), cutAt: now.Add(time.Hour)})
 	request, err := http.NewRequest(http.MethodGet, b.caller.URL+"/r/", nil)
 	b.is.NoErr(err)
 	response, err := http.DefaultClient.Do(request)
@@ -360,7 +360,7 @@
 	view := &fleet.View{Instances: []fleet.Instance{{Name: "e-1", Region: "east"}, {Name: "s-1", Region: "south"}}}
 	view.Index()
 	b.edge.board.Fleet.Store(view)
-	b.edge.leaving.Store(&departure{})
+	b.edge.leaving.Store(&drainSchedule{})
 	names := func(region, host string) string {
 		all := ""
 		for _, instance := range b.edge.Roster(region, host) {
@@ -392,7 +392,7 @@
 	view := &fleet.View{Instances: []fleet.Instance{{Name: "s-1", Region: "south"}, {Name: "w-1", Region: "west"}}}
 	view.Index()
 	b.edge.board.Fleet.Store(view)
-	b.edge.leaving.Store(&departure{})
+	b.edge.leaving.Store(&drainSchedule{})
 	named := b.edge.Roster("east", "a.example")
 	b.is.Equal(len(named), 1)
 	b.is.Equal(named[0].Name, "s-1")
@@ -404,9 +404,9 @@
 	b := newBed(t, safe)
 	cold := &fleet.Upstream{ID: "u", ColdUntil: time.Now().Add(time.Hour)}
 	service := &httproute.Service{ColdRate: 10}
-	b.edge.began = time.Now()
+	b.edge.startedAt = time.Now()
 	b.is.True(!b.edge.admits(cold, service))
-	b.edge.began = time.Now().Add(-time.Minute)
+	b.edge.startedAt = time.Now().Add(-time.Minute)
 	b.is.True(b.edge.admits(cold, service))
 }
 
--- a/pkg/edge/handler.go
+++ b/pkg/edge/handler.go
@@ -42,7 +42,7 @@
 const leavingRetry = 50 * time.Millisecond
 
 // attemptsGranted is on how many upstreams another instance lets a request run.
-func attemptsGranted(fields http.Header) int {
+func grantedByPeer(fields http.Header) int {
 	granted, err := strconv.Atoi(fields.Get(header.Attempts))
 	if err != nil {
 		return 1
@@ -63,20 +63,20 @@
 		forwarded: forwarded,
 		started:   e.now(),
 		writer: &writer{
-			ResponseWriter: w,
-			control:        http.NewResponseController(w),
-			closing:        e.Leaving,
-			now:            e.now,
+			ResponseWriter:   w,
+			control:          http.NewResponseController(w),
+			closesConnection: e.Leaving,
+			now:              e.now,
 		},
 	}
 	refusal := j.serve()
-	j.end(refusal)
+	j.finish(refusal)
 }
 
 // serve takes the request to its end; the refusal is what the caller must still be
 // told.
 func (j *job) serve() *outcome.Refusal {
-	j.await(j.request.Context(), j.configured)
+	j.awaitReady(j.request.Context(), j.configured)
 	if refusal := j.prepare(); refusal != nil {
 		return refusal
 	}
@@ -117,9 +117,9 @@
 	j.setDeadline()
 	j.attemptsLeft = max(1, j.route.MaxAttempts)
 	if j.forwarded {
-		j.attemptsLeft = min(j.attemptsLeft, attemptsGranted(j.request.Header))
+		j.attemptsLeft = min(j.attemptsLeft, grantedByPeer(j.request.Header))
 	}
-	if !j.leaving.Load().takes(j.started, j.deadline) {
+	if !j.leaving.Load().accepts(j.started, j.deadline) {
 		return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonDraining, leavingRetry, "this instance leaves")
 	}
 	if refusal := j.readBody(); refusal != nil {
@@ -136,11 +136,11 @@
 }
 
 // longestWait bounds a request for which neither its caller nor its route does.
-const longestWait = time.Minute
+const maxRequestTime = time.Minute
 
 // setDeadline takes the earlier of the caller's and the route's bound.
 func (j *job) setDeadline() {
-	bound := longestWait
+	bound := maxRequestTime
 	if j.route.Timeout > 0 {
 		bound = min(bound, j.route.Timeout)
 	}
@@ -180,7 +180,7 @@
 	if length == 0 {
 		return nil, nil
 	}
-	if length < 0 || length > maxHeld {
+	if length < 0 || length > maxBuffered {
 		return io.ReadAll(body)
 	}
 	data := make([]byte, length)
@@ -189,31 +189,33 @@
 }
 
 // end tells the caller of a refusal, and logs and counts the end of the request.
-func (j *job) end(refusal *outcome.Refusal) {
+func (j *job) finish(refusal *outcome.Refusal) {
 	took := j.now().Sub(j.started)
 	if refusal != nil && refusal.Outcome == outcome.NotRun {
 		j.grant.Return()
 	}
-	j.counts.ended(j, refusal, took)
+	j.counts.requestEnded(j, refusal, took)
 	if refusal == nil {
-		j.noteEnd(took)
+		j.logEnd(took)
 		return
 	}
-	j.noteRefusal(refusal, took)
+	j.logRefusal(refusal, took)
 	j.refuse(refusal)
 }
 
 // givesKept says whether the caller gets a server's own failure in place of a refusal.
-func (j *job) givesKept() bool { return !j.writer.begun && j.kept != nil && j.runs > 0 }
+func (j *job) returnsUpstreamFailure() bool {
+	return !j.writer.started && j.upstreamFailure != nil && j.runs > 0
+}
 
 // refuse gives the caller a server's own failure if one was kept, else the refusal.
 // An answer that has begun can only be broken off.
 func (j *job) refuse(refusal *outcome.Refusal) {
-	if j.writer.begun {
+	if j.writer.started {
 		panic(http.ErrAbortHandler)
 	}
-	if j.givesKept() {
-		j.give(j.kept)
+	if j.returnsUpstreamFailure() {
+		j.deliver(j.upstreamFailure)
 		return
 	}
 	fields := j.writer.Header()
@@ -225,7 +227,7 @@
 	}
 	fields.Set(header.ContentType, "text/plain; charset=utf-8")
 	body := fmt.Sprintf("%s: %s: %s\n", refusal.Outcome, refusal.Reason, refusal.Detail)
-	j.give(&held{status: refusal.Status, header: fields.Clone(), body: []byte(body)})
+	j.deliver(&bufferedAnswer{status: refusal.Status, header: fields.Clone(), body: []byte(body)})
 }
 
 // surveyError tells, in logs, why no upstream could take a request.
--- a/pkg/edge/identity.go
+++ b/pkg/edge/identity.go
@@ -82,7 +82,7 @@
 
 // nameOrganisation adds to a request that is sent on whose it is: its name for an upstream,
 // name and proof for another instance. The caller's key goes to neither.
-func (c *call) nameOrganisation(fields http.Header) {
+func (c *call) setOrganisation(fields http.Header) {
 	fields.Del(header.Caller)
 	fields.Del(header.CallerProof)
 	if c.peer && c.organisation != nil {
@@ -100,12 +100,12 @@
 }
 
 // limits are the declared limits by organisation.
-func limits(config *httproute.Configuration) map[string]quota.Limit {
-	declared := make(map[string]quota.Limit)
+func declaredLimits(config *httproute.Configuration) map[string]quota.Limit {
+	byOrganisation := make(map[string]quota.Limit)
 	for _, organisation := range config.Organisations() {
 		if limit := organisation.Limit; limit.Rate > 0 {
-			declared[organisation.Name] = quota.Limit{Rate: limit.Rate, Burst: limit.Burst}
+			byOrganisation[organisation.Name] = quota.Limit{Rate: limit.Rate, Burst: limit.Burst}
 		}
 	}
-	return declared
+	return byOrganisation
 }
--- a/pkg/edge/identity_test.go
+++ b/pkg/edge/identity_test.go
@@ -202,13 +202,13 @@
 	b := newKeyedBed(t, httproute.Route{Kind: httproute.Unsafe, MaxAttempts: 1}, u)
 	b.organisations[0].Limit = httproute.UsageLimit{Rate: 1, Burst: 1000, Tokens: true, Plain: 200}
 	b.declare(3, httproute.Route{Kind: httproute.Unsafe, MaxAttempts: 1})
-	b.edge.limiter.SetLimits(limits(b.edge.board.Routes.Load()))
+	b.edge.limiter.SetLimits(declaredLimits(b.edge.board.Routes.Load()))
 	ask := func(tokens string) reply {
 		return b.askAt(b.caller.URL, http.MethodPost, "/r/x", "body", header.Authorization, bearerOf(ownKey), testTokens, tokens)
 	}
 	b.is.Equal(ask("900000").status, http.StatusServiceUnavailable) // does not run, and is returned
 	b.is.True(b.edge.limiter.States()[0].Balance >= 0)
-	grant, err := b.edge.limiter.Admit("mill", limits(b.edge.board.Routes.Load())["mill"], 3000)
+	grant, err := b.edge.limiter.Admit("mill", declaredLimits(b.edge.board.Routes.Load())["mill"], 3000)
 	b.is.NoErr(err)
 	arrivals := u.arrivals.Load()
 	got := ask("")
@@ -233,7 +233,7 @@
 	b.organisations[1].Limit = httproute.UsageLimit{Rate: 50, Burst: 50}
 	b.declare(3, httproute.Route{Kind: httproute.Safe, MaxAttempts: 1})
 	b.eventually("the limit is known", func() bool { return len(b.edge.limiter.States()) == 1 })
-	b.edge.readLimits()
+	b.edge.updateLimitGauges()
 	b.is.Equal(b.edge.counts.series.Gauge("limit.rate", label(labelOrganisation, "dairy")).Value(), int64(50))
 	cancel()
 	<-ended
--- a/pkg/edge/job.go
+++ b/pkg/edge/job.go
@@ -16,7 +16,7 @@
 
 // urgentTokens is from how many prompt tokens to be read on a request is told to the
 // other instances at once: engines take longer over it than a round of gossip.
-const urgentTokens = 4000
+const longPromptTokens = 4000
 
 // maxSends bounds how often one request is sent, whatever its route permits: those
 // that were rejected without being run count here as well.
@@ -53,11 +53,11 @@
 	// after which the request may have run; hops the instances that were asked.
 	sends, runs, hops int
 	// kept is a server's failure that is given to the caller if nothing better comes.
-	kept *held
+	upstreamFailure *bufferedAnswer
 	// lastError is why the last attempt failed.
 	lastError error
 	// withheld holds steps for which there was no budget in the log.
-	withheld []step
+	deferredSteps []step
 }
 
 // target is where one attempt goes: an upstream of the own region, or an instance
@@ -85,7 +85,7 @@
 
 // attempts is on how many upstreams the request may run by this attempt: an instance
 // of another region is lent all that are left, since it cannot ask for more in time.
-func (t *target) attempts(j *job) int {
+func (t *target) grantedAttempts(j *job) int {
 	if t.peer != nil {
 		return j.attemptsLeft
 	}
@@ -114,53 +114,53 @@
 // run makes attempts until one succeeds or the request must be given up.
 func (j *job) run(ctx context.Context) *outcome.Refusal {
 	for {
-		if refusal := j.quarantined(); refusal != nil {
-			return j.giveUp(refusal)
+		if refusal := j.quarantineRefusal(); refusal != nil {
+			return j.finalRefusal(refusal)
 		}
 		next, refusal := j.next()
 		if refusal != nil && j.starting() && j.gossip.Unheard() {
-			next = j.nextAtStart(ctx)
+			next = j.nextDuringStart(ctx)
 		}
-		if next == nil && j.awaitRoom(ctx, refusal) {
+		if next == nil && j.awaitCapacity(ctx, refusal) {
 			continue
 		}
 		if next == nil {
-			return j.giveUp(refusal)
+			return j.finalRefusal(refusal)
 		}
 		began := j.now()
 		ended := j.attempt(ctx, next)
-		j.counts.attempted(next, ended, j.now().Sub(began))
+		j.counts.attemptEnded(next, ended, j.now().Sub(began))
 		switch ended {
 		case done, callerGone:
 			return nil
 		case notRun:
 		case broken:
 			j.runs++
-			j.attemptsLeft -= next.attempts(j)
+			j.attemptsLeft -= next.grantedAttempts(j)
 		}
-		if refusal := j.mayRepeat(ctx); refusal != nil {
-			return j.giveUp(refusal)
+		if refusal := j.checkRetry(ctx); refusal != nil {
+			return j.finalRefusal(refusal)
 		}
 	}
 }
 
 // mayRepeat says whether the request may be sent once more after a failed attempt.
-func (j *job) mayRepeat(ctx context.Context) *outcome.Refusal {
+func (j *job) checkRetry(ctx context.Context) *outcome.Refusal {
 	switch {
 	case context.Cause(ctx) != nil || !j.now().Before(j.deadline):
-		return j.late()
+		return j.deadlineExceeded()
 	case j.runs > 0 && !j.route.Repeatable():
 		return outcome.MayHaveRun(http.StatusBadGateway, outcome.ReasonUpstreamFailed, 0, "the upstream broke off")
 	case j.attemptsLeft <= 0 || j.sends >= maxSends:
-		return j.exhausted("no attempt is left")
+		return j.retriesExhausted("no attempt is left")
 	case j.sends > 0 && !j.retries.Take(j.service.Name, j.instances()):
-		return j.exhausted("the retry budget is used up")
+		return j.retriesExhausted("the retry budget is used up")
 	}
 	return nil
 }
 
 // exhausted is the refusal of a request that may not be sent again.
-func (j *job) exhausted(detail string) *outcome.Refusal {
+func (j *job) retriesExhausted(detail string) *outcome.Refusal {
 	if j.runs > 0 {
 		return outcome.MayHaveRun(http.StatusBadGateway, outcome.ReasonUpstreamFailed, 0, detail)
 	}
@@ -168,7 +168,7 @@
 }
 
 // late is the refusal of a request whose time is over.
-func (j *job) late() *outcome.Refusal {
+func (j *job) deadlineExceeded() *outcome.Refusal {
 	if j.runs > 0 {
 		return outcome.MayHaveRun(http.StatusGatewayTimeout, outcome.ReasonDeadline, 0, "the time is over")
 	}
@@ -177,7 +177,7 @@
 
 // giveUp makes the refusal true for the whole request: once it may have run, it is
 // never called not run.
-func (j *job) giveUp(refusal *outcome.Refusal) *outcome.Refusal {
+func (j *job) finalRefusal(refusal *outcome.Refusal) *outcome.Refusal {
 	if j.runs > 0 && refusal.Outcome == outcome.NotRun {
 		return outcome.MayHaveRun(http.StatusBadGateway, refusal.Reason, 0, refusal.Detail)
 	}
@@ -185,17 +185,17 @@
 }
 
 // world is the snapshots by which the request is steered now.
-func (j *job) world() *steer.World {
+func (j *job) snapshots() *steer.World {
 	now := j.now()
 	return &steer.World{
 		Region:    j.settings.Region,
 		Fleet:     j.board.Fleet.Load(),
 		Peers:     j.gossip.View().Load(),
-		Local:     seen{j.Edge, now},
+		Local:     localLoads{j.Edge, now},
 		Admits:    j.admits,
-		Named:     j.named.Of,
+		Named:     j.upstreamLimits.Of,
 		LimitWait: j.limitWait,
-		Leaving:   j.leaves(),
+		Leaving:   j.leavingFilter(),
 		Recent:    j.recent,
 		Pace:      j.pace,
 		Estimates: j.estimates,
@@ -207,7 +207,7 @@
 
 // next chooses where the request goes.
 func (j *job) next() (*target, *outcome.Refusal) {
-	world := j.world()
+	world := j.snapshots()
 	query := &steer.Request{
 		Route:        j.route,
 		Service:      j.service,
@@ -217,54 +217,54 @@
 		Tried:        j.tried,
 	}
 	chosen := &target{}
-	here := j.route.PermittedIn(world.Region)
-	if here {
-		chosen.survey = j.look(world, query)
+	permitted := j.route.PermittedIn(world.Region)
+	if permitted {
+		chosen.survey = j.surveyRegion(world, query)
 	}
 	if !j.forwarded && j.hops < maxHops {
-		if away := world.Choose(query, chosen.survey, world.Regions(query)); away != nil {
-			chosen.peer = j.partner(away.Peers, world.Random)
+		if remote := world.Choose(query, chosen.survey, world.Regions(query)); remote != nil {
+			chosen.peer = j.choosePeer(remote.Peers, world.Random)
 		}
 	}
 	if chosen.peer == nil && chosen.survey.Best.Upstream == nil {
-		return nil, j.noUpstream(here, &chosen.survey)
+		return nil, j.noUpstreamRefusal(permitted, &chosen.survey)
 	}
 	// What was sent before goes on: its caller would rather have it late.
 	if chosen.peer == nil && chosen.survey.Best.Late && j.sends == 0 && j.overload.Refuses(query, world.Now) {
-		return nil, j.overloaded(&chosen.survey)
+		return nil, j.overloadRefusal(&chosen.survey)
 	}
-	j.noteChoice(world, chosen)
+	j.logRouting(world, chosen)
 	return chosen, nil
 }
 
 // partner draws one of the instances of another region, from those with a connection that
 // can be used if there are any: making one takes a round trip of the request's time.
-func (j *job) partner(peers []*peer.Known, random uint64) *peer.Known {
-	from := int(random % uint64(len(peers)))
+func (j *job) choosePeer(peers []*peer.Known, random uint64) *peer.Known {
+	first := int(random % uint64(len(peers)))
 	for i := range peers {
-		known := peers[(from+i)%len(peers)]
+		known := peers[(first+i)%len(peers)]
 		if j.peers.Connected(known.Instance.Peers) {
 			return known
 		}
 	}
-	return peers[from]
+	return peers[first]
 }
 
 // look surveys the own region. A server that answered with a failure may well serve the
 // next try, and is nearer than another region: it is looked at again where there is no
 // other.
-func (j *job) look(world *steer.World, query *steer.Request) steer.Survey {
+func (j *job) surveyRegion(world *steer.World, query *steer.Request) steer.Survey {
 	survey := world.Look(query)
-	if survey.Best.Upstream != nil || j.kept == nil {
+	if survey.Best.Upstream != nil || j.upstreamFailure == nil {
 		return survey
 	}
 	query.Tried = nil
 	return world.Look(query)
 }
 
-func (j *job) noUpstream(here bool, survey *steer.Survey) *outcome.Refusal {
+func (j *job) noUpstreamRefusal(permitted bool, survey *steer.Survey) *outcome.Refusal {
 	detail := "no upstream of the service can take the request now"
-	if !here {
+	if !permitted {
 		detail = "no instance in a permitted region can be reached"
 	}
 	retry := max(steer.RetryAfter(j.now(), j.deadline), survey.Wait())
--- a/pkg/edge/known.go
+++ b/pkg/edge/known.go
@@ -35,8 +35,8 @@
 	for i := range view.Upstreams {
 		id := view.Upstreams[i].ID
 		if own := e.tracker.Load(id); own.InFlight > 0 {
-			flowing, silent := e.pulses.count(id, e.now())
-			loads = append(loads, peer.Load{Name: id, InFlight: own.InFlight, Prefill: own.Prefill, Flowing: flowing, Silent: silent})
+			flowing, stalled := e.streams.count(id, e.now())
+			loads = append(loads, peer.Load{Name: id, InFlight: own.InFlight, Prefill: own.Prefill, Flowing: flowing, Silent: stalled})
 		}
 	}
 	return loads
@@ -53,7 +53,7 @@
 		changed := e.board.Fleet.Changed()
 		if view := e.board.Fleet.Load(); view != nil {
 			e.setPools(view, known)
-			e.forgetGone(last, view)
+			e.forgetRemoved(last, view)
 			last = view
 		}
 		select {
@@ -65,7 +65,7 @@
 }
 
 // forgetGone removes the metrics of upstreams that are no longer there.
-func (e *Edge) forgetGone(last, view *fleet.View) {
+func (e *Edge) forgetRemoved(last, view *fleet.View) {
 	if last == nil {
 		return
 	}
@@ -73,8 +73,8 @@
 		if id := last.Upstreams[i].ID; view.RegionOf(id) == "" {
 			e.counts.series.Remove(label(labelTarget, id))
 			e.suspicions.forget(id)
-			e.pulses.forget(id)
-			e.named.Forget(id)
+			e.streams.forget(id)
+			e.upstreamLimits.Forget(id)
 		}
 	}
 }
--- a/pkg/edge/lethal_test.go
+++ b/pkg/edge/lethal_test.go
@@ -232,7 +232,7 @@
 		stored := edge.board.Quarantined.Load()
 		w.is.Equal(stored.Held(), 1)
 		request := stored.Records[0].Request
-		edge.observe(quarantine.Observation{Request: request})
+		edge.recordObservation(quarantine.Observation{Request: request})
 		clock.Sleep(w.Context(), 5*time.Second)
 		w.is.Equal(edge.board.Quarantined.Load().Held(), 0)
 		for _, i := range w.instances {
--- a/pkg/edge/limits.go
+++ b/pkg/edge/limits.go
@@ -13,9 +13,9 @@
 	for {
 		routes, peers := e.board.Routes.Changed(), e.gossip.View().Changed()
 		if config := e.board.Routes.Load(); config != nil {
-			e.limiter.SetLimits(limits(config))
+			e.limiter.SetLimits(declaredLimits(config))
 		}
-		e.limiter.SetHeard(e.heard())
+		e.limiter.SetHeard(e.liveShare())
 		select {
 		case <-routes:
 		case <-peers:
@@ -26,17 +26,17 @@
 }
 
 // heard is the part of all instances that this one hears, itself included.
-func (e *Edge) heard() float64 {
+func (e *Edge) liveShare() float64 {
 	live := 1 + e.countPeers(true)
 	return min(1, float64(live)/float64(max(1, e.instances())))
 }
 
 // mostOrganisations bounds the organisations with metrics of their own: those that ask for
 // the largest part of their limits.
-const mostOrganisations = 50
+const maxOrganisationMetrics = 50
 
 // readLimits brings the gauges of single organisations up to date.
-func (e *Edge) readLimits() {
+func (e *Edge) updateLimitGauges() {
 	states := e.limiter.States()
 	slices.SortFunc(states, func(a, b quota.State) int {
 		if a.Demand*b.Limit > b.Demand*a.Limit {
@@ -44,7 +44,7 @@
 		}
 		return 1
 	})
-	for _, state := range states[:min(len(states), mostOrganisations)] {
+	for _, state := range states[:min(len(states), maxOrganisationMetrics)] {
 		name := label(labelOrganisation, state.Caller)
 		e.counts.series.Gauge("limit.rate", name).Update(int64(state.Limit))
 		e.counts.series.Gauge("limit.demand", name).Update(int64(state.Demand))
--- a/pkg/edge/lines.go
+++ b/pkg/edge/lines.go
@@ -19,10 +19,10 @@
 // slowFirst is from when on an answer's beginning is slow enough to be explained in the
 // log like a failure: on quiet days all kinds of request but the longest prompts have the
 // 99th percentile of their whole time below 0.4 s.
-const slowFirst = time.Second
+const slowFirstByte = time.Second
 
 // noFirst stands for the time of a first part that was never passed on.
-const noFirst = -time.Millisecond
+const noFirstByte = -time.Millisecond
 
 // step is a line of a request that was over the budget when it happened.
 type step struct {
@@ -34,38 +34,38 @@
 // note logs a step of the request. When the budget for requests that go well is used up
 // the step is held, and written if the request turns out to fail or to be slow. Fields
 // is called once, then or later, so what it reads must not change.
-func (j *job) note(name event.Name, fields func(*zerolog.Event)) {
+func (j *job) logStep(name event.Name, fields func(*zerolog.Event)) {
 	if max(j.goodLog.GetLevel(), zerolog.GlobalLevel()) > zerolog.InfoLevel {
 		return
 	}
 	line := j.goodLog.Info()
 	if !line.Enabled() {
-		j.withheld = append(j.withheld, step{at: j.now(), name: name, fields: fields})
+		j.deferredSteps = append(j.deferredSteps, step{at: j.now(), name: name, fields: fields})
 		return
 	}
-	j.write(line, name, fields)
+	j.writeStep(line, name, fields)
 }
 
-func (j *job) write(line *zerolog.Event, name event.Name, fields func(*zerolog.Event)) {
+func (j *job) writeStep(line *zerolog.Event, name event.Name, fields func(*zerolog.Event)) {
 	line.Str(event.KeyRequest, j.attributes.RequestID)
 	fields(line)
 	line.Msg(string(name))
 }
 
 // noteHeld writes the steps that were held.
-func (j *job) noteHeld() {
-	for _, held := range j.withheld {
+func (j *job) logDeferredSteps() {
+	for _, held := range j.deferredSteps {
 		line := j.stepLog.Info().Str(event.KeyAt, held.at.UTC().Format(logging.TimeLayout))
-		j.write(line, held.name, held.fields)
+		j.writeStep(line, held.name, held.fields)
 	}
-	j.withheld = nil
+	j.deferredSteps = nil
 }
 
 // noteChoice logs where the request goes, with the inputs that decided it and their age.
-func (j *job) noteChoice(world *steer.World, chosen *target) {
-	send, forwarded, runs, after := j.sends+1, j.forwarded, j.runs, j.after()
-	storeAge := j.age(j.store.Reached())
-	j.note(event.RequestRouted, func(line *zerolog.Event) {
+func (j *job) logRouting(world *steer.World, chosen *target) {
+	send, forwarded, runs, after := j.sends+1, j.forwarded, j.runs, j.resumeAfter()
+	storeAge := j.ageMS(j.store.Reached())
+	j.logStep(event.RequestRouted, func(line *zerolog.Event) {
 		best := &chosen.survey.Best
 		line.Str(event.KeyRoute, j.route.Name).Str(event.KeyService, j.service.Name).
 			Str(event.KeyTarget, chosen.name()).Str(event.KeyDomain, chosen.domain()).
@@ -74,7 +74,7 @@
 			Int64(event.KeyStoreAgeMS, storeAge).
 			Int(event.KeyPrompt, j.attributes.PromptTokens).Int(event.KeyUncached, best.Uncached).
 			Int(event.KeyInFlight, best.InFlight).Int(event.KeyPrefill, best.Prefill).
-			Float64(event.KeyCost, best.Cost).Dur(event.KeyPredictedMS, best.First).Str(event.KeyPart, sharedID(j.attributes.Parts)).
+			Float64(event.KeyCost, best.Cost).Dur(event.KeyPredictedMS, best.First).Str(event.KeyPart, lastSharedSegment(j.attributes.Parts)).
 			Bool(event.KeyCopy, best.Source != nil).Int(event.KeyUsable, chosen.survey.Usable)
 		if chosen.peer != nil {
 			line.Int64(event.KeyHeardMS, world.Now.Sub(chosen.peer.Heard).Milliseconds())
@@ -86,44 +86,44 @@
 }
 
 // noteRejection logs that the target states that it did not run the request.
-func (c *call) noteRejection() {
+func (c *call) logRejection() {
 	target, send, status := c.to.name(), c.sends, c.status
-	c.note(event.AttemptRejected, func(line *zerolog.Event) {
+	c.logStep(event.AttemptRejected, func(line *zerolog.Event) {
 		line.Str(event.KeyTarget, target).Int(event.KeySend, send).Int(event.KeyStatus, status)
 	})
 }
 
 // noteAttempt logs why an attempt ended without an answer that can be passed on.
-func (c *call) noteAttempt(unsent bool) {
+func (c *call) logFailedAttempt(unsent bool) {
 	line := c.failedLog.Warn().Str(event.KeyRequest, c.attributes.RequestID).Str(event.KeyTarget, c.to.name())
 	if !unsent && line.Enabled() {
 		line.Stringer(event.KeyContent, c.fingerprint())
 	}
 	line.Int(event.KeySend, c.sends).Int(event.KeyStatus, c.status).Bool(event.KeyUnsent, unsent).
-		Bool(event.KeyBegun, c.writer.begun).Dur(event.KeyLeftMS, c.deadline.Sub(c.now())).
+		Bool(event.KeyBegun, c.writer.started).Dur(event.KeyLeftMS, c.deadline.Sub(c.now())).
 		Err(c.err).Msg(string(event.AttemptFailed))
 }
 
 // noteEnd logs the end of a request that was answered, if only with a server's failure,
 // or whose caller has left.
-func (j *job) noteEnd(took time.Duration) {
-	first := noFirst
-	if !j.writer.first.IsZero() {
-		first = j.writer.first.Sub(j.started)
+func (j *job) logEnd(took time.Duration) {
+	first := noFirstByte
+	if !j.writer.firstPartAt.IsZero() {
+		first = j.writer.firstPartAt.Sub(j.started)
 	}
-	if first >= slowFirst || j.writer.status >= http.StatusInternalServerError || j.callerLeft() {
-		j.noteHeld()
-		j.write(j.failedLog.Info(), event.RequestEnded, j.endFields(first, took))
+	if first >= slowFirstByte || j.writer.status >= http.StatusInternalServerError || j.callerLeft() {
+		j.logDeferredSteps()
+		j.writeStep(j.failedLog.Info(), event.RequestEnded, j.endFields(first, took))
 		return
 	}
-	j.note(event.RequestEnded, j.endFields(first, took))
+	j.logStep(event.RequestEnded, j.endFields(first, took))
 }
 
 // callerLeft says whether the caller has closed its connection.
 func (j *job) callerLeft() bool { return j.request.Context().Err() != nil }
 
 // answered is the outcome of a request that was not refused.
-func (j *job) answered() outcome.Outcome {
+func (j *job) answeredOutcome() outcome.Outcome {
 	if j.callerLeft() {
 		return outcomeCallerGone
 	}
@@ -132,31 +132,31 @@
 
 func (j *job) endFields(first, took time.Duration) func(*zerolog.Event) {
 	return func(line *zerolog.Event) {
-		line.Str(event.KeyOutcome, string(j.answered())).Int(event.KeyStatus, j.writer.status).Int(event.KeySends, j.sends).Bool(event.KeyForwarded, j.forwarded).
+		line.Str(event.KeyOutcome, string(j.answeredOutcome())).Int(event.KeyStatus, j.writer.status).Int(event.KeySends, j.sends).Bool(event.KeyForwarded, j.forwarded).
 			Dur(event.KeyFirstMS, first).Dur(event.KeyMS, took)
 	}
 }
 
 // noteRefusal logs why a request was not answered whole.
-func (j *job) noteRefusal(refusal *outcome.Refusal, took time.Duration) {
+func (j *job) logRefusal(refusal *outcome.Refusal, took time.Duration) {
 	status := refusal.Status
-	if j.givesKept() {
-		status = j.kept.status
+	if j.returnsUpstreamFailure() {
+		status = j.upstreamFailure.status
 	}
-	j.noteHeld()
-	j.write(j.failedLog.Warn(), event.RequestFailed, func(line *zerolog.Event) {
+	j.logDeferredSteps()
+	j.writeStep(j.failedLog.Warn(), event.RequestFailed, func(line *zerolog.Event) {
 		if j.route != nil {
 			line.Str(event.KeyRoute, j.route.Name)
 		}
 		line.Str(event.KeyOutcome, string(refusal.Outcome)).Str(event.KeyReason, string(refusal.Reason)).
 			Int(event.KeyStatus, status).Int64(event.KeyRetryMS, refusal.RetryAfter.Milliseconds()).
 			Int(event.KeySends, j.sends).Int(event.KeyRuns, j.runs).
-			Bool(event.KeyForwarded, j.forwarded).Bool(event.KeyBegun, j.writer.begun).Dur(event.KeyMS, took).
+			Bool(event.KeyForwarded, j.forwarded).Bool(event.KeyBegun, j.writer.started).Dur(event.KeyMS, took).
 			Str(event.KeyDetail, refusal.Detail).AnErr(event.KeyLast, j.lastError)
 		if refusal.Reason == outcome.ReasonQuarantined {
 			line.Stringer(event.KeyContent, j.fingerprint())
 		}
-		j.noteIdentity(line, refusal)
+		j.addIdentity(line, refusal)
 		var none *surveyError
 		if !errors.As(refusal.Err, &none) {
 			line.AnErr(event.KeyCause, refusal.Err)
@@ -170,7 +170,7 @@
 
 // noteIdentity adds whose request was refused, by which configuration, and what was known
 // of a limit that refused it.
-func (j *job) noteIdentity(line *zerolog.Event, refusal *outcome.Refusal) {
+func (j *job) addIdentity(line *zerolog.Event, refusal *outcome.Refusal) {
 	if j.config == nil || !j.config.Keyed() {
 		return
 	}
@@ -183,7 +183,7 @@
 }
 
 // noteEjection logs that an upstream gets nothing for a while, or again.
-func noteEjection(log zerolog.Logger, change limit.Ejection) {
+func logEjection(log zerolog.Logger, change limit.Ejection) {
 	if change.For == 0 {
 		log.Info().Str(event.KeyUpstream, change.Upstream).Msg(string(event.UpstreamRestored))
 		return
@@ -193,7 +193,7 @@
 }
 
 // sharedID names the prompt's last shared part; empty when nothing is shared.
-func sharedID(parts []steer.Part) string {
+func lastSharedSegment(parts []steer.Part) string {
 	if len(parts) < 2 {
 		return ""
 	}
--- a/pkg/edge/lines_test.go
+++ b/pkg/edge/lines_test.go
@@ -59,7 +59,7 @@
 	b.eventually("the attempt is counted", shown)
 	empty := &fleet.View{}
 	empty.Index()
-	b.edge.forgetGone(b.edge.board.Fleet.Load(), empty)
+	b.edge.forgetRemoved(b.edge.board.Fleet.Load(), empty)
 	b.is.True(!shown())
 }
 
--- a/pkg/edge/listen.go
+++ b/pkg/edge/listen.go
@@ -13,12 +13,12 @@
 )
 
 // door is one listener with what serves it.
-type door struct {
+type httpListener struct {
 	listener net.Listener
 	server   *http.Server
 }
 
-func (d *door) serve() error {
+func (d *httpListener) serve() error {
 	if err := d.server.Serve(d.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve %s: %w", d.listener.Addr(), err)
 	}
@@ -26,8 +26,8 @@
 }
 
 // doors are the listeners of an instance.
-type doors struct {
-	http    []*door
+type listenerSet struct {
+	http    []*httpListener
 	control *control.Server
 }
 
@@ -40,7 +40,7 @@
 	maxHeader = 64 << 10
 )
 
-func (e *Edge) open() (*doors, error) {
+func (e *Edge) openListeners() (*listenerSet, error) {
 	listen := e.settings.Listen
 	handlers := []struct {
 		address string
@@ -50,7 +50,7 @@
 		{listen.Peers, http.HandlerFunc(e.servePeer)},
 		{listen.Metrics, e.metricsHandler()},
 	}
-	all := &doors{}
+	all := &listenerSet{}
 	for _, h := range handlers {
 		if h.address == "" {
 			continue
@@ -68,7 +68,7 @@
 	return all, e.gossip.Register(all.control)
 }
 
-func (e *Edge) listen(address string, handler http.Handler) (*door, error) {
+func (e *Edge) listen(address string, handler http.Handler) (*httpListener, error) {
 	listener, err := e.options.medium().Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", address, err)
@@ -80,5 +80,5 @@
 		MaxHeaderBytes:    maxHeader,
 		ErrorLog:          logging.ServerErrors(e.log),
 	}
-	return &door{listener: listener, server: server}, nil
+	return &httpListener{listener: listener, server: server}, nil
 }
--- a/pkg/edge/metrics.go
+++ b/pkg/edge/metrics.go
@@ -42,12 +42,12 @@
 func label(name, value string) telemetry.Label { return telemetry.Label{Name: name, Value: value} }
 
 // ended counts the end of a request.
-func (c *counters) ended(j *job, refusal *outcome.Refusal, took time.Duration) {
+func (c *counters) requestEnded(j *job, refusal *outcome.Refusal, took time.Duration) {
 	route := label(labelRoute, noRoute)
 	if j.route != nil {
 		route.Value = j.route.Name
 	}
-	ended, reason := j.answered(), outcome.Reason("")
+	ended, reason := j.answeredOutcome(), outcome.Reason("")
 	if refusal != nil {
 		ended, reason = refusal.Outcome, refusal.Reason
 	}
@@ -56,11 +56,11 @@
 		return
 	}
 	c.series.Latency("requests.ms", route).Add(took)
-	c.series.Latency("requests.first.ms", route).Add(j.writer.first.Sub(j.started))
+	c.series.Latency("requests.first.ms", route).Add(j.writer.firstPartAt.Sub(j.started))
 }
 
 // attempted counts the end of an attempt at an upstream or another instance.
-func (c *counters) attempted(to *target, ended result, took time.Duration) {
+func (c *counters) attemptEnded(to *target, ended result, took time.Duration) {
 	domain, name := label(labelDomain, to.domain()), label(labelTarget, to.name())
 	c.series.Counter("attempts", domain, name, label(labelResult, ended.String())).Inc(1)
 	if ended == done {
@@ -69,7 +69,7 @@
 }
 
 // cold counts a request that is sent to a cold upstream.
-func (c *counters) cold(upstream string) {
+func (c *counters) sentCold(upstream string) {
 	c.series.Counter("cold.sent", label(labelTarget, upstream)).Inc(1)
 }
 
@@ -95,14 +95,14 @@
 		"upstreams.dialed":      e.upstreams.Dialed,
 		"peers.dialed":          e.peers.Dialed,
 		"requests.active":       e.active.Load,
-		"store.age_ms":          func() int64 { return e.age(e.store.Reached()) },
+		"store.age_ms":          func() int64 { return e.ageMS(e.store.Reached()) },
 		"store.revision":        e.store.Revision,
 		"store.era":             func() int64 { return int64(e.store.Era()) },
-		"configuration.version": e.version,
+		"configuration.version": e.configurationVersion,
 		"configuration.age_ms":  e.configurationAge,
 		"peers.live":            func() int64 { return e.countPeers(true) },
 		"peers.silent":          func() int64 { return e.countPeers(false) },
-		"peers.oldest_ms":       e.oldestPeer,
+		"peers.oldest_ms":       e.oldestReportMS,
 		"requests.suspected": func() int64 {
 			suspected, _ := e.quarantine.Counts()
 			return int64(suspected)
@@ -118,7 +118,7 @@
 }
 
 // age is how long ago t was, in ms; -1 when it has never been.
-func (e *Edge) age(t time.Time) int64 {
+func (e *Edge) ageMS(t time.Time) int64 {
 	if t.IsZero() {
 		return -1
 	}
@@ -126,7 +126,7 @@
 }
 
 // version is that of the configuration in force; zero: there is none.
-func (e *Edge) version() int64 {
+func (e *Edge) configurationVersion() int64 {
 	if config := e.board.Routes.Load(); config != nil {
 		return int64(config.Version)
 	}
@@ -137,7 +137,7 @@
 // is none.
 func (e *Edge) configurationAge() int64 {
 	if config := e.board.Routes.Load(); config != nil {
-		return e.age(config.InForce)
+		return e.ageMS(config.InForce)
 	}
 	return -1
 }
@@ -156,7 +156,7 @@
 
 // oldestPeer is the age of the oldest report, in ms, among the instances that count as
 // live: what the loads of other instances are worth.
-func (e *Edge) oldestPeer() int64 {
+func (e *Edge) oldestReportMS() int64 {
 	oldest, now := int64(0), e.now()
 	if view := e.gossip.View().Load(); view != nil {
 		for i := range view.Others {
@@ -172,14 +172,14 @@
 func (e *Edge) metricsHandler() http.Handler {
 	handler := telemetry.Handler(e.registry)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		e.readServices()
-		e.readLimits()
+		e.updateServiceGauges()
+		e.updateLimitGauges()
 		handler.ServeHTTP(w, r)
 	})
 }
 
 // readServices brings the gauges of single services up to date.
-func (e *Edge) readServices() {
+func (e *Edge) updateServiceGauges() {
 	config, view := e.board.Routes.Load(), e.board.Fleet.Load()
 	if config == nil || view == nil {
 		return
--- a/pkg/edge/named_test.go
+++ b/pkg/edge/named_test.go
@@ -20,7 +20,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBed(t, unsafe, newUpstream(t, answer))
 			b.ask(http.MethodPost, "/r/", "body")
-			b.is.Equal(b.edge.named.Of("u-0"), limit.Named{PerSecond: 2.5, Limited: true})
+			b.is.Equal(b.edge.upstreamLimits.Of("u-0"), limit.Named{PerSecond: 2.5, Limited: true})
 			b.is.True(b.lines.Has("event=upstream-limited", "upstream=u-0", "limit=2.5"))
 		})
 	}
@@ -38,7 +38,7 @@
 		b.eventually("the limit lets a request through", func() bool {
 			return b.ask(http.MethodPost, "/r/", "body").status == http.StatusOK
 		})
-		b.is.Equal(b.edge.named.Of("u-0").Limited, known)
+		b.is.Equal(b.edge.upstreamLimits.Of("u-0").Limited, known)
 	}
 	b.is.True(b.lines.Has("event=upstream-limit-odd", "upstream=u-0"))
 	b.is.True(b.lines.Has("event=upstream-unlimited", "upstream=u-0"))
--- a/pkg/edge/overload.go
+++ b/pkg/edge/overload.go
@@ -14,14 +14,14 @@
 const (
 	// roomPart is the part of a route's target for which a request waits for room before
 	// it is refused: a place is free again within some tens of milliseconds.
-	roomPart = 1.0 / 8
+	capacityWaitShare = 1.0 / 8
 	// roomPoll is how often it looks. Others' ends are told every 0.2 s, own ones are
 	// known at once.
-	roomPoll = 20 * time.Millisecond
+	capacityPollInterval = 20 * time.Millisecond
 )
 
 // overloaded refuses a request that no engine can begin in time.
-func (j *job) overloaded(survey *steer.Survey) *outcome.Refusal {
+func (j *job) overloadRefusal(survey *steer.Survey) *outcome.Refusal {
 	refusal := outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded, 0, "no upstream can begin the answer in time")
 	refusal.Err = &surveyError{survey: *survey}
 	return refusal
@@ -30,12 +30,12 @@
 // awaitRoom waits a moment, and says whether to look again for a place for a request that
 // was refused for want of one. Else the refusal tells the caller when to come back. One
 // that another instance forwarded is not held here: there may be room elsewhere.
-func (j *job) awaitRoom(ctx context.Context, refusal *outcome.Refusal) bool {
+func (j *job) awaitCapacity(ctx context.Context, refusal *outcome.Refusal) bool {
 	if refusal.Reason != outcome.ReasonOverloaded || j.sends > 0 {
 		return false
 	}
-	patience := time.Duration(roomPart * float64(j.route.TargetLatency))
-	if !j.forwarded && j.now().Sub(j.started) < patience && clock.Sleep(ctx, roomPoll) {
+	patience := time.Duration(capacityWaitShare * float64(j.route.TargetLatency))
+	if !j.forwarded && j.now().Sub(j.started) < patience && clock.Sleep(ctx, capacityPollInterval) {
 		return true
 	}
 	lasted := j.overload.Late(j.service.Name, j.route.Priority, j.now())
--- a/pkg/edge/overload_test.go
+++ b/pkg/edge/overload_test.go
@@ -11,11 +11,11 @@
 func TestARegionIsFullOnlyByTheWordOfItsInstance(t *testing.T) {
 	b := newBed(t, safe)
 	c := &call{job: &job{Edge: b.edge}}
-	c.regionFull = true
-	b.is.Equal(c.regionVerdict(notRun).String(), "rejected")
-	c.regionFull = false
-	b.is.Equal(c.regionVerdict(notRun).String(), "abandoned")
-	b.is.Equal(c.regionVerdict(done).String(), "succeeded")
+	c.regionOverloaded = true
+	b.is.Equal(c.regionResult(notRun).String(), "rejected")
+	c.regionOverloaded = false
+	b.is.Equal(c.regionResult(notRun).String(), "abandoned")
+	b.is.Equal(c.regionResult(done).String(), "succeeded")
 }
 
 // TestAForwardedRequestThatIsRefusedSaysWhy, so that its sender can tell.
--- a/pkg/edge/partner_test.go
+++ b/pkg/edge/partner_test.go
@@ -52,9 +52,9 @@
 	for _, name := range strings.Fields("a b c d e f g h i j k l m n o p q r s t u v w x y z") {
 		peers = append(peers, &peer.Known{Instance: fleet.Instance{Name: name, Peers: name}})
 	}
-	is.Equal(j.partner(peers, 28).Instance.Name, "c") // none is connected: drawn
+	is.Equal(j.choosePeer(peers, 28).Instance.Name, "c") // none is connected: drawn
 	for random := range uint64(100) {
-		target := j.partner(peers, random*7).Instance.Peers
+		target := j.choosePeer(peers, random*7).Instance.Peers
 		answer, err := e.peers.Do(t.Context(), exchange.Target{ID: target, Address: target}, &exchange.Request{Method: http.MethodPost, URI: "/", Host: target, Header: http.Header{}, Body: []byte("call"), Ours: func(int, http.Header) bool { return true }})
 		is.NoErr(err)
 		_, err = answer.Read(make([]byte, 1))
@@ -62,5 +62,5 @@
 		answer.Close()
 	}
 	is.Equal(e.peers.Dialed(), int64(1))
-	is.Equal(j.partner(peers[1:], 28).Instance.Name, "e") // the connected one was tried: another is drawn
+	is.Equal(j.choosePeer(peers[1:], 28).Instance.Name, "e") // the connected one was tried: another is drawn
 }
--- a/pkg/edge/quarantine.go
+++ b/pkg/edge/quarantine.go
@@ -15,7 +15,7 @@
 const quarantineSweep = time.Minute
 
 // quarantined returns the refusal of a request that is quarantined; nil: it may run.
-func (j *job) quarantined() *outcome.Refusal {
+func (j *job) quarantineRefusal() *outcome.Refusal {
 	if !j.quarantine.Concerns(len(j.body)) {
 		return nil
 	}
@@ -27,40 +27,40 @@
 }
 
 // ranWell clears a request that upstreams had ended under and that has run to a good end.
-func (j *job) ranWell() {
+func (j *job) ranToCompletion() {
 	if j.quarantine.Concerns(len(j.body)) {
-		j.observe(quarantine.Observation{Request: j.fingerprint()})
+		j.recordObservation(quarantine.Observation{Request: j.fingerprint()})
 	}
 }
 
 // observe notes what this instance saw of a request, and tells the others if it is news.
-func (e *Edge) observe(seen quarantine.Observation) {
+func (e *Edge) recordObservation(seen quarantine.Observation) {
 	change := e.quarantine.Witness(seen)
 	if change == quarantine.Known {
 		return
 	}
-	e.changed(seen.Request, change)
+	e.quarantineChanged(seen.Request, change)
 	e.gossip.Observe(seen)
 }
 
 // learnEvidence takes what other instances saw.
-func (e *Edge) learnEvidence(told []quarantine.Observation) {
-	for _, seen := range told {
-		e.changed(seen.Request, e.quarantine.Observe(seen))
+func (e *Edge) mergeObservations(received []quarantine.Observation) {
+	for _, seen := range received {
+		e.quarantineChanged(seen.Request, e.quarantine.Observe(seen))
 	}
 }
 
 // changed does what follows from a change of a request. Its quarantine is kept by those who saw
 // an upstream end under it, or run it to a good end.
-func (e *Edge) changed(request quarantine.Fingerprint, change quarantine.Change) {
-	e.noteQuarantine(request, change)
+func (e *Edge) quarantineChanged(request quarantine.Fingerprint, change quarantine.Change) {
+	e.logQuarantine(request, change)
 	if (change == quarantine.Quarantined || change == quarantine.Cleared) && e.quarantine.Witnessed(request) {
-		e.keepQuarantine(keeping{request: request})
+		e.enqueueWrite(quarantineWrite{request: request})
 	}
 }
 
 // noteQuarantine logs what has become of a request.
-func (e *Edge) noteQuarantine(request quarantine.Fingerprint, change quarantine.Change) {
+func (e *Edge) logQuarantine(request quarantine.Fingerprint, change quarantine.Change) {
 	switch change {
 	case quarantine.Quarantined:
 		e.log.Warn().Stringer(event.KeyContent, request).Msg(string(event.RequestQuarantined))
@@ -75,8 +75,8 @@
 func (e *Edge) sweepQuarantine(ctx context.Context) {
 	for clock.Sleep(ctx, quarantineSweep) {
 		e.quarantine.Sweep()
-		e.keepHeld()
-		e.forgetCleared(ctx)
-		e.inquiries.sweep(e.now())
+		e.writeMissingQuarantines()
+		e.deleteExpiredClearances(ctx)
+		e.crashProbes.sweep(e.now())
 	}
 }
--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -22,37 +22,37 @@
 const (
 	// keepSpread is over which time the witnesses of a request write its quarantine, so that
 	// most of them find it there.
-	keepSpread = 500 * time.Millisecond
+	writeJitter = 500 * time.Millisecond
 	// keepTimeout bounds the calls that write one quarantine; keepTries is how often that is
 	// tried, each time after twice the pause: the store may be away for some seconds.
-	keepTimeout = 2 * time.Second
-	keepTries   = 6
+	writeTimeout  = 2 * time.Second
+	writeAttempts = 6
 	// keepers is how many instances write a quarantine again that the store lacks: some of them
 	// may be cut off from it.
-	keepers = 3
+	quarantineWriters = 3
 	// eraSettles is for how long after the store's return from a copy what it holds is not known
 	// everywhere: a listing, and a round or two of copies.
-	eraSettles = time.Second
+	epochSettleTime = time.Second
 	// mostToKeep bounds the quarantines that wait to be written.
-	mostToKeep = 64
+	maxPendingWrites = 64
 )
 
 // keeping is a request whose record in the store is to be brought in line with what is known here.
-type keeping struct {
+type quarantineWrite struct {
 	request quarantine.Fingerprint
 	// unseen says that the store may hold another record than the own copy of it tells, which holds
 	// over what is newer.
-	unseen bool
+	staleReplica bool
 }
 
 // keepQuarantine has a quarantine written, or taken back. It never waits: one that finds no
 // room is known to the other instances all the same.
-func (e *Edge) keepQuarantine(asked keeping) {
+func (e *Edge) enqueueWrite(write quarantineWrite) {
 	if e.options.QuarantineKey == nil {
 		return
 	}
 	select {
-	case e.toKeep <- asked:
+	case e.quarantineWrites <- write:
 	default:
 	}
 }
@@ -61,8 +61,8 @@
 func (e *Edge) writeQuarantines(ctx context.Context) {
 	for {
 		select {
-		case asked := <-e.toKeep:
-			e.writeQuarantine(ctx, asked)
+		case write := <-e.quarantineWrites:
+			e.writeQuarantine(ctx, write)
 		case <-ctx.Done():
 			return
 		}
@@ -70,21 +70,21 @@
 }
 
 // jobKeep ranks the instances that write a quarantine again.
-const jobKeep = "keep"
+const rankQuarantineWriters = "keep"
 
 // followEras has the store brought in line, until ctx ends, with what it has forgotten by its return
 // from a copy: quarantines, and that they were cleared.
-func (e *Edge) followEras(ctx context.Context) {
+func (e *Edge) followEpochs(ctx context.Context) {
 	known := e.store.Era()
 	for {
 		changed := e.store.Eras().Changed()
-		if era := e.store.Era(); era != known {
-			known = era
-			clock.Sleep(ctx, eraSettles)
-			e.keepHeld()
+		if epoch := e.store.Era(); epoch != known {
+			known = epoch
+			clock.Sleep(ctx, epochSettleTime)
+			e.writeMissingQuarantines()
 			for _, request := range e.quarantine.AllReleased() {
-				if e.keeps(request) {
-					e.keepQuarantine(keeping{request: request, unseen: true})
+				if e.writesQuarantine(request) {
+					e.enqueueWrite(quarantineWrite{request: request, staleReplica: true})
 				}
 			}
 		}
@@ -98,41 +98,41 @@
 
 // keepHeld has the quarantines written that the store lacks. All instances know them: some are
 // chosen by hashing.
-func (e *Edge) keepHeld() {
+func (e *Edge) writeMissingQuarantines() {
 	stored := e.board.Quarantined.Load()
 	for _, request := range e.quarantine.AllHeld() {
-		if !stored.Holds(request) && e.keeps(request) {
-			e.keepQuarantine(keeping{request: request})
+		if !stored.Holds(request) && e.writesQuarantine(request) {
+			e.enqueueWrite(quarantineWrite{request: request})
 		}
 	}
 }
 
 // keeps says whether this instance is one of those that write a quarantine again.
-func (e *Edge) keeps(request quarantine.Fingerprint) bool {
-	names := slices.Collect(maps.Keys(e.counted().regions))
-	ranked := member.Rank(member.Key(jobKeep, request.Key()), names)
-	return slices.Contains(ranked[:min(keepers, len(ranked))], e.self.Name)
+func (e *Edge) writesQuarantine(request quarantine.Fingerprint) bool {
+	names := slices.Collect(maps.Keys(e.countInstances().regionByName))
+	ranked := member.Rank(member.Key(rankQuarantineWriters, request.Key()), names)
+	return slices.Contains(ranked[:min(quarantineWriters, len(ranked))], e.self.Name)
 }
 
 // writeQuarantine brings one record of the store in line with what is known here.
-func (e *Edge) writeQuarantine(ctx context.Context, asked keeping) {
-	pause := keepSpread
-	for range keepTries {
+func (e *Edge) writeQuarantine(ctx context.Context, write quarantineWrite) {
+	pause := writeJitter
+	for range writeAttempts {
 		if !clock.Sleep(ctx, rand.N(pause)) {
 			return
 		}
 		pause *= 2
-		held := e.quarantine.Held(asked.request)
+		held := e.quarantine.Held(write.request)
 		stored := e.board.Quarantined.Load()
-		if held == stored.Holds(asked.request) && (held || !asked.unseen) {
+		if held == stored.Holds(write.request) && (held || !write.staleReplica) {
 			return
 		}
-		err := e.putQuarantine(ctx, asked, held, stored.Find(asked.request))
+		err := e.putQuarantine(ctx, write, held, stored.Find(write.request))
 		if err == nil {
 			return
 		}
 		if !errors.Is(err, platform.ErrConflict) {
-			e.log.Warn().Err(err).Stringer(event.KeyContent, asked.request).Msg(string(event.QuarantineNotKept))
+			e.log.Warn().Err(err).Stringer(event.KeyContent, write.request).Msg(string(event.QuarantineNotKept))
 		}
 	}
 }
@@ -140,8 +140,8 @@
 // putQuarantine writes a record: that a request is quarantined, or was cleared. It is written only over
 // what is known of it (nil: there is none), so that a write that the store takes late undoes nothing that
 // was done meanwhile.
-func (e *Edge) putQuarantine(ctx context.Context, asked keeping, held bool, known *quarantine.Record) error {
-	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
+func (e *Edge) putQuarantine(ctx context.Context, write quarantineWrite, held bool, known *quarantine.Record) error {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	note, revision := quarantine.Note{Instance: e.self.Name, Since: time.Now().UTC()}, int64(0)
 	if known != nil {
@@ -157,9 +157,9 @@
 	if err != nil {
 		return err
 	}
-	key := e.options.QuarantineKey(asked.request)
+	key := e.options.QuarantineKey(write.request)
 	expect := map[string]int64{key: revision}
-	if asked.unseen && !held {
+	if write.staleReplica && !held {
 		expect = nil
 	}
 	_, err = e.options.Registrar.Swap(ctx, expect, []platform.Put{{Key: key, Value: value}})
@@ -168,21 +168,21 @@
 
 // forgetCleared removes the records of requests whose clearing no longer needs to be remembered. Some
 // instances are chosen by hashing for that.
-func (e *Edge) forgetCleared(ctx context.Context) {
+func (e *Edge) deleteExpiredClearances(ctx context.Context) {
 	stored := e.board.Quarantined.Load()
 	if stored == nil || e.options.QuarantineKey == nil {
 		return
 	}
 	for i := range stored.Records {
 		record := &stored.Records[i]
-		if record.ClearedBy != "" && !e.quarantine.Released(record.Request) && e.keeps(record.Request) {
-			e.forgetRecord(ctx, record)
+		if record.ClearedBy != "" && !e.quarantine.Released(record.Request) && e.writesQuarantine(record.Request) {
+			e.deleteRecord(ctx, record)
 		}
 	}
 }
 
-func (e *Edge) forgetRecord(ctx context.Context, record *quarantine.Record) {
-	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
+func (e *Edge) deleteRecord(ctx context.Context, record *quarantine.Record) {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	key := e.options.QuarantineKey(record.Request)
 	_, err := e.options.Registrar.Swap(ctx, map[string]int64{key: record.Revision}, []platform.Put{{Key: key, Delete: true}})
@@ -197,7 +197,7 @@
 	for {
 		changed := e.board.Quarantined.Changed()
 		if stored := e.board.Quarantined.Load(); stored != nil {
-			e.takeStored(known, stored)
+			e.applyStored(known, stored)
 			known = stored
 		}
 		select {
@@ -210,26 +210,26 @@
 
 // takeStored takes what has changed in the store's records; before may be nil. That one is gone says
 // nothing: only an act clears a quarantine.
-func (e *Edge) takeStored(before, stored *quarantine.Stored) {
+func (e *Edge) applyStored(before, stored *quarantine.Stored) {
 	for i := range stored.Records {
 		record := &stored.Records[i]
 		known := before.Find(record.Request)
 		switch {
 		case known != nil && before.Era == stored.Era && known.Revision == record.Revision:
 		case record.ClearedBy != "":
-			e.release(record)
+			e.applyClearance(record)
 		default:
-			e.noteQuarantine(record.Request, e.quarantine.Hold(record.Request, 0))
+			e.logQuarantine(record.Request, e.quarantine.Hold(record.Request, 0))
 			if !e.quarantine.Held(record.Request) {
 				// It ran to a good end while another instance wrote this.
-				e.keepQuarantine(keeping{request: record.Request})
+				e.enqueueWrite(quarantineWrite{request: record.Request})
 			}
 		}
 	}
 }
 
 // release takes the store's word that a request may run again.
-func (e *Edge) release(record *quarantine.Record) {
+func (e *Edge) applyClearance(record *quarantine.Record) {
 	e.quarantine.Release(record.Request)
 	e.log.Info().Stringer(event.KeyContent, record.Request).Str(event.KeyOperator, record.ClearedBy).Msg(string(event.RequestCleared))
 }
--- a/pkg/edge/roster.go
+++ b/pkg/edge/roster.go
@@ -12,46 +12,46 @@
 
 // instances is how many instances there are, this one included; never fewer than
 // are registered.
-func (e *Edge) instances() int { return e.counted().all }
+func (e *Edge) instances() int { return e.countInstances().all }
 
 // regionInstances is how many there are in the own region.
-func (e *Edge) regionInstances() int { return e.counted().region }
+func (e *Edge) regionInstances() int { return e.countInstances().inRegion }
 
 // tally is how many instances there are, by two snapshots of the board. Each request asks
 // for it; with 295 instances it takes 0.02 ms to make.
-type tally struct {
-	fleet       *fleet.View
-	peers       *peer.View
-	all, region int
+type instanceCounts struct {
+	fleet         *fleet.View
+	peers         *peer.View
+	all, inRegion int
 	// regions holds the region of each instance by name.
-	regions map[string]string
+	regionByName map[string]string
 	// parts holds this instance's part of each upstream that names a limit, as far as it was
 	// asked for.
-	parts sync.Map
+	shares sync.Map
 	// grew is when region last grew.
-	grew time.Time
+	grewAt time.Time
 }
 
 // counted counts the instances, once for each of the snapshots.
-func (e *Edge) counted() *tally {
+func (e *Edge) countInstances() *instanceCounts {
 	view, peers := e.board.Fleet.Load(), e.gossip.View().Load()
-	if last := e.tally.Load(); last != nil && last.fleet == view && last.peers == peers {
+	if last := e.latestCounts.Load(); last != nil && last.fleet == view && last.peers == peers {
 		return last
 	}
-	counted := e.count(view, peers)
-	switch last := e.tally.Load(); {
+	counted := e.countFrom(view, peers)
+	switch last := e.latestCounts.Load(); {
 	case last == nil:
-		counted.grew = e.began
-	case counted.region > last.region:
-		counted.grew = e.now()
+		counted.grewAt = e.startedAt
+	case counted.inRegion > last.inRegion:
+		counted.grewAt = e.now()
 	default:
-		counted.grew = last.grew
+		counted.grewAt = last.grewAt
 	}
-	e.tally.Store(counted)
+	e.latestCounts.Store(counted)
 	return counted
 }
 
-func (e *Edge) count(view *fleet.View, peers *peer.View) *tally {
+func (e *Edge) countFrom(view *fleet.View, peers *peer.View) *instanceCounts {
 	regions := map[string]string{e.self.Name: e.self.Region}
 	if view != nil {
 		for i := range view.Instances {
@@ -66,10 +66,10 @@
 			}
 		}
 	}
-	counted := &tally{fleet: view, peers: peers, all: len(regions), regions: regions}
+	counted := &instanceCounts{fleet: view, peers: peers, all: len(regions), regionByName: regions}
 	for _, region := range regions {
 		if region == e.self.Region {
-			counted.region++
+			counted.inRegion++
 		}
 	}
 	return counted
@@ -77,12 +77,12 @@
 
 // leastInstances is how many instances of a region are taken to exist as long as
 // none other is known: after a restart of everything each knows only itself.
-const leastInstances = 3
+const minInstances = 3
 
 // coldStart is for how long after its start, and after it has learned of one more instance
 // of its region, an instance sends nothing to cold upstreams: what was sent before a restart
 // still counts for that long, and while instances appear its share would be too large.
-const coldStart = limit.ColdWindow
+const coldStartDelay = limit.ColdWindow
 
 // admits says whether an upstream may get one more request of this instance, as far as it
 // is, or may be, cold.
@@ -90,10 +90,10 @@
 	if service.ColdRate == 0 || !e.mayBeCold(upstream, service) {
 		return true
 	}
-	if e.now().Sub(e.began) < coldStart || e.now().Sub(e.counted().grew) < coldStart {
+	if e.now().Sub(e.startedAt) < coldStartDelay || e.now().Sub(e.countInstances().grewAt) < coldStartDelay {
 		return false
 	}
-	return e.cold.Left(upstream.ID, e.coldAllowance(service), max(leastInstances, e.regionInstances()))
+	return e.cold.Left(upstream.ID, e.coldAllowance(service), max(minInstances, e.regionInstances()))
 }
 
 // coldAllowance is how many requests a second a cold upstream of a service may get of all instances.
@@ -105,7 +105,7 @@
 // live ones there, else those of the regions that most of the host's routes permit. Its
 // routes may exclude each other's regions.
 func (e *Edge) Roster(region, host string) []fleet.Instance {
-	all := e.usable()
+	all := e.usableInstances()
 	if near := inRegions(all, func(r string) bool { return r == region }); len(near) > 0 {
 		return near
 	}
@@ -131,7 +131,7 @@
 }
 
 // usable lists the instances that take callers, this one included unless it leaves.
-func (e *Edge) usable() []fleet.Instance {
+func (e *Edge) usableInstances() []fleet.Instance {
 	byName := make(map[string]fleet.Instance)
 	if view := e.board.Fleet.Load(); view != nil {
 		for _, instance := range view.Instances {
--- a/pkg/edge/silence.go
+++ b/pkg/edge/silence.go
@@ -22,200 +22,200 @@
 const (
 	// silentGaps is how many of its service's usual gaps between parts of an answer make
 	// a stream silent; leastSilence and mostSilence bound that time.
-	silentGaps   = 5
-	leastSilence = 250 * time.Millisecond
-	mostSilence  = time.Second
+	stallGaps    = 5
+	minStallTime = 250 * time.Millisecond
+	maxStallTime = time.Second
 	// usualGap is taken for the usual gap where none was measured.
-	usualGap = 100 * time.Millisecond
+	defaultGap = 100 * time.Millisecond
 	// gapSmoothing is the weight of the newest gap.
 	gapSmoothing = 0.02
 	// leastWitnesses is how many silent streams make an engine dark: a single one may have
 	// been preempted.
-	leastWitnesses = 2
+	minStalledStreams = 2
 	// darkFor is how long an engine that is found dark gets nothing: then a request tries
 	// it again.
-	darkFor = 2 * time.Second
+	unresponsiveFor = 2 * time.Second
 )
 
 // errDark ends the attempts at an engine that is dark.
-var errDark = errors.New("no stream of the engine is heard")
+var errUnresponsive = errors.New("no stream of the engine is heard")
 
 // pulses watches the streams of engines. It is safe for concurrent use.
-type pulses struct {
+type streamMonitor struct {
 	mu sync.Mutex
 	// byID holds the running streams of each upstream.
-	byID map[string]map[*pulse]struct{}
+	running map[string]map[*monitoredStream]struct{}
 	// gaps holds the usual gap of each service.
-	gaps map[string]time.Duration
+	meanGaps map[string]time.Duration
 	// dark holds until when an upstream gets nothing.
-	dark map[string]time.Time
+	unresponsiveUntil map[string]time.Time
 }
 
 // pulse is one stream.
-type pulse struct {
+type monitoredStream struct {
 	service string
 	// sent is when the request was sent.
 	sent time.Time
 	// heard is when the last part of its answer came; zero: none came.
-	heard time.Time
+	lastData time.Time
 	// end ends the attempt, so that the request goes on elsewhere; nil: it may not.
-	end context.CancelCauseFunc
+	cancel context.CancelCauseFunc
 }
 
-func newPulses() *pulses {
-	return &pulses{byID: make(map[string]map[*pulse]struct{}), gaps: make(map[string]time.Duration), dark: make(map[string]time.Time)}
+func newStreamMonitor() *streamMonitor {
+	return &streamMonitor{running: make(map[string]map[*monitoredStream]struct{}), meanGaps: make(map[string]time.Duration), unresponsiveUntil: make(map[string]time.Time)}
 }
 
 // begin watches a stream until the returned function is called.
-func (p *pulses) begin(upstream string, stream *pulse) (ended func()) {
+func (p *streamMonitor) add(upstream string, stream *monitoredStream) (remove func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.byID[upstream] == nil {
-		p.byID[upstream] = make(map[*pulse]struct{})
+	if p.running[upstream] == nil {
+		p.running[upstream] = make(map[*monitoredStream]struct{})
 	}
-	p.byID[upstream][stream] = struct{}{}
+	p.running[upstream][stream] = struct{}{}
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		delete(p.byID[upstream], stream)
-		if len(p.byID[upstream]) == 0 {
-			delete(p.byID, upstream)
+		delete(p.running[upstream], stream)
+		if len(p.running[upstream]) == 0 {
+			delete(p.running, upstream)
 		}
 	}
 }
 
 // hear notes that a part of a stream has come.
-func (p *pulses) hear(stream *pulse, now time.Time) {
+func (p *streamMonitor) received(stream *monitoredStream, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !stream.heard.IsZero() {
-		usual := p.gap(stream.service)
-		gap := min(now.Sub(stream.heard), mostSilence)
-		p.gaps[stream.service] = usual + time.Duration(gapSmoothing*float64(gap-usual))
+	if !stream.lastData.IsZero() {
+		usual := p.meanGap(stream.service)
+		gap := min(now.Sub(stream.lastData), maxStallTime)
+		p.meanGaps[stream.service] = usual + time.Duration(gapSmoothing*float64(gap-usual))
 	}
-	stream.heard = now
+	stream.lastData = now
 }
 
-func (p *pulses) gap(service string) time.Duration {
-	if gap, ok := p.gaps[service]; ok {
+func (p *streamMonitor) meanGap(service string) time.Duration {
+	if gap, ok := p.meanGaps[service]; ok {
 		return gap
 	}
-	return usualGap
+	return defaultGap
 }
 
 // count returns how many streams of an upstream flow, and how many are silent.
-func (p *pulses) count(upstream string, now time.Time) (flowing, silent int) {
+func (p *streamMonitor) count(upstream string, now time.Time) (flowing, stalled int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for stream := range p.byID[upstream] {
+	for stream := range p.running[upstream] {
 		switch {
-		case stream.heard.IsZero():
-		case now.Sub(stream.heard) < p.silence(stream.service):
+		case stream.lastData.IsZero():
+		case now.Sub(stream.lastData) < p.stallTime(stream.service):
 			flowing++
 		default:
-			silent++
+			stalled++
 		}
 	}
-	return flowing, silent
+	return flowing, stalled
 }
 
 // silence is the time without a part after which a stream of a service is silent.
-func (p *pulses) silence(service string) time.Duration {
-	return min(mostSilence, max(leastSilence, silentGaps*p.gap(service)))
+func (p *streamMonitor) stallTime(service string) time.Duration {
+	return min(maxStallTime, max(minStallTime, stallGaps*p.meanGap(service)))
 }
 
 // darken notes that an upstream is dark, ends the attempts there that can go on elsewhere
 // and returns how many; found is true when it was not known to be dark before.
-func (p *pulses) darken(upstream string, now time.Time) (ended int, found bool) {
+func (p *streamMonitor) markUnresponsive(upstream string, now time.Time) (cancelled int, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	found = !now.Before(p.dark[upstream])
-	p.dark[upstream] = now.Add(darkFor)
-	for stream := range p.byID[upstream] {
-		if stream.end != nil && now.Sub(stream.last()) >= p.silence(stream.service) {
-			stream.end(errDark)
-			ended++
+	found = !now.Before(p.unresponsiveUntil[upstream])
+	p.unresponsiveUntil[upstream] = now.Add(unresponsiveFor)
+	for stream := range p.running[upstream] {
+		if stream.cancel != nil && now.Sub(stream.lastActivity()) >= p.stallTime(stream.service) {
+			stream.cancel(errUnresponsive)
+			cancelled++
 		}
 	}
-	return ended, found
+	return cancelled, found
 }
 
 // last is when something of the stream was last heard, or it was sent.
-func (s *pulse) last() time.Time {
-	if s.heard.IsZero() {
+func (s *monitoredStream) lastActivity() time.Time {
+	if s.lastData.IsZero() {
 		return s.sent
 	}
-	return s.heard
+	return s.lastData
 }
 
 // isDark says whether an upstream gets nothing.
-func (p *pulses) isDark(upstream string, now time.Time) bool {
+func (p *streamMonitor) isUnresponsive(upstream string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Before(p.dark[upstream])
+	return now.Before(p.unresponsiveUntil[upstream])
 }
 
 // forget drops what is known of an upstream that is gone.
-func (p *pulses) forget(upstream string) {
+func (p *streamMonitor) forget(upstream string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.dark, upstream)
+	delete(p.unresponsiveUntil, upstream)
 }
 
 // dark says whether nobody hears an engine, by what this instance and the others hear of
 // its streams.
-func dark(flowing, silent int, others peer.Load) bool {
-	return flowing+others.Flowing == 0 && silent+others.Silent >= leastWitnesses
+func unresponsive(flowing, stalled int, others peer.Load) bool {
+	return flowing+others.Flowing == 0 && stalled+others.Silent >= minStalledStreams
 }
 
 // watchStreams looks for dark engines of the own region after each exchange of reports,
 // until ctx ends.
 func (e *Edge) watchStreams(ctx context.Context) {
 	for {
-		heard := e.gossip.View().Changed()
+		changed := e.gossip.View().Changed()
 		if view := e.board.Fleet.Load(); view != nil {
-			e.watchUpstreams(view)
+			e.checkUpstreams(view)
 		}
 		select {
-		case <-heard:
+		case <-changed:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (e *Edge) watchUpstreams(view *fleet.View) {
+func (e *Edge) checkUpstreams(view *fleet.View) {
 	for i := range view.Upstreams {
 		if upstream := &view.Upstreams[i]; upstream.Region == e.settings.Region {
-			e.watchUpstream(upstream)
+			e.checkUpstream(upstream)
 		}
 	}
 }
 
-func (e *Edge) watchUpstream(upstream *fleet.Upstream) {
+func (e *Edge) checkUpstream(upstream *fleet.Upstream) {
 	now := e.now()
-	flowing, silent := e.pulses.count(upstream.ID, now)
+	flowing, stalled := e.streams.count(upstream.ID, now)
 	others := e.gossip.View().Load().Upstream(upstream.ID)
-	if !dark(flowing, silent, others) {
+	if !unresponsive(flowing, stalled, others) {
 		return
 	}
-	ended, found := e.pulses.darken(upstream.ID, now)
-	if found || ended > 0 {
-		e.log.Warn().Str(event.KeyUpstream, upstream.ID).Int(event.KeySilent, silent).Int(event.KeySilentElsewhere, others.Silent).
-			Int(event.KeyEnded, ended).Msg(string(event.UpstreamDark))
+	cancelled, found := e.streams.markUnresponsive(upstream.ID, now)
+	if found || cancelled > 0 {
+		e.log.Warn().Str(event.KeyUpstream, upstream.ID).Int(event.KeySilent, stalled).Int(event.KeySilentElsewhere, others.Silent).
+			Int(event.KeyEnded, cancelled).Msg(string(event.UpstreamDark))
 	}
 }
 
 // seen is what this instance knows at first hand of upstreams, as decisions see it at a
 // time.
-type seen struct {
+type localLoads struct {
 	*Edge
 	now time.Time
 }
 
 // Load implements steer.Local.
-func (s seen) Load(upstream string) limit.Load {
+func (s localLoads) Load(upstream string) limit.Load {
 	load := s.tracker.Load(upstream)
-	load.Ejected = load.Ejected || s.pulses.isDark(upstream, s.now)
+	load.Ejected = load.Ejected || s.streams.isUnresponsive(upstream, s.now)
 	return load
 }
--- a/pkg/edge/silence_test.go
+++ b/pkg/edge/silence_test.go
@@ -17,12 +17,12 @@
 // TestAnEngineIsDarkWhenNobodyHearsIt, not when one of its streams stands still.
 func TestAnEngineIsDarkWhenNobodyHearsIt(t *testing.T) {
 	is := is.New(t)
-	is.True(dark(0, 2, peer.Load{}))
-	is.True(dark(0, 1, peer.Load{Silent: 1}))
-	is.True(dark(0, 0, peer.Load{Silent: 2}))
-	is.True(!dark(0, 1, peer.Load{}))
-	is.True(!dark(1, 5, peer.Load{}))
-	is.True(!dark(0, 5, peer.Load{Flowing: 1, Silent: 3}))
+	is.True(unresponsive(0, 2, peer.Load{}))
+	is.True(unresponsive(0, 1, peer.Load{Silent: 1}))
+	is.True(unresponsive(0, 0, peer.Load{Silent: 2}))
+	is.True(!unresponsive(0, 1, peer.Load{}))
+	is.True(!unresponsive(1, 5, peer.Load{}))
+	is.True(!unresponsive(0, 5, peer.Load{Flowing: 1, Silent: 3}))
 }
 
 // TestStreamsAreSilentAfterSomeOfTheirUsualGaps: engines whose events come every 200 ms
@@ -30,25 +30,25 @@
 func TestStreamsAreSilentAfterSomeOfTheirUsualGaps(t *testing.T) {
 	is := is.New(t)
 	silent := func(gap time.Duration) time.Duration {
-		p, s, at := newPulses(), &pulse{service: testService}, time.Unix(1000, 0)
-		defer p.begin("u", s)()
+		p, s, at := newStreamMonitor(), &monitoredStream{service: testService}, time.Unix(1000, 0)
+		defer p.add("u", s)()
 		for range 500 {
-			p.hear(s, at)
+			p.received(s, at)
 			at = at.Add(gap)
 		}
-		at = s.heard
+		at = s.lastData
 		for {
 			flowing, silent := p.count("u", at)
 			is.Equal(flowing+silent, 1)
 			if silent == 1 {
-				return at.Sub(s.heard)
+				return at.Sub(s.lastData)
 			}
 			at = at.Add(10 * time.Millisecond)
 		}
 	}
-	is.Equal(silent(20*time.Millisecond), leastSilence)
+	is.Equal(silent(20*time.Millisecond), minStallTime)
 	is.True(silent(150*time.Millisecond) > 700*time.Millisecond)
-	is.Equal(silent(time.Second), mostSilence)
+	is.Equal(silent(time.Second), maxStallTime)
 }
 
 // TestStreamsOfADarkEngineGoOnElsewhere: three streams begin at an engine that falls silent
--- a/pkg/edge/start.go
+++ b/pkg/edge/start.go
@@ -13,20 +13,20 @@
 	// startPatience is for how long a request waits for that. An instance far from the
 	// store reads it 0.25 s after its start and hears other regions 0.25 s later. Callers
 	// try once or twice: after a restart of everything the refusal would be their last.
-	startPatience = 600 * time.Millisecond
+	maxStartWait = 600 * time.Millisecond
 )
 
 // await waits until ready, if the instance has just begun and the store answers, and says
 // whether it is.
-func (j *job) await(ctx context.Context, ready func() bool) bool {
+func (j *job) awaitReady(ctx context.Context, ready func() bool) bool {
 	if ready() {
 		return true
 	}
 	if !j.starting() {
 		return false
 	}
-	until := j.started.Add(startPatience)
-	if end := j.began.Add(startWindow); end.Before(until) {
+	until := j.started.Add(maxStartWait)
+	if end := j.startedAt.Add(startWindow); end.Before(until) {
 		until = end
 	}
 	ctx, cancel := context.WithTimeout(ctx, until.Sub(j.now()))
@@ -49,7 +49,7 @@
 }
 
 // starting says whether the instance has just begun.
-func (e *Edge) starting() bool { return e.now().Sub(e.began) < startWindow }
+func (e *Edge) starting() bool { return e.now().Sub(e.startedAt) < startWindow }
 
 // configured says whether the instance can route anything.
 func (e *Edge) configured() bool {
@@ -58,8 +58,8 @@
 
 // nextAtStart is next for a request that found nothing and may yet, since the instance has
 // just begun and does not hear all others.
-func (j *job) nextAtStart(ctx context.Context) (chosen *target) {
-	j.await(ctx, func() bool {
+func (j *job) nextDuringStart(ctx context.Context) (chosen *target) {
+	j.awaitReady(ctx, func() bool {
 		if !j.gossip.Unheard() {
 			return true
 		}
--- a/pkg/edge/start_test.go
+++ b/pkg/edge/start_test.go
@@ -31,9 +31,9 @@
 func TestAnInstanceThatIsNeverConfiguredRefusesWithinItsPatience(t *testing.T) {
 	b := newBed(t, safe)
 	b.edge.board.Routes.Store(nil)
-	b.edge.began = time.Now().Add(startPatience/4 - startWindow)
+	b.edge.startedAt = time.Now().Add(maxStartWait/4 - startWindow)
 	b.is.Equal(b.ask(http.MethodGet, "/r/", "").status, http.StatusServiceUnavailable)
-	b.is.True(time.Since(b.edge.began) >= startWindow)
+	b.is.True(time.Since(b.edge.startedAt) >= startWindow)
 	b.is.Equal(b.ask(http.MethodGet, "/r/", "").status, http.StatusServiceUnavailable)
 }
 
@@ -50,5 +50,5 @@
 	empty.Index()
 	b.edge.board.Fleet.Store(empty)
 	b.is.Equal((<-replies).status, http.StatusServiceUnavailable)
-	b.is.True(time.Since(b.edge.began) < startWindow)
+	b.is.True(time.Since(b.edge.startedAt) < startWindow)
 }
--- a/pkg/edge/state.go
+++ b/pkg/edge/state.go
@@ -8,33 +8,33 @@
 )
 
 // noteState takes what an answer says of its upstream. Sent is when its request was sent.
-func (e *Edge) noteState(upstream *fleet.Upstream, reading *Reading, sent time.Time) {
-	e.noteNamed(upstream, reading, sent)
-	e.noteRest(upstream, reading)
-	if reading.Leaving && e.learnDeparture(upstream.ID, "") {
+func (e *Edge) recordState(upstream *fleet.Upstream, reading *Reading, sent time.Time) {
+	e.recordLimit(upstream, reading, sent)
+	e.recordBackoff(upstream, reading)
+	if reading.Leaving && e.recordDeparture(upstream.ID, "") {
 		e.gossip.RequestRound()
 	}
 }
 
 // learnDeparture takes an upstream's word that it leaves, from another instance where teller is
 // not empty, and says whether that is news.
-func (e *Edge) learnDeparture(upstream, teller string) (news bool) {
+func (e *Edge) recordDeparture(upstream, reporter string) (news bool) {
 	if !e.departures.Learn(upstream) {
 		return false
 	}
-	line := e.log.Info().Str(event.KeyUpstream, upstream).Int64(event.KeyStoreAgeMS, e.age(e.store.Reached()))
-	if teller != "" {
-		line.Str(event.KeyPeer, teller)
+	line := e.log.Info().Str(event.KeyUpstream, upstream).Int64(event.KeyStoreAgeMS, e.ageMS(e.store.Reached()))
+	if reporter != "" {
+		line.Str(event.KeyPeer, reporter)
 	}
 	line.Msg(string(event.UpstreamLeaving))
 	return true
 }
 
 // learnDepartures takes what another instance tells of upstreams that are known here.
-func (e *Edge) learnDepartures(upstreams []string, teller string) {
+func (e *Edge) mergeDepartures(upstreams []string, reporter string) {
 	for _, upstream := range upstreams {
 		if e.discovered(upstream) {
-			e.learnDeparture(upstream, teller)
+			e.recordDeparture(upstream, reporter)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 }
 
 // leaves returns what says whether an upstream has said that it leaves; nil: none has.
-func (e *Edge) leaves() func(upstream string) bool {
+func (e *Edge) leavingFilter() func(upstream string) bool {
 	if !e.departures.Any() {
 		return nil
 	}
@@ -54,7 +54,7 @@
 }
 
 // departuresTold is what this instance tells of upstreams that leave.
-func (e *Edge) departuresTold() []string {
+func (e *Edge) reportedDepartures() []string {
 	if !e.departures.Any() {
 		return nil
 	}
@@ -63,23 +63,23 @@
 
 // restNews is by how much an upstream must prolong its rest to be worth a line: a burst of
 // requests that are turned away asks for the same rest over and over.
-const restNews = time.Second
+const backoffLogStep = time.Second
 
 // noteRest takes an upstream's word that it wants nothing from this instance for a while.
-func (e *Edge) noteRest(upstream *fleet.Upstream, reading *Reading) {
+func (e *Edge) recordBackoff(upstream *fleet.Upstream, reading *Reading) {
 	if !reading.BackingOff {
 		return
 	}
 	before := e.tracker.AskedRest(upstream.ID)
 	e.tracker.AskRest(upstream.ID, reading.RetryAfter)
-	if reading.RetryAfter-before >= restNews || before == 0 {
+	if reading.RetryAfter-before >= backoffLogStep || before == 0 {
 		e.log.Info().Str(event.KeyUpstream, upstream.ID).Int64(event.KeyForMS, reading.RetryAfter.Milliseconds()).Msg(string(event.UpstreamResting))
 	}
 }
 
 // countUnwanted counts what is sent to an upstream after it has said that it leaves, or within
 // the time for which it has asked for rest.
-func (e *Edge) countUnwanted(upstream *fleet.Upstream) {
+func (e *Edge) countUnwantedSends(upstream *fleet.Upstream) {
 	if e.tracker.AskedRest(upstream.ID) > 0 {
 		e.counts.series.Counter("upstream.sends_in_rest", label(labelTarget, upstream.ID)).Inc(1)
 	}
--- a/pkg/edge/stream.go
+++ b/pkg/edge/stream.go
@@ -27,68 +27,68 @@
 
 // stream passes whole events on as they come. What follows the last whole event when
 // the stream breaks is thrown away.
-func (c *call) stream(ctx context.Context, answer *exchange.Answer) result {
+func (c *call) relayStream(ctx context.Context, answer *exchange.Answer) result {
 	buffer := make([]byte, streamBuffer)
 	fill := 0
 	for {
 		if fill == len(buffer) {
 			if len(buffer) >= maxEvent {
-				return c.odd("event too long")
+				return c.rejectAnswer("event too long")
 			}
 			buffer = append(buffer, make([]byte, len(buffer))...)
 		}
 		n, err := answer.Read(buffer[fill:])
 		if n > 0 && fill == 0 {
-			c.begun()
+			c.onPart()
 		}
-		if n > 0 && c.heard != nil {
-			c.heard()
+		if n > 0 && c.onData != nil {
+			c.onData()
 		}
 		fill += n
 		whole := bytes.LastIndex(buffer[:fill], eventEnd)
 		if whole >= 0 {
 			whole += len(eventEnd)
-			if passed := c.events(answer, buffer[:whole]); passed != nil {
+			if passed := c.relayEvents(answer, buffer[:whole]); passed != nil {
 				return callerGone
 			}
 			fill = copy(buffer, buffer[whole:fill])
 		}
 		if err != nil {
-			return c.streamEnd(ctx, answer, fill, err)
+			return c.endStream(ctx, answer, fill, err)
 		}
 	}
 }
 
 // events passes whole events on, and the head before the first.
-func (c *call) events(answer *exchange.Answer, events []byte) error {
-	if !c.writer.begun {
-		if err := c.writer.begin(answer.Status, c.dialect.Answer(answer.Header), -1); err != nil {
+func (c *call) relayEvents(answer *exchange.Answer, events []byte) error {
+	if !c.writer.started {
+		if err := c.writer.writeHead(answer.Status, c.dialect.Answer(answer.Header), -1); err != nil {
 			return err
 		}
 	}
-	if id := lastID(events); id != "" {
+	if id := lastEventID(events); id != "" {
 		c.writer.lastEvent = id
 	}
-	return c.writer.pass(events)
+	return c.writer.writePart(events)
 }
 
 // streamEnd ends the answer, or the attempt.
-func (c *call) streamEnd(ctx context.Context, answer *exchange.Answer, left int, err error) result {
+func (c *call) endStream(ctx context.Context, answer *exchange.Answer, left int, err error) result {
 	if errors.Is(err, io.EOF) && left == 0 {
-		c.whole = true
-		if c.writer.begun {
+		c.complete = true
+		if c.writer.started {
 			return done
 		}
-		return c.give(&held{status: answer.Status, header: c.dialect.Answer(answer.Header)})
+		return c.deliver(&bufferedAnswer{status: answer.Status, header: c.dialect.Answer(answer.Header)})
 	}
 	if errors.Is(err, io.EOF) {
 		err = errPartial
 	}
-	return c.failed(ctx, &exchange.Error{Stage: exchange.Sent, Target: c.target, Err: err})
+	return c.classifyFailure(ctx, &exchange.Error{Stage: exchange.Sent, Target: c.target, Err: err})
 }
 
 // lastID returns the last event ID among whole events; empty when there is none.
-func lastID(events []byte) string {
+func lastEventID(events []byte) string {
 	for end := len(events); end > 0; {
 		start := bytes.LastIndexByte(events[:end-1], '\n') + 1
 		line := events[start:end]
--- a/pkg/edge/suspicion.go
+++ b/pkg/edge/suspicion.go
@@ -20,14 +20,14 @@
 	// suspicionPause is for how long after an upstream has said which start it is an answer
 	// that broke off raises no new suspicion: servers that break off a few answers of a
 	// hundred would be asked all the time, and one that starts again takes longer.
-	suspicionPause = time.Second
+	minSuspicionInterval = time.Second
 	// askPause passes between questions to an upstream that does not answer them.
-	askPause = 300 * time.Millisecond
+	queryRetryInterval = 300 * time.Millisecond
 	// askTimeout bounds a question: a round trip inside the region, and some work.
-	askTimeout = 300 * time.Millisecond
+	queryTimeout = 300 * time.Millisecond
 	// silentFor is for how long an upstream that says nothing of its start stays under suspicion:
 	// the usual time for which an upstream is cold.
-	silentFor = 10 * time.Second
+	defaultWarmUp = 10 * time.Second
 )
 
 // suspicions holds the upstreams that may be cold without this instance knowing it: they may have
@@ -39,53 +39,53 @@
 	mu   sync.Mutex
 	byID map[string]*suspicion
 	// known is how many byID holds: where there is none, a decision takes no lock.
-	known atomic.Int64
+	size atomic.Int64
 	// turned holds when an upstream of a failure domain last said that it is cold, which was not
 	// known: an evacuation makes those of a domain cold together.
-	turned map[string]time.Time
+	turnedCold map[string]time.Time
 }
 
 type suspicion struct {
 	// open since; zero: settled.
-	open time.Time
+	openSince time.Time
 	// settled is when the question was asked by whose answer the start is the known one.
-	settled time.Time
+	settledAt time.Time
 	// asked is when the upstream was last asked; asking is true until it has answered.
-	asked  time.Time
-	asking bool
+	queriedAt time.Time
+	querying  bool
 	// sent is how many requests it got of this instance since the question by whose answer the start is
 	// the known one, as far as they are counted; sentBefore is how many of them it had got as
 	// it was last asked, spent since when they are as many as it may get without an answer.
-	sent, sentBefore int
-	spent            time.Time
+	sent, sentAtQuery int
+	spentAt           time.Time
 	// coldUntil is until when the upstream is cold by its own answer.
 	coldUntil time.Time
 }
 
 // occasion is why an upstream is looked at.
-type occasion struct {
+type coldCheck struct {
 	now time.Time
 	// doubt is since when it is not known whether the upstream is cold; zero: it is known.
-	doubt time.Time
+	uncertainSince time.Time
 	// unasked is how many requests the upstream may get between two of its answers, though there is
 	// no doubt; zero: any number. Where it is bounded, another one of its failure domain that says that it is
 	// cold casts doubt on it.
-	unasked int
+	maxUnconfirmed int
 	// pause passes between such questions; one that does not answer them is believed after warmUp.
-	pause, warmUp time.Duration
-	domain        string
+	queryInterval, warmUp time.Duration
+	domain                string
 }
 
 // word is what an upstream says of itself when it is asked.
-type word struct {
+type selfReport struct {
 	// began is when its start began, in Unix milliseconds by its clock; zero: it does not say.
-	began int64
+	startTime int64
 	// coldFor is for how long it is still cold.
 	coldFor time.Duration
 }
 
 func newSuspicions() *suspicions {
-	return &suspicions{byID: make(map[string]*suspicion), turned: make(map[string]time.Time)}
+	return &suspicions{byID: make(map[string]*suspicion), turnedCold: make(map[string]time.Time)}
 }
 
 // entry returns what is known of an upstream. The caller holds s.mu.
@@ -94,7 +94,7 @@
 	if entry == nil {
 		entry = &suspicion{}
 		s.byID[id] = entry
-		s.known.Store(int64(len(s.byID)))
+		s.size.Store(int64(len(s.byID)))
 	}
 	return entry
 }
@@ -104,58 +104,58 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entry := s.entry(id)
-	if entry.open.IsZero() && (unreached || now.Sub(entry.settled) >= suspicionPause) {
-		entry.open = now
+	if entry.openSince.IsZero() && (unreached || now.Sub(entry.settledAt) >= minSuspicionInterval) {
+		entry.openSince = now
 	}
 }
 
 // about says whether an upstream may be cold, for what it has said itself or for a suspicion, and
 // whether it should be asked now.
-func (s *suspicions) about(id string, why *occasion) (cold, ask bool) {
-	wanted := !why.doubt.IsZero() || why.unasked > 0
-	if !wanted && s.known.Load() == 0 {
+func (s *suspicions) evaluate(id string, check *coldCheck) (cold, query bool) {
+	checked := !check.uncertainSince.IsZero() || check.maxUnconfirmed > 0
+	if !checked && s.size.Load() == 0 {
 		return false, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !wanted && s.byID[id] == nil {
+	if !checked && s.byID[id] == nil {
 		return false, false
 	}
 	entry := s.entry(id)
-	doubt := why.doubt
-	if why.unasked > 0 {
-		doubt = latest(doubt, s.turned[why.domain], entry.coldUntil)
+	uncertainSince := check.uncertainSince
+	if check.maxUnconfirmed > 0 {
+		uncertainSince = latest(uncertainSince, s.turnedCold[check.domain], entry.coldUntil)
 	}
-	saidCold := why.now.Before(entry.coldUntil)
-	doubted := !doubt.IsZero() && !entry.settled.After(doubt)
-	suspected := doubted || !entry.open.IsZero()
-	spent := entry.hasSpent(why)
-	cold = suspected || saidCold || spent
+	reportedCold := check.now.Before(entry.coldUntil)
+	uncertain := !uncertainSince.IsZero() && !entry.settledAt.After(uncertainSince)
+	suspected := uncertain || !entry.openSince.IsZero()
+	spent := entry.hasSpent(check)
+	cold = suspected || reportedCold || spent
 	var pause time.Duration
 	switch {
-	case why.unasked > 0 && 2*entry.sent >= why.unasked:
+	case check.maxUnconfirmed > 0 && 2*entry.sent >= check.maxUnconfirmed:
 		// Before all is spent, so that the answer is there by then.
-		pause = why.pause
+		pause = check.queryInterval
 	case suspected:
-		pause = askPause
+		pause = queryRetryInterval
 	}
-	return cold, pause > 0 && !saidCold && !entry.asking && why.now.Sub(entry.asked) >= pause
+	return cold, pause > 0 && !reportedCold && !entry.querying && check.now.Sub(entry.queriedAt) >= pause
 }
 
 // hasSpent says whether the upstream has got as many requests as it may without an answer.
-func (s *suspicion) hasSpent(why *occasion) bool {
+func (s *suspicion) hasSpent(check *coldCheck) bool {
 	switch {
-	case why.unasked == 0 || s.sent < why.unasked:
-		s.spent = time.Time{}
+	case check.maxUnconfirmed == 0 || s.sent < check.maxUnconfirmed:
+		s.spentAt = time.Time{}
 		return false
-	case s.spent.IsZero():
-		s.spent = why.now
+	case s.spentAt.IsZero():
+		s.spentAt = check.now
 	}
-	return why.now.Sub(s.spent) < why.warmUp
+	return check.now.Sub(s.spentAt) < check.warmUp
 }
 
 // count notes a request that is sent to an upstream.
-func (s *suspicions) count(id string) {
+func (s *suspicions) countSend(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entry(id).sent++
@@ -163,14 +163,14 @@
 
 // begin notes that an upstream is being asked; false: somebody else does. Whoever begins must call
 // answered.
-func (s *suspicions) begin(id string, now time.Time) bool {
+func (s *suspicions) beginQuery(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entry := s.byID[id]
-	if entry == nil || entry.asking {
+	if entry == nil || entry.querying {
 		return false
 	}
-	entry.asking, entry.asked, entry.sentBefore = true, now, entry.sent
+	entry.querying, entry.queriedAt, entry.sentAtQuery = true, now, entry.sent
 	return true
 }
 
@@ -179,33 +179,33 @@
 }
 
 // turn notes that an upstream of a failure domain has turned cold, which was not known.
-func (s *suspicions) turn(domain string, now time.Time) {
+func (s *suspicions) noteTurnedCold(domain string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turned[domain] = now
+	s.turnedCold[domain] = now
 }
 
 // answered takes the answer to a question, and the known start; answered is false when none
 // came.
-func (s *suspicions) answered(id string, answered bool, said word, known int64, now time.Time) {
+func (s *suspicions) finishQuery(id string, answered bool, reported selfReport, known int64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entry := s.byID[id]
 	if entry == nil {
 		return
 	}
-	entry.asking = false
+	entry.querying = false
 	if !answered {
 		return
 	}
-	if said.coldFor > 0 {
-		entry.coldUntil = now.Add(said.coldFor)
+	if reported.coldFor > 0 {
+		entry.coldUntil = now.Add(reported.coldFor)
 	}
-	same := said.began == known
-	silent := said.began == 0 && now.Sub(entry.open) >= silentFor
-	if same || silent {
-		entry.open, entry.settled = time.Time{}, entry.asked
-		entry.sent -= entry.sentBefore
+	same := reported.startTime == known
+	withoutStart := reported.startTime == 0 && now.Sub(entry.openSince) >= defaultWarmUp
+	if same || withoutStart {
+		entry.openSince, entry.settledAt = time.Time{}, entry.queriedAt
+		entry.sent -= entry.sentAtQuery
 	}
 }
 
@@ -214,7 +214,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.byID, id)
-	s.known.Store(int64(len(s.byID)))
+	s.size.Store(int64(len(s.byID)))
 }
 
 // suspect opens a suspicion about an upstream after a failed exchange, if the failure may be
@@ -233,59 +233,59 @@
 // known. It has it asked where that is due, which it never is while it rests.
 func (e *Edge) mayBeCold(upstream *fleet.Upstream, service *httproute.Service) bool {
 	now := e.now()
-	why := occasion{now: now, domain: upstream.Domain}
+	check := coldCheck{now: now, domain: upstream.Domain}
 	if service != nil && service.ColdRate > 0 {
-		why.doubt = e.inDoubt(upstream, service, now)
-		e.boundUnasked(&why, service)
+		check.uncertainSince = e.uncertainSince(upstream, service, now)
+		e.boundUnconfirmed(&check, service)
 	}
-	cold, ask := e.suspicions.about(upstream.ID, &why)
-	if ask && e.tracker.AskedRest(upstream.ID) == 0 && e.suspicions.begin(upstream.ID, now) {
-		go e.ask(upstream)
+	cold, query := e.suspicions.evaluate(upstream.ID, &check)
+	if query && e.tracker.AskedRest(upstream.ID) == 0 && e.suspicions.beginQuery(upstream.ID, now) {
+		go e.queryStatus(upstream)
 	}
 	return cold || upstream.Cold(now)
 }
 
 // ask has an upstream say which start it is, and whether it is cold.
-func (e *Edge) ask(upstream *fleet.Upstream) {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+func (e *Edge) queryStatus(upstream *fleet.Upstream) {
+	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
-	said, err := e.wordOf(ctx, upstream)
+	reported, err := e.fetchSelfReport(ctx, upstream)
 	now := e.now()
-	e.suspicions.answered(upstream.ID, err == nil, said, upstream.Began, now)
+	e.suspicions.finishQuery(upstream.ID, err == nil, reported, upstream.Began, now)
 	switch {
 	case err != nil:
 		e.log.Debug().Err(err).Str(event.KeyUpstream, upstream.ID).Msg(string(event.UpstreamSilent))
-	case said.began > upstream.Began:
-		e.log.Warn().Str(event.KeyUpstream, upstream.ID).Int64(event.KeyBegan, said.began).Msg(string(event.UpstreamReborn))
-	case said.coldFor > 0 && !upstream.Cold(now):
-		e.suspicions.turn(upstream.Domain, now)
-		e.log.Info().Str(event.KeyUpstream, upstream.ID).Int64(event.KeyForMS, said.coldFor.Milliseconds()).Msg(string(event.UpstreamCold))
+	case reported.startTime > upstream.Began:
+		e.log.Warn().Str(event.KeyUpstream, upstream.ID).Int64(event.KeyBegan, reported.startTime).Msg(string(event.UpstreamReborn))
+	case reported.coldFor > 0 && !upstream.Cold(now):
+		e.suspicions.noteTurnedCold(upstream.Domain, now)
+		e.log.Info().Str(event.KeyUpstream, upstream.ID).Int64(event.KeyForMS, reported.coldFor.Milliseconds()).Msg(string(event.UpstreamCold))
 	}
 }
 
 // wordOf asks an upstream what it says of itself. One whose name is new at each start is not asked
 // for that.
-func (e *Edge) wordOf(ctx context.Context, upstream *fleet.Upstream) (said word, err error) {
+func (e *Edge) fetchSelfReport(ctx context.Context, upstream *fleet.Upstream) (reported selfReport, err error) {
 	if upstream.Began != 0 {
-		if said.began, err = e.startOf(ctx, upstream); err != nil {
-			return said, err
+		if reported.startTime, err = e.fetchStartTime(ctx, upstream); err != nil {
+			return reported, err
 		}
 	}
 	if service := e.service(upstream); service != nil && service.HealthPath != "" {
-		said.coldFor, err = e.coldOf(ctx, upstream, service.HealthPath)
+		reported.coldFor, err = e.fetchColdTime(ctx, upstream, service.HealthPath)
 	}
-	return said, err
+	return reported, err
 }
 
 // startOf asks an upstream for its start, in Unix milliseconds by its clock; zero: it does
 // not say.
-func (e *Edge) startOf(ctx context.Context, upstream *fleet.Upstream) (int64, error) {
-	answer, _, err := e.question(ctx, upstream, e.dialect.StatusRequest(upstream.Address))
+func (e *Edge) fetchStartTime(ctx context.Context, upstream *fleet.Upstream) (int64, error) {
+	answer, _, err := e.query(ctx, upstream, e.dialect.StatusRequest(upstream.Address))
 	if err != nil {
 		return 0, err
 	}
 	defer answer.Close()
-	body, err := io.ReadAll(io.LimitReader(answer, maxHeld))
+	body, err := io.ReadAll(io.LimitReader(answer, maxBuffered))
 	if err != nil {
 		return 0, err
 	}
@@ -294,13 +294,13 @@
 
 // question sends an upstream a question of this instance's own, and takes what the answer's head
 // says. The caller closes the answer.
-func (e *Edge) question(ctx context.Context, upstream *fleet.Upstream, request *exchange.Request) (*exchange.Answer, Reading, error) {
+func (e *Edge) query(ctx context.Context, upstream *fleet.Upstream, request *exchange.Request) (*exchange.Answer, Reading, error) {
 	sent := e.now()
 	answer, err := e.upstreams.Do(ctx, exchange.Target{ID: upstream.ID, Address: upstream.Address}, request)
 	if err != nil {
 		return nil, Reading{}, err
 	}
 	reading := e.dialect.Reading(answer.Status, answer.Header)
-	e.noteState(upstream, &reading, sent)
+	e.recordState(upstream, &reading, sent)
 	return answer, reading, nil
 }
--- a/pkg/edge/suspicion_test.go
+++ b/pkg/edge/suspicion_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	gone := newUpstream(t, nil)
 	b := newBed(t, safe, gone)
-	b.edge.began = time.Now().Add(-time.Minute)
+	b.edge.startedAt = time.Now().Add(-time.Minute)
 	b.edge.board.Routes.Load().Service(testService).ColdRate = coldRate
 	view := b.edge.board.Fleet.Load()
 	view.Upstreams[0].Began = 1000
@@ -64,7 +64,7 @@
 func TestAnUpstreamRebornBehindACutGetsNoMoreThanAColdOne(t *testing.T) {
 	b, _ := unreachedFor(t, startedAt(2000))
 	bears := int(coldRate*b.edge.settings.Limits.ColdFactor + b.edge.settings.Limits.ColdSlack)
-	b.is.True(b.answeredWithin() <= bears/leastInstances)
+	b.is.True(b.answeredWithin() <= bears/minInstances)
 	b.is.True(b.lines.Has(string(event.UpstreamReborn), "began=2000"))
 }
 
--- a/pkg/edge/warmth.go
+++ b/pkg/edge/warmth.go
@@ -17,36 +17,36 @@
 const (
 	// cutOffAfter is after what time without a word of the store, and of any other region, an instance
 	// counts itself as cut off: ten rounds.
-	cutOffAfter = time.Second
+	partitionedAfter = time.Second
 	// askEvery is, for each instance of the region, how often an instance that is cut off asks an
 	// upstream at most whether it is cold: 50 questions a second at one upstream from all of them.
-	askEvery = 20 * time.Millisecond
+	partitionedQueryInterval = 20 * time.Millisecond
 )
 
 // OtherUpstreamError is an answer about the health of another upstream than the one that was asked.
-type OtherUpstreamError struct {
+type WrongUpstreamError struct {
 	// Status is the answer's; Said who answers, empty where it does not say.
-	Status      int
-	Asked, Said string
+	Status            int
+	Queried, Answered string
 }
 
 // Error implements error.
-func (e *OtherUpstreamError) Error() string {
-	return fmt.Sprintf("health of %s: status %d is an answer of %q", e.Asked, e.Status, e.Said)
+func (e *WrongUpstreamError) Error() string {
+	return fmt.Sprintf("health of %s: status %d is an answer of %q", e.Queried, e.Status, e.Answered)
 }
 
 // coldOf asks an upstream for how long it is still cold.
-func (e *Edge) coldOf(ctx context.Context, upstream *fleet.Upstream, path string) (time.Duration, error) {
-	answer, reading, err := e.question(ctx, upstream, e.dialect.HealthRequest(upstream.Address, path))
+func (e *Edge) fetchColdTime(ctx context.Context, upstream *fleet.Upstream, path string) (time.Duration, error) {
+	answer, reading, err := e.query(ctx, upstream, e.dialect.HealthRequest(upstream.Address, path))
 	if err != nil {
 		return 0, err
 	}
 	defer answer.Close()
 	if reading.Upstream != upstream.Name {
-		return 0, &OtherUpstreamError{Status: answer.Status, Asked: upstream.Name, Said: reading.Upstream}
+		return 0, &WrongUpstreamError{Status: answer.Status, Queried: upstream.Name, Answered: reading.Upstream}
 	}
 	// The connection can be used again once the answer has been read.
-	if _, err := io.Copy(io.Discard, io.LimitReader(answer, maxHeld)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(answer, maxBuffered)); err != nil {
 		return 0, err
 	}
 	return reading.ColdFor, nil
@@ -54,7 +54,7 @@
 
 // inDoubt returns since when it is not known whether an upstream is cold; zero: it is known, or it
 // has been warm since then in any case.
-func (e *Edge) inDoubt(upstream *fleet.Upstream, service *httproute.Service, now time.Time) time.Time {
+func (e *Edge) uncertainSince(upstream *fleet.Upstream, service *httproute.Service, now time.Time) time.Time {
 	view := e.board.Fleet.Load()
 	if view == nil {
 		return time.Time{}
@@ -76,31 +76,31 @@
 
 // warmUpOf is for how long an upstream of a service is cold at most, as far as is known.
 func warmUpOf(service *httproute.Service) time.Duration {
-	return cmp.Or(service.WarmUp, silentFor)
+	return cmp.Or(service.WarmUp, defaultWarmUp)
 }
 
 // boundUnasked bounds what an upstream of a service gets between two of its answers, where the instance is cut off:
 // one that has turned cold since the last of them then gets no more than a cold one may.
-func (e *Edge) boundUnasked(why *occasion, service *httproute.Service) {
-	if !e.isCutOff(why.now) {
+func (e *Edge) boundUnconfirmed(check *coldCheck, service *httproute.Service) {
+	if !e.isPartitioned(check.now) {
 		return
 	}
-	instances := max(leastInstances, e.regionInstances())
-	why.unasked = max(1, int(e.coldAllowance(service))/instances)
-	why.pause = askEvery * time.Duration(instances)
-	why.warmUp = warmUpOf(service)
+	instances := max(minInstances, e.regionInstances())
+	check.maxUnconfirmed = max(1, int(e.coldAllowance(service))/instances)
+	check.queryInterval = partitionedQueryInterval * time.Duration(instances)
+	check.warmUp = warmUpOf(service)
 }
 
 // countUnasked counts a request to an upstream where boundUnasked bounds them.
-func (e *Edge) countUnasked(upstream *fleet.Upstream) {
-	if e.isCutOff(e.now()) {
-		e.suspicions.count(upstream.ID)
+func (e *Edge) countUnconfirmed(upstream *fleet.Upstream) {
+	if e.isPartitioned(e.now()) {
+		e.suspicions.countSend(upstream.ID)
 	}
 }
 
 // isCutOff says whether neither the store nor another region was heard lately. An instance that
 // has never heard another region cannot tell.
-func (e *Edge) isCutOff(now time.Time) bool {
-	abroad := e.gossip.View().Load().HeardAbroad()
-	return !abroad.IsZero() && now.Sub(abroad) > cutOffAfter && now.Sub(e.store.Reached()) > cutOffAfter
+func (e *Edge) isPartitioned(now time.Time) bool {
+	lastRemote := e.gossip.View().Load().HeardAbroad()
+	return !lastRemote.IsZero() && now.Sub(lastRemote) > partitionedAfter && now.Sub(e.store.Reached()) > partitionedAfter
 }
--- a/pkg/edge/world_engine_test.go
+++ b/pkg/edge/world_engine_test.go
@@ -249,7 +249,7 @@
 	write(conn, request, http.StatusOK, "Transfer-Encoding: chunked\r\n", "", fields...)
 	e.hasTold(conn.RemoteAddr().String(), limit)
 	for i := range answerEvents {
-		clock.Sleep(context.Background(), usualGap)
+		clock.Sleep(context.Background(), defaultGap)
 		event := fmt.Sprintf("id: %d\ndata: x\n\n", i)
 		if _, err := fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event), event); err != nil {
 			return false
