--- a/pkg/edge/attempt.go
+++ b/pkg/edge/attempt.go
@@ -29,7 +29,7 @@
 		j.gossip.RequestRound()
 	}
 	if j.service.ColdRate > 0 {
-		// One that turns cold has to bear what it got just before.
+		// An upstream that turns cold still has to bear what it was sent just before.
 		j.cold.Sent(upstream.ID)
 		j.countUnconfirmed(upstream)
 	}
@@ -79,8 +79,8 @@
 	return ended
 }
 
-// begun returns what is to be called each time that a part of the answer comes; the first
-// time counts.
+// firstByteObserver returns the function to call for each part of the answer. Only the first call
+// is measured.
 func (j *job) firstByteObserver(flight *limit.Flight, candidate *steer.Candidate) func() {
 	sent := j.now()
 	first := true
@@ -119,8 +119,8 @@
 	return ended
 }
 
-// regionVerdict tells how the attempt ended to the tracker of the other region: that one
-// of its instances leaves or has no configuration says nothing of the region.
+// regionResult returns the attempt's result for the tracker of the other region. An instance
+// there that is leaving or has no configuration is no evidence about its region.
 func (c *call) regionResult(ended result) limit.Result {
 	switch {
 	case c.regionOverloaded:
@@ -132,7 +132,7 @@
 	}
 }
 
-// after is the event after which a stream goes on.
+// resumeAfter returns the ID of the event after which a stream resumes.
 func (j *job) resumeAfter() string {
 	if j.writer.lastEvent != "" {
 		return j.writer.lastEvent
@@ -140,7 +140,8 @@
 	return j.attributes.After
 }
 
-// connectionShare is how many connections this instance may have to one upstream.
+// connectionShare returns this instance's share of the connections to one upstream, zero if they
+// are unlimited.
 func (j *job) connectionShare() int {
 	if j.service.MaxConnections == 0 {
 		return 0
@@ -148,7 +149,7 @@
 	return max(1, j.service.MaxConnections/(j.regionInstances()+1))
 }
 
-// verdict tells how the attempt ended to the upstream's tracker.
+// upstreamResult returns the attempt's result for the upstream's tracker.
 func (c *call) upstreamResult(ended result) limit.Result {
 	switch ended {
 	case done:
@@ -159,8 +160,8 @@
 	case callerGone:
 		return limit.Abandoned
 	case notRun:
-		// Also one that cannot be reached rests: trying it again costs the next request
-		// an attempt, and it may be back at any time.
+		// Unreachable upstreams back off as well: trying one again costs the next request an
+		// attempt, and it may be reachable again at any time.
 		return limit.Rejected
 	default:
 		if c.status != 0 && c.complete {
--- a/pkg/edge/call.go
+++ b/pkg/edge/call.go
@@ -16,8 +16,8 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// maxHeld bounds, in bytes, an answer that is held until it is whole; a longer one
-// is passed on as it comes.
+// maxBuffered bounds, in bytes, the answers that are buffered until they are complete. Longer
+// ones are passed on as they arrive.
 const maxBuffered = 64 << 10
 
 // call is one attempt at one target.
@@ -27,25 +27,25 @@
 	pool   *exchange.Pool
 	target exchange.Target
 	send   Send
-	// begun is called when a part of the answer has come, and so is heard if it is not nil.
+	// onPart is called when a part of the answer has arrived, and onData too unless it is nil.
 	onPart func()
 	onData func()
-	// peer is true when the target is another instance, which may run the request on
-	// as many upstreams as attempts says.
+	// peer is true if the target is another instance, which may run the request on up to attempts
+	// upstreams.
 	peer     bool
 	attempts int
-	// sent is when the request was sent.
+	// sent is the time at which the request was sent.
 	sent time.Time
-	// status is that of the answer; zero: none came. whole is true once all of it was
-	// read.
+	// status is the status of the answer, zero if none arrived. complete is true once the whole
+	// answer was read.
 	status   int
 	complete bool
-	// regionFull is true when another instance refused for want of capacity.
+	// regionOverloaded is true if another instance refused for lack of capacity.
 	regionOverloaded bool
 	err              error
 }
 
-// held is a whole answer in memory.
+// bufferedAnswer is a complete answer in memory.
 type bufferedAnswer struct {
 	status int
 	header http.Header
@@ -78,7 +78,7 @@
 	return c.handleHead(ctx, answer)
 }
 
-// failed classifies an attempt without a whole answer.
+// classifyFailure classifies an attempt without a complete answer.
 func (c *call) classifyFailure(ctx context.Context, err error) result {
 	c.err, c.lastError = err, err
 	var failure *exchange.Error
@@ -96,7 +96,7 @@
 	return broken
 }
 
-// ours says whether an answer belongs to the request that was sent. Refusals need
+// matchesRequest reports whether an answer belongs to the request that was sent. Refusals need
 // not name it.
 func (c *call) matchesRequest(status int, fields http.Header) bool {
 	reading := c.dialect.Reading(status, fields)
@@ -106,7 +106,7 @@
 	return reading.RequestID == c.attributes.RequestID
 }
 
-// judge decides from the answer's head what becomes of it.
+// handleHead decides from the answer's head how the answer is handled.
 func (c *call) handleHead(ctx context.Context, answer *exchange.Answer) result {
 	reading := c.dialect.Reading(answer.Status, answer.Header)
 	if !c.peer {
@@ -132,8 +132,8 @@
 	return c.relayAnswer(ctx, answer)
 }
 
-// arrivals is how often the request has come to an upstream by this attempt: another
-// instance that refuses tells how often it has sent it.
+// upstreamSends returns the number of sends to upstreams in this attempt. An instance that
+// refuses reports its own number.
 func (c *call) upstreamSends(answer *exchange.Answer) int {
 	if !c.refusedByPeer(answer) {
 		return 1
@@ -145,12 +145,12 @@
 	return made
 }
 
-// refusedByPeer says whether another instance answers that the request did not run.
+// refusedByPeer reports whether another instance answered that the request did not run.
 func (c *call) refusedByPeer(answer *exchange.Answer) bool {
 	return c.peer && answer.Header.Get(header.Outcome) == string(outcome.NotRun)
 }
 
-// full says whether another instance refused for want of capacity in its region.
+// reportsOverload reports whether another instance refused for lack of capacity in its region.
 func (c *call) reportsOverload(answer *exchange.Answer) bool {
 	switch outcome.Reason(answer.Header.Get(header.Reason)) {
 	case outcome.ReasonOverloaded, outcome.ReasonNoUpstream:
@@ -160,21 +160,21 @@
 	}
 }
 
-// quarantineAsTold takes another instance's word that the request is quarantined.
+// adoptQuarantine quarantines the request if another instance refused it as quarantined.
 func (c *call) adoptQuarantine(answer *exchange.Answer, retryAfter time.Duration) {
 	if c.refusedByPeer(answer) && outcome.Reason(answer.Header.Get(header.Reason)) == outcome.ReasonQuarantined {
 		c.logQuarantine(c.fingerprint(), c.quarantine.Hold(c.fingerprint(), retryAfter))
 	}
 }
 
-// drain reads the rest of a refusal so that its connection can be kept.
+// discardBody reads the rest of a refusal so that its connection can be reused.
 func (c *call) discardBody(answer *exchange.Answer) {
 	if n, err := io.CopyN(io.Discard, answer, maxBuffered); err == nil {
 		c.log.Debug().Int64(event.KeyBytes, n).Msg(string(event.RefusalTooLong))
 	}
 }
 
-// oddError is an answer that cannot be passed on.
+// invalidAnswerError is the error of an answer that cannot be passed on.
 type invalidAnswerError struct{ problem string }
 
 // Error implements error.
@@ -188,7 +188,7 @@
 	return broken
 }
 
-// answer passes on an answer that is no stream.
+// relayAnswer passes on an answer that is not a stream.
 func (c *call) relayAnswer(ctx context.Context, answer *exchange.Answer) result {
 	body, err := io.ReadAll(io.LimitReader(answer, maxBuffered))
 	if err != nil {
@@ -210,7 +210,7 @@
 	return c.deliver(whole)
 }
 
-// give passes on an answer that is in memory.
+// deliver passes on an answer that is in memory.
 func (c *job) deliver(whole *bufferedAnswer) result {
 	if err := c.writer.writeAnswer(whole); err != nil {
 		return callerGone
@@ -218,7 +218,7 @@
 	return done
 }
 
-// long passes on an answer that is too long to be held.
+// relayLongAnswer passes on an answer that is too long to be buffered.
 func (c *call) relayLongAnswer(ctx context.Context, answer *exchange.Answer, first []byte) result {
 	if err := c.writer.writeHead(answer.Status, c.dialect.Answer(answer.Header), answer.Length); err != nil {
 		return callerGone
--- a/pkg/edge/cold.go
+++ b/pkg/edge/cold.go
@@ -11,21 +11,23 @@
 	"github.com/lilacweir/lilacweir/pkg/httproute"
 )
 
-// An upstream may turn cold at any moment. Its entry in the platform's store says so, and its answers
-// to questions about its health. Where the entry may be out of date, the upstream is asked.
+// An upstream may turn cold at any time. Its entry in the platform's store gives its cold time,
+// and so do its answers to health queries. If the entry may be stale, the upstream is queried.
 
 const (
-	// cutOffAfter is after what time without a word of the store, and of any other region, an instance
-	// counts itself as cut off: ten rounds.
+	// partitionedAfter is the time without any contact with the store or another region after
+	// which an instance considers itself partitioned: ten rounds of gossip.
 	partitionedAfter = time.Second
-	// askEvery is, for each instance of the region, how often an instance that is cut off asks an
-	// upstream at most whether it is cold: 50 questions a second at one upstream from all of them.
+	// partitionedQueryInterval, times the number of instances in the region, is the shortest
+	// interval at which a partitioned instance queries an upstream for its cold state. All of
+	// them together send one upstream at most 50 queries a second.
 	partitionedQueryInterval = 20 * time.Millisecond
 )
 
-// OtherUpstreamError is an answer about the health of another upstream than the one that was asked.
+// WrongUpstreamError reports a health answer of another upstream than the queried one.
 type WrongUpstreamError struct {
-	// Status is the answer's; Said who answers, empty where it does not say.
+	// Status is the status of the answer, and Answered the name of the answering upstream, empty
+	// if it is not given.
 	Status            int
 	Queried, Answered string
 }
@@ -35,7 +37,7 @@
 	return fmt.Sprintf("health of %s: status %d is an answer of %q", e.Queried, e.Status, e.Answered)
 }
 
-// coldOf asks an upstream for how long it is still cold.
+// fetchColdTime queries an upstream for the remaining time for which it is cold.
 func (e *Edge) fetchColdTime(ctx context.Context, upstream *fleet.Upstream, path string) (time.Duration, error) {
 	answer, reading, err := e.query(ctx, upstream, e.dialect.HealthRequest(upstream.Address, path))
 	if err != nil {
@@ -45,15 +47,15 @@
 	if reading.Upstream != upstream.Name {
 		return 0, &WrongUpstreamError{Status: answer.Status, Queried: upstream.Name, Answered: reading.Upstream}
 	}
-	// The connection can be used again once the answer has been read.
+	// The connection can be reused once the answer has been read.
 	if _, err := io.Copy(io.Discard, io.LimitReader(answer, maxBuffered)); err != nil {
 		return 0, err
 	}
 	return reading.ColdFor, nil
 }
 
-// inDoubt returns since when it is not known whether an upstream is cold; zero: it is known, or it
-// has been warm since then in any case.
+// uncertainSince returns the time since when it is not known whether an upstream is cold, zero if
+// it is known, or if the upstream must have warmed up since then.
 func (e *Edge) uncertainSince(upstream *fleet.Upstream, service *httproute.Service, now time.Time) time.Time {
 	view := e.board.Fleet.Load()
 	if view == nil {
@@ -66,7 +68,7 @@
 	return since
 }
 
-// service is what the configuration says of an upstream's service; nil: nothing.
+// service returns the configuration of an upstream's service, nil if there is none.
 func (e *Edge) service(upstream *fleet.Upstream) *httproute.Service {
 	if config := e.board.Routes.Load(); config != nil {
 		return config.Service(upstream.Service)
@@ -74,13 +76,15 @@
 	return nil
 }
 
-// warmUpOf is for how long an upstream of a service is cold at most, as far as is known.
+// warmUpOf returns the longest time for which an upstream of a service is cold, as far as is
+// known.
 func warmUpOf(service *httproute.Service) time.Duration {
 	return cmp.Or(service.WarmUp, defaultWarmUp)
 }
 
-// boundUnasked bounds what an upstream of a service gets between two of its answers, where the instance is cut off:
-// one that has turned cold since the last of them then gets no more than a cold one may.
+// boundUnconfirmed bounds the requests that an upstream of a service gets between two of its
+// answers while the instance is partitioned. An upstream that has turned cold since the last
+// answer then gets no more than a cold one may.
 func (e *Edge) boundUnconfirmed(check *coldCheck, service *httproute.Service) {
 	if !e.isPartitioned(check.now) {
 		return
@@ -91,15 +95,15 @@
 	check.warmUp = warmUpOf(service)
 }
 
-// countUnasked counts a request to an upstream where boundUnasked bounds them.
+// countUnconfirmed counts a request to an upstream while boundUnconfirmed bounds them.
 func (e *Edge) countUnconfirmed(upstream *fleet.Upstream) {
 	if e.isPartitioned(e.now()) {
 		e.suspicions.countSend(upstream.ID)
 	}
 }
 
-// isCutOff says whether neither the store nor another region was heard lately. An instance that
-// has never heard another region cannot tell.
+// isPartitioned reports whether there was no recent contact with the store or another region. An
+// instance that has never received a report of another region cannot know.
 func (e *Edge) isPartitioned(now time.Time) bool {
 	lastRemote := e.gossip.View().Load().HeardAbroad()
 	return !lastRemote.IsZero() && now.Sub(lastRemote) > partitionedAfter && now.Sub(e.store.Reached()) > partitionedAfter
--- a/pkg/edge/crash_probe.go
+++ b/pkg/edge/crash_probe.go
@@ -13,35 +13,36 @@
 	"github.com/lilacweir/lilacweir/pkg/quarantine"
 )
 
-// An answer that breaks off says little: servers break off single answers and go on. Whether
-// the upstream has ended is found out by connecting to it: a process that has ended refuses.
+// A broken answer is weak evidence: servers break single answers and go on. Whether the upstream
+// has crashed is detected by connecting to it, since a process that has ended refuses
+// connections.
 
 const (
-	// inquirySettle passes before an upstream is tried: all that was in work there breaks off
-	// within it, and its listener is gone.
+	// crashProbeDelay passes before an upstream is probed. After a crash, all answers of the
+	// upstream break and its listener closes within this time.
 	crashProbeDelay = 5 * time.Millisecond
-	// inquiryKept is for how long an upstream that has not ended is not tried again: servers
-	// that break off a part of their answers would be asked all the time.
+	// crashProbeInterval is the time for which an upstream that has not crashed is not probed
+	// again: servers that break some of their answers would be probed all the time.
 	crashProbeInterval = 100 * time.Millisecond
-	// endRemembered is for how long it is remembered that an upstream has ended: all that was
-	// in work there has broken off by then.
+	// crashRetention is the time for which a crash is remembered. All requests that ran there
+	// have failed by then.
 	crashRetention = time.Minute
-	// mostSuspects bounds the requests that one end makes suspect here: more were not at work
-	// at one upstream for one instance.
+	// maxSuspects bounds the requests that one crash makes suspect here. No more run at one
+	// upstream for one instance.
 	maxSuspects = 256
 )
 
-// inquiries finds out which upstreams have ended. It is safe for concurrent use.
+// crashProbes detects crashed upstreams. It is safe for concurrent use.
 type crashProbes struct {
 	mu   sync.Mutex
 	byID map[string]*crashProbe
 }
 
-// inquiry is about one upstream of which answers broke off.
+// crashProbe is the probe of one upstream after broken answers.
 type crashProbe struct {
-	// suspects are the requests whose answers broke off.
+	// suspects are the requests with broken answers.
 	suspects []quarantine.Fingerprint
-	// answered is closed once it is known whether the upstream has ended.
+	// finished is closed once it is known whether the upstream has crashed.
 	finished   chan struct{}
 	crashed    bool
 	finishedAt time.Time
@@ -49,8 +50,8 @@
 
 func newCrashProbes() *crashProbes { return &crashProbes{byID: make(map[string]*crashProbe)} }
 
-// open returns the inquiry about an upstream; fresh says that it has just begun, and whoever
-// is told so must call answer.
+// join adds a suspect to the probe of an upstream. fresh is true if the probe is new, in which
+// case the caller must call finish.
 func (q *crashProbes) join(id string, suspect quarantine.Fingerprint, now time.Time) (probe *crashProbe, fresh bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -65,7 +66,7 @@
 	return probe, fresh
 }
 
-// answer ends an inquiry and returns its suspects.
+// finish ends a probe and returns its suspects.
 func (q *crashProbes) finish(probe *crashProbe, crashed bool, now time.Time) []quarantine.Fingerprint {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -74,7 +75,7 @@
 	return probe.suspects
 }
 
-// sweep drops the inquiries that are long answered.
+// sweep deletes probes that finished crashRetention ago.
 func (q *crashProbes) sweep(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -83,9 +84,10 @@
 	})
 }
 
-// brokeOff notes that an attempt at an upstream ended without its answer. If the upstream has
-// ended, the request is one of those that may be the cause. One that is suspected already
-// waits until that is known: it must not go on to the next upstream before.
+// handleBrokenAnswer records that an attempt at an upstream ended without an answer. If the
+// upstream has crashed, the request is one of the possible causes. A request that is suspected
+// already waits for the result of the probe, since it must not be sent to the next upstream
+// before.
 func (j *job) handleBrokenAnswer(ctx context.Context, upstream *fleet.Upstream) {
 	request := j.fingerprint()
 	probe, fresh := j.crashProbes.join(upstream.ID, request, j.now())
@@ -103,7 +105,7 @@
 	}
 }
 
-// knownToHaveEnded says whether the inquiry has found that its upstream has ended.
+// foundCrash reports whether the probe has found that its upstream has crashed.
 func (i *crashProbe) foundCrash() bool {
 	select {
 	case <-i.finished:
@@ -113,7 +115,7 @@
 	}
 }
 
-// inquire finds out whether an upstream has ended, and notes its suspects if so.
+// probeCrash detects whether an upstream has crashed, and records its suspects if so.
 func (e *Edge) probeCrash(upstream *fleet.Upstream, probe *crashProbe) {
 	crashed := e.hasCrashed(upstream)
 	suspects := e.crashProbes.finish(probe, crashed, e.now())
@@ -127,8 +129,8 @@
 	}
 }
 
-// hasEnded says whether nobody listens at an upstream's address. One that does not answer at
-// all may be cut off, and tells nothing.
+// hasCrashed reports whether connections to an upstream's address are refused. An upstream that
+// does not answer at all may be partitioned, which is no evidence.
 func (e *Edge) hasCrashed(upstream *fleet.Upstream) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), crashProbeDelay+upstreamDial)
 	defer cancel()
--- a/pkg/edge/dialect.go
+++ b/pkg/edge/dialect.go
@@ -9,86 +9,85 @@
 	"github.com/lilacweir/lilacweir/pkg/steer"
 )
 
-// Attributes are what a request's headers say of it.
+// Attributes are the properties of a request that its headers give.
 type Attributes struct {
-	// RequestID names this try of the caller; each has its own.
+	// RequestID identifies this attempt of the caller. Retries have their own.
 	RequestID string
-	// Deadline is for how long the caller waits; zero: it does not say.
+	// Deadline is the time for which the caller waits, zero if it is not given.
 	Deadline time.Duration
-	// PromptTokens is the prompt's size, Tokens that and the longest answer's; zero where
-	// it is not said.
+	// PromptTokens is the size of the prompt, and Tokens that of the prompt and the longest
+	// permitted answer. They are zero if they are not given.
 	PromptTokens, Tokens int
-	// Parts are the prompt's parts in order.
+	// Parts are the prompt's segments in order.
 	Parts []steer.Part
-	// After is the event after which a stream is to go on; empty: from its beginning.
+	// After is the ID of the event after which a stream resumes, empty to start at its beginning.
 	After string
 }
 
-// Send is what this instance says of a request that it sends on.
+// Send holds the header values that this instance sets on a request that it sends.
 type Send struct {
-	// Left is the time in which the answer must be whole.
+	// Left is the time within which the answer must be complete.
 	Left time.Duration
-	// Upstream is the name of the upstream that must answer; empty for an instance.
+	// Upstream is the name of the upstream that must answer, empty for an instance.
 	Upstream string
-	// Priority is the rank at the upstream; 0 goes first.
+	// Priority is the priority at the upstream. Zero is served first.
 	Priority int
-	// Source is the address of an engine from whose cache the upstream should copy
-	// what it lacks of the prompt; empty: none.
+	// Source is the address of an engine from which the upstream should copy the cache blocks of
+	// the prompt that it lacks, empty for none.
 	Source string
 	// After overrides Attributes.After when a stream is resumed.
 	After string
-	// Keyed says that callers show keys, which must not be passed on; Organisation is
-	// whose request it is, for an upstream; empty: nobody's.
+	// Keyed is true if callers authenticate with keys, which must not be passed on. Organisation
+	// is the owner of the request for an upstream, empty if it is anonymous.
 	Keyed        bool
 	Organisation string
 }
 
-// Reading is what an answer's header says.
+// Reading holds the values of an answer's header.
 type Reading struct {
-	// RequestID is the request that it answers; empty when it does not say.
+	// RequestID identifies the request that is answered, empty if it is not given.
 	RequestID string
-	// NotRun is true when the server states that it did not run the request and
-	// never will.
+	// NotRun is true if the server states that it did not run the request and never will.
 	NotRun bool
-	// Proven is true when the server has signed the answer as its own.
+	// Proven is true if the server has signed the answer as its own.
 	Proven bool
-	// RetryAfter is when the server asks to come back; zero when it does not say. Resting is
-	// true where it turned the request away and wants nothing from this instance until then.
+	// RetryAfter is the time after which the server asks to return, zero if it is not given.
+	// BackingOff is true if the server rejected the request and asks this instance to send
+	// nothing until then.
 	RetryAfter time.Duration
 	BackingOff bool
-	// Limit is how many requests a second the server says that it takes from all instances
-	// together. LimitErr is set where it says something that is no number.
+	// Limit is the number of requests a second that the server accepts from all instances
+	// together. LimitErr is set if its value is not a number.
 	Limit    limit.Named
 	LimitErr error
-	// Leaving is true when the server says that it leaves.
+	// Leaving is true if the server reports that it is leaving.
 	Leaving bool
-	// Upstream is the name of the server that answers, ColdFor for how long it is still cold, in
-	// answers to questions about its health.
+	// Upstream is the name of the answering server and ColdFor the remaining time for which it is
+	// cold, in answers to health queries.
 	Upstream string
 	ColdFor  time.Duration
 }
 
-// Dialect reads and writes the headers by which callers, upstreams and instances of
-// a deployment tell each other what their requests and answers are.
+// Dialect reads and writes the headers by which callers, upstreams and instances of a deployment
+// describe their requests and answers.
 type Dialect interface {
-	// Attributes reads a request's header; the error says which field is bad.
+	// Attributes reads a request's header. The error names the invalid field.
 	Attributes(header http.Header) (Attributes, error)
-	// Outgoing returns the header of a request that is sent on: the end-to-end
-	// fields of the caller's, less those that only the system may set, and what send
-	// says.
+	// Outgoing returns the header of a request that is sent on: the end-to-end fields of the
+	// caller's, without those that only the system may set, and the fields of send.
 	Outgoing(from http.Header, send Send) http.Header
 	// Reading reads an answer's header.
 	Reading(status int, header http.Header) Reading
-	// StatusRequest asks an upstream at an address what it says of itself; Started reads
-	// from the answer when it began, in Unix milliseconds by its clock (zero: it does not
-	// say).
+	// StatusRequest returns the status query for an upstream at an address. Started reads the
+	// upstream's start time from the answer, in Unix milliseconds by its own clock, zero if it is
+	// not given.
 	StatusRequest(address string) *exchange.Request
 	Started(status int, body []byte) (int64, error)
-	// HealthRequest asks an upstream at an address, by a path of its service, whether it is cold.
+	// HealthRequest returns the query, at the health path of its service, for the cold state of
+	// an upstream at an address.
 	HealthRequest(address, path string) *exchange.Request
 	// Answer returns the end-to-end fields of an answer's header.
 	Answer(from http.Header) http.Header
-	// Refusal returns the header of a refusal of this instance: whether the request
-	// has run, and when to come back (zero: not said).
+	// Refusal returns the header of a refusal by this instance. A zero retryAfter is left out.
 	Refusal(requestID string, retryAfter time.Duration) http.Header
 }
--- a/pkg/edge/drain.go
+++ b/pkg/edge/drain.go
@@ -10,21 +10,22 @@
 	"github.com/lilacweir/lilacweir/pkg/event"
 )
 
-// Times of leaving.
+// Times of draining.
 const (
-	// staleTTL is how many times the directory's time some callers keep its answer;
-	// until then new requests come to a leaving instance.
+	// directoryTTLs is the number of directory TTLs for which some callers cache its answer.
+	// Until then new requests reach a leaving instance.
 	directoryTTLs = 3
-	// drainPart of the grace is when requests that still run are cut off; the rest is
+	// drainShare is the share of the grace after which running requests are cut off. The rest is
 	// for the end of the process.
 	drainShare = 0.97
-	// drainPoll is how often a leaving instance looks whether it is idle.
+	// drainPoll is the interval at which a leaving instance checks whether it is idle.
 	drainPoll = 20 * time.Millisecond
 )
 
-// departure is when a leaving instance stops taking and serving requests.
+// drainSchedule holds the times at which a leaving instance stops accepting and serving requests.
 type drainSchedule struct {
-	// accept is until when it takes every request, cut when it cuts off what runs.
+	// acceptUntil is the end of the time in which every request is accepted. Running requests are
+	// cut off at cutAt.
 	acceptUntil, cutAt time.Time
 }
 
@@ -36,13 +37,14 @@
 	}
 }
 
-// takes says whether a request that ends by the deadline at the latest can still be
-// served whole.
+// accepts reports whether a request that ends by its deadline at the latest can still be served
+// to its end.
 func (d *drainSchedule) accepts(now, deadline time.Time) bool {
 	return d == nil || now.Before(d.acceptUntil) || deadline.Before(d.cutAt)
 }
 
-// leave tells everyone, serves on until callers have gone elsewhere, and stops.
+// leave deregisters the instance and reports to the others that it is leaving, serves on until
+// callers use other instances, and stops the listeners.
 func (e *Edge) leave(listeners *listenerSet, deregister context.CancelFunc) {
 	leaving := e.scheduleDrain(e.now())
 	e.leaving.Store(leaving)
--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -1,14 +1,14 @@
-// Package edge is one instance of the gateway for declared HTTP routes: it takes
-// callers' requests as they are, picks an upstream that was discovered through the
-// platform's store, or an instance of another region, and passes the answer on.
+// Package edge implements one instance of the gateway for declared HTTP routes: it forwards
+// callers' requests unchanged to an upstream that was discovered through the platform's store, or
+// to an instance of another region, and passes the answer on.
 //
-// Guarantees: a request that may not be repeated is sent once after its first byte
-// has left, unless the server states that it did not run it; "not run" is said only
-// where it is true; an answer is passed on whole or visibly broken; a request is sent
-// to another region at most once on its way; the configuration never goes back.
+// Guarantees: a request that may not be repeated is sent only once after its first byte was sent,
+// unless the server states that it did not run it. "Not run" is reported only if it is true. An
+// answer is passed on complete or visibly broken. A request is forwarded to another region at
+// most once on its path. The configuration never reverts to an older version.
 //
-// The package knows no platform: a Dialect reads and writes headers, and whoever
-// assembles the instance fills its Board.
+// The package is independent of the platform: a Dialect reads and writes headers, and the program
+// that assembles the instance fills its Board.
 package edge
 
 import (
@@ -42,33 +42,34 @@
 type Board struct {
 	// Routes is the configuration in force.
 	Routes board.Section[httproute.Configuration]
-	// Fleet is the discovered upstreams and the registered instances.
+	// Fleet holds the discovered upstreams and the registered instances.
 	Fleet board.Section[fleet.View]
-	// Quarantined is what the store holds of quarantined requests.
+	// Quarantined holds the store's records of quarantined requests.
 	Quarantined board.Section[quarantine.Stored]
 }
 
-// Options of an Edge.
+// Options are the options of an Edge.
 type Options struct {
 	Settings *Settings
 	Dialect  Dialect
-	// Store is this instance's copy of the platform's store, and Registrar the store.
+	// Store is this instance's replica of the platform's store, and Registrar the store itself.
 	Store     *mirror.Mirror
 	Registrar mirror.Registrar
-	// Medium carries all connections but those to the store; nil: TCP with keep-alive
-	// probes.
+	// Medium carries all connections except those to the store. If it is nil they use TCP with
+	// keep-alive probes.
 	Medium control.Medium
-	// Key is under which the instance is registered, and Value encodes it.
+	// Key is the store key of the instance's registration, and Value encodes the registration.
 	Key   string
 	Value func(fleet.Instance) ([]byte, error)
-	// QuarantineKey is under which a quarantined request is kept in the store; nil: none is.
+	// QuarantineKey returns the store key of a quarantined request. If it is nil no quarantine is
+	// stored.
 	QuarantineKey func(quarantine.Fingerprint) string
 	Log           zerolog.Logger
-	// Registry holds the instance's metrics, Series those with labels.
+	// Registry holds the instance's metrics, and Series those with labels.
 	Registry metrics.Registry
 	Series   *telemetry.Series
-	// Good, Steps and Failed bound the lines of requests that go well, of the steps of
-	// those that do not, and of their ends; nil: all are written.
+	// Good, Steps and Failed bound the log lines of successful requests, of the steps of failed
+	// ones, and of the ends of failed ones. If they are nil all are written.
 	Good, Steps, Failed zerolog.Sampler
 }
 
@@ -78,13 +79,13 @@
 	dialect  Dialect
 	options  Options
 	log      zerolog.Logger
-	// goodLog, stepLog and failedLog are log for what concerns single requests.
+	// goodLog, stepLog and failedLog are log with the budgets for lines of single requests.
 	goodLog, stepLog, failedLog zerolog.Logger
 	clock                       clock.Clock
 	self                        fleet.Instance
 	sequence                    atomic.Uint64
 	leaving                     atomic.Pointer[drainSchedule]
-	// began is when the process began.
+	// startedAt is the start time of the process.
 	startedAt time.Time
 	active    atomic.Int64
 
@@ -101,7 +102,7 @@
 	streams        *streamMonitor
 	quarantine     *quarantine.Table
 	crashProbes    *crashProbes
-	// toKeep holds the requests whose quarantine is to be written to the store.
+	// quarantineWrites holds the requests with quarantine records to be written to the store.
 	quarantineWrites chan quarantineWrite
 	overload         *steer.Overload
 	recent           *steer.Recent
@@ -115,30 +116,30 @@
 	replicaClients   *control.Clients
 	registry         metrics.Registry
 	counts           counters
-	// tally is the newest count of the instances.
+	// latestCounts holds the newest counts of the instances.
 	latestCounts atomic.Pointer[instanceCounts]
 }
 
-// Times of connections.
+// Timeouts and intervals of connections.
 const (
-	// upstreamDial bounds the making of a connection inside the region: a round trip
-	// there takes milliseconds, and a server that is dark does not answer at all.
+	// upstreamDial bounds the dialling of an upstream inside the region: a round trip there takes
+	// milliseconds, and an unresponsive server does not answer at all.
 	upstreamDial = 250 * time.Millisecond
-	// peerDial bounds it between regions.
+	// peerDial bounds the dialling of an instance in another region.
 	peerDial = 500 * time.Millisecond
-	// keepAliveIdle, keepAliveInterval and keepAliveCount find connections that fell
-	// silent, within about three seconds.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect broken connections within about
+	// three seconds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// sweepEvery is how often idle connections are looked through.
+	// sweepEvery is the interval at which idle connections are checked.
 	sweepEvery = time.Second
-	// registrationTTL is how long an instance stays registered after its end: below
-	// the time after which callers must not be told of it.
+	// registrationTTL is the time for which an instance stays registered after its end. It is
+	// below the time after which callers must not be directed to it any more.
 	registrationTTL = 4 * time.Second
 )
 
-// New returns an instance that serves nothing yet.
+// New returns an instance that does not serve yet.
 func New(options Options) (*Edge, error) {
 	s := options.Settings
 	medium := options.medium()
@@ -198,7 +199,7 @@
 
 func (e *Edge) now() time.Time { return e.clock.Now() }
 
-// Run serves until ctx ends, then leaves gracefully.
+// Run serves until ctx ends, then drains and stops.
 func (e *Edge) Run(ctx context.Context) error {
 	if mb := e.settings.Limits.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb) << 20 * memoryLimitPercent / 100)
@@ -243,12 +244,12 @@
 	return err
 }
 
-// memoryPart of the process's memory, in percent, is what the garbage collector
-// aims to stay below; the rest is for sockets and other threads.
+// memoryLimitPercent is the share of the process's memory, in percent, below which the garbage
+// collector tries to stay. The rest is for sockets and other threads.
 const memoryLimitPercent = 60
 
-// register keeps the instance's entry in the store; the returned function waits for
-// its removal.
+// register maintains the instance's entry in the store. The returned function waits for its
+// removal.
 func (e *Edge) register(ctx context.Context) (wait func()) {
 	value, err := e.options.Value(e.self)
 	if err != nil {
@@ -271,7 +272,8 @@
 	return func() { <-ended }
 }
 
-// sweep closes connections that are no longer needed, and forgets upstreams that left and are gone.
+// sweep closes connections that are no longer needed, and forgets upstreams that were leaving and
+// are removed.
 func (e *Edge) sweep(ctx context.Context) {
 	for clock.Sleep(ctx, sweepEvery) {
 		e.upstreams.Sweep()
--- a/pkg/edge/fingerprint.go
+++ b/pkg/edge/fingerprint.go
@@ -2,8 +2,8 @@
 
 import "github.com/lilacweir/lilacweir/pkg/quarantine"
 
-// fingerprint names the request by what it asks for. It is worked out when it is first asked
-// for: most requests go well, and bodies are long.
+// fingerprint returns the fingerprint of the request's content. It is computed at the first call,
+// since most requests succeed and bodies are long.
 func (j *job) fingerprint() quarantine.Fingerprint {
 	if j.content == nil {
 		asked := quarantine.Content{
--- a/pkg/edge/handler.go
+++ b/pkg/edge/handler.go
@@ -22,15 +22,15 @@
 // servePeer serves a request that another instance has forwarded.
 func (e *Edge) servePeer(w http.ResponseWriter, r *http.Request) { e.serve(w, r, true) }
 
-// noConfigurationRetry is when to come back to an instance without a configuration:
-// it reads one as soon as the store or another instance answers.
+// noConfigurationRetry is the Retry-After of an instance without a configuration, which reads one
+// as soon as the store or another instance answers.
 const noConfigurationRetry = 300 * time.Millisecond
 
-// storeLostRetry is the same while the store does not answer: outages last seconds, and a
-// caller that comes back too soon has used up a try.
+// storeLostRetry replaces noConfigurationRetry while the store does not answer: outages last
+// seconds, and a caller that returns too soon has wasted a retry.
 const storeLostRetry = 1200 * time.Millisecond
 
-// startRetry is when to come back to an instance that cannot serve anything yet.
+// startRetry returns the Retry-After of an instance that cannot serve anything yet.
 func (e *Edge) startRetry() time.Duration {
 	if e.store.Lost() {
 		return storeLostRetry
@@ -38,10 +38,12 @@
 	return noConfigurationRetry
 }
 
-// leavingRetry is when to come back to another instance, after one that leaves.
+// leavingRetry is the Retry-After of an instance that is leaving: another one can serve the
+// caller.
 const leavingRetry = 50 * time.Millisecond
 
-// attemptsGranted is on how many upstreams another instance lets a request run.
+// grantedByPeer returns the number of upstreams on which the forwarding instance lets a request
+// run.
 func grantedByPeer(fields http.Header) int {
 	granted, err := strconv.Atoi(fields.Get(header.Attempts))
 	if err != nil {
@@ -50,8 +52,8 @@
 	return max(1, granted)
 }
 
-// writeSlack is what the caller may take to read the end of an answer after the
-// request's time is over.
+// writeSlack is the time that the caller may take to read the end of an answer after the
+// request's deadline.
 const writeSlack = time.Second
 
 func (e *Edge) serve(w http.ResponseWriter, r *http.Request, forwarded bool) {
@@ -73,8 +75,8 @@
 	j.finish(refusal)
 }
 
-// serve takes the request to its end; the refusal is what the caller must still be
-// told.
+// serve serves the request. It returns the refusal that is still to be sent to the caller, nil if
+// there is none.
 func (j *job) serve() *outcome.Refusal {
 	j.awaitReady(j.request.Context(), j.configured)
 	if refusal := j.prepare(); refusal != nil {
@@ -82,8 +84,8 @@
 	}
 	ctx, cancel := context.WithDeadline(j.request.Context(), j.deadline)
 	defer cancel()
-	// A caller that does not read must not hold the answer in memory for good. A
-	// connection without deadlines (a test's recorder) has no slow reader.
+	// A caller that does not read must not keep the answer in memory forever. A connection
+	// without deadlines (a test's recorder) has no slow reader.
 	_ = j.writer.control.SetWriteDeadline(j.deadline.Add(writeSlack))
 	if !j.forwarded {
 		j.retries.Request(j.service.Name)
@@ -91,7 +93,7 @@
 	return j.run(ctx)
 }
 
-// prepare finds the route and reads the request whole.
+// prepare finds the route and reads the whole request.
 func (j *job) prepare() *outcome.Refusal {
 	var err error
 	if j.attributes, err = j.dialect.Attributes(j.request.Header); err != nil {
@@ -135,10 +137,10 @@
 	return nil
 }
 
-// longestWait bounds a request for which neither its caller nor its route does.
+// maxRequestTime bounds requests without a deadline of their caller or their route.
 const maxRequestTime = time.Minute
 
-// setDeadline takes the earlier of the caller's and the route's bound.
+// setDeadline sets the earlier of the caller's and the route's deadline.
 func (j *job) setDeadline() {
 	bound := maxRequestTime
 	if j.route.Timeout > 0 {
@@ -150,8 +152,7 @@
 	j.deadline = j.started.Add(bound)
 }
 
-// readBody reads the whole body: nothing of a request that is cut off on its way in
-// reaches an upstream.
+// readBody reads the whole body, so that no part of a truncated request reaches an upstream.
 func (j *job) readBody() *outcome.Refusal {
 	limit := j.config.Limits.BodyBytes
 	body := io.Reader(j.request.Body)
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// readAll reads a body whose length is known or -1.
+// readAll reads a body of the given length, -1 if it is unknown.
 func readAll(body io.Reader, length int64) ([]byte, error) {
 	if length == 0 {
 		return nil, nil
@@ -188,7 +189,7 @@
 	return data, err
 }
 
-// end tells the caller of a refusal, and logs and counts the end of the request.
+// finish sends a refusal to the caller, and logs and counts the end of the request.
 func (j *job) finish(refusal *outcome.Refusal) {
 	took := j.now().Sub(j.started)
 	if refusal != nil && refusal.Outcome == outcome.NotRun {
@@ -203,13 +204,14 @@
 	j.refuse(refusal)
 }
 
-// givesKept says whether the caller gets a server's own failure in place of a refusal.
+// returnsUpstreamFailure reports whether the caller gets an upstream's error answer in place of a
+// refusal.
 func (j *job) returnsUpstreamFailure() bool {
 	return !j.writer.started && j.upstreamFailure != nil && j.runs > 0
 }
 
-// refuse gives the caller a server's own failure if one was kept, else the refusal.
-// An answer that has begun can only be broken off.
+// refuse sends the caller an upstream's error answer if there is one, else the refusal. An answer
+// that has started can only be aborted.
 func (j *job) refuse(refusal *outcome.Refusal) {
 	if j.writer.started {
 		panic(http.ErrAbortHandler)
@@ -230,7 +232,7 @@
 	j.deliver(&bufferedAnswer{status: refusal.Status, header: fields.Clone(), body: []byte(body)})
 }
 
-// surveyError tells, in logs, why no upstream could take a request.
+// surveyError gives, in logs, the reason why no upstream could accept a request.
 type surveyError struct{ survey steer.Survey }
 
 // Error implements error.
@@ -239,7 +241,7 @@
 	return fmt.Sprintf("known=%d usable=%d resting=%d cold=%d limited=%d in_flight=%d slots=%d", s.Known, s.Usable, s.Resting, s.Cold, s.Limited, s.InFlight, s.Slots)
 }
 
-// path is the path of a request without its query, as it was sent.
+// path returns the path of a request URI without its query, undecoded.
 func path(uri string) string {
 	bare, _, _ := strings.Cut(uri, "?")
 	return bare
--- a/pkg/edge/identity.go
+++ b/pkg/edge/identity.go
@@ -11,9 +11,9 @@
 	"github.com/lilacweir/lilacweir/pkg/quota"
 )
 
-// identify finds whose request it is. The instance that a caller reached decides it by the
-// caller's key, and shows another one a proof that it saw the key; what a caller says of
-// its organisation, or of a proof, is never looked at.
+// identify finds the organisation of the request. The instance that the caller reached determines
+// it from the caller's key, and sends other instances a proof that it saw the key. A caller's own
+// header values for its organisation or a proof are never used.
 func (j *job) identify() *outcome.Refusal {
 	if !j.config.Keyed() {
 		return nil
@@ -29,16 +29,16 @@
 	case j.organisation != nil || j.route.Public:
 		return nil
 	case given && j.store.Lost():
-		// The key may have been added since this instance last heard of a configuration.
+		// The key may have been added since this instance last received a configuration.
 		return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonNoConfiguration, j.startRetry(), "the key is not known here, and the platform's store does not answer")
 	default:
 		return outcome.Refuse(http.StatusUnauthorized, outcome.ReasonUnauthenticated, 0, "the key is missing or not known")
 	}
 }
 
-// identifyForwarded checks the sender's proof under the keys that are known here. Without
-// one, a withdrawn key or an older configuration on either side is as likely as a caller
-// that plays an instance.
+// identifyForwarded checks the sender's proof against the keys that are known here. If it fails,
+// a withdrawn key or an older configuration on either side is as likely as a caller that
+// impersonates an instance.
 func (j *job) identifyForwarded() *outcome.Refusal {
 	name := j.request.Header.Get(header.Caller)
 	if name == "" && j.route.Public {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// bearer returns the key that a caller shows; given is false unless there is exactly one.
+// bearer returns the caller's key. given is false unless there is exactly one.
 func bearer(fields http.Header) (key string, given bool) {
 	values := fields.Values(header.Authorization)
 	if len(values) != 1 {
@@ -62,8 +62,8 @@
 	return key, strings.EqualFold(scheme, "Bearer") && key != ""
 }
 
-// charge counts the request against its organisation's limit, at the instance that the
-// caller reached alone.
+// charge counts the request against its organisation's limit. Only the instance that the caller
+// reached counts it.
 func (j *job) charge() *outcome.Refusal {
 	if j.organisation == nil || j.forwarded {
 		return nil
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// nameOrganisation adds to a request that is sent on whose it is: its name for an upstream,
-// name and proof for another instance. The caller's key goes to neither.
+// setOrganisation adds the organisation to a request that is sent on: its name for an upstream,
+// its name and a proof for another instance. The caller's key is sent to neither.
 func (c *call) setOrganisation(fields http.Header) {
 	fields.Del(header.Caller)
 	fields.Del(header.CallerProof)
@@ -91,7 +91,7 @@
 	}
 }
 
-// organisationName is whose request it is; empty: nobody's.
+// organisationName returns the organisation of the request, empty if it is anonymous.
 func (j *job) organisationName() string {
 	if j.organisation == nil {
 		return ""
@@ -99,7 +99,7 @@
 	return j.organisation.Name
 }
 
-// limits are the declared limits by organisation.
+// declaredLimits returns the declared limits by organisation.
 func declaredLimits(config *httproute.Configuration) map[string]quota.Limit {
 	byOrganisation := make(map[string]quota.Limit)
 	for _, organisation := range config.Organisations() {
--- a/pkg/edge/instances.go
+++ b/pkg/edge/instances.go
@@ -10,29 +10,28 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// instances is how many instances there are, this one included; never fewer than
-// are registered.
+// instances returns the number of instances, including this one. It is never smaller than the
+// number of registered ones.
 func (e *Edge) instances() int { return e.countInstances().all }
 
-// regionInstances is how many there are in the own region.
+// regionInstances returns the number of instances in the own region.
 func (e *Edge) regionInstances() int { return e.countInstances().inRegion }
 
-// tally is how many instances there are, by two snapshots of the board. Each request asks
-// for it; with 295 instances it takes 0.02 ms to make.
+// instanceCounts holds the numbers of instances by two snapshots of the board. Each request needs
+// them; with 295 instances they take 0.02 ms to compute.
 type instanceCounts struct {
 	fleet         *fleet.View
 	peers         *peer.View
 	all, inRegion int
-	// regions holds the region of each instance by name.
+	// regionByName holds the region of each instance.
 	regionByName map[string]string
-	// parts holds this instance's part of each upstream that names a limit, as far as it was
-	// asked for.
+	// shares caches this instance's share of each upstream with a limit.
 	shares sync.Map
-	// grew is when region last grew.
+	// grewAt is the time at which inRegion last grew.
 	grewAt time.Time
 }
 
-// counted counts the instances, once for each of the snapshots.
+// countInstances returns the counts of the instances, computed once for each pair of snapshots.
 func (e *Edge) countInstances() *instanceCounts {
 	view, peers := e.board.Fleet.Load(), e.gossip.View().Load()
 	if last := e.latestCounts.Load(); last != nil && last.fleet == view && last.peers == peers {
@@ -75,17 +74,17 @@
 	return counted
 }
 
-// leastInstances is how many instances of a region are taken to exist as long as
-// none other is known: after a restart of everything each knows only itself.
+// minInstances is the number of instances that a region is assumed to have at least: after a
+// restart of all instances each knows only itself.
 const minInstances = 3
 
-// coldStart is for how long after its start, and after it has learned of one more instance
-// of its region, an instance sends nothing to cold upstreams: what was sent before a restart
-// still counts for that long, and while instances appear its share would be too large.
+// coldStartDelay is the time after its start, and after it has learned of another instance of its
+// region, in which an instance sends nothing to cold upstreams: requests sent before a restart
+// count for that long, and while instances register its share would be too large.
 const coldStartDelay = limit.ColdWindow
 
-// admits says whether an upstream may get one more request of this instance, as far as it
-// is, or may be, cold.
+// admits reports whether an upstream that is or may be cold may get another request of this
+// instance. Others always may.
 func (e *Edge) admits(upstream *fleet.Upstream, service *httproute.Service) bool {
 	if service.ColdRate == 0 || !e.mayBeCold(upstream, service) {
 		return true
@@ -96,14 +95,15 @@
 	return e.cold.Left(upstream.ID, e.coldAllowance(service), max(minInstances, e.regionInstances()))
 }
 
-// coldAllowance is how many requests a second a cold upstream of a service may get of all instances.
+// coldAllowance returns the number of requests a second that a cold upstream of a service may get
+// from all instances.
 func (e *Edge) coldAllowance(service *httproute.Service) float64 {
 	return service.ColdRate*e.settings.Limits.ColdFactor + e.settings.Limits.ColdSlack
 }
 
-// Roster returns the instances that callers of a host in a region should use: the
-// live ones there, else those of the regions that most of the host's routes permit. Its
-// routes may exclude each other's regions.
+// Roster returns the instances that callers of a host in a region should use: the live ones
+// there, else those of the regions that most of the host's routes permit. The routes of a host
+// may exclude each other's regions.
 func (e *Edge) Roster(region, host string) []fleet.Instance {
 	all := e.usableInstances()
 	if near := inRegions(all, func(r string) bool { return r == region }); len(near) > 0 {
@@ -130,7 +130,8 @@
 	return kept
 }
 
-// usable lists the instances that take callers, this one included unless it leaves.
+// usableInstances lists the instances that accept callers, including this one unless it is
+// leaving.
 func (e *Edge) usableInstances() []fleet.Instance {
 	byName := make(map[string]fleet.Instance)
 	if view := e.board.Fleet.Load(); view != nil {
@@ -164,12 +165,11 @@
 	return list
 }
 
-// Ready says whether the instance takes callers: it has a configuration and does
-// not leave.
+// Ready reports whether the instance accepts callers: it has a configuration and is not leaving.
 func (e *Edge) Ready() bool { return !e.Leaving() && e.board.Routes.Load() != nil }
 
-// Leaving says whether the instance is on its way out.
+// Leaving reports whether the instance is leaving.
 func (e *Edge) Leaving() bool { return e.leaving.Load() != nil }
 
-// DirectoryTTL is how long callers may keep what Roster says.
+// DirectoryTTL returns the time for which callers may cache the result of Roster.
 func (e *Edge) DirectoryTTL() time.Duration { return e.settings.Limits.DirectoryTTL }
--- a/pkg/edge/job.go
+++ b/pkg/edge/job.go
@@ -14,18 +14,18 @@
 	"github.com/lilacweir/lilacweir/pkg/steer"
 )
 
-// urgentTokens is from how many prompt tokens to be read on a request is told to the
-// other instances at once: engines take longer over it than a round of gossip.
+// longPromptTokens is the number of prompt tokens to compute from which a request is reported to
+// the other instances at once: engines work on it for longer than a round of gossip takes.
 const longPromptTokens = 4000
 
-// maxSends bounds how often one request is sent, whatever its route permits: those
-// that were rejected without being run count here as well.
+// maxSends bounds the sends of one request, whatever its route permits. Sends that were rejected
+// without being run count as well.
 const maxSends = 4
 
-// maxHops bounds how many instances of other regions are asked to serve one request.
+// maxHops bounds the instances of other regions that are asked to serve one request.
 const maxHops = 2
 
-// job is one request on its way.
+// job is one request while it is served.
 type job struct {
 	*Edge
 	request    *http.Request
@@ -33,12 +33,12 @@
 	config     *httproute.Configuration
 	route      *httproute.Route
 	service    *httproute.Service
-	// organisation is whose request it is, nil: nobody's; keyDigest stands for the key that
-	// showed it, and grant is what the request was charged.
+	// organisation is the owner of the request, nil if it is anonymous. keyDigest is the digest
+	// of the caller's key, and grant the usage that the request was charged.
 	organisation *httproute.Organisation
 	keyDigest    httproute.KeyDigest
 	grant        quota.Grant
-	// content is the fingerprint of what the request asks for; nil: not worked out yet.
+	// content is the fingerprint of the request's content, nil until it is computed.
 	content   *quarantine.Fingerprint
 	body      []byte
 	forwarded bool
@@ -46,28 +46,29 @@
 	deadline  time.Time
 	writer    *writer
 
-	// attemptsLeft is on how many more upstreams the request may run.
+	// attemptsLeft is the number of further upstreams that may run the request.
 	attemptsLeft int
 	tried        []string
-	// sends counts sends to upstreams, those by other instances included; runs those
-	// after which the request may have run; hops the instances that were asked.
+	// sends counts sends to upstreams, including those by other instances. runs counts those
+	// after which the request may have run, and hops the instances that were asked.
 	sends, runs, hops int
-	// kept is a server's failure that is given to the caller if nothing better comes.
+	// upstreamFailure is an upstream's error answer. The caller gets it if no later attempt does
+	// better.
 	upstreamFailure *bufferedAnswer
-	// lastError is why the last attempt failed.
+	// lastError is the cause of the last failed attempt.
 	lastError error
-	// withheld holds steps for which there was no budget in the log.
+	// deferredSteps holds steps that exceeded the log's budget.
 	deferredSteps []step
 }
 
-// target is where one attempt goes: an upstream of the own region, or an instance
-// of another.
+// target is the destination of one attempt: an upstream of the own region, or an instance of
+// another region.
 type target struct {
 	survey steer.Survey
 	peer   *peer.Known
 }
 
-// name is the upstream's ID or the instance's name.
+// name returns the upstream's ID or the instance's name.
 func (t *target) name() string {
 	if t.peer != nil {
 		return t.peer.Instance.Name
@@ -75,7 +76,7 @@
 	return t.survey.Best.Upstream.ID
 }
 
-// domain is the failure domain of the upstream or instance.
+// domain returns the failure domain of the upstream or instance.
 func (t *target) domain() string {
 	if t.peer != nil {
 		return t.peer.Instance.Domain
@@ -83,8 +84,8 @@
 	return t.survey.Best.Upstream.Domain
 }
 
-// attempts is on how many upstreams the request may run by this attempt: an instance
-// of another region is lent all that are left, since it cannot ask for more in time.
+// grantedAttempts returns the number of upstreams that may run the request in this attempt. An
+// instance of another region is granted all that are left, since it cannot ask for more in time.
 func (t *target) grantedAttempts(j *job) int {
 	if t.peer != nil {
 		return j.attemptsLeft
@@ -92,26 +93,26 @@
 	return 1
 }
 
-// result is how an attempt ended.
+// result is the result of an attempt.
 type result int
 
 const (
-	// done: the caller has its whole answer.
+	// done: the caller has the complete answer.
 	done result = iota
 	// notRun: the request did not run there and never will.
 	notRun
-	// broken: it may have run, and the caller has no whole answer.
+	// broken: the request may have run, and the caller has no complete answer.
 	broken
-	// callerGone: the caller left.
+	// callerGone: the caller disconnected.
 	callerGone
 )
 
-// String is the result as metrics tell it.
+// String returns the result's metric label.
 func (r result) String() string {
 	return [...]string{done: "done", notRun: "not-run", broken: "broken", callerGone: "caller-gone"}[r]
 }
 
-// run makes attempts until one succeeds or the request must be given up.
+// run makes attempts until one succeeds or the request has to be refused.
 func (j *job) run(ctx context.Context) *outcome.Refusal {
 	for {
 		if refusal := j.quarantineRefusal(); refusal != nil {
@@ -144,7 +145,8 @@
 	}
 }
 
-// mayRepeat says whether the request may be sent once more after a failed attempt.
+// checkRetry returns nil if the request may be sent again after a failed attempt, else its
+// refusal.
 func (j *job) checkRetry(ctx context.Context) *outcome.Refusal {
 	switch {
 	case context.Cause(ctx) != nil || !j.now().Before(j.deadline):
@@ -159,7 +161,7 @@
 	return nil
 }
 
-// exhausted is the refusal of a request that may not be sent again.
+// retriesExhausted returns the refusal of a request that may not be sent again.
 func (j *job) retriesExhausted(detail string) *outcome.Refusal {
 	if j.runs > 0 {
 		return outcome.MayHaveRun(http.StatusBadGateway, outcome.ReasonUpstreamFailed, 0, detail)
@@ -167,7 +169,7 @@
 	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded, steer.RetryAfter(j.now(), j.deadline), detail)
 }
 
-// late is the refusal of a request whose time is over.
+// deadlineExceeded returns the refusal of a request whose deadline has passed.
 func (j *job) deadlineExceeded() *outcome.Refusal {
 	if j.runs > 0 {
 		return outcome.MayHaveRun(http.StatusGatewayTimeout, outcome.ReasonDeadline, 0, "the time is over")
@@ -175,8 +177,8 @@
 	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonDeadline, steer.RetryAfter(j.now(), j.deadline), "the time is over")
 }
 
-// giveUp makes the refusal true for the whole request: once it may have run, it is
-// never called not run.
+// finalRefusal adapts the refusal of the last attempt to the whole request, which is never
+// reported as not run once it may have run.
 func (j *job) finalRefusal(refusal *outcome.Refusal) *outcome.Refusal {
 	if j.runs > 0 && refusal.Outcome == outcome.NotRun {
 		return outcome.MayHaveRun(http.StatusBadGateway, refusal.Reason, 0, refusal.Detail)
@@ -184,7 +186,7 @@
 	return refusal
 }
 
-// world is the snapshots by which the request is steered now.
+// snapshots returns the snapshots that routing decisions use now.
 func (j *job) snapshots() *steer.World {
 	now := j.now()
 	return &steer.World{
@@ -205,7 +207,7 @@
 	}
 }
 
-// next chooses where the request goes.
+// next chooses the target of the next attempt.
 func (j *job) next() (*target, *outcome.Refusal) {
 	world := j.snapshots()
 	query := &steer.Request{
@@ -229,7 +231,7 @@
 	if chosen.peer == nil && chosen.survey.Best.Upstream == nil {
 		return nil, j.noUpstreamRefusal(permitted, &chosen.survey)
 	}
-	// What was sent before goes on: its caller would rather have it late.
+	// A request that was sent before goes on: its caller prefers a late answer to none.
 	if chosen.peer == nil && chosen.survey.Best.Late && j.sends == 0 && j.overload.Refuses(query, world.Now) {
 		return nil, j.overloadRefusal(&chosen.survey)
 	}
@@ -237,8 +239,8 @@
 	return chosen, nil
 }
 
-// partner draws one of the instances of another region, from those with a connection that
-// can be used if there are any: making one takes a round trip of the request's time.
+// choosePeer draws one of the instances of another region, preferring those with an idle
+// connection: making a new one costs the request a round trip.
 func (j *job) choosePeer(peers []*peer.Known, random uint64) *peer.Known {
 	first := int(random % uint64(len(peers)))
 	for i := range peers {
@@ -250,9 +252,8 @@
 	return peers[first]
 }
 
-// look surveys the own region. A server that answered with a failure may well serve the
-// next try, and is nearer than another region: it is looked at again where there is no
-// other.
+// surveyRegion surveys the own region. An upstream that answered with an error may well serve the
+// retry, and is nearer than another region, so it is considered again if there is no other.
 func (j *job) surveyRegion(world *steer.World, query *steer.Request) steer.Survey {
 	survey := world.Look(query)
 	if survey.Best.Upstream != nil || j.upstreamFailure == nil {
--- a/pkg/edge/listen.go
+++ b/pkg/edge/listen.go
@@ -12,7 +12,7 @@
 	"github.com/lilacweir/lilacweir/pkg/logging"
 )
 
-// door is one listener with what serves it.
+// httpListener is a listener with its HTTP server.
 type httpListener struct {
 	listener net.Listener
 	server   *http.Server
@@ -25,18 +25,17 @@
 	return nil
 }
 
-// doors are the listeners of an instance.
+// listenerSet holds the listeners of an instance.
 type listenerSet struct {
 	http    []*httpListener
 	control *control.Server
 }
 
-// Times that callers' connections may take; the declared limits are enforced on each
-// request as well.
+// Bounds of callers' connections. The declared limits are enforced on each request as well.
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// maxHeader bounds a request's header, in bytes; net/http allows 4 KiB more.
+	// maxHeader bounds a request's header in bytes. net/http allows 4 KiB more.
 	maxHeader = 64 << 10
 )
 
--- a/pkg/edge/metrics.go
+++ b/pkg/edge/metrics.go
@@ -11,12 +11,12 @@
 	"github.com/lilacweir/lilacweir/pkg/telemetry"
 )
 
-// MostMetrics bounds the labelled metrics of an instance: three for each of 300 routes
-// and 300 targets leave half of it free. Full, with a third of them histograms of 1.7 KB,
-// it takes some 3 MB (worked out).
+// MostMetrics bounds the labelled metrics of an instance. Three for each of 300 routes and 300
+// targets use less than half of it. A full registry, with a third of them histograms of 1.7 KB,
+// takes about 3 MB.
 const MostMetrics = 4000
 
-// Labels of metrics.
+// Label names.
 const (
 	labelRoute   = "route"
 	labelService = "service"
@@ -30,18 +30,18 @@
 	labelOrganisation = "organisation"
 )
 
-// noRoute is the route of requests that match none.
+// noRoute is the route label of requests that match no route.
 const noRoute = "none"
 
-// outcomeCallerGone is the outcome, in lines and metrics, of a request whose caller has left.
+// outcomeCallerGone is the outcome, in logs and metrics, of a request whose caller disconnected.
 const outcomeCallerGone outcome.Outcome = "caller-gone"
 
-// counters count and time requests and attempts.
+// counters counts and times requests and attempts.
 type counters struct{ series *telemetry.Series }
 
 func label(name, value string) telemetry.Label { return telemetry.Label{Name: name, Value: value} }
 
-// ended counts the end of a request.
+// requestEnded counts the end of a request.
 func (c *counters) requestEnded(j *job, refusal *outcome.Refusal, took time.Duration) {
 	route := label(labelRoute, noRoute)
 	if j.route != nil {
@@ -59,7 +59,7 @@
 	c.series.Latency("requests.first.ms", route).Add(j.writer.firstPartAt.Sub(j.started))
 }
 
-// attempted counts the end of an attempt at an upstream or another instance.
+// attemptEnded counts the end of an attempt at an upstream or another instance.
 func (c *counters) attemptEnded(to *target, ended result, took time.Duration) {
 	domain, name := label(labelDomain, to.domain()), label(labelTarget, to.name())
 	c.series.Counter("attempts", domain, name, label(labelResult, ended.String())).Inc(1)
@@ -68,14 +68,14 @@
 	}
 }
 
-// cold counts a request that is sent to a cold upstream.
+// sentCold counts a request that is sent to a cold upstream.
 func (c *counters) sentCold(upstream string) {
 	c.series.Counter("cold.sent", label(labelTarget, upstream)).Inc(1)
 }
 
 // StoreCall is one call to the platform's store.
 type StoreCall struct {
-	// Name is the kind of call, Result "ok" or what kind of failure there was.
+	// Name is the kind of call. Result is "ok" or the kind of failure.
 	Name, Result string
 	Took         time.Duration
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// registerGauges adds what is read when the metrics are asked for.
+// registerGauges adds the gauges that are computed when the metrics are read.
 func (e *Edge) registerGauges(registry metrics.Registry) {
 	gauges := map[string]func() int64{
 		"upstreams.dialed":      e.upstreams.Dialed,
@@ -117,7 +117,7 @@
 	}
 }
 
-// age is how long ago t was, in ms; -1 when it has never been.
+// ageMS returns the time since t in ms, -1 if t is zero.
 func (e *Edge) ageMS(t time.Time) int64 {
 	if t.IsZero() {
 		return -1
@@ -125,7 +125,7 @@
 	return e.now().Sub(t).Milliseconds()
 }
 
-// version is that of the configuration in force; zero: there is none.
+// configurationVersion returns the version of the configuration in force, zero if there is none.
 func (e *Edge) configurationVersion() int64 {
 	if config := e.board.Routes.Load(); config != nil {
 		return int64(config.Version)
@@ -133,8 +133,8 @@
 	return 0
 }
 
-// configurationAge is for how long the configuration has been in force, in ms; -1: there
-// is none.
+// configurationAge returns the time in ms for which the configuration has been in force, -1 if
+// there is none.
 func (e *Edge) configurationAge() int64 {
 	if config := e.board.Routes.Load(); config != nil {
 		return e.ageMS(config.InForce)
@@ -154,8 +154,8 @@
 	return count
 }
 
-// oldestPeer is the age of the oldest report, in ms, among the instances that count as
-// live: what the loads of other instances are worth.
+// oldestReportMS returns the age in ms of the oldest report among live instances: an upper bound
+// of the age of the known loads of other instances.
 func (e *Edge) oldestReportMS() int64 {
 	oldest, now := int64(0), e.now()
 	if view := e.gossip.View().Load(); view != nil {
@@ -178,7 +178,7 @@
 	})
 }
 
-// readServices brings the gauges of single services up to date.
+// updateServiceGauges updates the gauges of single services.
 func (e *Edge) updateServiceGauges() {
 	config, view := e.board.Routes.Load(), e.board.Fleet.Load()
 	if config == nil || view == nil {
@@ -203,5 +203,5 @@
 	}
 }
 
-// hash turns a request's ID into a number that is the same on each of its tries.
+// hash returns a hash of a request's ID that is the same in each attempt.
 func hash(id string) uint64 { return xxhash.Sum64String(id) }
--- a/pkg/edge/organisation_limits.go
+++ b/pkg/edge/organisation_limits.go
@@ -7,8 +7,8 @@
 	"github.com/lilacweir/lilacweir/pkg/quota"
 )
 
-// followLimits tells the limiter which limits are in force and which part of the instances
-// is heard, until ctx ends.
+// followLimits updates the limiter's limits and the share of instances that are reachable, until
+// ctx ends.
 func (e *Edge) followLimits(ctx context.Context) {
 	for {
 		routes, peers := e.board.Routes.Changed(), e.gossip.View().Changed()
@@ -25,17 +25,17 @@
 	}
 }
 
-// heard is the part of all instances that this one hears, itself included.
+// liveShare returns the share of all instances, including this one, from which reports arrive.
 func (e *Edge) liveShare() float64 {
 	live := 1 + e.countPeers(true)
 	return min(1, float64(live)/float64(max(1, e.instances())))
 }
 
-// mostOrganisations bounds the organisations with metrics of their own: those that ask for
-// the largest part of their limits.
+// maxOrganisationMetrics bounds the organisations with metrics of their own. Those with the
+// highest demand relative to their limits get them.
 const maxOrganisationMetrics = 50
 
-// readLimits brings the gauges of single organisations up to date.
+// updateLimitGauges updates the gauges of single organisations.
 func (e *Edge) updateLimitGauges() {
 	states := e.limiter.States()
 	slices.SortFunc(states, func(a, b quota.State) int {
--- a/pkg/edge/overload.go
+++ b/pkg/edge/overload.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// roomPart is the part of a route's target for which a request waits for room before
-	// it is refused: a place is free again within some tens of milliseconds.
+	// capacityWaitShare is the share of a route's target latency for which a request waits for
+	// capacity before it is refused: a slot becomes free within some tens of milliseconds.
 	capacityWaitShare = 1.0 / 8
-	// roomPoll is how often it looks. Others' ends are told every 0.2 s, own ones are
-	// known at once.
+	// capacityPollInterval is the interval between checks. Other instances report their ended
+	// requests every 0.2 s; own ones are known at once.
 	capacityPollInterval = 20 * time.Millisecond
 )
 
-// overloaded refuses a request that no engine can begin in time.
+// overloadRefusal returns the refusal of a request that no engine can start in time.
 func (j *job) overloadRefusal(survey *steer.Survey) *outcome.Refusal {
 	refusal := outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded, 0, "no upstream can begin the answer in time")
 	refusal.Err = &surveyError{survey: *survey}
 	return refusal
 }
 
-// awaitRoom waits a moment, and says whether to look again for a place for a request that
-// was refused for want of one. Else the refusal tells the caller when to come back. One
-// that another instance forwarded is not held here: there may be room elsewhere.
+// awaitCapacity reports whether a request that was refused for lack of capacity should be routed
+// again, after a short wait. If not it sets the refusal's RetryAfter. Forwarded requests do not
+// wait here: another region may have capacity.
 func (j *job) awaitCapacity(ctx context.Context, refusal *outcome.Refusal) bool {
 	if refusal.Reason != outcome.ReasonOverloaded || j.sends > 0 {
 		return false
--- a/pkg/edge/quarantine.go
+++ b/pkg/edge/quarantine.go
@@ -11,10 +11,10 @@
 	"github.com/lilacweir/lilacweir/pkg/quarantine"
 )
 
-// quarantineSweep is how often what is over is forgotten.
+// quarantineSweep is the interval at which expired records are deleted.
 const quarantineSweep = time.Minute
 
-// quarantined returns the refusal of a request that is quarantined; nil: it may run.
+// quarantineRefusal returns the refusal of a quarantined request, nil if it may run.
 func (j *job) quarantineRefusal() *outcome.Refusal {
 	if !j.quarantine.Concerns(len(j.body)) {
 		return nil
@@ -26,14 +26,16 @@
 	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonQuarantined, retryAfter, "upstreams that ran this request have ended one after the other")
 }
 
-// ranWell clears a request that upstreams had ended under and that has run to a good end.
+// ranToCompletion clears a request during which upstreams had crashed, and which has now
+// succeeded.
 func (j *job) ranToCompletion() {
 	if j.quarantine.Concerns(len(j.body)) {
 		j.recordObservation(quarantine.Observation{Request: j.fingerprint()})
 	}
 }
 
-// observe notes what this instance saw of a request, and tells the others if it is news.
+// recordObservation records an observation of this instance, and reports it to the others if it
+// is new.
 func (e *Edge) recordObservation(seen quarantine.Observation) {
 	change := e.quarantine.Witness(seen)
 	if change == quarantine.Known {
@@ -43,15 +45,15 @@
 	e.gossip.Observe(seen)
 }
 
-// learnEvidence takes what other instances saw.
+// mergeObservations applies the observations of other instances.
 func (e *Edge) mergeObservations(received []quarantine.Observation) {
 	for _, seen := range received {
 		e.quarantineChanged(seen.Request, e.quarantine.Observe(seen))
 	}
 }
 
-// changed does what follows from a change of a request. Its quarantine is kept by those who saw
-// an upstream end under it, or run it to a good end.
+// quarantineChanged handles a change of a request's state. Only instances that saw an upstream
+// crash during the request, or saw it succeed, write its quarantine to the store.
 func (e *Edge) quarantineChanged(request quarantine.Fingerprint, change quarantine.Change) {
 	e.logQuarantine(request, change)
 	if (change == quarantine.Quarantined || change == quarantine.Cleared) && e.quarantine.Witnessed(request) {
@@ -59,7 +61,7 @@
 	}
 }
 
-// noteQuarantine logs what has become of a request.
+// logQuarantine logs a change of a request's state.
 func (e *Edge) logQuarantine(request quarantine.Fingerprint, change quarantine.Change) {
 	switch change {
 	case quarantine.Quarantined:
@@ -70,8 +72,8 @@
 	}
 }
 
-// sweepQuarantine forgets what is over until ctx ends, here and in the store, and sees to it that the
-// store holds what is not: it may have been away when that was written.
+// sweepQuarantine deletes expired records here and in the store, and writes those that the store
+// lacks, until ctx ends: the store may have been unavailable when they were to be written.
 func (e *Edge) sweepQuarantine(ctx context.Context) {
 	for clock.Sleep(ctx, quarantineSweep) {
 		e.quarantine.Sweep()
--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -16,37 +16,40 @@
 	"github.com/lilacweir/lilacweir/pkg/quarantine"
 )
 
-// Quarantines outlive a restart of all instances in the platform's store, and so does that one was cleared,
-// for a day. Instances tell each other sooner than the store does; it is read at a start.
+// The platform's store keeps quarantines, and for a day the fact that one was cleared, beyond a
+// restart of all instances. Instances report both to each other sooner than the store does, which
+// is read at a start.
 
 const (
-	// keepSpread is over which time the witnesses of a request write its quarantine, so that
-	// most of them find it there.
+	// writeJitter is the time over which the witnesses of a request spread their writes of its
+	// quarantine, so that most of them find it written.
 	writeJitter = 500 * time.Millisecond
-	// keepTimeout bounds the calls that write one quarantine; keepTries is how often that is
-	// tried, each time after twice the pause: the store may be away for some seconds.
+	// writeTimeout bounds the calls that write one quarantine. writeAttempts bounds the attempts,
+	// each after twice the pause of the one before: the store may be unavailable for some
+	// seconds.
 	writeTimeout  = 2 * time.Second
 	writeAttempts = 6
-	// keepers is how many instances write a quarantine again that the store lacks: some of them
-	// may be cut off from it.
+	// quarantineWriters is the number of instances that rewrite a quarantine which the store
+	// lacks: some of them may be partitioned from it.
 	quarantineWriters = 3
-	// eraSettles is for how long after the store's return from a copy what it holds is not known
-	// everywhere: a listing, and a round or two of copies.
+	// epochSettleTime is the time after the store's restore from a copy in which its content is
+	// not known everywhere. It covers a listing and one or two rounds of copies.
 	epochSettleTime = time.Second
-	// mostToKeep bounds the quarantines that wait to be written.
+	// maxPendingWrites bounds the quarantines that wait to be written.
 	maxPendingWrites = 64
 )
 
-// keeping is a request whose record in the store is to be brought in line with what is known here.
+// quarantineWrite is a request whose record in the store is to be updated to the state known
+// here.
 type quarantineWrite struct {
 	request quarantine.Fingerprint
-	// unseen says that the store may hold another record than the own copy of it tells, which holds
-	// over what is newer.
+	// staleReplica is true if the store may hold another record than the local replica, which
+	// retains newer entries.
 	staleReplica bool
 }
 
-// keepQuarantine has a quarantine written, or taken back. It never waits: one that finds no
-// room is known to the other instances all the same.
+// enqueueWrite schedules the write of a quarantine or of its removal. It never blocks: if the
+// queue is full the write is dropped, and the other instances know the quarantine all the same.
 func (e *Edge) enqueueWrite(write quarantineWrite) {
 	if e.options.QuarantineKey == nil {
 		return
@@ -57,7 +60,7 @@
 	}
 }
 
-// writeQuarantines writes until ctx ends.
+// writeQuarantines writes scheduled records until ctx ends.
 func (e *Edge) writeQuarantines(ctx context.Context) {
 	for {
 		select {
@@ -69,11 +72,11 @@
 	}
 }
 
-// jobKeep ranks the instances that write a quarantine again.
+// rankQuarantineWriters is the hash key that ranks the instances that rewrite a quarantine.
 const rankQuarantineWriters = "keep"
 
-// followEras has the store brought in line, until ctx ends, with what it has forgotten by its return
-// from a copy: quarantines, and that they were cleared.
+// followEpochs rewrites, until ctx ends, the quarantines and clearances that the store lost by a
+// restore from a copy.
 func (e *Edge) followEpochs(ctx context.Context) {
 	known := e.store.Era()
 	for {
@@ -96,8 +99,8 @@
 	}
 }
 
-// keepHeld has the quarantines written that the store lacks. All instances know them: some are
-// chosen by hashing.
+// writeMissingQuarantines schedules writes of the quarantines that the store lacks. All instances
+// know them, so some are chosen by hashing.
 func (e *Edge) writeMissingQuarantines() {
 	stored := e.board.Quarantined.Load()
 	for _, request := range e.quarantine.AllHeld() {
@@ -107,14 +110,14 @@
 	}
 }
 
-// keeps says whether this instance is one of those that write a quarantine again.
+// writesQuarantine reports whether this instance is one of those that rewrite a quarantine.
 func (e *Edge) writesQuarantine(request quarantine.Fingerprint) bool {
 	names := slices.Collect(maps.Keys(e.countInstances().regionByName))
 	ranked := member.Rank(member.Key(rankQuarantineWriters, request.Key()), names)
 	return slices.Contains(ranked[:min(quarantineWriters, len(ranked))], e.self.Name)
 }
 
-// writeQuarantine brings one record of the store in line with what is known here.
+// writeQuarantine updates one record of the store to the state known here.
 func (e *Edge) writeQuarantine(ctx context.Context, write quarantineWrite) {
 	pause := writeJitter
 	for range writeAttempts {
@@ -137,9 +140,9 @@
 	}
 }
 
-// putQuarantine writes a record: that a request is quarantined, or was cleared. It is written only over
-// what is known of it (nil: there is none), so that a write that the store takes late undoes nothing that
-// was done meanwhile.
+// putQuarantine writes the record of a quarantine or of its clearing. It replaces only the known
+// record (nil if there is none), so that a write which the store applies late does not undo later
+// changes.
 func (e *Edge) putQuarantine(ctx context.Context, write quarantineWrite, held bool, known *quarantine.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -166,8 +169,8 @@
 	return err
 }
 
-// forgetCleared removes the records of requests whose clearing no longer needs to be remembered. Some
-// instances are chosen by hashing for that.
+// deleteExpiredClearances deletes the records of cleared requests once their clearing need not be
+// remembered. Some instances are chosen by hashing for that.
 func (e *Edge) deleteExpiredClearances(ctx context.Context) {
 	stored := e.board.Quarantined.Load()
 	if stored == nil || e.options.QuarantineKey == nil {
@@ -191,7 +194,7 @@
 	}
 }
 
-// followQuarantines takes what the store tells of quarantines until ctx ends.
+// followQuarantines applies the store's quarantine records until ctx ends.
 func (e *Edge) followQuarantines(ctx context.Context) {
 	var known *quarantine.Stored
 	for {
@@ -208,8 +211,8 @@
 	}
 }
 
-// takeStored takes what has changed in the store's records; before may be nil. That one is gone says
-// nothing: only an act clears a quarantine.
+// applyStored applies the changes between two states of the store's records. before may be nil. A
+// deleted record has no effect: only a recorded clearing ends a quarantine.
 func (e *Edge) applyStored(before, stored *quarantine.Stored) {
 	for i := range stored.Records {
 		record := &stored.Records[i]
@@ -221,14 +224,14 @@
 		default:
 			e.logQuarantine(record.Request, e.quarantine.Hold(record.Request, 0))
 			if !e.quarantine.Held(record.Request) {
-				// It ran to a good end while another instance wrote this.
+				// It succeeded while another instance wrote this.
 				e.enqueueWrite(quarantineWrite{request: record.Request})
 			}
 		}
 	}
 }
 
-// release takes the store's word that a request may run again.
+// applyClearance releases a request that the store records as cleared.
 func (e *Edge) applyClearance(record *quarantine.Record) {
 	e.quarantine.Release(record.Request)
 	e.log.Info().Stringer(event.KeyContent, record.Request).Str(event.KeyOperator, record.ClearedBy).Msg(string(event.RequestCleared))
--- a/pkg/edge/report.go
+++ b/pkg/edge/report.go
@@ -7,7 +7,7 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// report is what the instance says of itself.
+// report returns the instance's report to the others.
 func (e *Edge) report() peer.Report {
 	position := e.store.Position()
 	return peer.Report{
@@ -25,7 +25,7 @@
 	}
 }
 
-// loads is the work in hand by upstream, those without any left out.
+// loads returns the requests in flight by upstream, without idle upstreams.
 func (e *Edge) loads() []peer.Load {
 	view := e.board.Fleet.Load()
 	if view == nil {
@@ -42,10 +42,10 @@
 	return loads
 }
 
-// Watches says whether the instance should follow the store itself.
+// Watches reports whether the instance should watch the store itself.
 func (e *Edge) Watches() bool { return e.gossip.Watches() }
 
-// followFleet tells the ejector which upstreams stand in for each other.
+// followFleet keeps the ejector's pools of interchangeable upstreams up to date, until ctx ends.
 func (e *Edge) followFleet(ctx context.Context) {
 	known := make(map[string]bool)
 	var last *fleet.View
@@ -64,7 +64,7 @@
 	}
 }
 
-// forgetGone removes the metrics of upstreams that are no longer there.
+// forgetRemoved deletes the metrics and records of upstreams that were removed.
 func (e *Edge) forgetRemoved(last, view *fleet.View) {
 	if last == nil {
 		return
@@ -79,8 +79,8 @@
 	}
 }
 
-// setPools makes a pool of each service's upstreams in the own region. Known holds the
-// services of earlier views, whose upstreams may all be gone.
+// setPools makes a pool of each service's upstreams in the own region. known holds the services
+// of earlier views, which may have lost all their upstreams.
 func (e *Edge) setPools(view *fleet.View, known map[string]bool) {
 	pools := make(map[string][]string)
 	for i := range view.Upstreams {
--- a/pkg/edge/request_log.go
+++ b/pkg/edge/request_log.go
@@ -16,24 +16,24 @@
 	"github.com/lilacweir/lilacweir/pkg/steer"
 )
 
-// slowFirst is from when on an answer's beginning is slow enough to be explained in the
-// log like a failure: on quiet days all kinds of request but the longest prompts have the
-// 99th percentile of their whole time below 0.4 s.
+// slowFirstByte is the time to the first part of an answer from which the request is logged with
+// its steps like a failure. Under low load all kinds of requests except the longest prompts have
+// a 99th percentile of their total time below 0.4 s.
 const slowFirstByte = time.Second
 
-// noFirst stands for the time of a first part that was never passed on.
+// noFirstByte is logged as the time to the first part if none was passed on.
 const noFirstByte = -time.Millisecond
 
-// step is a line of a request that was over the budget when it happened.
+// step is a log line of a request that exceeded the budget when it happened.
 type step struct {
 	at     time.Time
 	name   event.Name
 	fields func(*zerolog.Event)
 }
 
-// note logs a step of the request. When the budget for requests that go well is used up
-// the step is held, and written if the request turns out to fail or to be slow. Fields
-// is called once, then or later, so what it reads must not change.
+// logStep logs a step of the request. If the budget for successful requests is exhausted the step
+// is deferred, and written if the request fails or is slow. fields is called once, then or later,
+// so what it reads must not change.
 func (j *job) logStep(name event.Name, fields func(*zerolog.Event)) {
 	if max(j.goodLog.GetLevel(), zerolog.GlobalLevel()) > zerolog.InfoLevel {
 		return
@@ -52,7 +52,7 @@
 	line.Msg(string(name))
 }
 
-// noteHeld writes the steps that were held.
+// logDeferredSteps writes the deferred steps.
 func (j *job) logDeferredSteps() {
 	for _, held := range j.deferredSteps {
 		line := j.stepLog.Info().Str(event.KeyAt, held.at.UTC().Format(logging.TimeLayout))
@@ -61,7 +61,7 @@
 	j.deferredSteps = nil
 }
 
-// noteChoice logs where the request goes, with the inputs that decided it and their age.
+// logRouting logs the target of the request, with the inputs of the decision and their age.
 func (j *job) logRouting(world *steer.World, chosen *target) {
 	send, forwarded, runs, after := j.sends+1, j.forwarded, j.runs, j.resumeAfter()
 	storeAge := j.ageMS(j.store.Reached())
@@ -85,7 +85,7 @@
 	})
 }
 
-// noteRejection logs that the target states that it did not run the request.
+// logRejection logs that the target states that it did not run the request.
 func (c *call) logRejection() {
 	target, send, status := c.to.name(), c.sends, c.status
 	c.logStep(event.AttemptRejected, func(line *zerolog.Event) {
@@ -93,7 +93,7 @@
 	})
 }
 
-// noteAttempt logs why an attempt ended without an answer that can be passed on.
+// logFailedAttempt logs why an attempt ended without an answer that can be passed on.
 func (c *call) logFailedAttempt(unsent bool) {
 	line := c.failedLog.Warn().Str(event.KeyRequest, c.attributes.RequestID).Str(event.KeyTarget, c.to.name())
 	if !unsent && line.Enabled() {
@@ -104,8 +104,8 @@
 		Err(c.err).Msg(string(event.AttemptFailed))
 }
 
-// noteEnd logs the end of a request that was answered, if only with a server's failure,
-// or whose caller has left.
+// logEnd logs the end of a request that was answered, even if only with an upstream's error, or
+// whose caller disconnected.
 func (j *job) logEnd(took time.Duration) {
 	first := noFirstByte
 	if !j.writer.firstPartAt.IsZero() {
@@ -119,10 +119,10 @@
 	j.logStep(event.RequestEnded, j.endFields(first, took))
 }
 
-// callerLeft says whether the caller has closed its connection.
+// callerLeft reports whether the caller has closed its connection.
 func (j *job) callerLeft() bool { return j.request.Context().Err() != nil }
 
-// answered is the outcome of a request that was not refused.
+// answeredOutcome returns the outcome of a request that was not refused.
 func (j *job) answeredOutcome() outcome.Outcome {
 	if j.callerLeft() {
 		return outcomeCallerGone
@@ -137,7 +137,7 @@
 	}
 }
 
-// noteRefusal logs why a request was not answered whole.
+// logRefusal logs why a request did not get a complete answer.
 func (j *job) logRefusal(refusal *outcome.Refusal, took time.Duration) {
 	status := refusal.Status
 	if j.returnsUpstreamFailure() {
@@ -168,8 +168,8 @@
 	})
 }
 
-// noteIdentity adds whose request was refused, by which configuration, and what was known
-// of a limit that refused it.
+// addIdentity adds the organisation of a refused request, the configuration version, and the
+// state of a limit that refused it.
 func (j *job) addIdentity(line *zerolog.Event, refusal *outcome.Refusal) {
 	if j.config == nil || !j.config.Keyed() {
 		return
@@ -182,7 +182,7 @@
 	}
 }
 
-// noteEjection logs that an upstream gets nothing for a while, or again.
+// logEjection logs that an upstream is ejected or restored.
 func logEjection(log zerolog.Logger, change limit.Ejection) {
 	if change.For == 0 {
 		log.Info().Str(event.KeyUpstream, change.Upstream).Msg(string(event.UpstreamRestored))
@@ -192,7 +192,7 @@
 		Int(event.KeyFailures, change.Failures).Float64(event.KeyLateness, change.Lateness).Msg(string(event.UpstreamEjected))
 }
 
-// sharedID names the prompt's last shared part; empty when nothing is shared.
+// lastSharedSegment returns the ID of the prompt's last shared segment, empty if none is shared.
 func lastSharedSegment(parts []steer.Part) string {
 	if len(parts) < 2 {
 		return ""
--- a/pkg/edge/settings.go
+++ b/pkg/edge/settings.go
@@ -11,7 +11,7 @@
 type Settings struct {
 	// Instance is the instance's name, unique in the deployment.
 	Instance string `yaml:"instance" validate:"required"`
-	// FailureDomain and Region say where it stands.
+	// FailureDomain and Region are the instance's location.
 	FailureDomain string `yaml:"failure_domain" validate:"required"`
 	Region        string `yaml:"region" validate:"required"`
 	// Domains maps each failure domain of the deployment to its region.
@@ -24,55 +24,55 @@
 
 // Listen holds the addresses to listen on, each an IP number and a port.
 type Listen struct {
-	// Callers is where callers' HTTP is served.
+	// Callers is the address for callers' HTTP requests.
 	Callers string `yaml:"callers" validate:"required"`
-	// Health is where the instance says whether it is ready.
+	// Health is the address of the readiness endpoint.
 	Health string `yaml:"health" validate:"required"`
-	// Directory is where callers ask which instances to use.
+	// Directory is the address at which callers ask for the instances to use.
 	Directory string `yaml:"directory" validate:"required"`
-	// Peers is where other instances' forwarded requests are served, Gossip where
-	// their net/rpc calls are.
+	// Peers is the address for forwarded requests of other instances, and Gossip that for their
+	// net/rpc calls.
 	Peers  string `yaml:"peers" validate:"required"`
 	Gossip string `yaml:"gossip" validate:"required"`
-	// Metrics is where counters are served as text; empty: nowhere.
+	// Metrics is the address of the metrics endpoint, empty for none.
 	Metrics string `yaml:"metrics"`
 }
 
 // Store is the platform's key-value store.
 type Store struct {
 	Address string `yaml:"address" validate:"required"`
-	// MinimumTTL is the shortest lease that it grants.
+	// MinimumTTL is the shortest lease that the store grants.
 	MinimumTTL time.Duration `yaml:"minimum_ttl"`
 }
 
 // Limits bound what the instance and the deployment as a whole may do.
 type Limits struct {
-	// MemoryMB is the process's memory, in MiB; zero: no bound.
+	// MemoryMB is the process's memory in MiB, zero if it is unbounded.
 	MemoryMB int `yaml:"memory_mb"`
-	// Grace is the time between SIGTERM and the end of the process at the latest.
+	// Grace is the longest time between SIGTERM and the end of the process.
 	Grace time.Duration `yaml:"grace"`
-	// RetryRatio and RetrySlack bound, over RetryWindow and all instances, the
-	// repeats that a service gets: ratio times its requests, and slack more.
+	// RetryRatio and RetrySlack bound the retries that a service gets over RetryWindow and all
+	// instances: RetryRatio times its requests, and RetrySlack more.
 	RetryRatio  float64       `yaml:"retry_ratio"`
 	RetrySlack  float64       `yaml:"retry_slack"`
 	RetryWindow time.Duration `yaml:"retry_window"`
-	// ColdFactor and ColdSlack say how many requests a second a cold upstream may
-	// get: factor times its declared rate, and slack more.
+	// ColdFactor and ColdSlack bound the requests a second that a cold upstream may get:
+	// ColdFactor times its declared rate, and ColdSlack more.
 	ColdFactor float64 `yaml:"cold_factor"`
 	ColdSlack  float64 `yaml:"cold_slack"`
 	// UsageOverage and UsageSlack bound, over UsageWindow and all instances, by how much the
-	// use of an organisation may pass its limit: a part of what the limit allows in the
-	// window, and units more.
+	// usage of an organisation may exceed its limit: a share of the limit's allowance in the
+	// window, and a number of units more.
 	UsageWindow  time.Duration `yaml:"usage_window"`
 	UsageOverage float64       `yaml:"usage_overage"`
 	UsageSlack   float64       `yaml:"usage_slack"`
-	// DirectoryTTL is how long callers may keep what the directory says.
+	// DirectoryTTL is the time for which callers may cache the directory's answer.
 	DirectoryTTL time.Duration `yaml:"directory_ttl"`
 }
 
-// Log says what is logged.
+// Log holds the settings of the log.
 type Log struct {
-	// Level is debug, info, warn or error; empty: info.
+	// Level is debug, info, warn or error. Empty means info.
 	Level string `yaml:"level"`
 }
 
@@ -85,8 +85,8 @@
 	defaultDirectoryTTL = 2 * time.Second
 )
 
-// LoadSettings reads and checks a settings file. The error is a *yamlfile.ReadError
-// or a *yamlfile.Error with all faults.
+// LoadSettings reads and checks a settings file. The error is a *yamlfile.ReadError or a
+// *yamlfile.Error with all faults.
 func LoadSettings(file string) (*Settings, error) {
 	settings := new(Settings)
 	if err := yamlfile.Load(file, settings); err != nil {
--- a/pkg/edge/start.go
+++ b/pkg/edge/start.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Bounds of an instance's start.
+// Times of an instance's start.
 const (
-	// startWindow is for how long after its start an instance may not know yet what it is
-	// about to be told.
+	// startWindow is the time after its start in which an instance may lack information that it
+	// is about to receive.
 	startWindow = 2 * time.Second
-	// startPatience is for how long a request waits for that. An instance far from the
-	// store reads it 0.25 s after its start and hears other regions 0.25 s later. Callers
-	// try once or twice: after a restart of everything the refusal would be their last.
+	// maxStartWait is the longest time for which a request waits for that information. An
+	// instance far from the store reads it 0.25 s after its start and receives reports of other
+	// regions 0.25 s later. Callers make one or two attempts, so after a restart of all instances
+	// the refusal would be their last.
 	maxStartWait = 600 * time.Millisecond
 )
 
-// await waits until ready, if the instance has just begun and the store answers, and says
-// whether it is.
+// awaitReady waits until ready returns true, if the instance has just started and the store
+// answers, and returns its result.
 func (j *job) awaitReady(ctx context.Context, ready func() bool) bool {
 	if ready() {
 		return true
@@ -48,16 +49,16 @@
 	}
 }
 
-// starting says whether the instance has just begun.
+// starting reports whether the instance has just started.
 func (e *Edge) starting() bool { return e.now().Sub(e.startedAt) < startWindow }
 
-// configured says whether the instance can route anything.
+// configured reports whether the instance can route requests.
 func (e *Edge) configured() bool {
 	return e.board.Routes.Load() != nil && e.board.Fleet.Load() != nil
 }
 
-// nextAtStart is next for a request that found nothing and may yet, since the instance has
-// just begun and does not hear all others.
+// nextDuringStart is next for a request that found no target and may still find one, since the
+// instance has just started and has not received all reports.
 func (j *job) nextDuringStart(ctx context.Context) (chosen *target) {
 	j.awaitReady(ctx, func() bool {
 		if !j.gossip.Unheard() {
--- a/pkg/edge/stream.go
+++ b/pkg/edge/stream.go
@@ -9,24 +9,24 @@
 	"github.com/lilacweir/lilacweir/pkg/exchange"
 )
 
-// Sizes of a stream's buffer, in bytes.
+// Sizes of a stream's buffer in bytes.
 const (
 	streamBuffer = 4 << 10
 	// maxEvent bounds one event.
 	maxEvent = 1 << 20
 )
 
-// Parts of server-sent events.
+// Delimiters of server-sent events.
 var (
 	eventEnd = []byte("\n\n")
 	idField  = []byte("id:")
 )
 
-// errPartial: a stream ended inside an event.
+// errPartial reports that a stream ended inside an event.
 var errPartial = errors.New("stream ended inside an event")
 
-// stream passes whole events on as they come. What follows the last whole event when
-// the stream breaks is thrown away.
+// relayStream passes complete events on as they arrive. If the stream breaks, data after the last
+// complete event is discarded.
 func (c *call) relayStream(ctx context.Context, answer *exchange.Answer) result {
 	buffer := make([]byte, streamBuffer)
 	fill := 0
@@ -59,7 +59,7 @@
 	}
 }
 
-// events passes whole events on, and the head before the first.
+// relayEvents passes complete events on, and the head before the first of them.
 func (c *call) relayEvents(answer *exchange.Answer, events []byte) error {
 	if !c.writer.started {
 		if err := c.writer.writeHead(answer.Status, c.dialect.Answer(answer.Header), -1); err != nil {
@@ -72,7 +72,7 @@
 	return c.writer.writePart(events)
 }
 
-// streamEnd ends the answer, or the attempt.
+// endStream ends the answer, or the attempt.
 func (c *call) endStream(ctx context.Context, answer *exchange.Answer, left int, err error) result {
 	if errors.Is(err, io.EOF) && left == 0 {
 		c.complete = true
@@ -87,7 +87,7 @@
 	return c.classifyFailure(ctx, &exchange.Error{Stage: exchange.Sent, Target: c.target, Err: err})
 }
 
-// lastID returns the last event ID among whole events; empty when there is none.
+// lastEventID returns the last event ID among complete events, empty if there is none.
 func lastEventID(events []byte) string {
 	for end := len(events); end > 0; {
 		start := bytes.LastIndexByte(events[:end-1], '\n') + 1
--- a/pkg/edge/suspicion.go
+++ b/pkg/edge/suspicion.go
@@ -15,72 +15,75 @@
 	"github.com/lilacweir/lilacweir/pkg/httproute"
 )
 
-// Times of suspicions.
+// Times of suspicions and of status queries.
 const (
-	// suspicionPause is for how long after an upstream has said which start it is an answer
-	// that broke off raises no new suspicion: servers that break off a few answers of a
-	// hundred would be asked all the time, and one that starts again takes longer.
+	// minSuspicionInterval is the time after an upstream has confirmed its start time in which a
+	// broken answer raises no new suspicion: upstreams that break a few percent of their answers
+	// would be queried all the time, and a restart takes longer.
 	minSuspicionInterval = time.Second
-	// askPause passes between questions to an upstream that does not answer them.
+	// queryRetryInterval separates queries to an upstream that does not answer them.
 	queryRetryInterval = 300 * time.Millisecond
-	// askTimeout bounds a question: a round trip inside the region, and some work.
+	// queryTimeout bounds a query: a round trip inside the region, and some processing.
 	queryTimeout = 300 * time.Millisecond
-	// silentFor is for how long an upstream that says nothing of its start stays under suspicion:
-	// the usual time for which an upstream is cold.
+	// defaultWarmUp is the usual time for which an upstream is cold. An upstream that reports no
+	// start time stays under suspicion for as long.
 	defaultWarmUp = 10 * time.Second
 )
 
-// suspicions holds the upstreams that may be cold without this instance knowing it: they may have
-// started again under their names, since a connection failed and their entries in the store may
-// be old; or what is known of their cold time is in doubt. They would be overrun by what they
-// bear while they are warm, so that each gets no more than a cold upstream may until it has
-// answered a question. It is safe for concurrent use.
+// suspicions holds the upstreams that may be cold without this instance knowing it. They may have
+// restarted under their names, since a connection failed and their entries in the store may be
+// stale, or the end of their cold time is uncertain. The load that they bear while warm would
+// overload them, so each gets no more than a cold upstream until it has answered a status query.
+// It is safe for concurrent use.
 type suspicions struct {
 	mu   sync.Mutex
 	byID map[string]*suspicion
-	// known is how many byID holds: where there is none, a decision takes no lock.
+	// size is the length of byID. While it is zero, a decision takes no lock.
 	size atomic.Int64
-	// turned holds when an upstream of a failure domain last said that it is cold, which was not
-	// known: an evacuation makes those of a domain cold together.
+	// turnedCold holds, by failure domain, the time at which an upstream last reported a cold state
+	// that was not known: an evacuation makes the upstreams of a domain cold together.
 	turnedCold map[string]time.Time
 }
 
 type suspicion struct {
-	// open since; zero: settled.
+	// openSince is the time at which the suspicion was raised, zero if it is settled.
 	openSince time.Time
-	// settled is when the question was asked by whose answer the start is the known one.
+	// settledAt is the time of the query whose answer confirmed the known start time.
 	settledAt time.Time
-	// asked is when the upstream was last asked; asking is true until it has answered.
+	// queriedAt is the time of the last query. querying is true until it is answered.
 	queriedAt time.Time
 	querying  bool
-	// sent is how many requests it got of this instance since the question by whose answer the start is
-	// the known one, as far as they are counted; sentBefore is how many of them it had got as
-	// it was last asked, spent since when they are as many as it may get without an answer.
+	// sent counts the requests that this instance has sent since the query whose answer confirmed
+	// the known start time, as far as they are counted. sentAtQuery is its value at the last
+	// query, and spentAt the time at which it reached the number that may be sent without an
+	// answer.
 	sent, sentAtQuery int
 	spentAt           time.Time
-	// coldUntil is until when the upstream is cold by its own answer.
+	// coldUntil is the end of the cold time that the upstream reported.
 	coldUntil time.Time
 }
 
-// occasion is why an upstream is looked at.
+// coldCheck is the input of one evaluation of an upstream.
 type coldCheck struct {
 	now time.Time
-	// doubt is since when it is not known whether the upstream is cold; zero: it is known.
+	// uncertainSince is the time since when it is not known whether the upstream is cold, zero if
+	// it is known.
 	uncertainSince time.Time
-	// unasked is how many requests the upstream may get between two of its answers, though there is
-	// no doubt; zero: any number. Where it is bounded, another one of its failure domain that says that it is
-	// cold casts doubt on it.
+	// maxUnconfirmed is the number of requests that the upstream may get between two of its
+	// answers although nothing is uncertain, zero if unlimited. If it is bounded, a report of a
+	// cold upstream makes the others of its failure domain uncertain.
 	maxUnconfirmed int
-	// pause passes between such questions; one that does not answer them is believed after warmUp.
+	// queryInterval separates such queries. An upstream that does not answer them is assumed to
+	// be warm after warmUp.
 	queryInterval, warmUp time.Duration
 	domain                string
 }
 
-// word is what an upstream says of itself when it is asked.
+// selfReport is an upstream's answer to a status query.
 type selfReport struct {
-	// began is when its start began, in Unix milliseconds by its clock; zero: it does not say.
+	// startTime is its start time in Unix milliseconds by its own clock, zero if it reports none.
 	startTime int64
-	// coldFor is for how long it is still cold.
+	// coldFor is the remaining time for which it is cold.
 	coldFor time.Duration
 }
 
@@ -88,7 +91,7 @@
 	return &suspicions{byID: make(map[string]*suspicion), turnedCold: make(map[string]time.Time)}
 }
 
-// entry returns what is known of an upstream. The caller holds s.mu.
+// entry returns the record of an upstream. The caller holds s.mu.
 func (s *suspicions) entry(id string) *suspicion {
 	entry := s.byID[id]
 	if entry == nil {
@@ -99,7 +102,7 @@
 	return entry
 }
 
-// raise opens a suspicion. Unreached says that no connection could be made.
+// raise opens a suspicion. unreached is true if no connection could be made.
 func (s *suspicions) raise(id string, unreached bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,8 +112,8 @@
 	}
 }
 
-// about says whether an upstream may be cold, for what it has said itself or for a suspicion, and
-// whether it should be asked now.
+// evaluate reports whether an upstream may be cold, by its own report or by a suspicion, and
+// whether it should be queried now.
 func (s *suspicions) evaluate(id string, check *coldCheck) (cold, query bool) {
 	checked := !check.uncertainSince.IsZero() || check.maxUnconfirmed > 0
 	if !checked && s.size.Load() == 0 {
@@ -134,7 +137,7 @@
 	var pause time.Duration
 	switch {
 	case check.maxUnconfirmed > 0 && 2*entry.sent >= check.maxUnconfirmed:
-		// Before all is spent, so that the answer is there by then.
+		// Before the budget is spent, so that the answer arrives in time.
 		pause = check.queryInterval
 	case suspected:
 		pause = queryRetryInterval
@@ -142,7 +145,7 @@
 	return cold, pause > 0 && !reportedCold && !entry.querying && check.now.Sub(entry.queriedAt) >= pause
 }
 
-// hasSpent says whether the upstream has got as many requests as it may without an answer.
+// hasSpent reports whether the upstream has got as many requests as it may without an answer.
 func (s *suspicion) hasSpent(check *coldCheck) bool {
 	switch {
 	case check.maxUnconfirmed == 0 || s.sent < check.maxUnconfirmed:
@@ -154,15 +157,15 @@
 	return check.now.Sub(s.spentAt) < check.warmUp
 }
 
-// count notes a request that is sent to an upstream.
+// countSend records a request that is sent to an upstream.
 func (s *suspicions) countSend(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entry(id).sent++
 }
 
-// begin notes that an upstream is being asked; false: somebody else does. Whoever begins must call
-// answered.
+// beginQuery records that an upstream is being queried. It returns false if another query is
+// running. If it returns true the caller must call finishQuery.
 func (s *suspicions) beginQuery(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,15 +181,16 @@
 	return slices.MaxFunc(times, time.Time.Compare)
 }
 
-// turn notes that an upstream of a failure domain has turned cold, which was not known.
+// noteTurnedCold records that an upstream of a failure domain has reported a cold state that was
+// not known.
 func (s *suspicions) noteTurnedCold(domain string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.turnedCold[domain] = now
 }
 
-// answered takes the answer to a question, and the known start; answered is false when none
-// came.
+// finishQuery records the answer to a query, and compares it with the known start time. answered
+// is false if no answer arrived.
 func (s *suspicions) finishQuery(id string, answered bool, reported selfReport, known int64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,7 +213,7 @@
 	}
 }
 
-// forget drops what is known of an upstream that is gone.
+// forget deletes the record of an upstream that was removed.
 func (s *suspicions) forget(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,9 +221,9 @@
 	s.size.Store(int64(len(s.byID)))
 }
 
-// suspect opens a suspicion about an upstream after a failed exchange, if the failure may be
-// the end of its start. One whose name is new at each start needs no suspicion: it would
-// refuse requests for another.
+// suspect raises a suspicion about an upstream after a failed exchange if the upstream may have
+// restarted. An upstream with a new name at each start needs none: it would refuse requests for
+// another.
 func (e *Edge) suspect(upstream *fleet.Upstream, err error) {
 	var failure *exchange.Error
 	if upstream.Began == 0 || !errors.As(err, &failure) || errors.Is(err, exchange.ErrFull) || errors.Is(err, context.Canceled) {
@@ -229,8 +233,8 @@
 	e.mayBeCold(upstream, e.service(upstream))
 }
 
-// mayBeCold says whether an upstream of a service (nil: unknown) is cold, or may be for what is
-// known. It has it asked where that is due, which it never is while it rests.
+// mayBeCold reports whether an upstream of a service (nil if unknown) is cold or may be cold. It
+// starts a status query if one is due, which is never the case during the upstream's backoff.
 func (e *Edge) mayBeCold(upstream *fleet.Upstream, service *httproute.Service) bool {
 	now := e.now()
 	check := coldCheck{now: now, domain: upstream.Domain}
@@ -245,7 +249,7 @@
 	return cold || upstream.Cold(now)
 }
 
-// ask has an upstream say which start it is, and whether it is cold.
+// queryStatus queries an upstream for its start time and its cold state.
 func (e *Edge) queryStatus(upstream *fleet.Upstream) {
 	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
@@ -263,8 +267,8 @@
 	}
 }
 
-// wordOf asks an upstream what it says of itself. One whose name is new at each start is not asked
-// for that.
+// fetchSelfReport queries an upstream for its report. An upstream with a new name at each start
+// is not queried for its start time.
 func (e *Edge) fetchSelfReport(ctx context.Context, upstream *fleet.Upstream) (reported selfReport, err error) {
 	if upstream.Began != 0 {
 		if reported.startTime, err = e.fetchStartTime(ctx, upstream); err != nil {
@@ -277,8 +281,8 @@
 	return reported, err
 }
 
-// startOf asks an upstream for its start, in Unix milliseconds by its clock; zero: it does
-// not say.
+// fetchStartTime queries an upstream for its start time in Unix milliseconds by its own clock,
+// zero if it reports none.
 func (e *Edge) fetchStartTime(ctx context.Context, upstream *fleet.Upstream) (int64, error) {
 	answer, _, err := e.query(ctx, upstream, e.dialect.StatusRequest(upstream.Address))
 	if err != nil {
@@ -292,8 +296,8 @@
 	return e.dialect.Started(answer.Status, body)
 }
 
-// question sends an upstream a question of this instance's own, and takes what the answer's head
-// says. The caller closes the answer.
+// query sends an upstream a request of this instance's own, and records what the answer's head
+// reports. The caller closes the answer.
 func (e *Edge) query(ctx context.Context, upstream *fleet.Upstream, request *exchange.Request) (*exchange.Answer, Reading, error) {
 	sent := e.now()
 	answer, err := e.upstreams.Do(ctx, exchange.Target{ID: upstream.ID, Address: upstream.Address}, request)
--- a/pkg/edge/unresponsive.go
+++ b/pkg/edge/unresponsive.go
@@ -12,53 +12,54 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// An engine whose machine fails without a word closes no connection: keep-alive probes
-// find that out after three seconds, in which the engine gets new requests and its streams
-// stand still. But it serves many streams at once, of many instances, and one of them
-// hears something every few steps. When nobody hears anything of any, the engine is dark:
-// it gets nothing new, and what can go on elsewhere does. One stream that is silent among
-// others that flow says nothing of its engine.
+// An engine whose machine fails silently closes no connection. Keep-alive probes take three
+// seconds to detect that, in which the engine gets new requests and its streams stall. An engine
+// serves many streams of many instances at once, however, and one of them receives data every few
+// steps. If none of its streams does, the engine is unresponsive: it gets no new requests, and
+// its streams are resumed on other engines where that is permitted. A single stalled stream among
+// others that flow is no evidence against its engine.
 
 const (
-	// silentGaps is how many of its service's usual gaps between parts of an answer make
-	// a stream silent; leastSilence and mostSilence bound that time.
+	// stallGaps is the number of its service's usual gaps between parts of an answer after which
+	// a stream counts as stalled. minStallTime and maxStallTime bound that time.
 	stallGaps    = 5
 	minStallTime = 250 * time.Millisecond
 	maxStallTime = time.Second
-	// usualGap is taken for the usual gap where none was measured.
+	// defaultGap is the usual gap of a service until one is measured.
 	defaultGap = 100 * time.Millisecond
-	// gapSmoothing is the weight of the newest gap.
+	// gapSmoothing is the weight of the newest gap in the mean.
 	gapSmoothing = 0.02
-	// leastWitnesses is how many silent streams make an engine dark: a single one may have
-	// been preempted.
+	// minStalledStreams is the number of stalled streams that make an engine unresponsive: a
+	// single one may have been preempted.
 	minStalledStreams = 2
-	// darkFor is how long an engine that is found dark gets nothing: then a request tries
-	// it again.
+	// unresponsiveFor is the time for which an unresponsive engine gets no requests. After it a
+	// request is sent as a probe.
 	unresponsiveFor = 2 * time.Second
 )
 
-// errDark ends the attempts at an engine that is dark.
+// errUnresponsive cancels attempts at an unresponsive engine.
 var errUnresponsive = errors.New("no stream of the engine is heard")
 
-// pulses watches the streams of engines. It is safe for concurrent use.
+// streamMonitor watches the streams of engines. It is safe for concurrent use.
 type streamMonitor struct {
 	mu sync.Mutex
-	// byID holds the running streams of each upstream.
+	// running holds the running streams of each upstream.
 	running map[string]map[*monitoredStream]struct{}
-	// gaps holds the usual gap of each service.
+	// meanGaps holds the usual gap of each service.
 	meanGaps map[string]time.Duration
-	// dark holds until when an upstream gets nothing.
+	// unresponsiveUntil holds, by upstream, the end of the time in which it gets no requests.
 	unresponsiveUntil map[string]time.Time
 }
 
-// pulse is one stream.
+// monitoredStream is one stream of an engine.
 type monitoredStream struct {
 	service string
-	// sent is when the request was sent.
+	// sent is the time at which the request was sent.
 	sent time.Time
-	// heard is when the last part of its answer came; zero: none came.
+	// lastData is the arrival time of the last part of the answer, zero if none arrived.
 	lastData time.Time
-	// end ends the attempt, so that the request goes on elsewhere; nil: it may not.
+	// cancel ends the attempt, so that the request is resumed elsewhere, nil if that is not
+	// permitted.
 	cancel context.CancelCauseFunc
 }
 
@@ -66,7 +67,7 @@
 	return &streamMonitor{running: make(map[string]map[*monitoredStream]struct{}), meanGaps: make(map[string]time.Duration), unresponsiveUntil: make(map[string]time.Time)}
 }
 
-// begin watches a stream until the returned function is called.
+// add watches a stream until the returned function is called.
 func (p *streamMonitor) add(upstream string, stream *monitoredStream) (remove func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +85,7 @@
 	}
 }
 
-// hear notes that a part of a stream has come.
+// received records the arrival of a part of a stream.
 func (p *streamMonitor) received(stream *monitoredStream, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +104,7 @@
 	return defaultGap
 }
 
-// count returns how many streams of an upstream flow, and how many are silent.
+// count returns the numbers of flowing and of stalled streams of an upstream.
 func (p *streamMonitor) count(upstream string, now time.Time) (flowing, stalled int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,13 +120,14 @@
 	return flowing, stalled
 }
 
-// silence is the time without a part after which a stream of a service is silent.
+// stallTime returns the time without data after which a stream of a service is stalled.
 func (p *streamMonitor) stallTime(service string) time.Duration {
 	return min(maxStallTime, max(minStallTime, stallGaps*p.meanGap(service)))
 }
 
-// darken notes that an upstream is dark, ends the attempts there that can go on elsewhere
-// and returns how many; found is true when it was not known to be dark before.
+// markUnresponsive records that an upstream is unresponsive, cancels the stalled attempts there
+// that may be resumed elsewhere and returns their number. found is true if the upstream was not
+// known to be unresponsive.
 func (p *streamMonitor) markUnresponsive(upstream string, now time.Time) (cancelled int, found bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,7 +142,7 @@
 	return cancelled, found
 }
 
-// last is when something of the stream was last heard, or it was sent.
+// lastActivity returns the time of the last data of the stream, or of its request.
 func (s *monitoredStream) lastActivity() time.Time {
 	if s.lastData.IsZero() {
 		return s.sent
@@ -148,27 +150,27 @@
 	return s.lastData
 }
 
-// isDark says whether an upstream gets nothing.
+// isUnresponsive reports whether an upstream gets no requests.
 func (p *streamMonitor) isUnresponsive(upstream string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Before(p.unresponsiveUntil[upstream])
 }
 
-// forget drops what is known of an upstream that is gone.
+// forget deletes the record of an upstream that was removed.
 func (p *streamMonitor) forget(upstream string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.unresponsiveUntil, upstream)
 }
 
-// dark says whether nobody hears an engine, by what this instance and the others hear of
-// its streams.
+// unresponsive reports whether an engine is unresponsive, by the streams of this instance and
+// those that the others report.
 func unresponsive(flowing, stalled int, others peer.Load) bool {
 	return flowing+others.Flowing == 0 && stalled+others.Silent >= minStalledStreams
 }
 
-// watchStreams looks for dark engines of the own region after each exchange of reports,
+// watchStreams looks for unresponsive engines of the own region after each exchange of reports,
 // until ctx ends.
 func (e *Edge) watchStreams(ctx context.Context) {
 	for {
@@ -206,8 +208,7 @@
 	}
 }
 
-// seen is what this instance knows at first hand of upstreams, as decisions see it at a
-// time.
+// localLoads is the load that this instance itself observes at upstreams at a given time.
 type localLoads struct {
 	*Edge
 	now time.Time
--- a/pkg/edge/upstream_limit.go
+++ b/pkg/edge/upstream_limit.go
@@ -10,12 +10,12 @@
 	"github.com/lilacweir/lilacweir/pkg/member"
 )
 
-// jobLimited ranks the instances of a region for an upstream that takes fewer requests a
-// second than there are instances.
+// rankLimitedSenders is the hash key that ranks the instances of a region for an upstream that
+// accepts fewer requests a second than there are instances.
 const rankLimitedSenders = "limited"
 
-// noteNamed takes what an answer says of its upstream's limit. Only the upstream's own answers
-// to requests can say that it has none any more.
+// recordLimit records the limit that an answer names for its upstream. Only the upstream's own
+// answers to requests can withdraw a limit.
 func (e *Edge) recordLimit(upstream *fleet.Upstream, reading *Reading, sent time.Time) {
 	switch {
 	case reading.LimitErr != nil:
@@ -25,7 +25,7 @@
 	}
 }
 
-// logNamed logs a limit that has changed.
+// logLimit logs a limit that has changed.
 func (e *Edge) logLimit(upstream string) {
 	limited := e.upstreamLimits.Of(upstream)
 	e.counts.series.Gauge("upstream.limit.per_1000s", label(labelTarget, upstream)).Update(int64(limited.PerSecond * 1000))
@@ -36,9 +36,9 @@
 	e.log.Warn().Str(event.KeyUpstream, upstream).Float64(event.KeyLimit, limited.PerSecond).Msg(string(event.UpstreamLimited))
 }
 
-// part is this instance's among those that send to an upstream with a limit. While it has
-// just begun it may not know the others.
-func (e *Edge) share(upstream string) limit.Part {
+// limitShare returns this instance's share among those that send to an upstream with a limit. An
+// instance that has just started may not know the others yet.
+func (e *Edge) limitShare(upstream string) limit.Part {
 	counted := e.countInstances()
 	share, ok := counted.shares.Load(upstream)
 	if !ok {
@@ -52,7 +52,7 @@
 	return known
 }
 
-// rank works out an instance's part of an upstream.
+// rankedShare computes an instance's share of an upstream's limit.
 func (t *instanceCounts) rankedShare(upstream string, self *fleet.Instance) limit.Part {
 	var names []string
 	for name, region := range t.regionByName {
@@ -64,25 +64,26 @@
 	return limit.Part{Instances: len(names), Place: slices.Index(ranked, self.Name)}
 }
 
-// limitWait is how long this instance must not send to an upstream for the limit that it
-// names; zero: it may now.
+// limitWait returns the time for which this instance must not send to an upstream because of its
+// limit, zero if it may send now.
 func (e *Edge) limitWait(upstream *fleet.Upstream) time.Duration {
 	if !e.upstreamLimits.Any() || !e.upstreamLimits.Of(upstream.ID).Limited {
 		return 0
 	}
-	return e.upstreamLimits.Wait(upstream.ID, e.share(upstream.ID))
+	return e.upstreamLimits.Wait(upstream.ID, e.limitShare(upstream.ID))
 }
 
-// takeLimited counts a request that is about to be sent to an upstream; false: the limit that
-// it names does not allow it.
+// takeLimitShare counts a request that is about to be sent to an upstream. It returns false if
+// the upstream's limit does not permit it.
 func (e *Edge) takeLimitShare(upstream *fleet.Upstream) bool {
 	if !e.upstreamLimits.Any() || !e.upstreamLimits.Of(upstream.ID).Limited {
 		return true
 	}
-	return e.upstreamLimits.Take(upstream.ID, e.share(upstream.ID))
+	return e.upstreamLimits.Take(upstream.ID, e.limitShare(upstream.ID))
 }
 
-// learnLimits takes what other instances of the region tell of upstreams that are known here.
+// mergeLimits applies the limits that other instances of the region report for upstreams that are
+// known here.
 func (e *Edge) mergeLimits(received []limit.ToldLimit) {
 	view := e.board.Fleet.Load()
 	if view == nil {
--- a/pkg/edge/upstream_state.go
+++ b/pkg/edge/upstream_state.go
@@ -7,7 +7,8 @@
 	"github.com/lilacweir/lilacweir/pkg/fleet"
 )
 
-// noteState takes what an answer says of its upstream. Sent is when its request was sent.
+// recordState records the upstream's state that an answer reports. sent is the time at which its
+// request was sent.
 func (e *Edge) recordState(upstream *fleet.Upstream, reading *Reading, sent time.Time) {
 	e.recordLimit(upstream, reading, sent)
 	e.recordBackoff(upstream, reading)
@@ -16,8 +17,8 @@
 	}
 }
 
-// learnDeparture takes an upstream's word that it leaves, from another instance where teller is
-// not empty, and says whether that is news.
+// recordDeparture records that an upstream is leaving, and reports whether that is new. reporter
+// is the instance that reported it, empty if the upstream itself did.
 func (e *Edge) recordDeparture(upstream, reporter string) (news bool) {
 	if !e.departures.Learn(upstream) {
 		return false
@@ -30,7 +31,7 @@
 	return true
 }
 
-// learnDepartures takes what another instance tells of upstreams that are known here.
+// mergeDepartures applies another instance's report of leaving upstreams that are known here.
 func (e *Edge) mergeDepartures(upstreams []string, reporter string) {
 	for _, upstream := range upstreams {
 		if e.discovered(upstream) {
@@ -39,13 +40,13 @@
 	}
 }
 
-// discovered says whether an upstream is among those that are known.
+// discovered reports whether an upstream is known.
 func (e *Edge) discovered(upstream string) bool {
 	view := e.board.Fleet.Load()
 	return view != nil && view.RegionOf(upstream) != ""
 }
 
-// leaves returns what says whether an upstream has said that it leaves; nil: none has.
+// leavingFilter returns a function that reports whether an upstream is leaving, nil if none is.
 func (e *Edge) leavingFilter() func(upstream string) bool {
 	if !e.departures.Any() {
 		return nil
@@ -53,7 +54,7 @@
 	return e.departures.Leaving
 }
 
-// departuresTold is what this instance tells of upstreams that leave.
+// reportedDepartures returns the leaving upstreams that this instance reports.
 func (e *Edge) reportedDepartures() []string {
 	if !e.departures.Any() {
 		return nil
@@ -61,11 +62,11 @@
 	return e.departures.Told(e.discovered)
 }
 
-// restNews is by how much an upstream must prolong its rest to be worth a line: a burst of
-// requests that are turned away asks for the same rest over and over.
+// backoffLogStep is the time by which an upstream must prolong its backoff to be logged again:
+// the rejections of a burst of requests all ask for the same backoff.
 const backoffLogStep = time.Second
 
-// noteRest takes an upstream's word that it wants nothing from this instance for a while.
+// recordBackoff records the time for which an upstream wants no requests of this instance.
 func (e *Edge) recordBackoff(upstream *fleet.Upstream, reading *Reading) {
 	if !reading.BackingOff {
 		return
@@ -77,8 +78,8 @@
 	}
 }
 
-// countUnwanted counts what is sent to an upstream after it has said that it leaves, or within
-// the time for which it has asked for rest.
+// countUnwantedSends counts requests that are sent to an upstream after it has reported that it
+// is leaving, or during its backoff.
 func (e *Edge) countUnwantedSends(upstream *fleet.Upstream) {
 	if e.tracker.AskedRest(upstream.ID) > 0 {
 		e.counts.series.Counter("upstream.sends_in_rest", label(labelTarget, upstream.ID)).Inc(1)
--- a/pkg/edge/writer.go
+++ b/pkg/edge/writer.go
@@ -11,20 +11,20 @@
 type writer struct {
 	http.ResponseWriter
 	control *http.ResponseController
-	// closing is true when the caller is asked to use another connection next.
+	// closesConnection reports whether the caller is asked to use another connection next.
 	closesConnection func() bool
 	started          bool
-	// status is that of the answer.
+	// status is the status of the answer.
 	status int
 	// lastEvent is the ID of the last stream event that was passed on.
 	lastEvent string
 	bytes     int
-	// first is when the first part of the answer was passed on.
+	// firstPartAt is the time at which the first part of the answer was passed on.
 	firstPartAt time.Time
 	now         func() time.Time
 }
 
-// begin writes the head; length is -1 when it is not known.
+// writeHead writes the head. length is -1 if it is unknown.
 func (w *writer) writeHead(status int, fields http.Header, length int64) error {
 	maps.Copy(w.Header(), fields)
 	if length >= 0 {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// pass writes a part of the body and sends it off.
+// writePart writes and flushes a part of the body.
 func (w *writer) writePart(part []byte) error {
 	if len(part) == 0 {
 		return nil
@@ -52,7 +52,7 @@
 	return w.control.Flush()
 }
 
-// whole writes an answer that is in memory.
+// writeAnswer writes an answer that is in memory.
 func (w *writer) writeAnswer(answer *bufferedAnswer) error {
 	if err := w.writeHead(answer.status, answer.header, int64(len(answer.body))); err != nil {
 		return err
