--- a/pkg/edge/cold.go
+++ b/pkg/edge/cold.go
@@ -34,7 +34,7 @@
 
 // Error implements error.
 func (e *WrongUpstreamError) Error() string {
-	return fmt.Sprintf("health of %s: status %d is an answer of %q", e.Queried, e.Status, e.Answered)
+	return fmt.Sprintf("health answer for %s with status %d comes from %q", e.Queried, e.Status, e.Answered)
 }
 
 // fetchColdTime queries an upstream for the remaining time for which it is cold.
--- a/pkg/edge/unresponsive.go
+++ b/pkg/edge/unresponsive.go
@@ -38,7 +38,7 @@
 )
 
 // errUnresponsive cancels attempts at an unresponsive engine.
-var errUnresponsive = errors.New("no stream of the engine is heard")
+var errUnresponsive = errors.New("no stream of the engine delivers data")
 
 // streamMonitor watches the streams of engines. It is safe for concurrent use.
 type streamMonitor struct {
