--- a/pkg/edge/admits_bench_test.go
+++ b/pkg/edge/admits_bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// BenchmarkAdmits measures what a decision over 72 upstreams pays for asking whether each of them is,
-// or may be, cold, with nothing wrong.
+// BenchmarkAdmits measures the cost, in a decision over 72 upstreams, of checking whether each of
+// them is or may be cold, if none is.
 func BenchmarkAdmits(b *testing.B) {
 	settings := &Settings{Instance: "n-0", Region: testRegion}
 	settings.Limits.fill()
--- a/pkg/edge/backoff_test.go
+++ b/pkg/edge/backoff_test.go
@@ -11,13 +11,15 @@
 )
 
 const (
-	// restSlack is how long after an upstream has asked for rest a request may still arrive that
-	// was sent before, and restAllowed how many may within the rest.
+	// backoffInFlightTime is the time after a rejection within which requests that were sent
+	// before may still arrive. allowedInBackoff is the number of requests that may arrive in the
+	// rest of the backoff.
 	backoffInFlightTime = 500 * time.Millisecond
 	allowedInBackoff    = 2
 )
 
-// mostInRest returns the most requests that an instance sent to an engine within a rest.
+// maxInBackoff returns the largest number of requests that an instance sent to an engine within a
+// backoff.
 func (s *simulation) maxInBackoff(e *simEngine) int {
 	most := 0
 	for _, backoff := range e.backoffs {
@@ -26,7 +28,8 @@
 	return most
 }
 
-// inRest are the requests that an engine got within a rest from the instance that it had asked.
+// sentInBackoff returns the requests that an engine got within a backoff from the instance that
+// it had rejected.
 func (s *simulation) sentInBackoff(backoff requestedBackoff) []arrival {
 	var got []arrival
 	for _, a := range s.sent("", backoff.at.Add(backoffInFlightTime)) {
@@ -37,8 +40,8 @@
 	return got
 }
 
-// TestAnUpstreamThatAsksForRestGetsIt guards against an upstream that turns requests away, names
-// how long it wants nothing, and gets a full load again within that time.
+// TestRetryAfterOfAnUpstreamIsHonoured guards against full load for an upstream that rejects
+// requests with a Retry-After, within that time.
 func TestRetryAfterOfAnUpstreamIsHonoured(t *testing.T) {
 	runSimulation(t, 1, chatRoute, threeRegions, func(s *simulation) {
 		s.sendLoad(100, 3*time.Second)
@@ -52,7 +55,7 @@
 	})
 }
 
-// checkRests judges whether engines got the rests that they asked for.
+// checkBackoffs checks that instances honoured the backoffs that engines asked for.
 func (s *simulation) checkBackoffs(t *testing.T) {
 	t.Helper()
 	for _, e := range s.engines {
@@ -62,7 +65,7 @@
 	}
 }
 
-// TestARestConcernsTheInstanceThatWasAsked guards against an upstream that turns one instance away
+// TestBackoffConcernsOnlyTheRejectedInstance guards against an upstream that rejects one instance
 // and loses the requests of all.
 func TestBackoffConcernsOnlyTheRejectedInstance(t *testing.T) {
 	runSimulation(t, 2, chatRoute, threeRegions, func(s *simulation) {
@@ -78,8 +81,8 @@
 	})
 }
 
-// TestAfterItsRestAnUpstreamIsTriedWithOneRequest guards against all the requests that waited
-// for the end of a rest, in a region whose upstreams all rest for a minute.
+// TestOneRequestProbesAnUpstreamAfterItsBackoff guards against a burst of waiting requests at the
+// end of a backoff, in a region with upstreams that all back off for a minute.
 func TestOneRequestProbesAnUpstreamAfterItsBackoff(t *testing.T) {
 	const length = time.Minute
 	runSimulation(t, 3, chatRoute, threeRegions, func(s *simulation) {
@@ -104,8 +107,8 @@
 	})
 }
 
-// TestWhenAllUpstreamsRestCallersAreToldWhenTheyServe guards against callers that are held until
-// their time is over, or told to come back while all upstreams still rest.
+// TestRetryAfterCoversTheBackoffOfAllUpstreams guards against holding callers until their
+// deadline, and against a Retry-After at which all upstreams still back off.
 func TestRetryAfterCoversTheBackoffOfAllUpstreams(t *testing.T) {
 	runSimulation(t, 4, chatRoute, []simRegion{{"north", 1, 2}}, func(s *simulation) {
 		s.engines[0].rejectRequests(time.Second, 5*time.Second, "")
@@ -125,7 +128,8 @@
 	})
 }
 
-// TestAnotherUpstreamAtTheAddressDoesNotRest guards against holding a rest against an address.
+// TestRestartedUpstreamAtTheSameAddressIsNotBackingOff guards against applying a backoff to an
+// address.
 func TestRestartedUpstreamAtTheSameAddressIsNotBackingOff(t *testing.T) {
 	runSimulation(t, 5, chatRoute, []simRegion{{"north", 3, 3}}, func(s *simulation) {
 		s.engines[0].rejectRequests(500*time.Millisecond, 5*time.Minute, "")
@@ -139,8 +143,8 @@
 	})
 }
 
-// TestARestingUpstreamIsNotAskedForItsStart guards against questions that reach an upstream which
-// wants nothing, whatever they are for.
+// TestUpstreamInBackoffGetsNoStatusQuery guards against status queries of any kind to an upstream
+// in backoff.
 func TestUpstreamInBackoffGetsNoStatusQuery(t *testing.T) {
 	const rest = 300 * time.Millisecond
 	for name, doubt := range map[string]func(h *harness, known *fleet.Upstream){
--- a/pkg/edge/cold_test.go
+++ b/pkg/edge/cold_test.go
@@ -15,9 +15,10 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// TestWhileInstancesAppearNothingGoesToColdUpstreams: a region's instances and upstreams are
-// back together, and the instances are registered one after the other, late. Each that knows
-// eight others would send an eighth of what a cold upstream bears, and there are 28.
+// TestNoRequestsGoToColdUpstreamsWhileInstancesRegister guards against overloading cold upstreams
+// after a restart of a region's instances and upstreams. The instances register one after the
+// other with a delay, so each of 28 would send an eighth of what a cold upstream bears while it
+// knows eight others.
 func TestNoRequestsGoToColdUpstreamsWhileInstancesRegister(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -43,10 +44,10 @@
 			is.True(!e.admits(upstream, service))
 			time.Sleep(100 * time.Millisecond)
 		}
-		know(8) // three regions away from here it would be these
+		know(8) // the number shrinks
 		e.admits(upstream, service)
 		time.Sleep(2 * coldStartDelay)
-		is.True(e.admits(upstream, service)) // their number has not grown for long enough
+		is.True(e.admits(upstream, service)) // the number has not grown for long enough
 		know(9)
 		is.True(!e.admits(upstream, service))
 	})
--- a/pkg/edge/edge_test.go
+++ b/pkg/edge/edge_test.go
@@ -26,15 +26,15 @@
 	resumableRoute = httproute.Route{Kind: httproute.Streaming, MaxAttempts: 2, Resumable: true}
 )
 
-// both returns two upstreams with one script, so that it does not matter which is
-// chosen first, and how many requests have come to them.
+// upstreamPair returns two upstreams with the same script, so that the order of choice does not
+// matter, and a function that counts the requests to them.
 func upstreamPair(t *testing.T, script script) (u []*upstream, arrivals func() int) {
 	u = []*upstream{newUpstream(t, script), newUpstream(t, script)}
 	return u, func() int { return int(u[0].arrivals.Load() + u[1].arrivals.Load()) }
 }
 
-// firstThen answers the first request that comes to any upstream by one script, and
-// all later ones by another.
+// firstThen answers the first request to any upstream by one script, and all later ones by
+// another.
 func firstThen(first, then script) script {
 	taken := make(chan struct{}, 1)
 	return func(conn net.Conn, request *http.Request) bool {
@@ -101,7 +101,8 @@
 	h.is.True(got.header.Get("Retry-After") != "0")
 }
 
-// TestARejectionAfterARunIsNotCalledNotRun: the first try may have run.
+// TestRejectionAfterARunIsNotReportedAsNotRun guards against reporting a request as not run
+// although its first attempt may have run.
 func TestRejectionAfterARunIsNotReportedAsNotRun(t *testing.T) {
 	u, _ := upstreamPair(t, firstThen(resetConnection, respond(http.StatusServiceUnavailable, "full", testNotRun+": 1")))
 	h := newHarness(t, safeRoute, u...)
@@ -120,16 +121,16 @@
 	h.is.Equal(arrivals(), 2)
 }
 
-// TestAnAnsweredFailureIsTriedAgainWhereThereIsNoOtherUpstream: the same upstream
-// counts once, and the next try may well succeed.
+// TestUpstreamErrorIsRetriedOnTheOnlyUpstream guards against refusing a request because its only
+// upstream was tried: the retry may well succeed.
 func TestUpstreamErrorIsRetriedOnTheOnlyUpstream(t *testing.T) {
 	u := newUpstream(t, firstThen(respond(http.StatusInternalServerError, "broken"), respond(http.StatusOK, "done")))
 	h := newHarness(t, safeRoute, u)
 	h.is.Equal(h.ask(http.MethodGet, "/r/", "").body, "done")
 }
 
-// TestAnInstanceMayRunAForwardedRequestOnlyAsOftenAsItIsLent: attempts are counted
-// over the instances that a request passes.
+// TestForwardedRequestUsesNoMoreThanTheGrantedAttempts guards against counting attempts per
+// instance instead of over all instances on the path of a request.
 func TestForwardedRequestUsesNoMoreThanTheGrantedAttempts(t *testing.T) {
 	for _, lent := range []int{1, 2} {
 		t.Run(fmt.Sprint(lent), func(t *testing.T) {
@@ -155,7 +156,8 @@
 	h.is.Equal(h.ask(http.MethodPost, "/r/", "x").body, "right")
 }
 
-// TestBytesBeyondAnAnswerBelongToNoRequest: the connection is not used again.
+// TestConnectionWithExtraBytesIsNotReused guards against taking bytes after an answer for the
+// next request's answer.
 func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
 	twice := func(conn net.Conn, request *http.Request) bool {
 		writeResponse(conn, request, http.StatusOK, "Content-Length: 2\r\n", "ok")
@@ -206,7 +208,7 @@
 	h.is.Equal(h.ask(http.MethodPost, "/r/", "x").body, "to the end")
 }
 
-// events writes a stream's events, and then ends it or breaks off.
+// sendEvents writes a stream's events, and then ends it or breaks the connection.
 func sendEvents(from, to int, whole bool) script {
 	return func(conn net.Conn, request *http.Request) bool {
 		writeResponse(conn, request, http.StatusOK, "Transfer-Encoding: chunked\r\n", "", "Content-Type: text/event-stream")
@@ -352,7 +354,8 @@
 	h.is.True(!h.edge.Ready())
 }
 
-// TestWithNoInstanceInTheRegionCallersAreSentWhereTheirHostIsPermitted.
+// TestRosterOfARegionWithoutInstancesNamesPermittedRegions guards against directing callers to
+// regions that their host does not permit.
 func TestRosterOfARegionWithoutInstancesNamesPermittedRegions(t *testing.T) {
 	route := safeRoute
 	route.Homes = []string{"south", testRegion}
@@ -373,9 +376,9 @@
 	h.is.Equal(len(h.edge.Roster("west", "other.example")), 2)
 }
 
-// TestWhereNoRegionIsPermittedToAllRoutesOfAHostThatOfMostIsNamed: while all instances of a
-// region restart in turn, callers must not be led to a region where only a few of their
-// requests may be processed, since two further routes of the host exclude each other.
+// TestRosterNamesTheRegionThatMostRoutesOfTheHostPermit guards against directing callers, while
+// all instances of a region restart in turn, to a region in which only a few of their requests
+// may be processed. Two further routes of the host exclude each other's regions.
 func TestRosterNamesTheRegionThatMostRoutesOfTheHostPermit(t *testing.T) {
 	h := newHarness(t, safeRoute)
 	declared := func(prefix string, homes ...string) httproute.Route {
@@ -398,8 +401,8 @@
 	h.is.Equal(named[0].Name, "s-1")
 }
 
-// TestAColdUpstreamGetsNothingRightAfterAStart: what the instance sent before it was
-// restarted still counts.
+// TestColdUpstreamGetsNoRequestsRightAfterInstanceStart guards against overloading cold upstreams
+// after a restart: the requests that the instance sent before still count.
 func TestColdUpstreamGetsNoRequestsRightAfterInstanceStart(t *testing.T) {
 	h := newHarness(t, safeRoute)
 	cold := &fleet.Upstream{ID: "u", ColdUntil: time.Now().Add(time.Hour)}
@@ -410,8 +413,8 @@
 	h.is.True(h.edge.admits(cold, service))
 }
 
-// TestAnUpstreamThatCannotBeReachedRests: the next requests do not each lose an attempt
-// to it.
+// TestUnreachableUpstreamBacksOff guards against an unreachable upstream that costs each
+// following request an attempt.
 func TestUnreachableUpstreamBacksOff(t *testing.T) {
 	gone := newUpstream(t, nil)
 	u := newUpstream(t, respond(http.StatusOK, "ok"))
@@ -424,7 +427,7 @@
 	h.is.True(resting || u.arrivals.Load() == 10)
 }
 
-// TestUpstreamsThatKeepFailingAreEjected: the pools follow the fleet.
+// TestFailingUpstreamsAreEjected checks that the ejector's pools follow the fleet.
 func TestFailingUpstreamsAreEjected(t *testing.T) {
 	h := newHarness(t, safeRoute, newUpstream(t, resetConnection), newUpstream(t, respond(http.StatusOK, "ok")))
 	h.edge.setPools(h.edge.board.Fleet.Load(), map[string]bool{})
@@ -463,8 +466,8 @@
 	}
 }
 
-// TestAStreamThatBreaksOffCountsAsOneSend: counted twice, it would use up the sends that
-// bound how often a request may go elsewhere.
+// TestBrokenStreamCountsAsOneSend guards against counting a broken stream twice, which would use
+// up the sends that bound retries.
 func TestBrokenStreamCountsAsOneSend(t *testing.T) {
 	begin := func(conn net.Conn, request *http.Request) bool {
 		writeResponse(conn, request, http.StatusOK, "Transfer-Encoding: chunked\r\n", "c\r\nid: 1\ndata:\n\n\r\n")
@@ -478,7 +481,7 @@
 	h.is.Equal(len(h.lines.With("event=request-failed", "sends=2", "runs=2")), 1)
 }
 
-// TestARefusalNamesItsRequestAlsoWithoutAConfiguration: so does its line in the log.
+// TestRefusalNamesItsRequestWithoutAConfiguration checks the refusal and its log line.
 func TestRefusalNamesItsRequestWithoutAConfiguration(t *testing.T) {
 	h := newHarness(t, safeRoute)
 	h.edge.board.Routes.Store(nil)
@@ -487,8 +490,8 @@
 	h.is.Equal(len(h.lines.With("event=request-failed", "request=id-7", "reason=no-configuration")), 1)
 }
 
-// TestWhileTheStoreIsDownCallersAreAskedToComeBackLater than when a configuration is only
-// being read.
+// TestRetryAfterIsLongerWhileTheStoreIsUnavailable compares it with that of an instance that is
+// only reading its configuration.
 func TestRetryAfterIsLongerWhileTheStoreIsUnavailable(t *testing.T) {
 	h := newHarness(t, safeRoute)
 	h.edge.board.Routes.Store(nil)
--- a/pkg/edge/forward_test.go
+++ b/pkg/edge/forward_test.go
@@ -18,7 +18,7 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// answering is a dialer of connections at whose other end each request is answered.
+// dialAnswering dials connections with a peer that answers each request.
 func dialAnswering(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go func() {
@@ -40,9 +40,9 @@
 	return near, nil
 }
 
-// TestAtAPeakHopsGoWhereAConnectionIsOpen: a region at its peak sends a third of its calls
-// away, each instance a few a second to any of thirty; a new connection would take each of
-// them a round trip more.
+// TestHopsPreferAnOpenConnection guards against a round trip for a new connection in each hop. A
+// region at its peak forwards a third of its calls, a few a second from each instance to any of
+// thirty others.
 func TestHopsPreferAnOpenConnection(t *testing.T) {
 	is := is.New(t)
 	e := &Edge{peers: exchange.NewPool(dialAnswering, time.Second, clock.System{}.Now)}
--- a/pkg/edge/harness_test.go
+++ b/pkg/edge/harness_test.go
@@ -31,7 +31,7 @@
 	"github.com/lilacweir/lilacweir/pkg/telemetry"
 )
 
-// plain is a dialect for tests.
+// testDialect is a Dialect for tests.
 type testDialect struct{}
 
 const (
@@ -44,12 +44,12 @@
 	testLimit    = "X-Test-Limit"
 	testLeaving  = "X-Test-Leaving"
 	testTokens   = "X-Test-Tokens"
-	// testHealthPath is where upstreams say in testInstance who they are, and in testColdMS for how
-	// many milliseconds they are still cold.
+	// testHealthPath is the path at which upstreams answer with their name in testInstance, and
+	// with the remaining milliseconds of their cold time in testColdMS.
 	testHealthPath = "/health"
 	testInstance   = "X-Test-Instance"
 	testColdMS     = "X-Test-Cold-Ms"
-	// testOrganisation tells an upstream whose request it is.
+	// testOrganisation names the organisation of a request for an upstream.
 	testOrganisation = "X-Test-Organisation"
 )
 
@@ -120,7 +120,7 @@
 	return http.Header{testID: {id}, "Retry-After": {fmt.Sprint(retryAfter.Seconds())}}
 }
 
-// emptyStore never answers.
+// unavailableStore never answers.
 type unavailableStore struct{}
 
 func (unavailableStore) List(context.Context, string, string) (platform.Page, error) {
@@ -131,8 +131,8 @@
 	return platform.Changes{}, platform.ErrUnavailable
 }
 
-// script is what a test's upstream does with one request: it gets the connection
-// after the request was read, and returns whether to go on with the connection.
+// script is the behaviour of a test upstream for one request. It gets the connection after the
+// request was read, and reports whether to keep the connection.
 type script func(conn net.Conn, request *http.Request) (goOn bool)
 
 // upstream is a server that follows a script, byte by byte.
@@ -191,7 +191,7 @@
 	return u.requests[i]
 }
 
-// say writes a whole answer.
+// respond returns a script that writes a complete answer.
 func respond(status int, body string, fields ...string) script {
 	return func(conn net.Conn, request *http.Request) bool {
 		writeResponse(conn, request, status, fmt.Sprintf("Content-Length: %d\r\n", len(body)), body, fields...)
@@ -199,31 +199,31 @@
 	}
 }
 
-// write writes a head with the request's ID and a proof, and a body.
+// writeResponse writes a head with the request's ID and a proof, and a body.
 func writeResponse(conn net.Conn, request *http.Request, status int, framing, body string, fields ...string) {
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\n%s: %s\r\n%s: yes\r\n%s", status, http.StatusText(status), testID, request.Header.Get(testID), testProof, framing)
 	for _, field := range fields {
 		head += field + "\r\n"
 	}
-	// A caller that has gone leaves nothing to be done.
+	// Write errors are ignored: the caller may have disconnected.
 	_, _ = io.WriteString(conn, head+"\r\n"+body)
 }
 
-// reset breaks the connection without an answer.
+// resetConnection resets the connection without an answer.
 func resetConnection(conn net.Conn, _ *http.Request) bool {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// bed is one instance with upstreams of one service.
+// harness runs one instance with upstreams of one service.
 type harness struct {
 	*testing.T
 	lines logtest.Lines
-	// engine makes the upstreams engines, from the next configuration on.
+	// engine, if set, makes the upstreams engines, from the next configuration on.
 	engine *httproute.Engine
 	// organisations are declared from the next configuration on.
 	organisations []httproute.Organisation
-	// good is the budget of lines about requests that go well.
+	// goodSteps is the log's budget for successful requests.
 	goodSteps toggleSampler
 	is        *is.I
 	edge      *Edge
@@ -231,7 +231,7 @@
 	peers     *httptest.Server
 }
 
-// switchable is a budget that is used up once it is switched off.
+// toggleSampler is a log budget that is exhausted while off is set.
 type toggleSampler struct{ off atomic.Bool }
 
 // Sample implements zerolog.Sampler.
@@ -242,8 +242,8 @@
 	testService = "llm"
 )
 
-// newBed returns an instance whose only route has the kind and the upstreams, which
-// are tried in any order.
+// newHarness returns an instance with a single route of the given kind and the given upstreams,
+// which are tried in any order.
 func newHarness(t *testing.T, route httproute.Route, upstreams ...*upstream) *harness {
 	t.Helper()
 	h := &harness{T: t, is: is.New(t)}
@@ -291,12 +291,12 @@
 	h.edge.board.Routes.Store(config)
 }
 
-// reply is what a caller got.
+// reply is a caller's result.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// err is why the answer was not whole.
+	// err is set if the answer was not complete.
 	err error
 }
 
@@ -328,7 +328,7 @@
 	return &chunkedReader{data: []byte(body)}
 }
 
-// onlyReader hides the length, so that the body is sent in chunks.
+// chunkedReader hides the length, so that the body is sent in chunks.
 type chunkedReader struct{ data []byte }
 
 func (r *chunkedReader) Read(p []byte) (int, error) {
@@ -340,10 +340,10 @@
 	return n, nil
 }
 
-// errNever is the cause of a wait that did not end.
+// errTimeout is reported if an awaited condition was not met.
 var errTimeout = errors.New("did not happen")
 
-// eventually waits for something that must happen; the bound only ends a failed test.
+// eventually waits for a condition that must be met. The bound only ends a failed test.
 func (h *harness) eventually(what string, happened func() bool) {
 	h.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
--- a/pkg/edge/identity_test.go
+++ b/pkg/edge/identity_test.go
@@ -20,7 +20,7 @@
 	otherKey = "key-of-dairy"
 )
 
-// organisations are two, each with a key.
+// organisations returns two organisations, each with a key.
 func organisations() []httproute.Organisation {
 	return []httproute.Organisation{
 		{Name: "mill", Keys: []httproute.KeyDigest{httproute.DigestKey(ownKey)}},
@@ -28,7 +28,7 @@
 	}
 }
 
-// newKeyedBed is a bed whose callers need keys.
+// newKeyedHarness returns a harness with callers that need keys.
 func newKeyedHarness(t *testing.T, route httproute.Route, upstreams ...*upstream) *harness {
 	t.Helper()
 	h := newHarness(t, route, upstreams...)
@@ -39,7 +39,8 @@
 
 func bearerOf(key string) string { return "Bearer " + key }
 
-// checkSaid wants an upstream's request to name the organisation, and no key in it.
+// checkForwardedIdentity checks that an upstream's request names the organisation and contains no
+// key.
 func (h *harness) checkForwardedIdentity(request *http.Request, organisation string) {
 	h.Helper()
 	h.is.Equal(request.Header.Get(testOrganisation), organisation)
@@ -49,7 +50,7 @@
 	}
 }
 
-// TestTheUpstreamIsToldWhoseRequestItIs, whatever the caller says of itself.
+// TestUpstreamReceivesTheOrganisationOfTheKey guards against trusting the caller's own headers.
 func TestUpstreamReceivesTheOrganisationOfTheKey(t *testing.T) {
 	u := newUpstream(t, respond(http.StatusOK, "fine"))
 	h := newKeyedHarness(t, httproute.Route{Kind: httproute.Safe, MaxAttempts: 1}, u)
@@ -61,7 +62,7 @@
 	h.is.True(!h.lines.Has("key-of-"))
 }
 
-// TestOnlyKnownKeysAreServed, on kept connections and after changes of the configuration.
+// TestOnlyKnownKeysAreServed covers reused connections and changes of the configuration.
 func TestOnlyKnownKeysAreServed(t *testing.T) {
 	u := newUpstream(t, respond(http.StatusOK, "fine"))
 	route := httproute.Route{Kind: httproute.Safe, MaxAttempts: 1}
@@ -83,7 +84,8 @@
 	h.is.True(!h.lines.Has("key-of-"))
 }
 
-// TestTwoKeysAreNone: it must not depend on a reader which of them counts.
+// TestTwoAuthorizationHeadersAreNotAccepted guards against a result that depends on which header
+// a reader uses.
 func TestTwoAuthorizationHeadersAreNotAccepted(t *testing.T) {
 	is := is.New(t)
 	_, given := bearer(http.Header{header.Authorization: {bearerOf(ownKey), bearerOf(otherKey)}})
@@ -93,7 +95,7 @@
 	is.Equal(key, ownKey)
 }
 
-// TestAPublicRouteNeedsNoKey, and a key that is shown all the same goes to nobody.
+// TestAPublicRouteNeedsNoKey also checks that a key which is sent all the same is not passed on.
 func TestAPublicRouteNeedsNoKey(t *testing.T) {
 	u := newUpstream(t, respond(http.StatusOK, "fine"))
 	h := newKeyedHarness(t, httproute.Route{Kind: httproute.Safe, MaxAttempts: 1, Public: true}, u)
@@ -103,8 +105,8 @@
 	h.checkForwardedIdentity(u.request(1), "")
 }
 
-// TestAnUnknownKeyIsNotJudgedWithoutTheStore: it may have been added meanwhile, and a
-// caller does not come back after 401.
+// TestUnknownKeyIsNotRejectedWhileTheStoreIsUnavailable guards against a final answer to a key
+// that may have been added since: a caller does not retry after 401.
 func TestUnknownKeyIsNotRejectedWhileTheStoreIsUnavailable(t *testing.T) {
 	u := newUpstream(t, respond(http.StatusOK, "fine"))
 	h := newKeyedHarness(t, httproute.Route{Kind: httproute.Safe, MaxAttempts: 1}, u)
@@ -120,8 +122,9 @@
 	<-ended
 }
 
-// TestAForwardedRequestIsProven: another instance is believed if it saw a key that is known
-// here, for this request alone; who plays an instance is not.
+// TestForwardedRequestNeedsAProofOfItsOrganisation checks that a forwarded request is accepted
+// only with a proof that its sender saw a key which is known here, for this request alone, and so
+// not from a caller that impersonates an instance.
 func TestForwardedRequestNeedsAProofOfItsOrganisation(t *testing.T) {
 	u := newUpstream(t, respond(http.StatusOK, "fine"))
 	h := newKeyedHarness(t, httproute.Route{Kind: httproute.Safe, MaxAttempts: 1}, u)
@@ -150,8 +153,8 @@
 	h.checkForwardedIdentity(u.request(0), "mill")
 }
 
-// TestWhoseRequestItIsStaysOnEachTry: on a second upstream after a failure, and on a stream
-// that goes on elsewhere.
+// TestEachAttemptNamesTheOrganisation covers a retry on a second upstream after a failure, and a
+// resumed stream.
 func TestEachAttemptNamesTheOrganisation(t *testing.T) {
 	event := func(conn net.Conn, request *http.Request) bool {
 		writeResponse(conn, request, http.StatusOK, "Content-Type: text/event-stream\r\n", "id: 1\ndata: a\n\n")
@@ -173,7 +176,7 @@
 	h.checkForwardedIdentity(second.request(0), "mill")
 }
 
-// TestHomesOfAnOrganisationBind, beside those of the route.
+// TestHomeRegionsOfAnOrganisationAreEnforced checks them together with those of the route.
 func TestHomeRegionsOfAnOrganisationAreEnforced(t *testing.T) {
 	u := newUpstream(t, respond(http.StatusOK, "fine"))
 	h := newKeyedHarness(t, httproute.Route{Kind: httproute.Safe, MaxAttempts: 1}, u)
@@ -194,9 +197,9 @@
 	h.is.Equal(route.For(nil), route)
 }
 
-// TestAnOrganisationOverItsLimitIsRefused before its body is read and without a hop, and is
-// told when to come back; a forwarded request is not counted again, and one that did not
-// run is not counted at all.
+// TestAnOrganisationOverItsLimitIsRefused checks that the refusal is sent before the body is
+// read, without a hop and with a Retry-After. A forwarded request is not counted again, and one
+// that did not run is not counted at all.
 func TestAnOrganisationOverItsLimitIsRefused(t *testing.T) {
 	u := newUpstream(t, respond(http.StatusServiceUnavailable, "", testNotRun+": yes"))
 	h := newKeyedHarness(t, httproute.Route{Kind: httproute.Unsafe, MaxAttempts: 1}, u)
@@ -223,7 +226,7 @@
 	grant.Return()
 }
 
-// TestLimitsAreFollowed: what is declared reaches the limiter, and the metrics tell it.
+// TestDeclaredLimitsReachTheLimiter also checks the metrics.
 func TestDeclaredLimitsReachTheLimiter(t *testing.T) {
 	h := newKeyedHarness(t, httproute.Route{Kind: httproute.Safe, MaxAttempts: 1})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/pkg/edge/leaving_test.go
+++ b/pkg/edge/leaving_test.go
@@ -8,11 +8,12 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// onTheWay is how long after an upstream's word that it leaves a request may still arrive that
-// was sent before.
+// inFlightTime is the time after an upstream's report that it is leaving within which requests
+// that were sent before may still arrive.
 const inFlightTime = 250 * time.Millisecond
 
-// late are the requests that an engine got from instances to which it had said that it leaves.
+// sentAfterLeaving returns the requests that an engine got from instances to which it had
+// reported that it is leaving.
 func (e *simEngine) sentAfterLeaving() []arrival {
 	var late []arrival
 	for _, a := range e.sent("", time.Time{}) {
@@ -23,7 +24,8 @@
 	return late
 }
 
-// checkLate judges what engines got after they had said that they leave.
+// checkSentAfterLeaving checks that engines got no requests after they reported that they are
+// leaving.
 func (s *simulation) checkSentAfterLeaving(t *testing.T, engines ...*simEngine) {
 	t.Helper()
 	for _, e := range engines {
@@ -34,8 +36,8 @@
 	}
 }
 
-// TestAnUpstreamThatSaysThatItLeavesGetsNothing guards against an upstream that leaves, says so
-// in its answers while the store says that it is ready, and gets requests as before.
+// TestLeavingUpstreamGetsNoRequests guards against sending as before to an upstream that reports
+// in its answers that it is leaving, while its entry in the store is ready.
 func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	runSimulation(t, 1, chatRoute, threeRegions, func(s *simulation) {
 		s.sendLoad(100, 3*time.Second)
@@ -49,9 +51,9 @@
 	})
 }
 
-// TestAWordThatOneInstanceHearsIsKnownToAll guards against an upstream that tells one instance
-// that it leaves, and is cut off with the requests that the others went on sending: through each
-// other, through hubs, and from an instance that itself ends a moment later.
+// TestLeavingReportSpreadsToAllInstances guards against an upstream that reports to one instance
+// that it is leaving, and ends while it runs requests of the others. The report spreads directly,
+// through hubs, and from an instance that itself stops a moment later.
 func TestLeavingReportSpreadsToAllInstances(t *testing.T) {
 	for name, c := range map[string]struct {
 		regions []simRegion
@@ -85,8 +87,8 @@
 	}
 }
 
-// TestAnInstanceThatIsCutOffKeepsToAnUpstreamsWord guards against a word that counts only where
-// somebody else confirms it, and against one that is lost for those who were cut off.
+// TestPartitionedInstanceHonoursALeavingReport guards against a report that counts only if
+// another instance confirms it, and against one that instances behind a partition never receive.
 func TestPartitionedInstanceHonoursALeavingReport(t *testing.T) {
 	runSimulation(t, 3, chatRoute, threeRegions, func(s *simulation) {
 		engine, apart := s.engines[0], s.instances[0]
@@ -104,8 +106,8 @@
 	})
 }
 
-// TestWhenAllUpstreamsOfARegionLeaveOthersServe guards against callers who are refused, or held,
-// while another region has room.
+// TestOtherRegionsServeWhenAllUpstreamsOfARegionLeave guards against refusing or delaying callers
+// while another region has spare capacity.
 func TestOtherRegionsServeWhenAllUpstreamsOfARegionLeave(t *testing.T) {
 	runSimulation(t, 4, chatRoute, threeRegions, func(s *simulation) {
 		s.sendLoad(60, 2*time.Second)
@@ -120,8 +122,8 @@
 	})
 }
 
-// TestWhenAllUpstreamsLeaveCallersAreRefusedAtOnce guards against callers that are held until
-// their time is over.
+// TestCallersAreRefusedAtOnceWhenAllUpstreamsLeave guards against holding requests until their
+// deadline.
 func TestCallersAreRefusedAtOnceWhenAllUpstreamsLeave(t *testing.T) {
 	runSimulation(t, 5, chatRoute, []simRegion{{"north", 3, 2}}, func(s *simulation) {
 		s.engines[0].setLeaving()
@@ -137,7 +139,8 @@
 	})
 }
 
-// TestAnotherUpstreamAtTheAddressDoesNotLeave guards against holding the word against an address.
+// TestRestartedUpstreamAtTheSameAddressIsNotLeaving guards against applying the report to an
+// address.
 func TestRestartedUpstreamAtTheSameAddressIsNotLeaving(t *testing.T) {
 	runSimulation(t, 6, chatRoute, []simRegion{{"north", 3, 3}}, func(s *simulation) {
 		s.engines[0].setLeaving()
--- a/pkg/edge/limit_simulation_test.go
+++ b/pkg/edge/limit_simulation_test.go
@@ -10,8 +10,8 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// Bounds of what an upstream that names a limit may get, once it has named it for reachTime
-// and from instances that it told half a second before or earlier.
+// Bounds of the requests to an upstream with a limit, once it has named the limit for
+// propagationTime, from instances that received it at least limitSettleTime before.
 const (
 	limitWindow     = 4 * time.Second
 	limitOverage    = 1.5
@@ -19,8 +19,8 @@
 	limitSettleTime = 500 * time.Millisecond
 )
 
-// most returns the most requests that an engine got in a window from instances that it had
-// told, in a time.
+// maxInWindow returns the largest number of requests that an engine got in a window from
+// instances that knew its limit, within a time.
 func (e *simEngine) maxInWindow(from, until time.Time) int {
 	var times []time.Time
 	for _, a := range e.sent("", from) {
@@ -43,7 +43,7 @@
 	return int(limitOverage*perSecond*limitWindow.Seconds() + limitSlack)
 }
 
-// questions asks so many a second, each of its own.
+// sendLoad sends a number of requests a second, each different.
 func (s *simulation) sendLoad(perSecond int, length time.Duration) {
 	n := 0
 	s.every(time.Second/time.Duration(perSecond), length, func() {
@@ -52,8 +52,8 @@
 	})
 }
 
-// TestAnUpstreamGetsNoMoreThanTheLimitThatItNames guards against an upstream in need that says
-// how many requests a second it takes from all instances together, and gets a full load.
+// TestUpstreamLimitIsEnforced guards against full load for an overloaded upstream that names the
+// number of requests a second which it accepts from all instances together.
 func TestUpstreamLimitIsEnforced(t *testing.T) {
 	runSimulation(t, 1, chatRoute, threeRegions, func(s *simulation) {
 		limits := map[int]float64{0: 2.5, 5: 4.1, 6: 0.5} // one of north, two of middle
@@ -72,8 +72,9 @@
 	})
 }
 
-// TestNoDeploymentSendsMoreThanALimit guards against the same where shares of a limit are far
-// below one request a second, where instances learn of it through hubs, and where it changes.
+// TestUpstreamLimitIsEnforcedInAllDeploymentShapes guards against the same with shares of a limit
+// far below one request a second, with limits that spread through hubs, and with several limits
+// at once.
 func TestUpstreamLimitIsEnforcedInAllDeploymentShapes(t *testing.T) {
 	hubs := []simRegion{{"north", 30, 6}, {"south", 4, 2}}
 	for name, c := range map[string]struct {
@@ -110,7 +111,7 @@
 	}
 }
 
-// gotAt are the requests that a start of an engine got after a time.
+// gotAt returns the requests that an engine's running process got after a time.
 func (s *simulation) gotAt(e *simEngine, after time.Time) []arrival {
 	var got []arrival
 	for _, a := range s.sent("", after) {
@@ -121,7 +122,7 @@
 	return got
 }
 
-// checkAnswered judges which part of the callers was not served.
+// checkAnswered checks the share of callers that were not served.
 func (s *simulation) checkAnswered(t *testing.T, unserved float64) {
 	t.Helper()
 	failed := 0
@@ -136,8 +137,8 @@
 	}
 }
 
-// TestALimitIsFollowedAsItChanges guards against one that is kept when its upstream takes more
-// or all again, and against one that is learned too late when it takes less.
+// TestChangesOfAnUpstreamLimitAreFollowed guards against applying an old limit when the upstream
+// accepts more or everything again, and against learning too late that it accepts less.
 func TestChangesOfAnUpstreamLimitAreFollowed(t *testing.T) {
 	runSimulation(t, 3, chatRoute, threeRegions, func(s *simulation) {
 		engine := s.engines[0]
@@ -157,13 +158,13 @@
 		ended := time.Now()
 		s.sendLoad(100, 4*time.Second)
 		s.running.Wait()
-		s.is.True(len(s.gotAt(engine, ended)) > 20) // a full load again
+		s.is.True(len(s.gotAt(engine, ended)) > 20) // full load again
 		s.checkAnswered(t, 0.01)
 	})
 }
 
-// TestARestartedInstanceLearnsTheLimits guards against an instance that knew of a limit, begins
-// anew and sends a full load, and against one that alone knew of it.
+// TestRestartedInstanceLearnsUpstreamLimits guards against a restarted instance that no longer
+// knows a limit and sends full load, and against a limit that only one instance knew.
 func TestRestartedInstanceLearnsUpstreamLimits(t *testing.T) {
 	runSimulation(t, 4, chatRoute, []simRegion{{"north", 7, 4}}, func(s *simulation) {
 		s.engines[0].setLimit("2.5")
@@ -180,8 +181,8 @@
 	})
 }
 
-// TestAnotherUpstreamAtTheAddressIsNotLimited guards against holding a limit against an
-// address: the next start there names none.
+// TestRestartedUpstreamAtTheSameAddressIsNotLimited guards against applying a limit to an
+// address: the restarted upstream names none.
 func TestRestartedUpstreamAtTheSameAddressIsNotLimited(t *testing.T) {
 	runSimulation(t, 5, chatRoute, []simRegion{{"north", 3, 3}}, func(s *simulation) {
 		s.engines[0].setLimit("1")
@@ -196,8 +197,8 @@
 	})
 }
 
-// TestWhatLimitsDoNotAllowIsRefusedAtOnce guards against callers that are held until their time
-// is over, or told to come back at a time at which they are refused again.
+// TestRequestsAboveUpstreamLimitsAreRefusedAtOnce guards against holding requests until their
+// deadline, and against a Retry-After at which they are refused again.
 func TestRequestsAboveUpstreamLimitsAreRefusedAtOnce(t *testing.T) {
 	runSimulation(t, 6, chatRoute, []simRegion{{"north", 3, 2}}, func(s *simulation) {
 		s.engines[0].setLimit("3")
@@ -212,7 +213,7 @@
 				s.is.True(time.Since(asked) < 10*time.Millisecond)
 				seconds, err := strconv.ParseFloat(told.header.Get("Retry-After"), 64)
 				s.is.NoErr(err)
-				s.is.True(seconds > 0 && seconds <= 2) // each instance has a part of 2 a second
+				s.is.True(seconds > 0 && seconds <= 2) // each instance has a share of 2 a second
 			}
 			clock.Sleep(s.Context(), 20*time.Millisecond)
 		}
--- a/pkg/edge/overload_test.go
+++ b/pkg/edge/overload_test.go
@@ -7,7 +7,8 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// TestARegionIsFullOnlyByTheWordOfItsInstance: one that leaves says nothing of the region.
+// TestRegionIsOverloadedOnlyWhenReportedByItsInstance guards against taking a leaving instance
+// for an overloaded region.
 func TestRegionIsOverloadedOnlyWhenReportedByItsInstance(t *testing.T) {
 	h := newHarness(t, safeRoute)
 	c := &call{job: &job{Edge: h.edge}}
@@ -18,7 +19,8 @@
 	h.is.Equal(c.regionResult(done).String(), "succeeded")
 }
 
-// TestAForwardedRequestThatIsRefusedSaysWhy, so that its sender can tell.
+// TestRefusalOfAForwardedRequestNamesItsReason checks the header that the forwarding instance
+// needs.
 func TestRefusalOfAForwardedRequestNamesItsReason(t *testing.T) {
 	h := newHarness(t, safeRoute)
 	reply := h.askAt(h.peers.URL, http.MethodGet, "/r/", "")
--- a/pkg/edge/poison_test.go
+++ b/pkg/edge/poison_test.go
@@ -14,17 +14,18 @@
 	"github.com/lilacweir/lilacweir/pkg/quarantine"
 )
 
-// Bounds of what a request that ends its upstreams may do: it may end three, and once
-// instances have been in touch for reachTime after the third end, be sent to three more.
+// Bounds of a poison request: it may crash three upstreams, and be sent to three more once
+// instances have been in contact for propagationTime after the third crash.
 const (
 	crashesAllowed  = 3
 	propagationTime = 5 * time.Second
 )
 
-// question is a stream that may not be resumed.
+// chatRoute is a stream that may not be resumed.
 var chatRoute = httproute.Route{Kind: httproute.Streaming, Timeout: 4 * time.Second, TargetLatency: time.Second, MaxAttempts: 1}
 
-// sendsAfterBorne counts how often a body was sent later than the instances had to know it.
+// sendsAfterPropagation counts the sends of a body after the time by which the instances must
+// know of it.
 func (s *simulation) sendsAfterPropagation(body string) int {
 	s.mu.Lock()
 	borne := len(s.crashes) >= crashesAllowed
@@ -35,8 +36,8 @@
 	return len(s.sent(body, s.crashes[crashesAllowed-1].Add(propagationTime)))
 }
 
-// play asks 20 innocent questions a second, each of its own, and with every so many of them
-// the request that ends its engines, until a time has passed and all are answered.
+// runPoisonLoad sends 20 innocent requests a second, each different, and with every poisonEvery
+// of them the poison request, until a time has passed and all are answered.
 func (s *simulation) runPoisonLoad(length time.Duration, poisonEvery int) {
 	n := 0
 	s.every(50*time.Millisecond, length, func() {
@@ -49,7 +50,7 @@
 	s.running.Wait()
 }
 
-// checkLethal judges what became of the request that ends its engines, and of the innocent.
+// checkPoison checks the results of the poison request and of the innocent ones.
 func (s *simulation) checkPoison(t *testing.T) {
 	t.Helper()
 	if sends := s.sendsAfterPropagation(poison); sends > crashesAllowed {
@@ -62,7 +63,7 @@
 	t.Logf("%d engines ended; %d of %d innocent requests not served", len(s.crashes), unserved, asked)
 }
 
-// innocents counts the innocent requests, and those that were not served.
+// countInnocents counts the innocent requests, and those that were not served.
 func (s *simulation) countInnocents() (asked, unserved int) {
 	for _, told := range s.answers {
 		if strings.HasPrefix(told.body, poison) {
@@ -76,7 +77,7 @@
 	return asked, unserved
 }
 
-// refusedInnocents counts the innocent requests that were refused for ends of upstreams.
+// quarantinedInnocents counts the innocent requests that were refused as quarantined.
 func (s *simulation) quarantinedInnocents() int {
 	refused := 0
 	for _, told := range s.answers {
@@ -87,9 +88,9 @@
 	return refused
 }
 
-// TestARequestThatEndsItsUpstreamsIsNotSentAgain guards against a request that ends each
-// engine that runs it, and comes again at any instance under a new ID: it went on to end all
-// engines of the regions that may process it, one after the other.
+// TestPoisonRequestIsQuarantined guards against a request that crashes each engine which runs it
+// and is retried at any instance under a new ID: without a quarantine it crashes all engines of
+// its permitted regions one after the other.
 func TestPoisonRequestIsQuarantined(t *testing.T) {
 	runSimulation(t, 1, chatRoute, threeRegions, func(s *simulation) {
 		s.runPoisonLoad(30*time.Second, 8)
@@ -97,8 +98,8 @@
 	})
 }
 
-// TestNoDeploymentSendsALethalRequestAgain guards against the same in deployments and under
-// loads in which news travels other ways, or comes too late for what is sent at once.
+// TestPoisonRequestIsQuarantinedInAllDeploymentShapes guards against the same in deployments and
+// under loads in which observations spread on other paths, or too late for concurrent sends.
 func TestPoisonRequestIsQuarantinedInAllDeploymentShapes(t *testing.T) {
 	repeated := httproute.Route{Kind: httproute.Safe, Timeout: 4 * time.Second, TargetLatency: time.Second, MaxAttempts: 4}
 	resumed := httproute.Route{Kind: httproute.Streaming, Resumable: true, Timeout: 4 * time.Second, TargetLatency: time.Second, MaxAttempts: 3}
@@ -123,8 +124,8 @@
 	}
 }
 
-// TestManyLethalRequestsAtOnceEndTheirEnginesOnce guards against what comes after: a burst is
-// at work on all engines before anybody has seen one end.
+// TestBurstOfPoisonRequestsCrashesEachEngineOnce guards against further crashes after a burst
+// that runs on all engines before the first crash is seen.
 func TestBurstOfPoisonRequestsCrashesEachEngineOnce(t *testing.T) {
 	runSimulation(t, 3, chatRoute, threeRegions, func(s *simulation) {
 		for range 40 {
@@ -136,8 +137,8 @@
 	})
 }
 
-// TestTheLargestLethalBodyIsKnownAgain guards against a fingerprint of a part of the body, or
-// of how it came: callers send it in chunks.
+// TestFingerprintCoversTheLargestBody guards against a fingerprint of a part of the body, or of
+// its chunks.
 func TestFingerprintCoversTheLargestBody(t *testing.T) {
 	runSimulation(t, 4, chatRoute, threeRegions, func(s *simulation) {
 		body := poison + strings.Repeat("x", 4<<20-len(poison))
@@ -147,12 +148,12 @@
 		})
 		s.running.Wait()
 		s.is.True(s.sendsAfterPropagation(body) <= crashesAllowed)
-		s.is.True(len(s.crashes) >= 2*crashesAllowed) // two requests, each known by its own ends
+		s.is.True(len(s.crashes) >= 2*crashesAllowed) // two requests, each identified by its own crashes
 	})
 }
 
-// TestARestartedInstanceLearnsWhichRequestsAreQuarantined guards against an instance that
-// begins anew, knows nothing and sends the request on.
+// TestRestartedInstanceLearnsQuarantines guards against an instance that restarts without the
+// quarantines and sends the request on.
 func TestRestartedInstanceLearnsQuarantines(t *testing.T) {
 	runSimulation(t, 5, chatRoute, threeRegions, func(s *simulation) {
 		s.runPoisonLoad(10*time.Second, 4)
@@ -164,8 +165,8 @@
 	})
 }
 
-// TestAnInstanceThatWasCutOffLearnsWhatIsQuarantined guards against one that knows only what it
-// saw itself, and sends the request on once it is back.
+// TestPartitionedInstanceLearnsQuarantinesOnceReconnected guards against an instance that knows
+// only its own observations, and sends the request on once the partition ends.
 func TestPartitionedInstanceLearnsQuarantinesOnceReconnected(t *testing.T) {
 	runSimulation(t, 10, chatRoute, threeRegions, func(s *simulation) {
 		apart := s.instances[0]
@@ -176,13 +177,14 @@
 		clock.Sleep(s.Context(), propagationTime)
 		healed := time.Now()
 		s.runPoisonLoad(10*time.Second, 2)
-		s.is.True(len(s.crashes) <= 3*crashesAllowed) // by those together, by the one alone, and under way
+		s.is.True(len(s.crashes) <= 3*crashesAllowed) // by the connected ones, by the partitioned one, and in flight
 		s.is.Equal(len(s.sent(poison, healed)), 0)
 	})
 }
 
-// TestACommonRequestIsNotQuarantinedForEndsOfOthers guards against refusing what many callers
-// ask in the same words because it is always at work somewhere when an upstream ends.
+// TestCommonRequestIsNotQuarantinedForCrashesByOthers guards against quarantining a request with
+// the same content from many callers because it is always running somewhere when an upstream
+// crashes.
 func TestCommonRequestIsNotQuarantinedForCrashesByOthers(t *testing.T) {
 	runSimulation(t, 6, chatRoute, threeRegions, func(s *simulation) {
 		n := 0
@@ -199,8 +201,8 @@
 	})
 }
 
-// TestARestartOfAllInstancesForgetsNoQuarantine guards against a request that is run again
-// three times over after an upgrade or a loss of power, as no instance is left that knew it.
+// TestQuarantinesOutliveARestartOfAllInstances guards against running the request three more
+// times after an upgrade or a loss of power, when no instance is left that knew it.
 func TestQuarantinesOutliveARestartOfAllInstances(t *testing.T) {
 	runSimulation(t, 7, chatRoute, threeRegions, func(s *simulation) {
 		s.runPoisonLoad(10*time.Second, 4)
@@ -210,8 +212,8 @@
 	})
 }
 
-// TestAQuarantineIsWrittenOnceTheStoreIsBack guards against one that is lost because the store
-// was away for some seconds, and against hundreds of instances that all write it.
+// TestQuarantineIsWrittenAfterAStoreOutage guards against losing a quarantine because the store
+// was unavailable for some seconds, and against hundreds of instances that all write it.
 func TestQuarantineIsWrittenAfterAStoreOutage(t *testing.T) {
 	runSimulation(t, 8, chatRoute, threeRegions, func(s *simulation) {
 		s.store.setUnavailable(true)
@@ -223,8 +225,8 @@
 	})
 }
 
-// TestAClearedQuarantineIsTakenBack guards against a request that stays refused in the store
-// after it has run to a good end.
+// TestClearedQuarantineIsRemovedEverywhere guards against a request that stays quarantined in the
+// store after it has succeeded.
 func TestClearedQuarantineIsRemovedEverywhere(t *testing.T) {
 	runSimulation(t, 9, chatRoute, threeRegions, func(s *simulation) {
 		s.runPoisonLoad(10*time.Second, 4)
@@ -241,8 +243,8 @@
 	})
 }
 
-// TestAQuarantineIsWrittenAgainAfterTheStoreForgotIt guards against a request that is run again after
-// a restart of all instances, since the store has come back from a copy of before its quarantine;
+// TestQuarantineIsRewrittenAfterTheStoreLostIt guards against running a request again after a
+// restart of all instances because the store was restored from a copy of before its quarantine,
 // and against hundreds of instances that all write it.
 func TestQuarantineIsRewrittenAfterTheStoreLostIt(t *testing.T) {
 	runSimulation(t, 10, chatRoute, threeRegions, func(s *simulation) {
@@ -261,8 +263,8 @@
 	})
 }
 
-// TestARestartAfterHoursForgetsNoQuarantine guards against a request that is run again because its record
-// in the store has lapsed while nobody asked for it.
+// TestQuarantineRecordsDoNotExpire guards against running a request again because its record in
+// the store expired while it was not sent.
 func TestQuarantineRecordsDoNotExpire(t *testing.T) {
 	runSimulation(t, 11, chatRoute, threeRegions, func(s *simulation) {
 		s.runPoisonLoad(10*time.Second, 4)
@@ -298,9 +300,9 @@
 	return holding
 }
 
-// TestAnOperatorsActIsInForceEverywhere guards against a request that some instances refuse on after an
-// operator has cleared it: after a restart of one or of all, and after the store's return from a copy
-// of before the act.
+// TestQuarantineClearedByAnOperatorStaysCleared guards against instances that refuse a request
+// after an operator has cleared it: after a restart of one or all, and after a restore of the
+// store from a copy of before the clearing.
 func TestQuarantineClearedByAnOperatorStaysCleared(t *testing.T) {
 	runSimulation(t, 12, chatRoute, threeRegions, func(s *simulation) {
 		s.runPoisonLoad(10*time.Second, 4)
@@ -311,19 +313,19 @@
 		s.is.Equal(s.holding(cleared[0]), 0)
 		s.restart(s.instances[0])
 		clock.Sleep(s.Context(), 5*time.Second)
-		s.is.Equal(s.holding(cleared[0]), 0) // the others tell it of the ends
+		s.is.Equal(s.holding(cleared[0]), 0) // the others report the crashes to it
 		s.store.restore(image)
 		clock.Sleep(s.Context(), 10*time.Second)
 		s.is.Equal(s.holding(cleared[0]), 0)
-		s.is.Equal(s.store.clearedBy(cleared[0]), "ops") // in the copy as well
+		s.is.Equal(s.store.clearedBy(cleared[0]), "ops") // in the restored store as well
 		s.restartAll()
 		clock.Sleep(s.Context(), time.Second)
 		s.is.Equal(s.holding(cleared[0]), 0)
 	})
 }
 
-// TestOnlyAnActClearsAQuarantine guards against a request that is run again because its record is gone from
-// the store, whoever has removed it.
+// TestDeletedRecordDoesNotClearAQuarantine guards against running a request again because its
+// record was deleted from the store by anything else than a clearing.
 func TestDeletedRecordDoesNotClearAQuarantine(t *testing.T) {
 	runSimulation(t, 14, chatRoute, threeRegions, func(s *simulation) {
 		s.runPoisonLoad(10*time.Second, 4)
@@ -336,8 +338,8 @@
 	})
 }
 
-// TestARequestThatWasClearedIsQuarantinedAgain guards against one that an operator has cleared in error, and
-// that ends any number of engines after that.
+// TestClearedRequestCanBeQuarantinedAgain guards against unbounded crashes by a request that an
+// operator has cleared in error.
 func TestClearedRequestCanBeQuarantinedAgain(t *testing.T) {
 	runSimulation(t, 13, chatRoute, threeRegions, func(s *simulation) {
 		s.runPoisonLoad(10*time.Second, 4)
--- a/pkg/edge/random_simulation_test.go
+++ b/pkg/edge/random_simulation_test.go
@@ -16,9 +16,9 @@
 	worlds    = flag.Int("worlds", 6, "number of deployments drawn at random")
 )
 
-// TestRandomDeployments guards against what no other test thought of: deployments of any shape,
-// requests that end their engines, engines that name limits, leave or ask for rest, instances
-// that restart and are cut off, and a store that is away, all at once.
+// TestRandomDeployments guards against faults that no other test covers, in deployments of any
+// shape: poison requests, engines with limits, leaving engines, engines that ask for backoff,
+// instances that restart or are partitioned, and an unavailable store, all at once.
 //
 //	go test ./pkg/edge -run TestRandomDeployments -world-seed 100 -worlds 200
 func TestRandomDeployments(t *testing.T) {
@@ -28,17 +28,18 @@
 	}
 }
 
-// randomWorld is a deployment with what has been done to it.
+// randomSimulation is a simulation with a record of its disturbances.
 type randomSimulation struct {
 	*simulation
 	random *rand.Rand
-	// words draws which engines leave, or ask for rest.
+	// stateRandom draws the engines that leave or ask for backoff.
 	stateRandom *rand.Rand
-	// lethal are the bodies of requests that end their engines, and how often they come.
+	// poison holds the bodies of poison requests, and the interval, in requests, at which they
+	// are sent.
 	poison map[string]int
-	// disturbed are when an instance was not in touch with the others any more, or again.
+	// disturbedAt are the times at which an instance lost or regained contact with the others.
 	disturbedAt []time.Time
-	// limits are what each engine named, in order.
+	// limits are the limits that engines named, in order.
 	limits []limitPeriod
 	notes  []string
 }
@@ -82,7 +83,7 @@
 	r.notes = append(r.notes, time.Now().Format("05.000 ")+fmt.Sprintf(form, args...))
 }
 
-// play has callers ask for a time.
+// runLoad sends callers' requests for a time.
 func (r *randomSimulation) runLoad(length time.Duration) {
 	n := 0
 	r.every(20*time.Millisecond, length, func() {
@@ -96,7 +97,7 @@
 	})
 }
 
-// disturb brings about one thing.
+// disturb causes one disturbance.
 func (r *randomSimulation) disturb() {
 	i := r.instances[r.random.IntN(len(r.instances))]
 	switch r.random.IntN(5) {
@@ -124,7 +125,7 @@
 	}
 }
 
-// speak has an engine say that it leaves, to all instances or to one, or ask for rest.
+// changeEngineState makes an engine leave, to all instances, or ask for backoff.
 func (r *randomSimulation) changeEngineState() {
 	e := r.engines[r.stateRandom.IntN(len(r.engines))]
 	switch r.stateRandom.IntN(3) {
@@ -138,8 +139,8 @@
 	}
 }
 
-// judgeWords judges what engines got after they had said that they leave, and within rests, from
-// instances that have not begun anew since.
+// checkEngineStates checks the requests that engines got after they reported that they are
+// leaving, and during their backoffs, from instances that have not restarted since.
 func (r *randomSimulation) checkEngineStates(t *testing.T) {
 	t.Helper()
 	for _, e := range r.engines {
@@ -161,8 +162,8 @@
 	}
 }
 
-// disturbedBetween says whether an instance was disturbed after a time and no later than another:
-// in virtual time one that begins may send in the same instant.
+// disturbedBetween reports whether an instance was disturbed after a time and no later than
+// another: in virtual time an instance may send in the same instant in which it starts.
 func (r *randomSimulation) disturbedBetween(from, until time.Time) bool {
 	for _, at := range r.disturbedAt {
 		if at.After(from) && !at.After(until) {
@@ -172,7 +173,7 @@
 	return false
 }
 
-// nameLimit has an engine name another limit, or none.
+// changeLimit makes an engine name another limit, or none.
 func (r *randomSimulation) changeLimit() {
 	e := r.engines[r.random.IntN(len(r.engines))]
 	for n := range r.limits {
@@ -191,7 +192,8 @@
 	r.limits = append(r.limits, limitPeriod{engine: e, perSecond: perSecond, from: time.Now()})
 }
 
-// calm says whether all instances were in touch with each other for long enough at a time.
+// undisturbed reports whether, at a time, all instances had been in contact with each other for
+// long enough.
 func (r *randomSimulation) undisturbed(at time.Time) bool {
 	for _, disturbed := range r.disturbedAt {
 		if since := at.Sub(disturbed); since < propagationTime && since > -2*propagationTime {
@@ -229,7 +231,8 @@
 	}
 }
 
-// judgeLimit judges each start of an engine that named a limit, in calm times.
+// checkLimit checks the requests to each process of an engine that named a limit, in undisturbed
+// times.
 func (r *randomSimulation) checkLimit(t *testing.T, period *limitPeriod) {
 	until := period.until
 	if until.IsZero() {
@@ -255,8 +258,8 @@
 	}
 }
 
-// knewLimit says whether the start had told the sender its limit for long enough, and had
-// itself named it for reachTime.
+// knewLimit reports whether the process had reported its limit to the sender for long enough, and
+// had named it for propagationTime.
 func (r *randomSimulation) knewLimit(a arrival, period *limitPeriod) bool {
 	first := time.Time{}
 	reported := time.Time{}
@@ -275,5 +278,5 @@
 	return !reported.IsZero() && a.at.Sub(reported) >= limitSettleTime+answerTime && a.at.Sub(first) >= propagationTime+answerTime
 }
 
-// answerTime is more than an engine's answer takes to begin, or to end.
+// answerTime exceeds the time that an engine's answer takes to begin, or to end.
 const answerTime = time.Second
--- a/pkg/edge/region_cut_race_test.go
+++ b/pkg/edge/region_cut_race_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// TestARegionThatIsCutOffForAMoment guards against data races in what only a region that is cut off does: it
-// asks its engines between requests, finds them cold, and keeps to their rests.
+// TestARegionThatIsCutOffForAMoment guards against data races in code that only a partitioned
+// region runs: it queries its engines between requests, finds them cold, and honours their
+// backoff.
 func TestARegionThatIsCutOffForAMoment(t *testing.T) {
 	runColdSimulation(t, 3, coldCapacity, chatRoute, threeRegions, func(s *simulation) {
 		s.askNorth(time.Second)
--- a/pkg/edge/region_cut_test.go
+++ b/pkg/edge/region_cut_test.go
@@ -10,14 +10,14 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// The race detector itself ends with a fault in some runs of tests in which a region is cut off;
-// scripts/test.sh runs these without it, and a short one under it.
+// The race detector itself crashes in some runs of tests with a partitioned region.
+// scripts/test.sh runs these tests without it, and a short one with it.
 
-// mostQuestions is how many questions about its health an upstream may get a second.
+// maxQueriesPerSecond is the number of health queries that an upstream may get a second.
 const maxQueriesPerSecond = 50
 
-// TestEnginesOfARegionThatIsCutOffMayTurnCold guards against a full load for engines that turn cold
-// while nobody of their region hears anything of the others, or of the store.
+// TestEnginesOfARegionThatIsCutOffMayTurnCold guards against full load for engines that turn cold
+// while no instance of their region has contact with other regions or the store.
 func TestEnginesOfARegionThatIsCutOffMayTurnCold(t *testing.T) {
 	runColdSimulation(t, 3, coldCapacity, chatRoute, threeRegions, func(s *simulation) {
 		s.askNorth(2 * time.Second)
@@ -36,8 +36,8 @@
 	})
 }
 
-// TestARegionThatIsCutOffServesItsOwn guards against a region that serves less than it can
-// because it is cut off.
+// TestARegionThatIsCutOffServesItsOwn guards against a region that serves less than it can while
+// it is partitioned.
 func TestARegionThatIsCutOffServesItsOwn(t *testing.T) {
 	runColdSimulation(t, 4, coldCapacity, chatRoute, threeRegions, func(s *simulation) {
 		s.askNorth(2 * time.Second)
@@ -58,8 +58,8 @@
 	})
 }
 
-// TestAnUpstreamRestsInARegionThatIsCutOff guards against questions of a region that asks all its
-// upstreams whether they are cold.
+// TestAnUpstreamRestsInARegionThatIsCutOff guards against sending status queries to an upstream
+// in backoff from a partitioned region, which queries all its upstreams for their cold state.
 func TestAnUpstreamRestsInARegionThatIsCutOff(t *testing.T) {
 	runColdSimulation(t, 6, coldCapacity, chatRoute, threeRegions, func(s *simulation) {
 		s.askNorth(2 * time.Second)
@@ -73,8 +73,9 @@
 	})
 }
 
-// TestALargeRegionThatIsCutOffServesItsOwn guards against callers that are refused, and upstreams that are loaded by
-// questions, where many instances ask each upstream between their requests.
+// TestALargeRegionThatIsCutOffServesItsOwn guards against refused callers, and against upstreams
+// that are loaded by status queries, when many instances query each upstream between their
+// requests.
 func TestALargeRegionThatIsCutOffServesItsOwn(t *testing.T) {
 	regions := []simRegion{{"north", 27, 24}, {"south", 1, 1}}
 	runColdSimulation(t, 9, coldCapacity, chatRoute, regions, func(s *simulation) {
@@ -100,8 +101,9 @@
 	})
 }
 
-// TestManyInstancesAskAfterALostHistory guards against upstreams that are loaded by questions, and against callers
-// that wait or are refused for them, in the region of a deployment of 380 instances and 1,000 upstreams.
+// TestManyInstancesAskAfterALostHistory guards against upstreams that are loaded by status
+// queries, and against callers that wait or are refused because of them, in the region of a
+// deployment of 380 instances and 1,000 upstreams.
 func TestManyInstancesAskAfterALostHistory(t *testing.T) {
 	regions := []simRegion{{"north", 27, 72}, {"south", 1, 1}}
 	runColdSimulation(t, 8, coldCapacity, chatRoute, regions, func(s *simulation) {
@@ -128,7 +130,7 @@
 	})
 }
 
-// checkAnsweredSince judges whether fewer than one of a hundred callers were not served since a moment.
+// checkAnsweredSince checks that at most one percent of the callers were not served since a time.
 func (s *simulation) checkAnsweredSince(t *testing.T, from time.Time) {
 	t.Helper()
 	s.mu.Lock()
--- a/pkg/edge/request_log_test.go
+++ b/pkg/edge/request_log_test.go
@@ -10,8 +10,8 @@
 	"github.com/lilacweir/lilacweir/pkg/fleet"
 )
 
-// TestTheStepsOfAFailedRequestAreKept although those of requests that go well are over
-// their budget.
+// TestStepsOfAFailedRequestAreLoggedOverBudget covers an exhausted budget for successful
+// requests.
 func TestStepsOfAFailedRequestAreLoggedOverBudget(t *testing.T) {
 	u, _ := upstreamPair(t, respond(http.StatusServiceUnavailable, "full", testNotRun+": 1"))
 	h := newHarness(t, unsafeRoute, u...)
@@ -47,7 +47,8 @@
 	})
 }
 
-// TestTheMetricsOfAnUpstreamThatIsGoneAreRemoved: upstreams have new IDs at each start.
+// TestMetricsOfARemovedUpstreamAreDeleted guards against growth of the metrics: upstreams have
+// new IDs at each start.
 func TestMetricsOfARemovedUpstreamAreDeleted(t *testing.T) {
 	h := newHarness(t, safeRoute, newUpstream(t, respond(http.StatusOK, "ok")))
 	h.ask(http.MethodGet, "/r/", "")
@@ -63,7 +64,8 @@
 	h.is.True(!shown())
 }
 
-// TestACallerThatLeftIsLoggedWithItsSteps: for its user the request has failed.
+// TestDisconnectedCallerIsLoggedWithItsSteps guards against missing steps: for its caller the
+// request has failed.
 func TestDisconnectedCallerIsLoggedWithItsSteps(t *testing.T) {
 	gone := make(chan struct{})
 	h := newHarness(t, unsafeRoute, newUpstream(t, func(net.Conn, *http.Request) bool { <-gone; return false }))
@@ -90,8 +92,8 @@
 	close(gone)
 }
 
-// TestTriesOfTheSameRequestBearTheSameContent guards against logs in which a request that
-// ends its upstreams cannot be found again, as each try has an ID of its own.
+// TestRetriesOfARequestLogTheSameContent guards against logs in which a poison request cannot be
+// traced, since each retry has an ID of its own.
 func TestRetriesOfARequestLogTheSameContent(t *testing.T) {
 	h := newHarness(t, unsafeRoute, newUpstream(t, resetConnection))
 	for _, body := range []string{"one", "one", "two"} {
@@ -103,5 +105,5 @@
 		content, _, _ = strings.Cut(content, " ")
 		contents[content]++
 	}
-	h.is.Equal(len(contents), 2) // one content for the two tries with the same body
+	h.is.Equal(len(contents), 2) // one content for the two requests with the same body
 }
--- a/pkg/edge/sim_engine_test.go
+++ b/pkg/edge/sim_engine_test.go
@@ -13,37 +13,39 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// worldEngine is the place of an engine, and the start that runs there.
+// simEngine is the slot of an engine, and the process that runs there.
 type simEngine struct {
 	*simulation
 	region, address string
-	// id names the start; empty: none runs, or is known.
+	// id identifies the running process, empty if none runs or is known.
 	id       string
 	starts   int
 	listener net.Listener
 	conns    map[net.Conn]struct{}
-	// coldUntil is when the engine stops being cold, entryColdUntil what its entry in the store says.
+	// coldUntil is the end of the engine's cold time, and entryColdUntil the one that its entry
+	// in the store gives.
 	coldUntil, entryColdUntil time.Time
-	// limit is the requests a second that it names in its answers; empty: none.
+	// limit is the number of requests a second that it names in its answers, empty for none.
 	limit string
-	// told holds since when it names a limit to each instance.
+	// limitReportedAt holds the time of the first answer with a limit to each instance.
 	limitReportedAt map[string]time.Time
-	// leaves is true while the engine says in its answers that it leaves, to the instances that
-	// leavesTo names (nil: to all).
+	// leaving is true while the engine reports in its answers that it is leaving, to the
+	// instances in leavingTo (nil for all).
 	leaving   bool
 	leavingTo map[string]bool
-	// turnsAway is for how long the engine turns requests away, from the first of them on, and asks
-	// for so many seconds of rest, to the instance that restsFrom names (empty: to all).
+	// rejectFor is the time for which the engine rejects requests, from the first of them on,
+	// with a Retry-After of retryAfterSeconds, of the instance rejectedInstance (empty for all).
 	rejectFor         time.Duration
 	rejectFrom        time.Time
 	retryAfterSeconds float64
 	rejectedInstance  string
 	backoffs          []requestedBackoff
-	// toldLeaving holds when the start that runs first said so to each instance.
+	// leavingReportedAt holds the time at which the running process first reported to each
+	// instance that it is leaving.
 	leavingReportedAt map[string]time.Time
 }
 
-// askedRest is when the engine asked an instance for how much rest.
+// requestedBackoff is a rejection with the backoff that the engine asked an instance for.
 type requestedBackoff struct {
 	at       time.Time
 	engine   string
@@ -51,38 +53,38 @@
 	length   time.Duration
 }
 
-// setCold makes the engine cold for a while. Its entry does not say so yet.
+// setCold makes the engine cold for a time. Its entry does not reflect that yet.
 func (e *simEngine) setCold(length time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.coldUntil = time.Now().Add(length)
 }
 
-// writeEntry has the engine's entry say for how long it is cold.
+// writeEntry updates the cold time in the engine's entry.
 func (e *simEngine) writeEntry() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.entryColdUntil = e.coldUntil
 }
 
-// coldLeft is for how long the engine is still cold.
+// coldLeft returns the remaining cold time.
 func (e *simEngine) coldLeft() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return max(0, time.Until(e.coldUntil))
 }
 
-// turnAway has the engine turn away what it gets from an instance (empty: from all) for a while
-// that begins with the next such request, and ask each time for so much rest. Then it serves
-// again, whatever it has asked for.
+// rejectRequests makes the engine reject requests from an instance (empty for all) with a
+// Retry-After, for a time that begins with the next such request. After it the engine serves
+// again, even within the backoff that it asked for.
 func (e *simEngine) rejectRequests(length, retryAfter time.Duration, instance string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.rejectFor, e.rejectFrom, e.retryAfterSeconds, e.rejectedInstance = length, time.Time{}, retryAfter.Seconds(), instance
 }
 
-// asksForRest says whether the engine turns an instance's request away, and for how many
-// seconds it asks to be left alone.
+// rejects reports whether the engine rejects an instance's request, and returns the seconds of
+// backoff that it asks for.
 func (e *simEngine) rejects(id, instance string) (seconds float64, rejected bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -99,7 +101,7 @@
 	return e.retryAfterSeconds, true
 }
 
-// setLeaving has the engine say from now on that it leaves, to some instances or to all.
+// setLeaving makes the engine report from now on that it is leaving, to some instances or to all.
 func (e *simEngine) setLeaving(to ...string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,14 +114,16 @@
 	}
 }
 
-// toldAt is when the engine first said to an instance that it leaves; zero: never.
+// firstLeavingReport returns the time at which the engine first reported to an instance that it
+// is leaving, zero if it has not.
 func (e *simEngine) firstLeavingReport(instance string) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leavingReportedAt[instance]
 }
 
-// saysItLeaves says whether the engine tells an instance in its next answer that it leaves.
+// reportsLeaving reports whether the engine's next answer to an instance reports that it is
+// leaving.
 func (e *simEngine) reportsLeaving(instance string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -132,7 +136,7 @@
 	return true
 }
 
-// setLimit has the engine name a limit from now on; empty: none.
+// setLimit sets the limit that the engine names from now on, empty for none.
 func (e *simEngine) setLimit(limit string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -165,7 +169,7 @@
 	}()
 }
 
-// end ends the engine at once, as a crash does.
+// terminate ends the engine at once, like a crash.
 func (e *simEngine) terminate() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -176,8 +180,8 @@
 	}
 }
 
-// crash ends a start for the request that it runs, unless that has happened already; another
-// one follows.
+// crash ends a process because of the request that it runs, unless that has happened already.
+// Another one is started later.
 func (e *simEngine) crash(id, body string) {
 	e.mu.Lock()
 	crashed := e.id == id
@@ -259,7 +263,7 @@
 	return err == nil
 }
 
-// hasTold notes to whom the engine names its limit.
+// recordLimitReport records the instances to which the engine names its limit.
 func (e *simEngine) recordLimitReport(instance, limit string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/edge/sim_network_test.go
+++ b/pkg/edge/sim_network_test.go
@@ -13,22 +13,22 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// fabric connects processes in memory, so that a deployment of whole instances runs in
-// virtual time. Connections between regions are slow; an address without a listener
-// refuses.
+// simNetwork connects processes in memory, so that a deployment of complete instances runs in
+// virtual time. Connections between regions are slow. An address without a listener refuses.
 type simNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*simListener
 	regions   map[string]string
-	// apart holds the processes that are cut off from those that are named in peers.
+	// partitioned holds the processes that are partitioned from those that are named in peers.
 	partitioned map[string]bool
 	peers       map[string]bool
-	// homes holds the region of each process, apartRegions those that are cut off from all others.
+	// homes holds the region of each process, and partitionedRegions the regions that are
+	// partitioned from all others.
 	homes              map[string]string
 	partitionedRegions map[string]bool
 }
 
-// betweenRegions is the one-way delay of a connection from region to region.
+// interRegionDelay is the one-way delay of a connection between regions.
 const interRegionDelay = 55 * time.Millisecond
 
 func newSimNetwork() *simNetwork {
@@ -38,28 +38,30 @@
 	}
 }
 
-// place says in which region an address lies.
+// setRegion sets the region of an address.
 func (n *simNetwork) setRegion(address, region string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.regions[address] = region
 }
 
-// setApart cuts a process off from its peers, or ends that: what is sent between them is lost.
+// setPartitioned starts or ends a partition between a process and its peers, in which data sent
+// between them is lost.
 func (n *simNetwork) setPartitioned(name string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partitioned[name] = partitioned
 }
 
-// setRegionApart cuts a region's processes off from those of the others, or ends that.
+// setRegionPartitioned starts or ends a partition between a region's processes and those of the
+// others.
 func (n *simNetwork) setRegionPartitioned(region string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partitionedRegions[region] = partitioned
 }
 
-// cut says whether two processes are cut off from each other.
+// separated reports whether two processes are partitioned from each other.
 func (n *simNetwork) separated(one, other string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,7 +72,7 @@
 	return n.partitioned[one] || n.partitioned[other] || (home != otherHome && (n.partitionedRegions[home] || n.partitionedRegions[otherHome]))
 }
 
-// from returns the fabric as a process of a region sees it.
+// endpointOf returns the network as seen by a process of a region.
 func (n *simNetwork) endpointOf(name, region string) *endpoint {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -78,7 +80,7 @@
 	return &endpoint{simNetwork: n, name: name, region: region}
 }
 
-// endpoint is one process's access to a fabric. It implements control.Medium.
+// endpoint is one process's access to a simNetwork. It implements control.Medium.
 type endpoint struct {
 	*simNetwork
 	name, region string
@@ -124,7 +126,7 @@
 	return listener, nil
 }
 
-// fabricListener accepts the connections to one address.
+// simListener accepts the connections to one address.
 type simListener struct {
 	*simNetwork
 	owner, address string
@@ -174,21 +176,21 @@
 // String implements net.Addr.
 func (a simAddr) String() string { return string(a) }
 
-// halfConn is one direction of a connection. Writing to it never waits, so that nobody who
-// holds a lock does.
+// halfConn is one direction of a connection. Writing to it never blocks, so that no holder of a
+// lock does.
 type halfConn struct {
 	delay time.Duration
-	// lost says whether what is written now is lost; nil: it never is.
+	// lost reports whether data that is written now is lost. If it is nil none is.
 	lost func() bool
 
 	mu      sync.Mutex
 	packets []packet
 	closed  bool
-	// changed is closed and replaced when there is something new to read.
+	// changed is closed and replaced when there is new data to read.
 	changed chan struct{}
 }
 
-// piece is what was written at once; it can be read once it is due.
+// packet is the data of one write, which can be read from due on.
 type packet struct {
 	due  time.Time
 	data []byte
@@ -198,7 +200,7 @@
 	return &halfConn{delay: delay, changed: make(chan struct{})}
 }
 
-// tell wakes the reader. The caller holds s.mu.
+// wakeReader wakes the reader. The caller holds s.mu.
 func (s *halfConn) wakeReader() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -227,8 +229,8 @@
 	}
 }
 
-// read returns what is due. While that is nothing, it also returns for how long to wait, and
-// what ends the wait early.
+// read returns the data that is due. If there is none, it also returns the time to wait, and a
+// channel that ends the wait early.
 func (s *halfConn) read(p []byte) (n int, wait time.Duration, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -249,14 +251,14 @@
 	return n, 0, nil, nil
 }
 
-// fabricConn is one end of a connection. It implements net.Conn.
+// simConn is one end of a connection. It implements net.Conn.
 type simConn struct {
 	in, out *halfConn
 	remote  string
 
 	mu       sync.Mutex
 	deadline time.Time
-	// moved is closed and replaced when the deadline changes.
+	// deadlineChanged is closed and replaced when the deadline changes.
 	deadlineChanged chan struct{}
 }
 
@@ -316,11 +318,12 @@
 // SetDeadline implements net.Conn.
 func (c *simConn) SetDeadline(at time.Time) error { return c.SetReadDeadline(at) }
 
-// SetWriteDeadline implements net.Conn; writing never waits.
+// SetWriteDeadline implements net.Conn. Writing never blocks.
 func (c *simConn) SetWriteDeadline(time.Time) error { return nil }
 
 // LocalAddr implements net.Conn.
 func (c *simConn) LocalAddr() net.Addr { return simAddr("") }
 
-// RemoteAddr implements net.Conn: the address that was dialed, or who dialed.
+// RemoteAddr implements net.Conn. It returns the dialled address, or the name of the dialling
+// process.
 func (c *simConn) RemoteAddr() net.Addr { return simAddr(c.remote) }
--- a/pkg/edge/sim_store_test.go
+++ b/pkg/edge/sim_store_test.go
@@ -12,49 +12,51 @@
 	"github.com/lilacweir/lilacweir/pkg/quarantine"
 )
 
-// worldStore is the platform's store, as far as quarantines need it; instances see what is in
-// it after a while. It implements mirror.Registrar.
+// simStore is the platform's store, as far as quarantines need it. Instances see its content with
+// a delay. It implements mirror.Registrar.
 type simStore struct {
 	*simulation
-	// values is by key, and counts revisions; away is true while the store answers nobody.
+	// values holds the value and revision of each key. unavailable is true while the store does
+	// not answer.
 	values      map[string]storedValue
 	unavailable bool
 	writes      int
-	// heldOver is what was known before the last return; as with a copy of the real store, what is
-	// newer counts until its key is written.
+	// retained holds the entries from before the last restore. As in a replica of the real store,
+	// a newer one counts until its key is written.
 	retained map[string]storedValue
 	// revision is that of the last write.
 	revision int64
-	// era counts its returns from a copy.
+	// epoch counts the restores from a copy.
 	epoch uint64
 }
 
-// storedValue is what a key holds, and the revision of its last write.
+// storedValue is the value of a key, and the revision of its last write.
 type storedValue struct {
 	value    []byte
 	revision int64
 }
 
-// comeBack has the store come back from a copy that holds no quarantine, of which all hear.
+// restoreEmpty restores the store from a copy without quarantines, and reports that to all
+// instances.
 func (s *simStore) restoreEmpty() {
 	s.restore(nil)
 }
 
-// image is a copy of what the store holds.
+// snapshot returns a copy of the store's content.
 func (s *simStore) snapshot() map[string]storedValue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.values)
 }
 
-// clearedBy is who has cleared a request, by the store's record.
+// clearedBy returns the operator or instance that cleared a request, by the store's record.
 func (s *simStore) clearedBy(request quarantine.Fingerprint) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return quarantine.ParseNote(s.values["quarantine/"+request.Key()].value).ClearedBy
 }
 
-// drop has the store lose what it holds, without a return from a copy.
+// drop deletes the store's content without a restore.
 func (s *simStore) drop() {
 	s.mu.Lock()
 	clear(s.values)
@@ -62,7 +64,7 @@
 	s.publish()
 }
 
-// comeBackWith has the store come back from an image, of which all hear.
+// restore restores the store from a snapshot, and reports that to all instances.
 func (s *simStore) restore(image map[string]storedValue) {
 	s.mu.Lock()
 	s.epoch++
@@ -126,10 +128,10 @@
 	return 1, nil
 }
 
-// leaseTime is for how long a leased key stays: nothing renews a lease here.
+// leaseTime is the time for which a leased key exists. No lease is renewed here.
 const leaseTime = 10 * time.Minute
 
-// lapse takes a leased key out when its lease ends.
+// expire deletes a leased key when its lease expires.
 func (s *simStore) expire(key string, revision int64) {
 	time.AfterFunc(leaseTime, func() {
 		s.mu.Lock()
@@ -146,7 +148,7 @@
 	s.unavailable = unavailable
 }
 
-// publish tells all instances what the store holds.
+// publish sends the store's content to all instances.
 func (s *simStore) publish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/edge/simulation_test.go
+++ b/pkg/edge/simulation_test.go
@@ -27,15 +27,16 @@
 	"github.com/lilacweir/lilacweir/pkg/telemetry"
 )
 
-// world is a deployment of whole instances and stand-in engines in virtual time. Its
-// discovery is exact, but late.
+// simulation is a deployment of complete instances and simulated engines in virtual time. Its
+// discovery is exact but delayed.
 type simulation struct {
 	*testing.T
 	is      *is.I
 	network *simNetwork
 	random  *rand.Rand
 	route   httproute.Route
-	// coldRate is how many requests a second an engine bears while it is cold; zero: any.
+	// coldRate is the number of requests a second that an engine bears while it is cold, zero if
+	// unlimited.
 	coldRate float64
 	lines    logtest.Lines
 	store    *simStore
@@ -43,23 +44,23 @@
 	mu        sync.Mutex
 	instances []*simInstance
 	engines   []*simEngine
-	// arrivals are what engines were sent, in order.
+	// arrivals are the requests that engines received, in order.
 	arrivals []arrival
-	// evacuated are the failure domains whose engines must get nothing.
+	// evacuated holds the failure domains with engines that must get no requests.
 	evacuated map[string]bool
-	// historyLost is when a part of the store's history was last found to be lost.
+	// historyLost is the time at which a part of the store's history was last found to be lost.
 	historyLost time.Time
-	// view is what was told last of engines and instances.
+	// view is the last published view of engines and instances.
 	view *fleet.View
-	// ends are when engines ended for the request that they ran.
+	// crashes are the times at which engines crashed because of the request that they ran.
 	crashes []time.Time
-	// endsUnder are the same by the request's body.
+	// crashesByBody holds the same times by the request's body.
 	crashesByBody map[string][]time.Time
 	answers       []callerAnswer
 	running       sync.WaitGroup
 }
 
-// worldInstance is one place of an instance, and the process that runs there.
+// simInstance is the slot of an instance, and the process that runs there.
 type simInstance struct {
 	fleet.Instance
 	edge *Edge
@@ -77,7 +78,7 @@
 	body         string
 }
 
-// answered is what a caller was told.
+// callerAnswer is the answer to a caller.
 type callerAnswer struct {
 	at     time.Time
 	body   string
@@ -86,19 +87,19 @@
 }
 
 const (
-	// discovery is how much later instances know of engines that come and go.
+	// discovery is the delay after which instances learn of added and removed engines.
 	discovery = 500 * time.Millisecond
-	// engineDown is how long an engine takes to be back after its end.
+	// engineRestartTime is the time that an engine takes to restart after a crash.
 	engineRestartTime = 3 * time.Second
-	// lethal is how the bodies of requests begin that end the engine that runs them.
+	// poison is the prefix of the bodies of requests that crash the engine which runs them.
 	poison = "lethal"
-	// lethalTime is how long an engine runs such a request; the others' answers have
-	// answerEvents, usualGap apart.
+	// poisonRunTime is the time for which an engine runs such a request. The answers to others
+	// have answerEvents events, defaultGap apart.
 	poisonRunTime = 80 * time.Millisecond
 	answerEvents  = 4
 )
 
-// worldRegion is a region with its number of instances and engines.
+// simRegion is a region with its numbers of instances and engines.
 type simRegion struct {
 	name               string
 	instances, engines int
@@ -106,13 +107,15 @@
 
 var threeRegions = []simRegion{{"north", 3, 5}, {"middle", 2, 4}, {"south", 2, 3}}
 
-// inWorld runs a test in a deployment in virtual time whose engines bear any load while they are cold.
+// runSimulation runs a test in a deployment in virtual time with engines that bear any load while
+// they are cold.
 func runSimulation(t *testing.T, seed uint64, route httproute.Route, regions []simRegion, test func(s *simulation)) {
 	t.Helper()
 	runColdSimulation(t, seed, 0, route, regions, test)
 }
 
-// inColdWorld is inWorld with engines that bear so many requests a second while they are cold.
+// runColdSimulation is runSimulation with engines that bear only coldRate requests a second while
+// they are cold.
 func runColdSimulation(t *testing.T, seed uint64, coldRate float64, route httproute.Route, regions []simRegion, test func(s *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -152,7 +155,7 @@
 	}
 }
 
-// start begins a process at an instance's place.
+// start starts a process in an instance's slot.
 func (s *simulation) start(i *simInstance) {
 	settings := &Settings{
 		Instance: i.Name, FailureDomain: i.Domain, Region: i.Region,
@@ -177,12 +180,12 @@
 	s.store.publish()
 	go func() {
 		defer close(i.ended)
-		// Run returns what went wrong while it ended; a world that stops does so at once.
+		// Run returns the errors of its shutdown, which are expected when a simulation stops.
 		_ = e.Run(ctx)
 	}()
 }
 
-// restart ends an instance's process gracefully, and begins another one at its place.
+// restart stops an instance's process gracefully, and starts another one in its slot.
 func (s *simulation) restart(i *simInstance) {
 	i.stop()
 	<-i.ended
@@ -193,7 +196,7 @@
 	s.start(i)
 }
 
-// restartAll ends all processes at once, and begins others at their places.
+// restartAll stops all processes at once, and starts others in their slots.
 func (s *simulation) restartAll() {
 	for _, i := range s.instances {
 		i.stop()
@@ -211,7 +214,7 @@
 	}
 }
 
-// configure puts the world's route in force at an instance.
+// configure puts the simulation's route in force at an instance.
 func (s *simulation) configure(e *Edge) {
 	route := s.route
 	route.Name, route.Host, route.Prefix = "r", "world", "/r/"
@@ -222,7 +225,7 @@
 	e.board.Routes.Store(config)
 }
 
-// discover tells all instances which engines and instances there are.
+// discover publishes the current engines and instances to all instances.
 func (s *simulation) discover() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -252,8 +255,8 @@
 	}
 }
 
-// evacuate has a region's engines get nothing, or ends that. What is told of the engines is what
-// their entries say.
+// evacuate starts or ends an evacuation of a region's engines. The published view of the engines
+// is that of their entries.
 func (s *simulation) evacuate(region string, evacuated bool) {
 	s.mu.Lock()
 	s.evacuated[region+"-a"] = evacuated
@@ -261,7 +264,7 @@
 	s.discover()
 }
 
-// loseHistory tells all instances that a part of the store's history is lost.
+// loseHistory reports to all instances that a part of the store's history is lost.
 func (s *simulation) loseHistory() {
 	s.mu.Lock()
 	s.historyLost = time.Now()
@@ -269,7 +272,7 @@
 	s.discover()
 }
 
-// tearDown ends all processes and waits for them, after a failed check as well.
+// tearDown stops all processes and waits for them, after a failed check as well.
 func (s *simulation) tearDown() {
 	s.running.Wait()
 	for _, i := range s.instances {
@@ -288,7 +291,7 @@
 	clock.Sleep(context.Background(), time.Minute)
 }
 
-// ask sends a request to a random instance, beside what else goes on.
+// ask sends a request to a random instance, concurrently with other requests.
 func (s *simulation) ask(body string) {
 	up := s.up()
 	s.askAt(up[s.random.IntN(len(up))], body)
@@ -321,7 +324,7 @@
 	})
 }
 
-// exchange is one try of a caller, on a connection of its own.
+// exchange makes one attempt of a caller, on a connection of its own.
 func (s *simulation) exchange(i *simInstance, id, body string) reply {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -347,14 +350,14 @@
 	return reply{status: response.StatusCode, header: response.Header, body: string(data), err: err}
 }
 
-// every does something over and over until a time has passed.
+// every calls do at an interval until a time has passed.
 func (s *simulation) every(pause, length time.Duration, do func()) {
 	for end := time.Now().Add(length); time.Now().Before(end); clock.Sleep(s.Context(), pause) {
 		do()
 	}
 }
 
-// sent are the arrivals whose bodies begin with a text, after a time.
+// sent returns the arrivals after a time with bodies that have a prefix.
 func (s *simulation) sent(prefix string, after time.Time) []arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -367,8 +370,8 @@
 	return found
 }
 
-// TestADeploymentInVirtualTimeServesItsCallers guards the other tests of whole deployments
-// against a stand-in in which nothing could go well.
+// TestSimulationServesItsCallers guards the other tests of whole deployments against a simulation
+// that serves nothing.
 func TestSimulationServesItsCallers(t *testing.T) {
 	route := httproute.Route{Kind: httproute.Streaming, Timeout: 4 * time.Second, TargetLatency: time.Second, MaxAttempts: 1}
 	runSimulation(t, 1, route, threeRegions, func(s *simulation) {
--- a/pkg/edge/start_test.go
+++ b/pkg/edge/start_test.go
@@ -8,15 +8,16 @@
 	"github.com/lilacweir/lilacweir/pkg/fleet"
 )
 
-// pending asks while the instance cannot serve yet, and returns where the reply comes.
+// askPending sends a request while the instance cannot serve yet, and returns the channel for its
+// reply.
 func (h *harness) askPending() chan reply {
 	replies := make(chan reply, 1)
 	go func() { replies <- h.ask(http.MethodGet, "/r/", "") }()
 	return replies
 }
 
-// TestWhatComesWhileAnInstanceBeginsIsServedOnceItIsConfigured: after a restart of
-// everything all callers come back in the first half second, each with its last try.
+// TestRequestsDuringStartAreServedOnceConfigured guards against refusals after a restart of all
+// instances, when all callers return in the first half second with their last retry.
 func TestRequestsDuringStartAreServedOnceConfigured(t *testing.T) {
 	h := newHarness(t, safeRoute, newUpstream(t, respond(http.StatusOK, "ok")))
 	config := h.edge.board.Routes.Load()
@@ -27,7 +28,8 @@
 	h.is.Equal((<-replies).status, http.StatusOK)
 }
 
-// TestAnInstanceThatIsNeverConfiguredRefusesWithinItsPatience.
+// TestUnconfiguredInstanceRefusesAfterTheStartWait guards against requests that wait longer than
+// the start of their instance.
 func TestUnconfiguredInstanceRefusesAfterTheStartWait(t *testing.T) {
 	h := newHarness(t, safeRoute)
 	h.edge.board.Routes.Store(nil)
@@ -37,7 +39,8 @@
 	h.is.Equal(h.ask(http.MethodGet, "/r/", "").status, http.StatusServiceUnavailable)
 }
 
-// TestOnceAllAreHeardNothingIsHeld: what has no upstream anywhere is refused at once.
+// TestRequestsDoNotWaitOnceAllInstancesAreKnown guards against delaying the refusal of a request
+// without an upstream anywhere.
 func TestRequestsDoNotWaitOnceAllInstancesAreKnown(t *testing.T) {
 	h := newHarness(t, safeRoute)
 	view := &fleet.View{Instances: []fleet.Instance{{Name: "s-1", Domain: "s-a", Region: "south"}}}
--- a/pkg/edge/stream_scenario_test.go
+++ b/pkg/edge/stream_scenario_test.go
@@ -10,13 +10,13 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// darkDay is a region in virtual time: instances with streams at engines, which hear of each
-// other's streams late.
+// streamScenario is a region in virtual time: instances with streams at engines, which receive
+// each other's stream counts with a delay.
 type streamScenario struct {
 	began, now time.Time
 	random     *rand.Rand
 	engines    []string
-	// failed holds the engines whose machines have failed without a word.
+	// failed holds the engines with silently failed machines.
 	failed    map[string]bool
 	instances []*scenarioInstance
 	streams   []*scenarioStream
@@ -24,10 +24,11 @@
 
 type scenarioInstance struct {
 	pulses *streamMonitor
-	// told is what it last said of each engine's streams, due when the others hear it.
+	// published are the last counts of each engine's streams, and next the following ones, which
+	// the others receive when due.
 	published, next map[string]peer.Load
 	due             time.Time
-	// found is when it found each engine dark.
+	// detectedAt is the time at which it found each engine unresponsive.
 	detectedAt map[string]time.Time
 }
 
@@ -35,12 +36,13 @@
 	pulse  *monitoredStream
 	at     *scenarioInstance
 	engine string
-	// heldUntil is until when the engine lets it stand still, for a more urgent one.
+	// stalledUntil is the end of the time for which the engine preempts the stream for a more
+	// urgent one.
 	stalledUntil time.Time
 }
 
-// Times of a darkDay: an event of five tokens comes every 22 ms where a step takes 4.4 ms; an
-// instance says what it hears every 0.1 s, and the others know it 60 ms later.
+// Times of a streamScenario. An event of five tokens arrives every 22 ms if a step takes 4.4 ms.
+// An instance publishes its counts every 0.1 s, and the others receive them 60 ms later.
 const (
 	scenarioStep  = 10 * time.Millisecond
 	scenarioGap   = 20 * time.Millisecond
@@ -66,7 +68,7 @@
 	return d
 }
 
-// play lets a time pass.
+// advance lets a time pass.
 func (d *streamScenario) advance(length time.Duration) {
 	for end := d.now.Add(length); d.now.Before(end); d.now = d.now.Add(scenarioStep) {
 		for _, stream := range d.streams {
@@ -76,7 +78,7 @@
 		}
 		for i, instance := range d.instances {
 			d.publish(instance)
-			// Instances look in turn, each once a round.
+			// Instances check in turn, each once a round.
 			turn := time.Duration(i) * scenarioStep % scenarioRound
 			if d.now.Sub(d.began)%scenarioRound == turn {
 				d.detect(instance)
@@ -85,7 +87,7 @@
 	}
 }
 
-// tell has an instance count its streams once a round, for the others to hear later.
+// publish counts an instance's streams once a round, for the others to receive later.
 func (d *streamScenario) publish(instance *scenarioInstance) {
 	if d.now.Before(instance.due) {
 		return
@@ -98,7 +100,7 @@
 	instance.due = d.now.Add(max(scenarioRound, scenarioLag))
 }
 
-// look has an instance look for dark engines.
+// detect looks for unresponsive engines from an instance.
 func (d *streamScenario) detect(instance *scenarioInstance) {
 	for _, engine := range d.engines {
 		flowing, silent := instance.pulses.count(engine, d.now)
@@ -118,11 +120,11 @@
 	}
 }
 
-// TestADomainsEnginesThatFailWithoutAWordAreDarkForAllWithinASecond: the machines of a zone
-// lose their power or their network, and no connection is closed. Two of eight engines fail so,
-// with some forty streams each, at sixty instances of which many have no stream there. Keep-alive
-// probes take three seconds, in which each engine is sent a few hundred requests. Streams that
-// other engines let stand still for a second, while more urgent ones run, make none of these dark.
+// TestUnresponsiveEnginesOfADomainAreDetectedByAllInstancesWithinASecond guards against slow
+// detection when the machines of a zone lose power or network and close no connection. Two of
+// eight engines fail so, with about forty streams each, at sixty instances of which many have no
+// stream there. Keep-alive probes take three seconds, in which each engine is sent a few hundred
+// requests. Streams that the other engines preempt for a second make none of these unresponsive.
 func TestUnresponsiveEnginesOfADomainAreDetectedByAllInstancesWithinASecond(t *testing.T) {
 	for seed := range uint64(3) {
 		is := is.New(t)
@@ -152,8 +154,8 @@
 	}
 }
 
-// TestTwoStreamsAreEnoughAndOneIsNot: at night a small deployment has few streams, and one
-// alone may only stand still.
+// TestTwoStalledStreamsMarkAnEngineUnresponsive covers a small deployment with few streams, in
+// which a single stalled stream may only have been preempted.
 func TestTwoStalledStreamsMarkAnEngineUnresponsive(t *testing.T) {
 	is := is.New(t)
 	d := newStreamScenario(1, 3, 3, 5)
--- a/pkg/edge/suspicion_test.go
+++ b/pkg/edge/suspicion_test.go
@@ -11,7 +11,7 @@
 	"github.com/lilacweir/lilacweir/pkg/fleet"
 )
 
-// startedAt answers questions for the start, and everything else whole.
+// startedAt answers status queries with the start time, and everything else in full.
 func startedAt(began int64) script {
 	return func(conn net.Conn, request *http.Request) bool {
 		if request.URL.Path == "/status" {
@@ -21,11 +21,11 @@
 	}
 }
 
-// coldRate is what a cold upstream bears in these tests, requests a second.
+// coldRate is the number of requests a second that a cold upstream bears in these tests.
 const coldRate = 10
 
-// unreachedFor returns an instance that has just failed to reach its only upstream, which
-// is known to have started at 1000 and takes connections again from now on.
+// newUnreachableHarness returns an instance that has just failed to reach its only upstream,
+// which has a known start time of 1000 and accepts connections again from now on.
 func newUnreachableHarness(t *testing.T, script script) (*harness, *upstream) {
 	t.Helper()
 	gone := newUpstream(t, nil)
@@ -45,8 +45,8 @@
 	return h, back
 }
 
-// answeredWithin counts the requests of a caller that asks all the time that are answered
-// within half a second of the first.
+// countAnswered counts the requests of a continuously sending caller that are answered within
+// half a second of the first.
 func (h *harness) countAnswered() int {
 	h.Helper()
 	h.eventually("it is reached again", func() bool { return h.ask(http.MethodGet, "/r/", "").status == http.StatusOK })
@@ -59,8 +59,8 @@
 	return answered
 }
 
-// TestAnUpstreamRebornBehindACutGetsNoMoreThanAColdOne: its entry in the store, which this
-// instance may not hear, still tells of its former start.
+// TestUpstreamRestartedDuringAPartitionIsTreatedAsCold guards against trusting the entry in the
+// store, which this instance may not have received: it still gives the former start time.
 func TestUpstreamRestartedDuringAPartitionIsTreatedAsCold(t *testing.T) {
 	h, _ := newUnreachableHarness(t, startedAt(2000))
 	bears := int(coldRate*h.edge.settings.Limits.ColdFactor + h.edge.settings.Limits.ColdSlack)
@@ -68,19 +68,22 @@
 	h.is.True(h.lines.Has(string(event.UpstreamReborn), "began=2000"))
 }
 
-// TestAnUpstreamThatWasOnlyUnreachedGetsAllAgain once it has said that it is the same.
+// TestUnreachableUpstreamThatDidNotRestartGetsFullLoad covers an upstream that reports the known
+// start time.
 func TestUnreachableUpstreamThatDidNotRestartGetsFullLoad(t *testing.T) {
 	h, _ := newUnreachableHarness(t, startedAt(1000))
 	h.is.True(h.countAnswered() > coldRate)
 }
 
-// TestWhatAFormerStartSaysIsOldNews: a smaller start than the known one settles nothing.
+// TestOlderStartTimeDoesNotSettleASuspicion guards against trusting the answer of a former
+// process.
 func TestOlderStartTimeDoesNotSettleASuspicion(t *testing.T) {
 	h, _ := newUnreachableHarness(t, startedAt(500))
 	h.is.True(h.countAnswered() <= coldRate)
 }
 
-// TestAnUpstreamWhoseNameIsNewAtEachStartIsNotAsked: requests for another are refused there.
+// TestUpstreamWithANameForEachStartIsNotQueried covers an upstream that refuses requests for
+// another name anyway.
 func TestUpstreamWithANameForEachStartIsNotQueried(t *testing.T) {
 	u := newUpstream(t, startedAt(0))
 	h := newHarness(t, safeRoute, u)
--- a/pkg/edge/uncertain_cold_test.go
+++ b/pkg/edge/uncertain_cold_test.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// bearsCold is how many requests a second an engine bears while it is cold, coldAllowed how many
-	// it may get from all instances together in any second of that.
+	// coldCapacity is the number of requests a second that an engine bears while it is cold.
+	// coldAllowed is the number that it may get from all instances together in any second of that
+	// time.
 	coldCapacity = 14.0
 	coldAllowed  = 24
-	// coldTime is for how long an engine is cold.
+	// coldTime is the time for which an engine is cold.
 	coldTime = 3 * time.Second
 )
 
-// checkCold judges what the engines of the first region got in any second of the time in which
-// they were cold.
+// checkCold checks the requests that the engines of the first region got in any second of their
+// cold time.
 func (s *simulation) checkCold(t *testing.T, from time.Time) {
 	t.Helper()
 	for _, e := range s.engines[:5] {
@@ -31,13 +32,14 @@
 	}
 }
 
-// askNorth asks 180 questions a second at the instances of the first region: 36 for each engine.
+// askNorth sends 180 requests a second to the instances of the first region: 36 for each engine.
 func (s *simulation) askNorth(length time.Duration) {
 	s.every(time.Second/180, length, func() { s.askAt(s.instances[s.random.IntN(3)], "question") })
 }
 
-// TestEnginesOfADomainThatIsTakenBackMayBeCold guards against a full load for engines that an
-// evacuation has made cold, from instances that hear that it is over before they hear of the cold.
+// TestEnginesAreTreatedAsColdAfterAnEvacuationEnds guards against full load for engines that an
+// evacuation has made cold, from instances that learn of its end before they learn of the cold
+// state.
 func TestEnginesAreTreatedAsColdAfterAnEvacuationEnds(t *testing.T) {
 	runColdSimulation(t, 1, coldCapacity, chatRoute, threeRegions, func(s *simulation) {
 		s.askNorth(2 * time.Second)
@@ -55,8 +57,8 @@
 	})
 }
 
-// TestAnEngineMayBeColdForLongerThanWasHeard guards against a full load for engines that were told
-// to be cold, and turned cold anew before an end of that of which nothing more was heard.
+// TestEngineMayBeColdForLongerThanReported guards against full load for engines that were
+// reported as cold, and turned cold again before the reported end without a further report.
 func TestEngineMayBeColdForLongerThanReported(t *testing.T) {
 	runColdSimulation(t, 2, coldCapacity, chatRoute, threeRegions, func(s *simulation) {
 		for _, e := range s.engines[:5] {
@@ -76,7 +78,7 @@
 	})
 }
 
-// checkWarmAgain judges whether the engines of the first region got what they bear once they were
+// checkWarmAgain checks that the engines of the first region got what they bear once they were
 // warm again, of 36 requests a second each.
 func (s *simulation) checkWarmAgain(t *testing.T) {
 	t.Helper()
@@ -92,8 +94,8 @@
 	}
 }
 
-// TestEnginesMayHaveTurnedColdInALostHistory guards against a full load for engines that an evacuation has made cold
-// that came and went in a part of the store's history that is lost.
+// TestEnginesAreTreatedAsColdAfterALostHistory guards against full load for engines that were
+// made cold by an evacuation which began and ended in a lost part of the store's history.
 func TestEnginesAreTreatedAsColdAfterALostHistory(t *testing.T) {
 	runColdSimulation(t, 7, coldCapacity, chatRoute, threeRegions, func(s *simulation) {
 		s.askNorth(2 * time.Second)
@@ -109,7 +111,7 @@
 	})
 }
 
-// mostInASecond is how many of some moments, in order, lie in one second at most.
+// maxInASecond returns the largest number of times within one second. The times are in order.
 func maxInASecond(at []time.Time) int {
 	most, first := 0, 0
 	for last := range at {
--- a/pkg/edge/unresponsive_test.go
+++ b/pkg/edge/unresponsive_test.go
@@ -14,7 +14,8 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// TestAnEngineIsDarkWhenNobodyHearsIt, not when one of its streams stands still.
+// TestEngineIsUnresponsiveWhenNoStreamFlows also checks that a single stalled stream is not
+// enough.
 func TestEngineIsUnresponsiveWhenNoStreamFlows(t *testing.T) {
 	is := is.New(t)
 	is.True(unresponsive(0, 2, peer.Load{}))
@@ -25,8 +26,8 @@
 	is.True(!unresponsive(0, 5, peer.Load{Flowing: 1, Silent: 3}))
 }
 
-// TestStreamsAreSilentAfterSomeOfTheirUsualGaps: engines whose events come every 200 ms
-// are given longer than such whose events come every 20 ms.
+// TestStallTimeScalesWithTheUsualGap guards against marking engines with an event every 200 ms as
+// unresponsive as early as those with one every 20 ms.
 func TestStallTimeScalesWithTheUsualGap(t *testing.T) {
 	is := is.New(t)
 	silent := func(gap time.Duration) time.Duration {
@@ -51,8 +52,9 @@
 	is.Equal(silent(time.Second), maxStallTime)
 }
 
-// TestStreamsOfADarkEngineGoOnElsewhere: three streams begin at an engine that falls silent
-// with its connections open. All go on elsewhere after what their callers have, and the engine gets nothing new.
+// TestStreamsOfAnUnresponsiveEngineAreResumedOnAnother starts three streams at an engine that
+// stops sending with its connections open. All are resumed on the other engine after what their
+// callers have, and the engine gets no new requests.
 func TestStreamsOfAnUnresponsiveEngineAreResumedOnAnother(t *testing.T) {
 	is := is.New(t)
 	hang, enough := make(chan struct{}), make(chan struct{})
--- a/pkg/edge/upstream_limit_test.go
+++ b/pkg/edge/upstream_limit_test.go
@@ -8,8 +8,8 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// TestEachAnswerOfAnUpstreamMayNameItsLimit guards against reading the limit off good answers
-// alone: an upstream in need refuses and fails.
+// TestLimitIsReadFromEveryAnswer guards against reading the limit only from successful answers:
+// an overloaded upstream rejects and fails.
 func TestLimitIsReadFromEveryAnswer(t *testing.T) {
 	for name, answer := range map[string]script{
 		"a good answer": respond(http.StatusOK, "ok", testLimit+": 2.5"),
@@ -26,7 +26,8 @@
 	}
 }
 
-// TestAnUnreadableLimitLeavesWhatWasKnown guards against taking nonsense for the end of a limit.
+// TestUnreadableLimitKeepsTheKnownLimit guards against treating an invalid value as the end of a
+// limit.
 func TestUnreadableLimitKeepsTheKnownLimit(t *testing.T) {
 	limits := []string{"1000", "many", ""}
 	n := -1
@@ -44,7 +45,7 @@
 	h.is.True(h.lines.Has("event=upstream-unlimited", "upstream=u-0"))
 }
 
-// brokenAfterHead ends an answer within its body.
+// brokenAfterHead breaks an answer inside its body.
 func brokenAfterHead(conn net.Conn, request *http.Request) bool {
 	writeResponse(conn, request, http.StatusOK, "Content-Length: 100\r\n", "begin", testLimit+": 2.5")
 	return false
--- a/pkg/edge/upstream_state_test.go
+++ b/pkg/edge/upstream_state_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestEachAnswerOfAnUpstreamMaySayThatItLeaves guards against reading the word off good answers
-// alone: an upstream that leaves refuses and fails as well.
+// TestLeavingIsReadFromEveryAnswer guards against reading the report only from successful
+// answers: a leaving upstream rejects and fails as well.
 func TestLeavingIsReadFromEveryAnswer(t *testing.T) {
 	for name, answer := range map[string]script{
 		"a good answer": respond(http.StatusOK, "ok", testLeaving+": 1"),
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestAnUpstreamMayAskForRest guards against reading the time off refusals that name none, or
-// logging a line for each request of a burst that is turned away.
+// TestBackoffIsReadFromRejections guards against reading a backoff from rejections that name
+// none, and against a log line for each rejection of a burst.
 func TestBackoffIsReadFromRejections(t *testing.T) {
 	h := newHarness(t, unsafeRoute, newUpstream(t, respond(http.StatusServiceUnavailable, "full", testNotRun+": 1", "Retry-After: 3")))
 	h.ask(http.MethodPost, "/r/", "body")
