--- a/pkg/edge/backoff_test.go
+++ b/pkg/edge/backoff_test.go
@@ -60,7 +60,7 @@
 	t.Helper()
 	for _, e := range s.engines {
 		if got := s.maxInBackoff(e); got > allowedInBackoff {
-			t.Errorf("%s got %d requests from an instance in the time for which it had asked it for rest, allowed %d", e.id, got, allowedInBackoff)
+			t.Errorf("%s got %d requests from an instance within a backoff, allowed %d", e.id, got, allowedInBackoff)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 				for _, other := range e.backoffs {
 					apart := other.at.Sub(rest.at)
 					if rest.instance == other.instance && apart > backoffInFlightTime && apart < length {
-						t.Errorf("%s turned %s away again %v after it had asked it for %v", e.id, rest.instance, apart, length)
+						t.Errorf("%s rejected %s again %v after it had asked it for a backoff of %v", e.id, rest.instance, apart, length)
 					}
 				}
 			}
@@ -148,8 +148,8 @@
 func TestUpstreamInBackoffGetsNoStatusQuery(t *testing.T) {
 	const rest = 300 * time.Millisecond
 	for name, doubt := range map[string]func(h *harness, known *fleet.Upstream){
-		"it may have started again": func(h *harness, known *fleet.Upstream) { h.edge.suspicions.raise(known.ID, true, time.Now()) },
-		"its warmth is in doubt":    func(_ *harness, known *fleet.Upstream) { known.Missing = time.Now() },
+		"it may have restarted": func(h *harness, known *fleet.Upstream) { h.edge.suspicions.raise(known.ID, true, time.Now()) },
+		"it may be cold":        func(_ *harness, known *fleet.Upstream) { known.Missing = time.Now() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, startedAt(1000))
@@ -162,7 +162,7 @@
 				h.is.True(h.edge.mayBeCold(known, service))
 			}
 			h.is.Equal(u.arrivals.Load(), int32(0))
-			h.eventually("it is asked after its rest", func() bool {
+			h.eventually("it is queried after its backoff", func() bool {
 				h.edge.mayBeCold(known, service)
 				return u.arrivals.Load() > 0
 			})
--- a/pkg/edge/leaving_test.go
+++ b/pkg/edge/leaving_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	for _, e := range engines {
 		if late := e.sentAfterLeaving(); len(late) > 0 {
-			t.Errorf("%s got %d requests from instances to which it had said that it leaves, the last one from %s %v after that",
+			t.Errorf("%s got %d requests from instances to which it had reported that it is leaving, the last one from %s %v after that",
 				e.id, len(late), late[len(late)-1].from, late[len(late)-1].at.Sub(e.leavingReportedAt[late[len(late)-1].from]))
 		}
 	}
@@ -59,9 +59,9 @@
 		regions []simRegion
 		ends    bool
 	}{
-		"small domains":            {regions: threeRegions},
-		"a hub":                    {regions: []simRegion{{"north", 30, 6}, {"south", 2, 2}}},
-		"the instance itself ends": {regions: threeRegions, ends: true},
+		"small domains":             {regions: threeRegions},
+		"a hub":                     {regions: []simRegion{{"north", 30, 6}, {"south", 2, 2}}},
+		"the instance itself stops": {regions: threeRegions, ends: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runSimulation(t, 2, chatRoute, c.regions, func(s *simulation) {
@@ -79,7 +79,7 @@
 				s.sendLoad(100, 4*time.Second)
 				s.running.Wait()
 				if got := len(s.gotAt(engine, known)); got > 0 {
-					t.Errorf("%d requests reached an engine a second after it had told one instance that it leaves", got)
+					t.Errorf("%d requests reached an engine a second after it had reported to one instance that it is leaving", got)
 				}
 				s.checkAnswered(t, 0.01)
 			})
--- a/pkg/edge/limit_simulation_test.go
+++ b/pkg/edge/limit_simulation_test.go
@@ -66,7 +66,7 @@
 		s.running.Wait()
 		for engine, perSecond := range limits {
 			if most := s.engines[engine].maxInWindow(named.Add(propagationTime), time.Now()); most > allowedOf(perSecond) {
-				t.Errorf("%s, which takes %v a second, got %d in %v; allowed %d", s.engines[engine].id, perSecond, most, limitWindow, allowedOf(perSecond))
+				t.Errorf("%s, with a limit of %v a second, got %d in %v; allowed %d", s.engines[engine].id, perSecond, most, limitWindow, allowedOf(perSecond))
 			}
 		}
 	})
@@ -102,7 +102,7 @@
 						t.Errorf("at %v a second got %d in %v; allowed %d", rate, most, limitWindow, allowedOf(rate))
 					}
 					if got := len(s.gotAt(s.engines[n], named.Add(propagationTime))); rate > 0 && float64(got) < 0.25*rate*10 {
-						t.Errorf("at %v a second got %d in 10 s: what it takes is not used", rate, got)
+						t.Errorf("at %v a second got %d in 10 s: the limit is not used", rate, got)
 					}
 				}
 				s.checkAnswered(t, 0.1)
--- a/pkg/edge/poison_test.go
+++ b/pkg/edge/poison_test.go
@@ -54,13 +54,13 @@
 func (s *simulation) checkPoison(t *testing.T) {
 	t.Helper()
 	if sends := s.sendsAfterPropagation(poison); sends > crashesAllowed {
-		t.Errorf("sent %d times later than %v after the third end; %d engines ended", sends, propagationTime, len(s.crashes))
+		t.Errorf("sent %d times later than %v after the third crash; %d engines crashed", sends, propagationTime, len(s.crashes))
 	}
 	if refused := s.quarantinedInnocents(); refused > 0 {
 		t.Errorf("%d innocent requests quarantined", refused)
 	}
 	asked, unserved := s.countInnocents()
-	t.Logf("%d engines ended; %d of %d innocent requests not served", len(s.crashes), unserved, asked)
+	t.Logf("%d engines crashed; %d of %d innocent requests not served", len(s.crashes), unserved, asked)
 }
 
 // countInnocents counts the innocent requests, and those that were not served.
@@ -109,11 +109,11 @@
 		route   httproute.Route
 		regions []simRegion
 	}{
-		"it may be repeated":             {repeated, threeRegions},
-		"it may be resumed":              {resumed, threeRegions},
-		"it is bound to a region":        {bound, threeRegions},
-		"the region learns through hubs": {chatRoute, []simRegion{{"north", 14, 9}, {"south", 8, 6}}},
-		"one instance serves all":        {chatRoute, []simRegion{{"north", 1, 5}}},
+		"it may be repeated":               {repeated, threeRegions},
+		"it may be resumed":                {resumed, threeRegions},
+		"it is bound to a region":          {bound, threeRegions},
+		"observations spread through hubs": {chatRoute, []simRegion{{"north", 14, 9}, {"south", 8, 6}}},
+		"one instance serves all":          {chatRoute, []simRegion{{"north", 1, 5}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runSimulation(t, 2, c.route, c.regions, func(s *simulation) {
--- a/pkg/edge/random_simulation_test.go
+++ b/pkg/edge/random_simulation_test.go
@@ -106,7 +106,7 @@
 		r.restart(i)
 		r.disturbedAt = append(r.disturbedAt, time.Now())
 	case 1:
-		r.logf("cut off %s", i.Name)
+		r.logf("partition %s", i.Name)
 		r.network.setPartitioned(i.Name, true)
 		r.runLoad(time.Duration(1+r.random.IntN(5)) * time.Second)
 		r.network.setPartitioned(i.Name, false)
@@ -116,7 +116,7 @@
 		r.restartAll()
 		r.disturbedAt = append(r.disturbedAt, time.Now())
 	case 3:
-		r.logf("the store is away")
+		r.logf("the store is unavailable")
 		r.store.setUnavailable(true)
 		r.runLoad(time.Duration(1+r.random.IntN(5)) * time.Second)
 		r.store.setUnavailable(false)
@@ -130,11 +130,11 @@
 	e := r.engines[r.stateRandom.IntN(len(r.engines))]
 	switch r.stateRandom.IntN(3) {
 	case 0:
-		r.logf("%s says that it leaves", e.address)
+		r.logf("%s reports that it is leaving", e.address)
 		e.setLeaving()
 	case 1:
 		asks := time.Duration(500+r.stateRandom.IntN(8000)) * time.Millisecond
-		r.logf("%s asks for %v of rest", e.address, asks)
+		r.logf("%s asks for a backoff of %v", e.address, asks)
 		e.rejectRequests(time.Duration(100+r.stateRandom.IntN(1500))*time.Millisecond, asks, "")
 	}
 }
@@ -148,15 +148,15 @@
 		for _, a := range e.sentAfterLeaving() {
 			if !r.disturbedBetween(e.leavingReportedAt[a.from], a.at) {
 				late++
-				r.logf("%s got %q from %s at %s, %v after its word", e.address, a.body, a.from, a.at.Format("05.000"), a.at.Sub(e.leavingReportedAt[a.from]))
+				r.logf("%s got %q from %s at %s, %v after its report", e.address, a.body, a.from, a.at.Format("05.000"), a.at.Sub(e.leavingReportedAt[a.from]))
 			}
 		}
 		if late > 0 {
-			t.Errorf("%s got %d requests from instances to which it had said that it leaves", e.address, late)
+			t.Errorf("%s got %d requests from instances to which it had reported that it is leaving", e.address, late)
 		}
 		for _, backoff := range e.backoffs {
 			if got := len(r.sentInBackoff(backoff)); got > allowedInBackoff && !r.disturbedBetween(backoff.at, backoff.at.Add(backoff.length)) {
-				t.Errorf("%s got %d requests from %s within %v of rest", backoff.engine, got, backoff.instance, backoff.length)
+				t.Errorf("%s got %d requests from %s within a backoff of %v", backoff.engine, got, backoff.instance, backoff.length)
 			}
 		}
 	}
@@ -216,7 +216,7 @@
 			}
 		}
 		if sends > crashesAllowed {
-			t.Errorf("%s was sent %d times later than %v after its third end; %d ends", body, sends, propagationTime, len(ends))
+			t.Errorf("%s was sent %d times later than %v after its third crash; %d crashes", body, sends, propagationTime, len(ends))
 		}
 	}
 	for _, period := range r.limits {
@@ -253,7 +253,7 @@
 			largest = max(largest, last-first+1)
 		}
 		if largest > allowedOf(period.perSecond) {
-			t.Errorf("%s takes %v a second and got %d in %v; allowed %d", start, period.perSecond, largest, limitWindow, allowedOf(period.perSecond))
+			t.Errorf("%s has a limit of %v a second and got %d in %v; allowed %d", start, period.perSecond, largest, limitWindow, allowedOf(period.perSecond))
 		}
 	}
 }
--- a/pkg/edge/region_cut_test.go
+++ b/pkg/edge/region_cut_test.go
@@ -94,7 +94,7 @@
 				}
 			}
 			if questions == 0 || questions > 2*maxQueriesPerSecond {
-				t.Errorf("%s was asked %d times in two seconds, allowed 1 to %d", e.id, questions, 2*maxQueriesPerSecond)
+				t.Errorf("%s was queried %d times in two seconds, allowed 1 to %d", e.id, questions, 2*maxQueriesPerSecond)
 			}
 		}
 		s.checkAnsweredSince(t, from)
@@ -124,7 +124,7 @@
 			most = max(most, maxInASecond(questions))
 		}
 		if most == 0 || most > maxQueriesPerSecond {
-			t.Errorf("an upstream was asked %d times in a second, allowed 1 to %d", most, maxQueriesPerSecond)
+			t.Errorf("an upstream was queried %d times in a second, allowed 1 to %d", most, maxQueriesPerSecond)
 		}
 		s.checkAnsweredSince(t, lost)
 	})
--- a/pkg/edge/request_log_test.go
+++ b/pkg/edge/request_log_test.go
@@ -42,7 +42,7 @@
 		h.ask(http.MethodGet, "/r/", "")
 		return h.edge.tracker.Load("u-0").Ejected
 	})
-	h.eventually("it is logged", func() bool {
+	h.eventually("the ejection is logged", func() bool {
 		return len(h.lines.With("event=upstream-ejected", "upstream=u-0", "failures=3", "for_ms=2000")) == 1
 	})
 }
--- a/pkg/edge/start_test.go
+++ b/pkg/edge/start_test.go
@@ -23,7 +23,7 @@
 	config := h.edge.board.Routes.Load()
 	h.edge.board.Routes.Store(nil)
 	replies := h.askPending()
-	h.eventually("it waits", func() bool { return h.edge.active.Load() == 1 })
+	h.eventually("the request waits", func() bool { return h.edge.active.Load() == 1 })
 	h.edge.board.Routes.Store(config)
 	h.is.Equal((<-replies).status, http.StatusOK)
 }
@@ -48,7 +48,7 @@
 	h.edge.board.Fleet.Store(view)
 	h.is.True(h.edge.gossip.Unheard())
 	replies := h.askPending()
-	h.eventually("it waits for the other region", func() bool { return h.edge.active.Load() == 1 })
+	h.eventually("the request waits for the other region", func() bool { return h.edge.active.Load() == 1 })
 	empty := &fleet.View{}
 	empty.Index()
 	h.edge.board.Fleet.Store(empty)
--- a/pkg/edge/stream_scenario_test.go
+++ b/pkg/edge/stream_scenario_test.go
@@ -149,7 +149,7 @@
 				is.True(instance.pulses.isUnresponsive(engine, d.now))
 			}
 		}
-		t.Logf("seed %d: known to all after %v", seed, slowest)
+		t.Logf("seed %d: detected by all after %v", seed, slowest)
 		is.True(slowest < 700*time.Millisecond)
 	}
 }
--- a/pkg/edge/suspicion_test.go
+++ b/pkg/edge/suspicion_test.go
@@ -49,7 +49,7 @@
 // half a second of the first.
 func (h *harness) countAnswered() int {
 	h.Helper()
-	h.eventually("it is reached again", func() bool { return h.ask(http.MethodGet, "/r/", "").status == http.StatusOK })
+	h.eventually("the upstream is reached again", func() bool { return h.ask(http.MethodGet, "/r/", "").status == http.StatusOK })
 	answered := 1
 	for end := time.Now().Add(500 * time.Millisecond); time.Now().Before(end); {
 		if h.ask(http.MethodGet, "/r/", "").status == http.StatusOK {
--- a/pkg/edge/uncertain_cold_test.go
+++ b/pkg/edge/uncertain_cold_test.go
@@ -90,7 +90,7 @@
 		}
 	}
 	if got < 160 {
-		t.Errorf("the engines got %d requests in a second after they were warm again, of 180 that were asked", got)
+		t.Errorf("the engines got %d requests in a second after they were warm again, of 180 that were sent", got)
 	}
 }
 
--- a/pkg/edge/unresponsive_test.go
+++ b/pkg/edge/unresponsive_test.go
@@ -92,7 +92,7 @@
 	})
 	close(enough)
 	answers.Wait()
-	h.eventually("the engine is found dark", func() bool { return h.lines.Has("upstream-dark") })
+	h.eventually("the engine is found unresponsive", func() bool { return h.lines.Has("upstream-dark") })
 	arrived := fallSilent.arrivals.Load()
 	for range 20 {
 		ask()
