--- a/pkg/edge/backoff_test.go
+++ b/pkg/edge/backoff_test.go
@@ -93,11 +93,11 @@
 		s.running.Wait()
 		s.checkBackoffs(t)
 		for _, e := range s.engines[:5] {
-			for _, rest := range e.backoffs {
+			for _, backoff := range e.backoffs {
 				for _, other := range e.backoffs {
-					apart := other.at.Sub(rest.at)
-					if rest.instance == other.instance && apart > backoffInFlightTime && apart < length {
-						t.Errorf("%s rejected %s again %v after it had asked it for a backoff of %v", e.id, rest.instance, apart, length)
+					gap := other.at.Sub(backoff.at)
+					if backoff.instance == other.instance && gap > backoffInFlightTime && gap < length {
+						t.Errorf("%s rejected %s again %v after it had asked it for a backoff of %v", e.id, backoff.instance, gap, length)
 					}
 				}
 			}
@@ -116,10 +116,10 @@
 		s.sendLoad(60, 500*time.Millisecond)
 		s.running.Wait()
 		asked := time.Now()
-		told := s.exchange(s.instances[0], "id", "question")
-		s.is.Equal(told.status, http.StatusServiceUnavailable)
+		got := s.exchange(s.instances[0], "id", "question")
+		s.is.Equal(got.status, http.StatusServiceUnavailable)
 		s.is.True(time.Since(asked) < 10*time.Millisecond)
-		seconds, err := strconv.ParseFloat(told.header.Get("Retry-After"), 64)
+		seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 		s.is.NoErr(err)
 		s.is.True(seconds > 2 && seconds < 3)
 		clock.Sleep(s.Context(), time.Duration(seconds*float64(time.Second)))
@@ -146,8 +146,8 @@
 // TestUpstreamInBackoffGetsNoStatusQuery guards against status queries of any kind to an upstream
 // in backoff.
 func TestUpstreamInBackoffGetsNoStatusQuery(t *testing.T) {
-	const rest = 300 * time.Millisecond
-	for name, doubt := range map[string]func(h *harness, known *fleet.Upstream){
+	const backoff = 300 * time.Millisecond
+	for name, cause := range map[string]func(h *harness, known *fleet.Upstream){
 		"it may have restarted": func(h *harness, known *fleet.Upstream) { h.edge.suspicions.raise(known.ID, true, time.Now()) },
 		"it may be cold":        func(_ *harness, known *fleet.Upstream) { known.Missing = time.Now() },
 	} {
@@ -156,9 +156,9 @@
 			h := newHarness(t, safeRoute, u)
 			known, service := &h.edge.board.Fleet.Load().Upstreams[0], h.edge.board.Routes.Load().Service(testService)
 			known.Began, service.ColdRate = 1000, coldRate
-			h.edge.tracker.AskRest(known.ID, rest)
-			doubt(h, known)
-			for end := time.Now().Add(rest / 2); time.Now().Before(end); {
+			h.edge.tracker.AskRest(known.ID, backoff)
+			cause(h, known)
+			for end := time.Now().Add(backoff / 2); time.Now().Before(end); {
 				h.is.True(h.edge.mayBeCold(known, service))
 			}
 			h.is.Equal(u.arrivals.Load(), int32(0))
--- a/pkg/edge/call.go
+++ b/pkg/edge/call.go
@@ -199,20 +199,20 @@
 		return c.relayLongAnswer(ctx, answer, body)
 	}
 	c.complete = true
-	whole := &bufferedAnswer{status: answer.Status, header: c.dialect.Answer(answer.Header), body: body}
+	complete := &bufferedAnswer{status: answer.Status, header: c.dialect.Answer(answer.Header), body: body}
 	if answer.Status >= http.StatusInternalServerError && c.route.Repeatable() {
-		c.upstreamFailure = whole
+		c.upstreamFailure = complete
 		c.err = &invalidAnswerError{problem: fmt.Sprintf("the upstream answered %d", answer.Status)}
 		c.lastError = c.err
 		c.logFailedAttempt(false)
 		return broken
 	}
-	return c.deliver(whole)
+	return c.deliver(complete)
 }
 
 // deliver passes on an answer that is in memory.
-func (c *job) deliver(whole *bufferedAnswer) result {
-	if err := c.writer.writeAnswer(whole); err != nil {
+func (c *job) deliver(answer *bufferedAnswer) result {
+	if err := c.writer.writeAnswer(answer); err != nil {
 		return callerGone
 	}
 	return done
--- a/pkg/edge/edge_test.go
+++ b/pkg/edge/edge_test.go
@@ -132,13 +132,13 @@
 // TestForwardedRequestUsesNoMoreThanTheGrantedAttempts guards against counting attempts per
 // instance instead of over all instances on the path of a request.
 func TestForwardedRequestUsesNoMoreThanTheGrantedAttempts(t *testing.T) {
-	for _, lent := range []int{1, 2} {
-		t.Run(fmt.Sprint(lent), func(t *testing.T) {
+	for _, granted := range []int{1, 2} {
+		t.Run(fmt.Sprint(granted), func(t *testing.T) {
 			u, arrivals := upstreamPair(t, respond(http.StatusInternalServerError, "broken"))
 			h := newHarness(t, safeRoute, u...)
-			got := h.askAt(h.peers.URL, http.MethodGet, "/r/", "", header.Attempts, fmt.Sprint(lent))
+			got := h.askAt(h.peers.URL, http.MethodGet, "/r/", "", header.Attempts, fmt.Sprint(granted))
 			h.is.Equal(got.status, http.StatusInternalServerError)
-			h.is.Equal(arrivals(), lent)
+			h.is.Equal(arrivals(), granted)
 		})
 	}
 }
@@ -416,15 +416,15 @@
 // TestUnreachableUpstreamBacksOff guards against an unreachable upstream that costs each
 // following request an attempt.
 func TestUnreachableUpstreamBacksOff(t *testing.T) {
-	gone := newUpstream(t, nil)
+	unreachable := newUpstream(t, nil)
 	u := newUpstream(t, respond(http.StatusOK, "ok"))
-	h := newHarness(t, unsafeRoute, gone, u)
-	h.is.NoErr(gone.listener.Close())
+	h := newHarness(t, unsafeRoute, unreachable, u)
+	h.is.NoErr(unreachable.listener.Close())
 	for range 10 {
 		h.is.Equal(h.ask(http.MethodPost, "/r/", "x").status, http.StatusOK)
 	}
-	resting := h.edge.tracker.Load("u-0").Rest > 0
-	h.is.True(resting || u.arrivals.Load() == 10)
+	backingOff := h.edge.tracker.Load("u-0").Rest > 0
+	h.is.True(backingOff || u.arrivals.Load() == 10)
 }
 
 // TestFailingUpstreamsAreEjected checks that the ejector's pools follow the fleet.
--- a/pkg/edge/job.go
+++ b/pkg/edge/job.go
@@ -128,9 +128,9 @@
 		if next == nil {
 			return j.finalRefusal(refusal)
 		}
-		began := j.now()
+		start := j.now()
 		ended := j.attempt(ctx, next)
-		j.counts.attemptEnded(next, ended, j.now().Sub(began))
+		j.counts.attemptEnded(next, ended, j.now().Sub(start))
 		switch ended {
 		case done, callerGone:
 			return nil
--- a/pkg/edge/leaving_test.go
+++ b/pkg/edge/leaving_test.go
@@ -17,7 +17,7 @@
 func (e *simEngine) sentAfterLeaving() []arrival {
 	var late []arrival
 	for _, a := range e.sent("", time.Time{}) {
-		if told, leaves := e.leavingReportedAt[a.from]; leaves && a.engine == e.id && a.at.Sub(told) > inFlightTime {
+		if reported, leaving := e.leavingReportedAt[a.from]; leaving && a.engine == e.id && a.at.Sub(reported) > inFlightTime {
 			late = append(late, a)
 		}
 	}
@@ -65,20 +65,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runSimulation(t, 2, chatRoute, c.regions, func(s *simulation) {
-				engine, hears := s.engines[1], s.instances[1]
-				engine.setLeaving(hears.Name)
-				for engine.firstLeavingReport(hears.Name).IsZero() {
-					s.askAt(hears, "question")
+				engine, reporter := s.engines[1], s.instances[1]
+				engine.setLeaving(reporter.Name)
+				for engine.firstLeavingReport(reporter.Name).IsZero() {
+					s.askAt(reporter, "question")
 					clock.Sleep(s.Context(), 20*time.Millisecond)
 				}
 				if c.ends {
-					s.restart(hears)
+					s.restart(reporter)
 				}
 				clock.Sleep(s.Context(), time.Second)
-				known := time.Now()
+				settled := time.Now()
 				s.sendLoad(100, 4*time.Second)
 				s.running.Wait()
-				if got := len(s.gotAt(engine, known)); got > 0 {
+				if got := len(s.gotAt(engine, settled)); got > 0 {
 					t.Errorf("%d requests reached an engine a second after it had reported to one instance that it is leaving", got)
 				}
 				s.checkAnswered(t, 0.01)
@@ -91,18 +91,18 @@
 // another instance confirms it, and against one that instances behind a partition never receive.
 func TestPartitionedInstanceHonoursALeavingReport(t *testing.T) {
 	runSimulation(t, 3, chatRoute, threeRegions, func(s *simulation) {
-		engine, apart := s.engines[0], s.instances[0]
-		s.network.setPartitioned(apart.Name, true)
+		engine, partitioned := s.engines[0], s.instances[0]
+		s.network.setPartitioned(partitioned.Name, true)
 		clock.Sleep(s.Context(), 3*time.Second)
-		engine.setLeaving(apart.Name)
-		s.every(10*time.Millisecond, 4*time.Second, func() { s.askAt(apart, "question") })
+		engine.setLeaving(partitioned.Name)
+		s.every(10*time.Millisecond, 4*time.Second, func() { s.askAt(partitioned, "question") })
 		s.checkSentAfterLeaving(t, engine)
-		s.network.setPartitioned(apart.Name, false)
+		s.network.setPartitioned(partitioned.Name, false)
 		clock.Sleep(s.Context(), 5*time.Second)
-		healed := time.Now()
+		reconnected := time.Now()
 		s.sendLoad(100, 3*time.Second)
 		s.running.Wait()
-		s.is.Equal(len(s.gotAt(engine, healed)), 0)
+		s.is.Equal(len(s.gotAt(engine, reconnected)), 0)
 	})
 }
 
@@ -131,10 +131,10 @@
 		s.sendLoad(60, 2*time.Second)
 		s.running.Wait()
 		asked := time.Now()
-		told := s.exchange(s.instances[0], "id", "question")
-		s.is.Equal(told.status, http.StatusServiceUnavailable)
+		got := s.exchange(s.instances[0], "id", "question")
+		s.is.Equal(got.status, http.StatusServiceUnavailable)
 		s.is.True(time.Since(asked) < 10*time.Millisecond)
-		s.is.True(told.header.Get("Retry-After") != "")
+		s.is.True(got.header.Get("Retry-After") != "")
 		s.checkSentAfterLeaving(t, s.engines...)
 	})
 }
--- a/pkg/edge/limit_simulation_test.go
+++ b/pkg/edge/limit_simulation_test.go
@@ -24,8 +24,8 @@
 func (e *simEngine) maxInWindow(from, until time.Time) int {
 	var times []time.Time
 	for _, a := range e.sent("", from) {
-		since, told := e.limitReportedAt[a.from]
-		if a.engine == e.id && a.at.Before(until) && told && a.at.Sub(since) >= limitSettleTime {
+		since, knew := e.limitReportedAt[a.from]
+		if a.engine == e.id && a.at.Before(until) && knew && a.at.Sub(since) >= limitSettleTime {
 			times = append(times, a.at)
 		}
 	}
@@ -126,8 +126,8 @@
 func (s *simulation) checkAnswered(t *testing.T, unserved float64) {
 	t.Helper()
 	failed := 0
-	for _, told := range s.answers {
-		if told.err != nil || told.status != http.StatusOK {
+	for _, answer := range s.answers {
+		if answer.err != nil || answer.status != http.StatusOK {
 			failed++
 		}
 	}
@@ -208,10 +208,10 @@
 		named := time.Now()
 		for n := range 100 {
 			asked := time.Now()
-			told := s.exchange(s.instances[n%3], fmt.Sprint("id-", n), "question")
-			if told.status == http.StatusServiceUnavailable {
+			got := s.exchange(s.instances[n%3], fmt.Sprint("id-", n), "question")
+			if got.status == http.StatusServiceUnavailable {
 				s.is.True(time.Since(asked) < 10*time.Millisecond)
-				seconds, err := strconv.ParseFloat(told.header.Get("Retry-After"), 64)
+				seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 				s.is.NoErr(err)
 				s.is.True(seconds > 0 && seconds <= 2) // each instance has a share of 2 a second
 			}
--- a/pkg/edge/metrics.go
+++ b/pkg/edge/metrics.go
@@ -56,7 +56,7 @@
 		return
 	}
 	c.series.Latency("requests.ms", route).Add(took)
-	c.series.Latency("requests.first.ms", route).Add(j.writer.firstPartAt.Sub(j.started))
+	c.series.Latency("requests.first.ms", route).Add(j.writer.firstByteAt.Sub(j.started))
 }
 
 // attemptEnded counts the end of an attempt at an upstream or another instance.
--- a/pkg/edge/poison_test.go
+++ b/pkg/edge/poison_test.go
@@ -65,12 +65,12 @@
 
 // countInnocents counts the innocent requests, and those that were not served.
 func (s *simulation) countInnocents() (asked, unserved int) {
-	for _, told := range s.answers {
-		if strings.HasPrefix(told.body, poison) {
+	for _, answer := range s.answers {
+		if strings.HasPrefix(answer.body, poison) {
 			continue
 		}
 		asked++
-		if told.err != nil || told.status != http.StatusOK {
+		if answer.err != nil || answer.status != http.StatusOK {
 			unserved++
 		}
 	}
@@ -80,8 +80,8 @@
 // quarantinedInnocents counts the innocent requests that were refused as quarantined.
 func (s *simulation) quarantinedInnocents() int {
 	refused := 0
-	for _, told := range s.answers {
-		if told.reason == string(outcome.ReasonQuarantined) && !strings.HasPrefix(told.body, poison) {
+	for _, answer := range s.answers {
+		if answer.reason == string(outcome.ReasonQuarantined) && !strings.HasPrefix(answer.body, poison) {
 			refused++
 		}
 	}
@@ -169,16 +169,16 @@
 // only its own observations, and sends the request on once the partition ends.
 func TestPartitionedInstanceLearnsQuarantinesOnceReconnected(t *testing.T) {
 	runSimulation(t, 10, chatRoute, threeRegions, func(s *simulation) {
-		apart := s.instances[0]
-		s.network.setPartitioned(apart.Name, true)
+		partitioned := s.instances[0]
+		s.network.setPartitioned(partitioned.Name, true)
 		clock.Sleep(s.Context(), 4*time.Second)
 		s.runPoisonLoad(10*time.Second, 4)
-		s.network.setPartitioned(apart.Name, false)
+		s.network.setPartitioned(partitioned.Name, false)
 		clock.Sleep(s.Context(), propagationTime)
-		healed := time.Now()
+		reconnected := time.Now()
 		s.runPoisonLoad(10*time.Second, 2)
 		s.is.True(len(s.crashes) <= 3*crashesAllowed) // by the connected ones, by the partitioned one, and in flight
-		s.is.Equal(len(s.sent(poison, healed)), 0)
+		s.is.Equal(len(s.sent(poison, reconnected)), 0)
 	})
 }
 
--- a/pkg/edge/random_simulation_test.go
+++ b/pkg/edge/random_simulation_test.go
@@ -133,9 +133,9 @@
 		r.logf("%s reports that it is leaving", e.address)
 		e.setLeaving()
 	case 1:
-		asks := time.Duration(500+r.stateRandom.IntN(8000)) * time.Millisecond
-		r.logf("%s asks for a backoff of %v", e.address, asks)
-		e.rejectRequests(time.Duration(100+r.stateRandom.IntN(1500))*time.Millisecond, asks, "")
+		retryAfter := time.Duration(500+r.stateRandom.IntN(8000)) * time.Millisecond
+		r.logf("%s asks for a backoff of %v", e.address, retryAfter)
+		e.rejectRequests(time.Duration(100+r.stateRandom.IntN(1500))*time.Millisecond, retryAfter, "")
 	}
 }
 
@@ -205,18 +205,18 @@
 
 func (r *randomSimulation) check(t *testing.T) {
 	t.Helper()
-	for body, ends := range r.crashesByBody {
-		if len(ends) < crashesAllowed {
+	for body, crashes := range r.crashesByBody {
+		if len(crashes) < crashesAllowed {
 			continue
 		}
 		sends := 0
-		for _, a := range r.sent(body, ends[crashesAllowed-1].Add(propagationTime)) {
+		for _, a := range r.sent(body, crashes[crashesAllowed-1].Add(propagationTime)) {
 			if a.body == body && r.undisturbed(a.at) {
 				sends++
 			}
 		}
 		if sends > crashesAllowed {
-			t.Errorf("%s was sent %d times later than %v after its third crash; %d crashes", body, sends, propagationTime, len(ends))
+			t.Errorf("%s was sent %d times later than %v after its third crash; %d crashes", body, sends, propagationTime, len(crashes))
 		}
 	}
 	for _, period := range r.limits {
--- a/pkg/edge/region_cut_test.go
+++ b/pkg/edge/region_cut_test.go
@@ -47,8 +47,8 @@
 		s.askNorth(5 * time.Second)
 		s.running.Wait()
 		unserved := 0
-		for _, told := range s.answers[from:] {
-			if told.err != nil || told.status != 200 {
+		for _, answer := range s.answers[from:] {
+			if answer.err != nil || answer.status != 200 {
 				unserved++
 			}
 		}
@@ -87,14 +87,14 @@
 		s.every(time.Second/800, 2*time.Second, ask)
 		s.running.Wait()
 		for _, e := range s.engines[:24] {
-			questions := 0
+			queries := 0
 			for _, a := range s.gotAt(e, from) {
 				if a.body == "" && a.at.Sub(from) < 2*time.Second {
-					questions++
+					queries++
 				}
 			}
-			if questions == 0 || questions > 2*maxQueriesPerSecond {
-				t.Errorf("%s was queried %d times in two seconds, allowed 1 to %d", e.id, questions, 2*maxQueriesPerSecond)
+			if queries == 0 || queries > 2*maxQueriesPerSecond {
+				t.Errorf("%s was queried %d times in two seconds, allowed 1 to %d", e.id, queries, 2*maxQueriesPerSecond)
 			}
 		}
 		s.checkAnsweredSince(t, from)
@@ -115,13 +115,13 @@
 		s.running.Wait()
 		most := 0
 		for _, e := range s.engines[:72] {
-			var questions []time.Time
+			var queries []time.Time
 			for _, a := range s.gotAt(e, lost) {
 				if a.body == "" {
-					questions = append(questions, a.at)
+					queries = append(queries, a.at)
 				}
 			}
-			most = max(most, maxInASecond(questions))
+			most = max(most, maxInASecond(queries))
 		}
 		if most == 0 || most > maxQueriesPerSecond {
 			t.Errorf("an upstream was queried %d times in a second, allowed 1 to %d", most, maxQueriesPerSecond)
@@ -136,12 +136,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	asked, unserved := 0, 0
-	for _, told := range s.answers {
-		if told.at.Before(from) {
+	for _, answer := range s.answers {
+		if answer.at.Before(from) {
 			continue
 		}
 		asked++
-		if told.err != nil || told.status != http.StatusOK {
+		if answer.err != nil || answer.status != http.StatusOK {
 			unserved++
 		}
 	}
--- a/pkg/edge/request_log.go
+++ b/pkg/edge/request_log.go
@@ -108,8 +108,8 @@
 // whose caller disconnected.
 func (j *job) logEnd(took time.Duration) {
 	first := noFirstByte
-	if !j.writer.firstPartAt.IsZero() {
-		first = j.writer.firstPartAt.Sub(j.started)
+	if !j.writer.firstByteAt.IsZero() {
+		first = j.writer.firstByteAt.Sub(j.started)
 	}
 	if first >= slowFirstByte || j.writer.status >= http.StatusInternalServerError || j.callerLeft() {
 		j.logDeferredSteps()
--- a/pkg/edge/request_log_test.go
+++ b/pkg/edge/request_log_test.go
@@ -67,8 +67,8 @@
 // TestDisconnectedCallerIsLoggedWithItsSteps guards against missing steps: for its caller the
 // request has failed.
 func TestDisconnectedCallerIsLoggedWithItsSteps(t *testing.T) {
-	gone := make(chan struct{})
-	h := newHarness(t, unsafeRoute, newUpstream(t, func(net.Conn, *http.Request) bool { <-gone; return false }))
+	hang := make(chan struct{})
+	h := newHarness(t, unsafeRoute, newUpstream(t, func(net.Conn, *http.Request) bool { <-hang; return false }))
 	h.goodSteps.off.Store(true)
 	ctx, leave := context.WithCancel(t.Context())
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, h.caller.URL+"/r/", nil)
@@ -89,7 +89,7 @@
 	})
 	h.is.Equal(len(h.lines.With("event=request-routed", "request=id-8", "at=")), 1)
 	<-ended
-	close(gone)
+	close(hang)
 }
 
 // TestRetriesOfARequestLogTheSameContent guards against logs in which a poison request cannot be
--- a/pkg/edge/sim_engine_test.go
+++ b/pkg/edge/sim_engine_test.go
@@ -231,7 +231,7 @@
 			e.crash(id, string(body))
 			return
 		}
-		if seconds, away := e.rejects(id, conn.RemoteAddr().String()); away {
+		if seconds, rejected := e.rejects(id, conn.RemoteAddr().String()); rejected {
 			writeResponse(conn, request, http.StatusServiceUnavailable, "Content-Length: 0\r\n", "", testNotRun+": 1", fmt.Sprintf("Retry-After: %g", seconds))
 			continue
 		}
--- a/pkg/edge/simulation_test.go
+++ b/pkg/edge/simulation_test.go
@@ -377,9 +377,9 @@
 	runSimulation(t, 1, route, threeRegions, func(s *simulation) {
 		s.every(100*time.Millisecond, 5*time.Second, func() { s.ask("question") })
 		s.running.Wait()
-		for _, told := range s.answers {
-			s.is.NoErr(told.err)
-			s.is.Equal(told.status, http.StatusOK)
+		for _, answer := range s.answers {
+			s.is.NoErr(answer.err)
+			s.is.Equal(answer.status, http.StatusOK)
 		}
 		s.is.Equal(len(s.answers), 50)
 		s.is.Equal(len(s.sent("question", time.Time{})), 50)
--- a/pkg/edge/suspicion.go
+++ b/pkg/edge/suspicion.go
@@ -181,9 +181,9 @@
 	return slices.MaxFunc(times, time.Time.Compare)
 }
 
-// noteTurnedCold records that an upstream of a failure domain has reported a cold state that was
+// recordTurnedCold records that an upstream of a failure domain has reported a cold state that was
 // not known.
-func (s *suspicions) noteTurnedCold(domain string, now time.Time) {
+func (s *suspicions) recordTurnedCold(domain string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.turnedCold[domain] = now
@@ -262,7 +262,7 @@
 	case reported.startTime > upstream.Began:
 		e.log.Warn().Str(event.KeyUpstream, upstream.ID).Int64(event.KeyBegan, reported.startTime).Msg(string(event.UpstreamReborn))
 	case reported.coldFor > 0 && !upstream.Cold(now):
-		e.suspicions.noteTurnedCold(upstream.Domain, now)
+		e.suspicions.recordTurnedCold(upstream.Domain, now)
 		e.log.Info().Str(event.KeyUpstream, upstream.ID).Int64(event.KeyForMS, reported.coldFor.Milliseconds()).Msg(string(event.UpstreamCold))
 	}
 }
--- a/pkg/edge/suspicion_test.go
+++ b/pkg/edge/suspicion_test.go
@@ -28,21 +28,21 @@
 // which has a known start time of 1000 and accepts connections again from now on.
 func newUnreachableHarness(t *testing.T, script script) (*harness, *upstream) {
 	t.Helper()
-	gone := newUpstream(t, nil)
-	h := newHarness(t, safeRoute, gone)
+	unreachable := newUpstream(t, nil)
+	h := newHarness(t, safeRoute, unreachable)
 	h.edge.startedAt = time.Now().Add(-time.Minute)
 	h.edge.board.Routes.Load().Service(testService).ColdRate = coldRate
 	view := h.edge.board.Fleet.Load()
 	view.Upstreams[0].Began = 1000
-	address := gone.listener.Addr().String()
-	h.is.NoErr(gone.listener.Close())
+	address := unreachable.listener.Addr().String()
+	h.is.NoErr(unreachable.listener.Close())
 	h.is.Equal(h.ask(http.MethodGet, "/r/", "").status, http.StatusServiceUnavailable)
 	listener, err := net.Listen("tcp", address)
 	h.is.NoErr(err)
-	back := &upstream{listener: listener, script: script}
+	restarted := &upstream{listener: listener, script: script}
 	t.Cleanup(func() { _ = listener.Close() })
-	go back.accept()
-	return h, back
+	go restarted.accept()
+	return h, restarted
 }
 
 // countAnswered counts the requests of a continuously sending caller that are answered within
@@ -63,8 +63,8 @@
 // store, which this instance may not have received: it still gives the former start time.
 func TestUpstreamRestartedDuringAPartitionIsTreatedAsCold(t *testing.T) {
 	h, _ := newUnreachableHarness(t, startedAt(2000))
-	bears := int(coldRate*h.edge.settings.Limits.ColdFactor + h.edge.settings.Limits.ColdSlack)
-	h.is.True(h.countAnswered() <= bears/minInstances)
+	allowed := int(coldRate*h.edge.settings.Limits.ColdFactor + h.edge.settings.Limits.ColdSlack)
+	h.is.True(h.countAnswered() <= allowed/minInstances)
 	h.is.True(h.lines.Has(string(event.UpstreamReborn), "began=2000"))
 }
 
--- a/pkg/edge/unresponsive_test.go
+++ b/pkg/edge/unresponsive_test.go
@@ -59,13 +59,13 @@
 	is := is.New(t)
 	hang, enough := make(chan struct{}), make(chan struct{})
 	t.Cleanup(func() { close(hang) })
-	fallSilent := newUpstream(t, func(conn net.Conn, request *http.Request) bool {
+	stalling := newUpstream(t, func(conn net.Conn, request *http.Request) bool {
 		writeResponse(conn, request, http.StatusOK, "Transfer-Encoding: chunked\r\n", "", "Content-Type: text/event-stream")
 		sendChunk(conn, "id: 1\ndata: piece\n\n")
 		<-hang
 		return false
 	})
-	sound := newUpstream(t, func(conn net.Conn, request *http.Request) bool {
+	healthy := newUpstream(t, func(conn net.Conn, request *http.Request) bool {
 		if request.Header.Get(testAfter) == "" {
 			<-enough
 			return sendEvents(1, 6, true)(conn, request)
@@ -73,7 +73,7 @@
 		is.Equal(request.Header.Get(testAfter), "1")
 		return sendEvents(2, 6, true)(conn, request)
 	})
-	h := newHarness(t, resumableRoute, fallSilent, sound)
+	h := newHarness(t, resumableRoute, stalling, healthy)
 	h.engine = &httproute.Engine{Slots: 4}
 	h.declare(2, resumableRoute)
 	go h.edge.watchStreams(t.Context())
@@ -85,17 +85,17 @@
 		is.Equal(strings.Count(got.body, "id:"), 6)
 	}
 	h.eventually("three streams at the engine", func() bool {
-		if fallSilent.arrivals.Load() < 3 {
+		if stalling.arrivals.Load() < 3 {
 			answers.Go(ask)
 		}
-		return fallSilent.arrivals.Load() >= 3
+		return stalling.arrivals.Load() >= 3
 	})
 	close(enough)
 	answers.Wait()
 	h.eventually("the engine is found unresponsive", func() bool { return h.lines.Has("upstream-dark") })
-	arrived := fallSilent.arrivals.Load()
+	arrived := stalling.arrivals.Load()
 	for range 20 {
 		ask()
 	}
-	is.Equal(fallSilent.arrivals.Load(), arrived)
+	is.Equal(stalling.arrivals.Load(), arrived)
 }
--- a/pkg/edge/writer.go
+++ b/pkg/edge/writer.go
@@ -19,8 +19,8 @@
 	// lastEvent is the ID of the last stream event that was passed on.
 	lastEvent string
 	bytes     int
-	// firstPartAt is the time at which the first part of the answer was passed on.
-	firstPartAt time.Time
+	// firstByteAt is the time at which the first part of the answer was passed on.
+	firstByteAt time.Time
 	now         func() time.Time
 }
 
@@ -34,7 +34,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	w.started, w.status = true, status
-	w.firstPartAt = w.now()
+	w.firstByteAt = w.now()
 	w.WriteHeader(status)
 	return nil
 }
