--- a/pkg/edge/attempt.go
+++ b/pkg/edge/attempt.go
@@ -9,7 +9,6 @@
 	"github.com/lilacweir/lilacweir/pkg/steer"
 )
 
-// attempt sends the request once.
 func (j *job) attempt(ctx context.Context, to *target) result {
 	if to.peer != nil {
 		return j.forward(ctx, to)
@@ -149,7 +148,6 @@
 	return max(1, j.service.MaxConnections/(j.regionInstances()+1))
 }
 
-// upstreamResult returns the attempt's result for the upstream's tracker.
 func (c *call) upstreamResult(ended result) limit.Result {
 	switch ended {
 	case done:
--- a/pkg/edge/backoff_test.go
+++ b/pkg/edge/backoff_test.go
@@ -55,7 +55,6 @@
 	})
 }
 
-// checkBackoffs checks that instances honoured the backoffs that engines asked for.
 func (s *simulation) checkBackoffs(t *testing.T) {
 	t.Helper()
 	for _, e := range s.engines {
@@ -65,8 +64,7 @@
 	}
 }
 
-// TestBackoffConcernsOnlyTheRejectedInstance guards against an upstream that rejects one instance
-// and loses the requests of all.
+// TestBackoffConcernsOnlyTheRejectedInstance guards against losing the requests of all instances.
 func TestBackoffConcernsOnlyTheRejectedInstance(t *testing.T) {
 	runSimulation(t, 2, chatRoute, threeRegions, func(s *simulation) {
 		s.sendLoad(100, 2*time.Second)
@@ -143,8 +141,7 @@
 	})
 }
 
-// TestUpstreamInBackoffGetsNoStatusQuery guards against status queries of any kind to an upstream
-// in backoff.
+// TestUpstreamInBackoffGetsNoStatusQuery covers the causes of status queries.
 func TestUpstreamInBackoffGetsNoStatusQuery(t *testing.T) {
 	const backoff = 300 * time.Millisecond
 	for name, cause := range map[string]func(h *harness, known *fleet.Upstream){
--- a/pkg/edge/call.go
+++ b/pkg/edge/call.go
@@ -34,8 +34,7 @@
 	// upstreams.
 	peer     bool
 	attempts int
-	// sent is the time at which the request was sent.
-	sent time.Time
+	sent     time.Time
 	// status is the status of the answer, zero if none arrived. complete is true once the whole
 	// answer was read.
 	status   int
@@ -45,7 +44,6 @@
 	err              error
 }
 
-// bufferedAnswer is a complete answer in memory.
 type bufferedAnswer struct {
 	status int
 	header http.Header
--- a/pkg/edge/crash_probe.go
+++ b/pkg/edge/crash_probe.go
@@ -84,10 +84,9 @@
 	})
 }
 
-// handleBrokenAnswer records that an attempt at an upstream ended without an answer. If the
-// upstream has crashed, the request is one of the possible causes. A request that is suspected
-// already waits for the result of the probe, since it must not be sent to the next upstream
-// before.
+// handleBrokenAnswer handles an attempt at an upstream that ended without an answer. If the
+// upstream has crashed, the request is a possible cause. A request that is already suspected
+// waits for the probe's result before it may be sent to the next upstream.
 func (j *job) handleBrokenAnswer(ctx context.Context, upstream *fleet.Upstream) {
 	request := j.fingerprint()
 	probe, fresh := j.crashProbes.join(upstream.ID, request, j.now())
--- a/pkg/edge/edge_test.go
+++ b/pkg/edge/edge_test.go
@@ -101,8 +101,8 @@
 	h.is.True(got.header.Get("Retry-After") != "0")
 }
 
-// TestRejectionAfterARunIsNotReportedAsNotRun guards against reporting a request as not run
-// although its first attempt may have run.
+// TestRejectionAfterARunIsNotReportedAsNotRun covers a request with a first attempt that may have
+// run.
 func TestRejectionAfterARunIsNotReportedAsNotRun(t *testing.T) {
 	u, _ := upstreamPair(t, firstThen(resetConnection, respond(http.StatusServiceUnavailable, "full", testNotRun+": 1")))
 	h := newHarness(t, safeRoute, u...)
@@ -208,7 +208,6 @@
 	h.is.Equal(h.ask(http.MethodPost, "/r/", "x").body, "to the end")
 }
 
-// sendEvents writes a stream's events, and then ends it or breaks the connection.
 func sendEvents(from, to int, whole bool) script {
 	return func(conn net.Conn, request *http.Request) bool {
 		writeResponse(conn, request, http.StatusOK, "Transfer-Encoding: chunked\r\n", "", "Content-Type: text/event-stream")
@@ -354,8 +353,6 @@
 	h.is.True(!h.edge.Ready())
 }
 
-// TestRosterOfARegionWithoutInstancesNamesPermittedRegions guards against directing callers to
-// regions that their host does not permit.
 func TestRosterOfARegionWithoutInstancesNamesPermittedRegions(t *testing.T) {
 	route := safeRoute
 	route.Homes = []string{"south", testRegion}
@@ -377,8 +374,8 @@
 }
 
 // TestRosterNamesTheRegionThatMostRoutesOfTheHostPermit guards against directing callers, while
-// all instances of a region restart in turn, to a region in which only a few of their requests
-// may be processed. Two further routes of the host exclude each other's regions.
+// all instances of a region restart in turn, to a region in which few of their requests may be
+// processed. Two further routes exclude each other's regions.
 func TestRosterNamesTheRegionThatMostRoutesOfTheHostPermit(t *testing.T) {
 	h := newHarness(t, safeRoute)
 	declared := func(prefix string, homes ...string) httproute.Route {
@@ -413,8 +410,7 @@
 	h.is.True(h.edge.admits(cold, service))
 }
 
-// TestUnreachableUpstreamBacksOff guards against an unreachable upstream that costs each
-// following request an attempt.
+// TestUnreachableUpstreamBacksOff guards against losing an attempt of each following request.
 func TestUnreachableUpstreamBacksOff(t *testing.T) {
 	unreachable := newUpstream(t, nil)
 	u := newUpstream(t, respond(http.StatusOK, "ok"))
@@ -481,7 +477,7 @@
 	h.is.Equal(len(h.lines.With("event=request-failed", "sends=2", "runs=2")), 1)
 }
 
-// TestRefusalNamesItsRequestWithoutAConfiguration checks the refusal and its log line.
+// TestRefusalNamesItsRequestWithoutAConfiguration also checks the log line.
 func TestRefusalNamesItsRequestWithoutAConfiguration(t *testing.T) {
 	h := newHarness(t, safeRoute)
 	h.edge.board.Routes.Store(nil)
--- a/pkg/edge/handler.go
+++ b/pkg/edge/handler.go
@@ -16,7 +16,6 @@
 	"github.com/lilacweir/lilacweir/pkg/steer"
 )
 
-// serveCaller serves a caller's request.
 func (e *Edge) serveCaller(w http.ResponseWriter, r *http.Request) { e.serve(w, r, false) }
 
 // servePeer serves a request that another instance has forwarded.
@@ -27,7 +26,7 @@
 const noConfigurationRetry = 300 * time.Millisecond
 
 // storeLostRetry replaces noConfigurationRetry while the store does not answer: outages last
-// seconds, and a caller that returns too soon has wasted a retry.
+// seconds, and an early retry is wasted.
 const storeLostRetry = 1200 * time.Millisecond
 
 // startRetry returns the Retry-After of an instance that cannot serve anything yet.
--- a/pkg/edge/harness_test.go
+++ b/pkg/edge/harness_test.go
@@ -31,7 +31,6 @@
 	"github.com/lilacweir/lilacweir/pkg/telemetry"
 )
 
-// testDialect is a Dialect for tests.
 type testDialect struct{}
 
 const (
@@ -291,7 +290,6 @@
 	h.edge.board.Routes.Store(config)
 }
 
-// reply is a caller's result.
 type reply struct {
 	status int
 	header http.Header
--- a/pkg/edge/identity_test.go
+++ b/pkg/edge/identity_test.go
@@ -20,7 +20,6 @@
 	otherKey = "key-of-dairy"
 )
 
-// organisations returns two organisations, each with a key.
 func organisations() []httproute.Organisation {
 	return []httproute.Organisation{
 		{Name: "mill", Keys: []httproute.KeyDigest{httproute.DigestKey(ownKey)}},
@@ -28,7 +27,6 @@
 	}
 }
 
-// newKeyedHarness returns a harness with callers that need keys.
 func newKeyedHarness(t *testing.T, route httproute.Route, upstreams ...*upstream) *harness {
 	t.Helper()
 	h := newHarness(t, route, upstreams...)
@@ -122,9 +120,8 @@
 	<-ended
 }
 
-// TestForwardedRequestNeedsAProofOfItsOrganisation checks that a forwarded request is accepted
-// only with a proof that its sender saw a key which is known here, for this request alone, and so
-// not from a caller that impersonates an instance.
+// TestForwardedRequestNeedsAProofOfItsOrganisation guards against callers that impersonate an
+// instance: the sender must prove, for this request alone, that it saw a key which is known here.
 func TestForwardedRequestNeedsAProofOfItsOrganisation(t *testing.T) {
 	u := newUpstream(t, respond(http.StatusOK, "fine"))
 	h := newKeyedHarness(t, httproute.Route{Kind: httproute.Safe, MaxAttempts: 1}, u)
@@ -226,7 +223,6 @@
 	grant.Return()
 }
 
-// TestDeclaredLimitsReachTheLimiter also checks the metrics.
 func TestDeclaredLimitsReachTheLimiter(t *testing.T) {
 	h := newKeyedHarness(t, httproute.Route{Kind: httproute.Safe, MaxAttempts: 1})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/pkg/edge/job.go
+++ b/pkg/edge/job.go
@@ -55,8 +55,7 @@
 	// upstreamFailure is an upstream's error answer. The caller gets it if no later attempt does
 	// better.
 	upstreamFailure *bufferedAnswer
-	// lastError is the cause of the last failed attempt.
-	lastError error
+	lastError       error
 	// deferredSteps holds steps that exceeded the log's budget.
 	deferredSteps []step
 }
@@ -93,7 +92,6 @@
 	return 1
 }
 
-// result is the result of an attempt.
 type result int
 
 const (
@@ -161,7 +159,6 @@
 	return nil
 }
 
-// retriesExhausted returns the refusal of a request that may not be sent again.
 func (j *job) retriesExhausted(detail string) *outcome.Refusal {
 	if j.runs > 0 {
 		return outcome.MayHaveRun(http.StatusBadGateway, outcome.ReasonUpstreamFailed, 0, detail)
@@ -169,7 +166,6 @@
 	return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded, steer.RetryAfter(j.now(), j.deadline), detail)
 }
 
-// deadlineExceeded returns the refusal of a request whose deadline has passed.
 func (j *job) deadlineExceeded() *outcome.Refusal {
 	if j.runs > 0 {
 		return outcome.MayHaveRun(http.StatusGatewayTimeout, outcome.ReasonDeadline, 0, "the time is over")
@@ -207,7 +203,6 @@
 	}
 }
 
-// next chooses the target of the next attempt.
 func (j *job) next() (*target, *outcome.Refusal) {
 	world := j.snapshots()
 	query := &steer.Request{
--- a/pkg/edge/leaving_test.go
+++ b/pkg/edge/leaving_test.go
@@ -24,8 +24,6 @@
 	return late
 }
 
-// checkSentAfterLeaving checks that engines got no requests after they reported that they are
-// leaving.
 func (s *simulation) checkSentAfterLeaving(t *testing.T, engines ...*simEngine) {
 	t.Helper()
 	for _, e := range engines {
@@ -36,8 +34,8 @@
 	}
 }
 
-// TestLeavingUpstreamGetsNoRequests guards against sending as before to an upstream that reports
-// in its answers that it is leaving, while its entry in the store is ready.
+// TestLeavingUpstreamGetsNoRequests guards against relying on the upstream's entry in the store,
+// which is still ready when its answers report that it is leaving.
 func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	runSimulation(t, 1, chatRoute, threeRegions, func(s *simulation) {
 		s.sendLoad(100, 3*time.Second)
--- a/pkg/edge/limit_simulation_test.go
+++ b/pkg/edge/limit_simulation_test.go
@@ -43,7 +43,6 @@
 	return int(limitOverage*perSecond*limitWindow.Seconds() + limitSlack)
 }
 
-// sendLoad sends a number of requests a second, each different.
 func (s *simulation) sendLoad(perSecond int, length time.Duration) {
 	n := 0
 	s.every(time.Second/time.Duration(perSecond), length, func() {
@@ -52,8 +51,8 @@
 	})
 }
 
-// TestUpstreamLimitIsEnforced guards against full load for an overloaded upstream that names the
-// number of requests a second which it accepts from all instances together.
+// TestUpstreamLimitIsEnforced guards against full load for an overloaded upstream that names a
+// limit for all instances together.
 func TestUpstreamLimitIsEnforced(t *testing.T) {
 	runSimulation(t, 1, chatRoute, threeRegions, func(s *simulation) {
 		limits := map[int]float64{0: 2.5, 5: 4.1, 6: 0.5} // one of north, two of middle
@@ -122,7 +121,6 @@
 	return got
 }
 
-// checkAnswered checks the share of callers that were not served.
 func (s *simulation) checkAnswered(t *testing.T, unserved float64) {
 	t.Helper()
 	failed := 0
@@ -163,8 +161,8 @@
 	})
 }
 
-// TestRestartedInstanceLearnsUpstreamLimits guards against a restarted instance that no longer
-// knows a limit and sends full load, and against a limit that only one instance knew.
+// TestRestartedInstanceLearnsUpstreamLimits guards against full load from a restarted instance,
+// and against losing a limit that only one instance knew.
 func TestRestartedInstanceLearnsUpstreamLimits(t *testing.T) {
 	runSimulation(t, 4, chatRoute, []simRegion{{"north", 7, 4}}, func(s *simulation) {
 		s.engines[0].setLimit("2.5")
@@ -182,7 +180,7 @@
 }
 
 // TestRestartedUpstreamAtTheSameAddressIsNotLimited guards against applying a limit to an
-// address: the restarted upstream names none.
+// address.
 func TestRestartedUpstreamAtTheSameAddressIsNotLimited(t *testing.T) {
 	runSimulation(t, 5, chatRoute, []simRegion{{"north", 3, 3}}, func(s *simulation) {
 		s.engines[0].setLimit("1")
--- a/pkg/edge/overload_test.go
+++ b/pkg/edge/overload_test.go
@@ -19,8 +19,6 @@
 	h.is.Equal(c.regionResult(done).String(), "succeeded")
 }
 
-// TestRefusalOfAForwardedRequestNamesItsReason checks the header that the forwarding instance
-// needs.
 func TestRefusalOfAForwardedRequestNamesItsReason(t *testing.T) {
 	h := newHarness(t, safeRoute)
 	reply := h.askAt(h.peers.URL, http.MethodGet, "/r/", "")
--- a/pkg/edge/poison_test.go
+++ b/pkg/edge/poison_test.go
@@ -50,7 +50,6 @@
 	s.running.Wait()
 }
 
-// checkPoison checks the results of the poison request and of the innocent ones.
 func (s *simulation) checkPoison(t *testing.T) {
 	t.Helper()
 	if sends := s.sendsAfterPropagation(poison); sends > crashesAllowed {
@@ -77,7 +76,6 @@
 	return asked, unserved
 }
 
-// quarantinedInnocents counts the innocent requests that were refused as quarantined.
 func (s *simulation) quarantinedInnocents() int {
 	refused := 0
 	for _, answer := range s.answers {
@@ -152,8 +150,8 @@
 	})
 }
 
-// TestRestartedInstanceLearnsQuarantines guards against an instance that restarts without the
-// quarantines and sends the request on.
+// TestRestartedInstanceLearnsQuarantines guards against an instance that sends the request on
+// after its restart.
 func TestRestartedInstanceLearnsQuarantines(t *testing.T) {
 	runSimulation(t, 5, chatRoute, threeRegions, func(s *simulation) {
 		s.runPoisonLoad(10*time.Second, 4)
@@ -166,7 +164,7 @@
 }
 
 // TestPartitionedInstanceLearnsQuarantinesOnceReconnected guards against an instance that knows
-// only its own observations, and sends the request on once the partition ends.
+// only its own observations and sends the request on.
 func TestPartitionedInstanceLearnsQuarantinesOnceReconnected(t *testing.T) {
 	runSimulation(t, 10, chatRoute, threeRegions, func(s *simulation) {
 		partitioned := s.instances[0]
@@ -202,7 +200,7 @@
 }
 
 // TestQuarantinesOutliveARestartOfAllInstances guards against running the request three more
-// times after an upgrade or a loss of power, when no instance is left that knew it.
+// times after an upgrade or a power loss.
 func TestQuarantinesOutliveARestartOfAllInstances(t *testing.T) {
 	runSimulation(t, 7, chatRoute, threeRegions, func(s *simulation) {
 		s.runPoisonLoad(10*time.Second, 4)
@@ -276,7 +274,6 @@
 	})
 }
 
-// clearAll clears all quarantines, as an operator does.
 func (s *simulation) clearAll(operator string) (cleared []quarantine.Fingerprint) {
 	for _, record := range s.instances[0].edge.board.Quarantined.Load().Records {
 		record.ClearedBy = operator
@@ -290,7 +287,6 @@
 	return cleared
 }
 
-// holding counts the instances that hold a request as quarantined.
 func (s *simulation) holding(request quarantine.Fingerprint) (holding int) {
 	for _, i := range s.instances {
 		if i.edge.quarantine.Held(request) {
@@ -325,7 +321,7 @@
 }
 
 // TestDeletedRecordDoesNotClearAQuarantine guards against running a request again because its
-// record was deleted from the store by anything else than a clearing.
+// record is gone from the store, whatever deleted it.
 func TestDeletedRecordDoesNotClearAQuarantine(t *testing.T) {
 	runSimulation(t, 14, chatRoute, threeRegions, func(s *simulation) {
 		s.runPoisonLoad(10*time.Second, 4)
--- a/pkg/edge/quarantine.go
+++ b/pkg/edge/quarantine.go
@@ -61,7 +61,6 @@
 	}
 }
 
-// logQuarantine logs a change of a request's state.
 func (e *Edge) logQuarantine(request quarantine.Fingerprint, change quarantine.Change) {
 	switch change {
 	case quarantine.Quarantined:
--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -194,7 +194,7 @@
 	}
 }
 
-// followQuarantines applies the store's quarantine records until ctx ends.
+// followQuarantines applies the store's records until ctx ends.
 func (e *Edge) followQuarantines(ctx context.Context) {
 	var known *quarantine.Stored
 	for {
--- a/pkg/edge/random_simulation_test.go
+++ b/pkg/edge/random_simulation_test.go
@@ -39,9 +39,8 @@
 	poison map[string]int
 	// disturbedAt are the times at which an instance lost or regained contact with the others.
 	disturbedAt []time.Time
-	// limits are the limits that engines named, in order.
-	limits []limitPeriod
-	notes  []string
+	limits      []limitPeriod
+	notes       []string
 }
 
 // limitPeriod is a time in which an engine named a limit.
@@ -83,7 +82,6 @@
 	r.notes = append(r.notes, time.Now().Format("05.000 ")+fmt.Sprintf(form, args...))
 }
 
-// runLoad sends callers' requests for a time.
 func (r *randomSimulation) runLoad(length time.Duration) {
 	n := 0
 	r.every(20*time.Millisecond, length, func() {
@@ -97,7 +95,6 @@
 	})
 }
 
-// disturb causes one disturbance.
 func (r *randomSimulation) disturb() {
 	i := r.instances[r.random.IntN(len(r.instances))]
 	switch r.random.IntN(5) {
@@ -139,8 +136,8 @@
 	}
 }
 
-// checkEngineStates checks the requests that engines got after they reported that they are
-// leaving, and during their backoffs, from instances that have not restarted since.
+// checkEngineStates checks that instances honoured reports of leaving and backoffs, unless they
+// have restarted since.
 func (r *randomSimulation) checkEngineStates(t *testing.T) {
 	t.Helper()
 	for _, e := range r.engines {
@@ -173,7 +170,6 @@
 	return false
 }
 
-// changeLimit makes an engine name another limit, or none.
 func (r *randomSimulation) changeLimit() {
 	e := r.engines[r.random.IntN(len(r.engines))]
 	for n := range r.limits {
--- a/pkg/edge/request_log.go
+++ b/pkg/edge/request_log.go
@@ -52,7 +52,6 @@
 	line.Msg(string(name))
 }
 
-// logDeferredSteps writes the deferred steps.
 func (j *job) logDeferredSteps() {
 	for _, held := range j.deferredSteps {
 		line := j.stepLog.Info().Str(event.KeyAt, held.at.UTC().Format(logging.TimeLayout))
@@ -119,7 +118,7 @@
 	j.logStep(event.RequestEnded, j.endFields(first, took))
 }
 
-// callerLeft reports whether the caller has closed its connection.
+// callerLeft reports whether the caller disconnected.
 func (j *job) callerLeft() bool { return j.request.Context().Err() != nil }
 
 // answeredOutcome returns the outcome of a request that was not refused.
@@ -182,7 +181,6 @@
 	}
 }
 
-// logEjection logs that an upstream is ejected or restored.
 func logEjection(log zerolog.Logger, change limit.Ejection) {
 	if change.For == 0 {
 		log.Info().Str(event.KeyUpstream, change.Upstream).Msg(string(event.UpstreamRestored))
--- a/pkg/edge/request_log_test.go
+++ b/pkg/edge/request_log_test.go
@@ -10,8 +10,6 @@
 	"github.com/lilacweir/lilacweir/pkg/fleet"
 )
 
-// TestStepsOfAFailedRequestAreLoggedOverBudget covers an exhausted budget for successful
-// requests.
 func TestStepsOfAFailedRequestAreLoggedOverBudget(t *testing.T) {
 	u, _ := upstreamPair(t, respond(http.StatusServiceUnavailable, "full", testNotRun+": 1"))
 	h := newHarness(t, unsafeRoute, u...)
--- a/pkg/edge/sim_engine_test.go
+++ b/pkg/edge/sim_engine_test.go
@@ -53,21 +53,19 @@
 	length   time.Duration
 }
 
-// setCold makes the engine cold for a time. Its entry does not reflect that yet.
+// setCold makes the engine cold. Its entry does not reflect that yet.
 func (e *simEngine) setCold(length time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.coldUntil = time.Now().Add(length)
 }
 
-// writeEntry updates the cold time in the engine's entry.
 func (e *simEngine) writeEntry() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.entryColdUntil = e.coldUntil
 }
 
-// coldLeft returns the remaining cold time.
 func (e *simEngine) coldLeft() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,8 +73,8 @@
 }
 
 // rejectRequests makes the engine reject requests from an instance (empty for all) with a
-// Retry-After, for a time that begins with the next such request. After it the engine serves
-// again, even within the backoff that it asked for.
+// Retry-After, for a time that begins with the next of them. After it the engine serves again,
+// whatever it has asked for.
 func (e *simEngine) rejectRequests(length, retryAfter time.Duration, instance string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -101,7 +99,7 @@
 	return e.retryAfterSeconds, true
 }
 
-// setLeaving makes the engine report from now on that it is leaving, to some instances or to all.
+// setLeaving makes the engine report that it is leaving, to some instances or to all.
 func (e *simEngine) setLeaving(to ...string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,16 +112,15 @@
 	}
 }
 
-// firstLeavingReport returns the time at which the engine first reported to an instance that it
-// is leaving, zero if it has not.
+// firstLeavingReport returns the time of the first such report to an instance, zero if there is
+// none.
 func (e *simEngine) firstLeavingReport(instance string) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leavingReportedAt[instance]
 }
 
-// reportsLeaving reports whether the engine's next answer to an instance reports that it is
-// leaving.
+// reportsLeaving reports whether the next answer to an instance is such a report.
 func (e *simEngine) reportsLeaving(instance string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -136,7 +133,6 @@
 	return true
 }
 
-// setLimit sets the limit that the engine names from now on, empty for none.
 func (e *simEngine) setLimit(limit string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -241,7 +237,6 @@
 	}
 }
 
-// answer streams events.
 func (e *simEngine) answer(conn net.Conn, request *http.Request, limit string) bool {
 	var fields []string
 	if limit != "" {
--- a/pkg/edge/sim_network_test.go
+++ b/pkg/edge/sim_network_test.go
@@ -13,8 +13,8 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// simNetwork connects processes in memory, so that a deployment of complete instances runs in
-// virtual time. Connections between regions are slow. An address without a listener refuses.
+// simNetwork connects processes in memory, so that a whole deployment runs in virtual time.
+// Connections between regions are slow. An address without a listener refuses.
 type simNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*simListener
@@ -38,23 +38,21 @@
 	}
 }
 
-// setRegion sets the region of an address.
 func (n *simNetwork) setRegion(address, region string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.regions[address] = region
 }
 
-// setPartitioned starts or ends a partition between a process and its peers, in which data sent
-// between them is lost.
+// setPartitioned starts or ends a partition between a process and its peers. Data sent between
+// them is lost.
 func (n *simNetwork) setPartitioned(name string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partitioned[name] = partitioned
 }
 
-// setRegionPartitioned starts or ends a partition between a region's processes and those of the
-// others.
+// setRegionPartitioned starts or ends a partition between a region and the others.
 func (n *simNetwork) setRegionPartitioned(region string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -126,7 +124,6 @@
 	return listener, nil
 }
 
-// simListener accepts the connections to one address.
 type simListener struct {
 	*simNetwork
 	owner, address string
@@ -200,7 +197,7 @@
 	return &halfConn{delay: delay, changed: make(chan struct{})}
 }
 
-// wakeReader wakes the reader. The caller holds s.mu.
+// wakeReader requires s.mu.
 func (s *halfConn) wakeReader() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/pkg/edge/sim_store_test.go
+++ b/pkg/edge/sim_store_test.go
@@ -24,13 +24,11 @@
 	// retained holds the entries from before the last restore. As in a replica of the real store,
 	// a newer one counts until its key is written.
 	retained map[string]storedValue
-	// revision is that of the last write.
 	revision int64
 	// epoch counts the restores from a copy.
 	epoch uint64
 }
 
-// storedValue is the value of a key, and the revision of its last write.
 type storedValue struct {
 	value    []byte
 	revision int64
@@ -42,14 +40,12 @@
 	s.restore(nil)
 }
 
-// snapshot returns a copy of the store's content.
 func (s *simStore) snapshot() map[string]storedValue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.values)
 }
 
-// clearedBy returns the operator or instance that cleared a request, by the store's record.
 func (s *simStore) clearedBy(request quarantine.Fingerprint) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +60,7 @@
 	s.publish()
 }
 
-// restore restores the store from a snapshot, and reports that to all instances.
+// restore restores the store from a snapshot and reports that.
 func (s *simStore) restore(image map[string]storedValue) {
 	s.mu.Lock()
 	s.epoch++
@@ -131,7 +127,6 @@
 // leaseTime is the time for which a leased key exists. No lease is renewed here.
 const leaseTime = 10 * time.Minute
 
-// expire deletes a leased key when its lease expires.
 func (s *simStore) expire(key string, revision int64) {
 	time.AfterFunc(leaseTime, func() {
 		s.mu.Lock()
@@ -148,7 +143,6 @@
 	s.unavailable = unavailable
 }
 
-// publish sends the store's content to all instances.
 func (s *simStore) publish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/edge/simulation_test.go
+++ b/pkg/edge/simulation_test.go
@@ -44,8 +44,7 @@
 	mu        sync.Mutex
 	instances []*simInstance
 	engines   []*simEngine
-	// arrivals are the requests that engines received, in order.
-	arrivals []arrival
+	arrivals  []arrival
 	// evacuated holds the failure domains with engines that must get no requests.
 	evacuated map[string]bool
 	// historyLost is the time at which a part of the store's history was last found to be lost.
@@ -67,18 +66,15 @@
 	stop context.CancelFunc
 	// ended is closed once the process has ended.
 	ended chan struct{}
-	// down is true while no process runs.
-	down bool
+	down  bool
 }
 
-// arrival is a request at an engine.
 type arrival struct {
 	at           time.Time
 	engine, from string
 	body         string
 }
 
-// callerAnswer is the answer to a caller.
 type callerAnswer struct {
 	at     time.Time
 	body   string
@@ -99,7 +95,6 @@
 	answerEvents  = 4
 )
 
-// simRegion is a region with its numbers of instances and engines.
 type simRegion struct {
 	name               string
 	instances, engines int
@@ -115,7 +110,7 @@
 }
 
 // runColdSimulation is runSimulation with engines that bear only coldRate requests a second while
-// they are cold.
+// cold.
 func runColdSimulation(t *testing.T, seed uint64, coldRate float64, route httproute.Route, regions []simRegion, test func(s *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -155,7 +150,6 @@
 	}
 }
 
-// start starts a process in an instance's slot.
 func (s *simulation) start(i *simInstance) {
 	settings := &Settings{
 		Instance: i.Name, FailureDomain: i.Domain, Region: i.Region,
@@ -214,7 +208,6 @@
 	}
 }
 
-// configure puts the simulation's route in force at an instance.
 func (s *simulation) configure(e *Edge) {
 	route := s.route
 	route.Name, route.Host, route.Prefix = "r", "world", "/r/"
@@ -225,7 +218,7 @@
 	e.board.Routes.Store(config)
 }
 
-// discover publishes the current engines and instances to all instances.
+// discover publishes the current engines and instances.
 func (s *simulation) discover() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -272,7 +265,7 @@
 	s.discover()
 }
 
-// tearDown stops all processes and waits for them, after a failed check as well.
+// tearDown stops all processes and waits for them.
 func (s *simulation) tearDown() {
 	s.running.Wait()
 	for _, i := range s.instances {
@@ -350,7 +343,6 @@
 	return reply{status: response.StatusCode, header: response.Header, body: string(data), err: err}
 }
 
-// every calls do at an interval until a time has passed.
 func (s *simulation) every(pause, length time.Duration, do func()) {
 	for end := time.Now().Add(length); time.Now().Before(end); clock.Sleep(s.Context(), pause) {
 		do()
--- a/pkg/edge/start_test.go
+++ b/pkg/edge/start_test.go
@@ -17,7 +17,7 @@
 }
 
 // TestRequestsDuringStartAreServedOnceConfigured guards against refusals after a restart of all
-// instances, when all callers return in the first half second with their last retry.
+// instances: callers return within half a second with their last retry.
 func TestRequestsDuringStartAreServedOnceConfigured(t *testing.T) {
 	h := newHarness(t, safeRoute, newUpstream(t, respond(http.StatusOK, "ok")))
 	config := h.edge.board.Routes.Load()
@@ -28,8 +28,6 @@
 	h.is.Equal((<-replies).status, http.StatusOK)
 }
 
-// TestUnconfiguredInstanceRefusesAfterTheStartWait guards against requests that wait longer than
-// the start of their instance.
 func TestUnconfiguredInstanceRefusesAfterTheStartWait(t *testing.T) {
 	h := newHarness(t, safeRoute)
 	h.edge.board.Routes.Store(nil)
--- a/pkg/edge/stream_scenario_test.go
+++ b/pkg/edge/stream_scenario_test.go
@@ -68,7 +68,6 @@
 	return d
 }
 
-// advance lets a time pass.
 func (d *streamScenario) advance(length time.Duration) {
 	for end := d.now.Add(length); d.now.Before(end); d.now = d.now.Add(scenarioStep) {
 		for _, stream := range d.streams {
@@ -100,7 +99,6 @@
 	instance.due = d.now.Add(max(scenarioRound, scenarioLag))
 }
 
-// detect looks for unresponsive engines from an instance.
 func (d *streamScenario) detect(instance *scenarioInstance) {
 	for _, engine := range d.engines {
 		flowing, silent := instance.pulses.count(engine, d.now)
@@ -124,7 +122,7 @@
 // detection when the machines of a zone lose power or network and close no connection. Two of
 // eight engines fail so, with about forty streams each, at sixty instances of which many have no
 // stream there. Keep-alive probes take three seconds, in which each engine is sent a few hundred
-// requests. Streams that the other engines preempt for a second make none of these unresponsive.
+// requests. Preempted streams of the other engines make none of these unresponsive.
 func TestUnresponsiveEnginesOfADomainAreDetectedByAllInstancesWithinASecond(t *testing.T) {
 	for seed := range uint64(3) {
 		is := is.New(t)
@@ -154,8 +152,8 @@
 	}
 }
 
-// TestTwoStalledStreamsMarkAnEngineUnresponsive covers a small deployment with few streams, in
-// which a single stalled stream may only have been preempted.
+// TestTwoStalledStreamsMarkAnEngineUnresponsive covers a deployment with few streams. A single
+// stalled one may only have been preempted.
 func TestTwoStalledStreamsMarkAnEngineUnresponsive(t *testing.T) {
 	is := is.New(t)
 	d := newStreamScenario(1, 3, 3, 5)
--- a/pkg/edge/suspicion.go
+++ b/pkg/edge/suspicion.go
@@ -30,11 +30,11 @@
 	defaultWarmUp = 10 * time.Second
 )
 
-// suspicions holds the upstreams that may be cold without this instance knowing it. They may have
+// suspicions holds the upstreams that may be cold without this instance knowing it: they may have
 // restarted under their names, since a connection failed and their entries in the store may be
-// stale, or the end of their cold time is uncertain. The load that they bear while warm would
-// overload them, so each gets no more than a cold upstream until it has answered a status query.
-// It is safe for concurrent use.
+// stale, or the end of their cold time is uncertain. The load of a warm upstream would overload
+// them, so each gets no more than a cold one until it has answered a status query. It is safe for
+// concurrent use.
 type suspicions struct {
 	mu   sync.Mutex
 	byID map[string]*suspicion
@@ -157,7 +157,6 @@
 	return check.now.Sub(s.spentAt) < check.warmUp
 }
 
-// countSend records a request that is sent to an upstream.
 func (s *suspicions) countSend(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/edge/uncertain_cold_test.go
+++ b/pkg/edge/uncertain_cold_test.go
@@ -15,8 +15,6 @@
 	coldTime = 3 * time.Second
 )
 
-// checkCold checks the requests that the engines of the first region got in any second of their
-// cold time.
 func (s *simulation) checkCold(t *testing.T, from time.Time) {
 	t.Helper()
 	for _, e := range s.engines[:5] {
--- a/pkg/edge/unresponsive.go
+++ b/pkg/edge/unresponsive.go
@@ -54,8 +54,7 @@
 // monitoredStream is one stream of an engine.
 type monitoredStream struct {
 	service string
-	// sent is the time at which the request was sent.
-	sent time.Time
+	sent    time.Time
 	// lastData is the arrival time of the last part of the answer, zero if none arrived.
 	lastData time.Time
 	// cancel ends the attempt, so that the request is resumed elsewhere, nil if that is not
@@ -85,7 +84,6 @@
 	}
 }
 
-// received records the arrival of a part of a stream.
 func (p *streamMonitor) received(stream *monitoredStream, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/edge/unresponsive_test.go
+++ b/pkg/edge/unresponsive_test.go
@@ -14,8 +14,6 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// TestEngineIsUnresponsiveWhenNoStreamFlows also checks that a single stalled stream is not
-// enough.
 func TestEngineIsUnresponsiveWhenNoStreamFlows(t *testing.T) {
 	is := is.New(t)
 	is.True(unresponsive(0, 2, peer.Load{}))
@@ -52,9 +50,9 @@
 	is.Equal(silent(time.Second), maxStallTime)
 }
 
-// TestStreamsOfAnUnresponsiveEngineAreResumedOnAnother starts three streams at an engine that
-// stops sending with its connections open. All are resumed on the other engine after what their
-// callers have, and the engine gets no new requests.
+// TestStreamsOfAnUnresponsiveEngineAreResumedOnAnother has three streams stall at an engine with
+// its connections open. All continue on the other engine after what their callers have, and the
+// engine gets no new requests.
 func TestStreamsOfAnUnresponsiveEngineAreResumedOnAnother(t *testing.T) {
 	is := is.New(t)
 	hang, enough := make(chan struct{}), make(chan struct{})
--- a/pkg/edge/upstream_limit.go
+++ b/pkg/edge/upstream_limit.go
@@ -25,7 +25,6 @@
 	}
 }
 
-// logLimit logs a limit that has changed.
 func (e *Edge) logLimit(upstream string) {
 	limited := e.upstreamLimits.Of(upstream)
 	e.counts.series.Gauge("upstream.limit.per_1000s", label(labelTarget, upstream)).Update(int64(limited.PerSecond * 1000))
--- a/pkg/edge/upstream_limit_test.go
+++ b/pkg/edge/upstream_limit_test.go
@@ -26,8 +26,7 @@
 	}
 }
 
-// TestUnreadableLimitKeepsTheKnownLimit guards against treating an invalid value as the end of a
-// limit.
+// TestUnreadableLimitKeepsTheKnownLimit guards against taking it for the end of a limit.
 func TestUnreadableLimitKeepsTheKnownLimit(t *testing.T) {
 	limits := []string{"1000", "many", ""}
 	n := -1
@@ -45,7 +44,6 @@
 	h.is.True(h.lines.Has("event=upstream-unlimited", "upstream=u-0"))
 }
 
-// brokenAfterHead breaks an answer inside its body.
 func brokenAfterHead(conn net.Conn, request *http.Request) bool {
 	writeResponse(conn, request, http.StatusOK, "Content-Length: 100\r\n", "begin", testLimit+": 2.5")
 	return false
--- a/pkg/edge/upstream_state.go
+++ b/pkg/edge/upstream_state.go
@@ -40,7 +40,6 @@
 	}
 }
 
-// discovered reports whether an upstream is known.
 func (e *Edge) discovered(upstream string) bool {
 	view := e.board.Fleet.Load()
 	return view != nil && view.RegionOf(upstream) != ""
--- a/pkg/edge/writer.go
+++ b/pkg/edge/writer.go
@@ -7,15 +7,13 @@
 	"time"
 )
 
-// writer writes the answer to the caller.
 type writer struct {
 	http.ResponseWriter
 	control *http.ResponseController
 	// closesConnection reports whether the caller is asked to use another connection next.
 	closesConnection func() bool
 	started          bool
-	// status is the status of the answer.
-	status int
+	status           int
 	// lastEvent is the ID of the last stream event that was passed on.
 	lastEvent string
 	bytes     int
