--- a/pkg/edge/handler.go
+++ b/pkg/edge/handler.go
@@ -136,10 +136,10 @@
 	return nil
 }
 
-// maxRequestTime bounds requests without a deadline of their caller or their route.
+// maxRequestTime bounds each request, also without a deadline of its caller or its route.
 const maxRequestTime = time.Minute
 
-// setDeadline sets the earlier of the caller's and the route's deadline.
+// setDeadline sets the earliest of the caller's, the route's and the general bound.
 func (j *job) setDeadline() {
 	bound := maxRequestTime
 	if j.route.Timeout > 0 {
