--- a/pkg/standin/admin/admin.go
+++ b/pkg/standin/admin/admin.go
@@ -41,7 +41,7 @@
 }
 
 // ErrNotHere: the process does not run the stand-in that a command is for.
-var ErrNotHere = errors.New("not run by this process")
+var ErrNotInProcess = errors.New("not run by this process")
 
 // UsageError is a command with wrong arguments.
 type UsageError struct {
@@ -53,7 +53,7 @@
 func (e *UsageError) Error() string { return "usage: " + e.Usage }
 
 // Switchable is an upstream with fault switches.
-type Switchable interface {
+type FaultInjector interface {
 	// Set throws a switch: a verb and its argument, empty if it has none.
 	Set(verb, argument string) error
 }
@@ -65,20 +65,20 @@
 	KeyValue  *kv.Service
 	List      *fleet.List
 	Network   *link.Network
-	Upstreams map[string]Switchable
+	Upstreams map[string]FaultInjector
 }
 
 // New returns controls without any stand-in.
 func New(j *journal.Journal) *Controls {
-	return &Controls{Journal: j, Upstreams: make(map[string]Switchable)}
+	return &Controls{Journal: j, Upstreams: make(map[string]FaultInjector)}
 }
 
 // Handler serves the controls.
 func (c *Controls) Handler() http.Handler {
 	e := echo.New()
 	e.POST(PathCommand, c.handleCommand)
-	e.GET(PathJournal, func(x echo.Context) error { return lines(x, c.entries(x.QueryParam("upstream"))) })
-	e.GET(PathProcessed, func(x echo.Context) error { return lines(x, c.processed()) })
+	e.GET(PathJournal, func(x echo.Context) error { return writeLines(x, c.entries(x.QueryParam("upstream"))) })
+	e.GET(PathProcessed, func(x echo.Context) error { return writeLines(x, c.processed()) })
 	e.GET(PathHealth, func(x echo.Context) error { return x.NoContent(http.StatusNoContent) })
 	return e
 }
@@ -92,11 +92,11 @@
 	if err != nil {
 		return x.JSON(http.StatusBadRequest, Failure{Error: err.Error()})
 	}
-	return lines(x, answer)
+	return writeLines(x, answer)
 }
 
 // lines writes one JSON value a line.
-func lines(x echo.Context, values []any) error {
+func writeLines(x echo.Context, values []any) error {
 	x.Response().Header().Set(header.ContentType, "application/x-ndjson")
 	x.Response().WriteHeader(http.StatusOK)
 	encoder := json.NewEncoder(x.Response())
@@ -108,14 +108,14 @@
 	return nil
 }
 
-func (c *Controls) entries(upstream string) []any { return boxed(c.Journal.Entries(upstream)) }
+func (c *Controls) entries(upstream string) []any { return toAny(c.Journal.Entries(upstream)) }
 
-func (c *Controls) processed() []any { return boxed(c.Journal.Counts()) }
+func (c *Controls) processed() []any { return toAny(c.Journal.Counts()) }
 
-func boxed[T any](values []T) []any {
-	boxes := make([]any, 0, len(values))
+func toAny[T any](values []T) []any {
+	converted := make([]any, 0, len(values))
 	for _, value := range values {
-		boxes = append(boxes, value)
+		converted = append(converted, value)
 	}
-	return boxes
+	return converted
 }
--- a/pkg/standin/admin/command.go
+++ b/pkg/standin/admin/command.go
@@ -11,8 +11,8 @@
 
 // Words of the commands' arguments.
 const (
-	wordBoth  = "both"
-	wordReset = "reset"
+	argBoth  = "both"
+	argReset = "reset"
 )
 
 // Usage lists the commands, one a line.
@@ -31,13 +31,13 @@
 	args := command.Args
 	switch command.Verb {
 	case "cut", "heal", "delay":
-		return nil, c.link(command.Verb, args)
+		return nil, c.linkCommand(command.Verb, args)
 	case "kv":
-		return c.keyValue(args)
+		return c.keyValueCommand(args)
 	case "list":
-		return nil, c.list(args)
+		return nil, c.listCommand(args)
 	case "engine", "service":
-		return nil, c.upstream(args)
+		return nil, c.upstreamCommand(args)
 	case "journal":
 		return c.entries(argument(args, 0)), nil
 	case "processed":
@@ -53,46 +53,46 @@
 	return ""
 }
 
-func (c *Controls) link(verb string, args []string) error {
+func (c *Controls) linkCommand(verb string, args []string) error {
 	if c.Network == nil {
-		return ErrNotHere
+		return ErrNotInProcess
 	}
 	if len(args) < 2 {
 		return &UsageError{Usage: verb + " FROM TO …"}
 	}
 	from, to := args[0], args[1]
-	if err := c.direction(verb, from, to, args[2:]); err != nil {
+	if err := c.setDirection(verb, from, to, args[2:]); err != nil {
 		return fmt.Errorf("%s %s %s: %w", verb, from, to, err)
 	}
-	if !slices.Contains(args, wordBoth) {
+	if !slices.Contains(args, argBoth) {
 		return nil
 	}
-	return c.direction(verb, to, from, args[2:])
+	return c.setDirection(verb, to, from, args[2:])
 }
 
-func (c *Controls) direction(verb, from, to string, rest []string) error {
+func (c *Controls) setDirection(verb, from, to string, rest []string) error {
 	switch verb {
 	case "cut":
-		return c.Network.Cut(from, to, slices.Contains(rest, wordReset))
+		return c.Network.Cut(from, to, slices.Contains(rest, argReset))
 	case "heal":
 		return c.Network.Heal(from, to)
 	}
-	delay, err := millis(argument(rest, 0))
+	delay, err := parseMillis(argument(rest, 0))
 	if err != nil {
 		return err
 	}
 	return c.Network.SetDelay(from, to, delay)
 }
 
-func millis(text string) (time.Duration, error) {
+func parseMillis(text string) (time.Duration, error) {
 	number := 0
-	err := fault.Number(&number, text)
+	err := fault.SetCount(&number, text)
 	return time.Duration(number) * time.Millisecond, err
 }
 
-func (c *Controls) keyValue(args []string) ([]any, error) {
+func (c *Controls) keyValueCommand(args []string) ([]any, error) {
 	if c.KeyValue == nil {
-		return nil, ErrNotHere
+		return nil, ErrNotInProcess
 	}
 	switch argument(args, 0) {
 	case "down":
@@ -100,14 +100,14 @@
 	case "up":
 		c.KeyValue.SetDown(false)
 	case "slow":
-		delay, err := millis(argument(args, 1))
+		delay, err := parseMillis(argument(args, 1))
 		if err != nil {
 			return nil, err
 		}
 		c.KeyValue.SetSlow(delay)
 	case "lose-answers":
 		number := 0
-		if err := fault.Number(&number, argument(args, 1)); err != nil {
+		if err := fault.SetCount(&number, argument(args, 1)); err != nil {
 			return nil, err
 		}
 		c.KeyValue.LoseAnswers(number)
@@ -121,23 +121,23 @@
 	return nil, nil
 }
 
-func (c *Controls) list(args []string) error {
+func (c *Controls) listCommand(args []string) error {
 	if c.List == nil {
-		return ErrNotHere
+		return ErrNotInProcess
 	}
 	name := argument(args, 1)
 	switch argument(args, 0) {
 	case "lag":
-		lag, err := millis(name)
+		lag, err := parseMillis(name)
 		if err != nil {
 			return err
 		}
 		c.List.SetLag(lag)
 		return nil
 	case "leaving":
-		return c.mark(name, true)
+		return c.markLeaving(name, true)
 	case "staying":
-		return c.mark(name, false)
+		return c.markLeaving(name, false)
 	case "remove":
 		c.List.Remove(name)
 		return nil
@@ -148,20 +148,20 @@
 	return &UsageError{Usage: "list lag MS | leaving NAME | staying NAME | remove NAME | add NAME DOMAIN [MESH]"}
 }
 
-func (c *Controls) mark(name string, leaving bool) error {
+func (c *Controls) markLeaving(name string, leaving bool) error {
 	if !c.List.MarkLeaving(name, leaving) {
-		return fmt.Errorf("%s: %w", name, ErrNotHere)
+		return fmt.Errorf("%s: %w", name, ErrNotInProcess)
 	}
 	return nil
 }
 
-func (c *Controls) upstream(args []string) error {
+func (c *Controls) upstreamCommand(args []string) error {
 	if len(args) < 2 {
 		return &UsageError{Usage: "engine|service NAME SWITCH [ARGUMENT]"}
 	}
-	one, ok := c.Upstreams[args[0]]
+	upstream, ok := c.Upstreams[args[0]]
 	if !ok {
-		return fmt.Errorf("%s: %w", args[0], ErrNotHere)
+		return fmt.Errorf("%s: %w", args[0], ErrNotInProcess)
 	}
-	return one.Set(args[1], argument(args, 2))
+	return upstream.Set(args[1], argument(args, 2))
 }
--- a/pkg/standin/certificate/certificate.go
+++ b/pkg/standin/certificate/certificate.go
@@ -26,8 +26,8 @@
 	// authorityName names the authority's files.
 	authorityName = "authority"
 	// life is how long certificates are valid, leeway how far clocks may differ.
-	life   = 30 * 24 * time.Hour
-	leeway = time.Hour
+	validity  = 30 * 24 * time.Hour
+	clockSkew = time.Hour
 	// serialBits is the length of serial numbers.
 	serialBits = 120
 	// Permissions of what is written.
@@ -93,8 +93,8 @@
 	}, nil
 }
 
-func (a *Authority) file(name, ending string) string {
-	return filepath.Join(a.directory, name+ending)
+func (a *Authority) file(name, extension string) string {
+	return filepath.Join(a.directory, name+extension)
 }
 
 // create makes an authority that signs itself.
@@ -120,7 +120,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("serial number of %s: %w", name, err)
 	}
-	template.NotBefore, template.NotAfter = time.Now().Add(-leeway), time.Now().Add(life)
+	template.NotBefore, template.NotAfter = time.Now().Add(-clockSkew), time.Now().Add(validity)
 	parent, signer := a.certificate, a.key
 	if parent == nil {
 		parent, signer = template, key
@@ -137,11 +137,11 @@
 }
 
 func (a *Authority) write(name string, certificate []byte, key crypto.Signer) error {
-	secret, err := x509.MarshalPKCS8PrivateKey(key)
+	encodedKey, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return fmt.Errorf("key of %s: %w", name, err)
 	}
-	if err := writePEM(a.file(name, ".key"), blockKey, secret); err != nil {
+	if err := writePEM(a.file(name, ".key"), blockKey, encodedKey); err != nil {
 		return err
 	}
 	return writePEM(a.file(name, ".pem"), blockCertificate, certificate)
@@ -156,11 +156,11 @@
 	if a.certificate, err = x509.ParseCertificate(der); err != nil {
 		return &FileError{File: a.file(authorityName, ".pem"), Err: err}
 	}
-	secret, err := readPEM(a.file(authorityName, ".key"), blockKey)
+	encodedKey, err := readPEM(a.file(authorityName, ".key"), blockKey)
 	if err != nil {
 		return err
 	}
-	key, err := x509.ParsePKCS8PrivateKey(secret)
+	key, err := x509.ParsePKCS8PrivateKey(encodedKey)
 	if err != nil {
 		return &FileError{File: a.file(authorityName, ".key"), Err: err}
 	}
--- a/pkg/standin/certificate/certificate_test.go
+++ b/pkg/standin/certificate/certificate_test.go
@@ -15,7 +15,7 @@
 
 // A renewed certificate must be accepted by those that hold the earlier ones, so
 // the authority of a directory stays the same.
-func TestAuthorityOfADirectoryStays(t *testing.T) {
+func TestReopenedAuthoritySignsCertificatesThatPeersAccept(t *testing.T) {
 	is := is.New(t)
 	directory := t.TempDir()
 	first, err := certificate.Open(directory)
@@ -36,9 +36,9 @@
 		}
 	}()
 
-	again, err := certificate.Open(directory)
+	reopened, err := certificate.Open(directory)
 	is.NoErr(err)
-	renewed, err := again.Issue("kal-1", net.IPv4(127, 0, 0, 1))
+	renewed, err := reopened.Issue("kal-1", net.IPv4(127, 0, 0, 1))
 	is.NoErr(err)
 	after, err := os.ReadFile(renewed.Authority)
 	is.NoErr(err)
@@ -54,7 +54,7 @@
 	is.NoErr(conn.Close())
 }
 
-func TestBrokenAuthorityIsNamed(t *testing.T) {
+func TestErrorNamesTheCorruptAuthorityFile(t *testing.T) {
 	is := is.New(t)
 	directory := t.TempDir()
 	_, err := certificate.Open(directory)
--- a/pkg/standin/engine/cache.go
+++ b/pkg/standin/engine/cache.go
@@ -17,7 +17,7 @@
 	// eventGap leaves out every so-manieth event.
 	eventGap = 8
 	// reportedPrefixes bounds the prefixes of a load report.
-	reportedPrefixes = 64
+	maxReportedPrefixes = 64
 	// hexadecimal is the base in which prefixes are written.
 	hexadecimal = 16
 )
@@ -33,16 +33,16 @@
 	order    *list.List
 	byHash   map[uint64]*list.Element
 	sequence int64
-	events   []datedEvent
+	events   []timedEvent
 }
 
-type cached struct {
+type cacheEntry struct {
 	hash uint64
 	// tokens is the length of the part that this prefix adds to the one before.
 	tokens int
 }
 
-type datedEvent struct {
+type timedEvent struct {
 	at    time.Time
 	event engineapi.CacheEvent
 }
@@ -56,44 +56,44 @@
 	hashes := prefix.Hashes(messages)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	missing, broken := 0, false
+	uncached, missed := 0, false
 	for i, hash := range hashes {
 		tokens := prefix.Tokens(messages[i : i+1])
 		element, ok := c.byHash[hash]
-		broken = broken || !ok
-		if broken {
-			missing += tokens
+		missed = missed || !ok
+		if missed {
+			uncached += tokens
 		}
 		if ok {
 			c.order.MoveToFront(element)
 			continue
 		}
-		c.byHash[hash] = c.order.PushFront(cached{hash: hash, tokens: tokens})
+		c.byHash[hash] = c.order.PushFront(cacheEntry{hash: hash, tokens: tokens})
 		c.used += tokens
-		c.record(engineapi.CacheStored, hash)
+		c.recordEvent(engineapi.CacheStored, hash)
 	}
 	c.evict()
-	return missing
+	return uncached
 }
 
 func (c *cache) evict() {
 	for c.used > c.capacity && c.order.Len() > 0 {
 		oldest := c.order.Back()
-		entry := oldest.Value.(cached)
+		entry := oldest.Value.(cacheEntry)
 		c.order.Remove(oldest)
 		delete(c.byHash, entry.hash)
 		c.used -= entry.tokens
-		c.record(engineapi.CacheEvicted, entry.hash)
+		c.recordEvent(engineapi.CacheEvicted, entry.hash)
 	}
 }
 
-func (c *cache) record(kind string, hash uint64) {
+func (c *cache) recordEvent(kind string, hash uint64) {
 	c.sequence++
 	if c.sequence%eventGap == 0 {
 		return
 	}
 	event := engineapi.CacheEvent{Sequence: c.sequence, Kind: kind, Prefix: strconv.FormatUint(hash, hexadecimal)}
-	c.events = append(c.events, datedEvent{at: c.clock.Now(), event: event})
+	c.events = append(c.events, timedEvent{at: c.clock.Now(), event: event})
 	if len(c.events) > eventLimit {
 		c.events = c.events[len(c.events)-eventLimit:]
 	}
@@ -105,21 +105,21 @@
 	defer c.mu.Unlock()
 	cutoff := c.clock.Now().Add(-c.lag)
 	found := []engineapi.CacheEvent{}
-	for _, dated := range c.events {
-		if dated.event.Sequence > sequence && !dated.at.After(cutoff) {
-			found = append(found, dated.event)
+	for _, timed := range c.events {
+		if timed.event.Sequence > sequence && !timed.at.After(cutoff) {
+			found = append(found, timed.event)
 		}
 	}
 	return found
 }
 
 // recent returns the most recently used prefixes.
-func (c *cache) recent() []string {
+func (c *cache) recentPrefixes() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var found []string
-	for element := c.order.Front(); element != nil && len(found) < reportedPrefixes; element = element.Next() {
-		found = append(found, strconv.FormatUint(element.Value.(cached).hash, hexadecimal))
+	for element := c.order.Front(); element != nil && len(found) < maxReportedPrefixes; element = element.Next() {
+		found = append(found, strconv.FormatUint(element.Value.(cacheEntry).hash, hexadecimal))
 	}
 	return found
 }
--- a/pkg/standin/engine/chat.go
+++ b/pkg/standin/engine/chat.go
@@ -23,46 +23,46 @@
 // stream is one request that the engine has taken.
 type stream struct {
 	id     string
-	ask    engineapi.ChatRequest
+	chat   engineapi.ChatRequest
 	offset int
 	// seed decides the text.
-	seed   uint64
-	rank   int
-	ctx    context.Context
-	cancel context.CancelFunc
-	number int
-	faults faults
+	seed         uint64
+	priorityRank int
+	ctx          context.Context
+	cancel       context.CancelFunc
+	number       int
+	faults       faults
 }
 
 func (e *Engine) handleChat(c echo.Context) error {
-	if e.switches.load().leave || e.switches.take(&e.switches.now.refuse) {
-		return notStarted(c)
+	if e.switches.load().leave || e.switches.consume(&e.switches.current.refuse) {
+		return rejectNotStarted(c)
 	}
-	if e.switches.take(&e.switches.now.fail) {
-		return refuse(c, http.StatusInternalServerError, "failed on purpose")
+	if e.switches.consume(&e.switches.current.fail) {
+		return respondError(c, http.StatusInternalServerError, "failed on purpose")
 	}
 	s, status, problem := e.read(c)
 	if problem != "" {
-		return refuse(c, status, problem)
+		return respondError(c, status, problem)
 	}
-	if !e.accepts() {
-		return notStarted(c)
+	if !e.canAccept() {
+		return rejectNotStarted(c)
 	}
 	defer s.cancel()
-	c.Response().Header().Set(header.RequestID, s.shownID())
-	e.enter(s)
-	defer e.exit(s)
+	c.Response().Header().Set(header.RequestID, s.responseID())
+	e.addStream(s)
+	defer e.removeStream(s)
 	return e.serve(c, s)
 }
 
-func notStarted(c echo.Context) error {
+func rejectNotStarted(c echo.Context) error {
 	c.Response().Header().Set(header.NotStarted, header.True)
 	c.Response().Header().Set(header.RetryAfter, "1")
-	return refuse(c, http.StatusServiceUnavailable, "not started")
+	return respondError(c, http.StatusServiceUnavailable, "not started")
 }
 
 // accepts reports whether there is a version loaded and room in the queue.
-func (e *Engine) accepts() bool {
+func (e *Engine) canAccept() bool {
 	e.mu.Lock()
 	loaded := e.orders.Version != ""
 	e.mu.Unlock()
@@ -73,20 +73,20 @@
 // read checks a request. A problem comes with its HTTP status.
 func (e *Engine) read(c echo.Context) (s *stream, status int, problem string) {
 	s = &stream{id: c.Request().Header.Get(header.RequestID), faults: e.switches.load()}
-	if err := c.Bind(&s.ask); err != nil {
+	if err := c.Bind(&s.chat); err != nil {
 		return nil, http.StatusBadRequest, "body is not a chat request"
 	}
-	if s.ask.Model != e.settings.Serves {
+	if s.chat.Model != e.settings.Serves {
 		return nil, http.StatusNotFound, "no such model here"
 	}
-	if len(s.ask.Messages) == 0 || s.ask.MaxTokens < 0 {
+	if len(s.chat.Messages) == 0 || s.chat.MaxTokens < 0 {
 		return nil, http.StatusBadRequest, "expected messages and max_tokens of at least 0"
 	}
-	if s.ask.MaxTokens == 0 {
-		s.ask.MaxTokens = defaultTokens
+	if s.chat.MaxTokens == 0 {
+		s.chat.MaxTokens = defaultTokens
 	}
 	known := false
-	if s.rank, known = rank(s.ask.Priority); !known {
+	if s.priorityRank, known = priorityRank(s.chat.Priority); !known {
 		return nil, http.StatusBadRequest, "expected priority low, normal or high"
 	}
 	if text := c.Request().Header.Get(header.ResumeOffset); text != "" {
@@ -99,13 +99,13 @@
 	if s.offset > 0 && s.faults.noResume {
 		return nil, http.StatusConflict, "cannot resume"
 	}
-	hashes := prefix.Hashes(s.ask.Messages)
+	hashes := prefix.Hashes(s.chat.Messages)
 	s.seed = hashes[len(hashes)-1]
 	s.ctx, s.cancel = context.WithCancel(c.Request().Context())
 	return s, 0, ""
 }
 
-func (e *Engine) enter(s *stream) {
+func (e *Engine) addStream(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.streams[s.id] == nil {
@@ -114,7 +114,7 @@
 	e.streams[s.id][s] = struct{}{}
 }
 
-func (e *Engine) exit(s *stream) {
+func (e *Engine) removeStream(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.streams[s.id], s)
@@ -125,8 +125,8 @@
 
 // serve waits for a slot and produces the answer.
 func (e *Engine) serve(c echo.Context, s *stream) error {
-	if !e.scheduler.acquire(s.ctx, s.rank) {
-		return notStarted(c)
+	if !e.scheduler.acquire(s.ctx, s.priorityRank) {
+		return rejectNotStarted(c)
 	}
 	defer e.scheduler.release()
 	request := c.Request()
@@ -137,8 +137,8 @@
 		Offset:         s.offset, Started: e.clock.Now(), Result: journal.ResultRunning,
 	})
 	result := journal.ResultBroken
-	defer func() { e.finish(s, result) }()
-	if s.ask.Stream {
+	defer func() { e.finishEntry(s, result) }()
+	if s.chat.Stream {
 		result = e.streamAnswer(c, s)
 	} else {
 		result = e.wholeAnswer(c, s)
@@ -150,7 +150,7 @@
 	return nil
 }
 
-func (e *Engine) finish(s *stream, result string) {
+func (e *Engine) finishEntry(s *stream, result string) {
 	e.journal.Update(s.number, func(entry *journal.Entry) {
 		entry.Finished = e.clock.Now()
 		entry.Result = result
@@ -167,12 +167,12 @@
 		return result
 	}
 	answer := engineapi.ChatAnswer{
-		ID: s.shownID(), Object: engineapi.ObjectAnswer, Model: s.ask.Model,
+		ID: s.responseID(), Object: engineapi.ObjectAnswer, Model: s.chat.Model,
 		Choices: []engineapi.AnswerChoice{{
 			Message:      prefix.Message{Role: "assistant", Content: text.String()},
 			FinishReason: finishReason,
 		}},
-		Usage: engineapi.Usage{PromptTokens: prefix.Tokens(s.ask.Messages), CompletionTokens: s.ask.MaxTokens},
+		Usage: engineapi.Usage{PromptTokens: prefix.Tokens(s.chat.Messages), CompletionTokens: s.chat.MaxTokens},
 	}
 	if c.JSON(http.StatusOK, answer) != nil {
 		return journal.ResultCancelled
--- a/pkg/standin/engine/control.go
+++ b/pkg/standin/engine/control.go
@@ -12,13 +12,13 @@
 )
 
 func (e *Engine) handleCancel(c echo.Context) error {
-	var ask engineapi.Cancel
-	if err := c.Bind(&ask); err != nil || ask.ID == "" {
-		return refuse(c, http.StatusBadRequest, "expected an id")
+	var request engineapi.Cancel
+	if err := c.Bind(&request); err != nil || request.ID == "" {
+		return respondError(c, http.StatusBadRequest, "expected an id")
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for running := range e.streams[ask.ID] {
+	for running := range e.streams[request.ID] {
 		running.cancel()
 	}
 	return c.NoContent(http.StatusNoContent)
@@ -36,42 +36,42 @@
 func (e *Engine) handleCacheEvents(c echo.Context) error {
 	after, err := strconv.ParseInt(c.QueryParam("after"), 10, 64)
 	if err != nil {
-		return refuse(c, http.StatusBadRequest, "expected after=NUMBER")
+		return respondError(c, http.StatusBadRequest, "expected after=NUMBER")
 	}
 	return c.JSON(http.StatusOK, engineapi.CacheEvents{Events: e.cache.eventsAfter(after)})
 }
 
 func (e *Engine) handleOrder(c echo.Context) error {
-	var ask engineapi.Order
-	if err := c.Bind(&ask); err != nil || !validOrder(ask) {
-		return refuse(c, http.StatusBadRequest, "expected kind load, unload or role, and what it needs")
+	var request engineapi.Order
+	if err := c.Bind(&request); err != nil || !validOrder(request) {
+		return respondError(c, http.StatusBadRequest, "expected kind load, unload or role, and what it needs")
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	stale := e.settings.ChecksFencing && ask.Fence < e.orders.Fence
-	e.record(ask, stale)
+	stale := e.settings.ChecksFencing && request.Fence < e.orders.Fence
+	e.recordOrder(request, stale)
 	if stale {
-		return refuse(c, http.StatusPreconditionFailed, engineapi.ErrorStaleFence)
+		return respondError(c, http.StatusPreconditionFailed, engineapi.ErrorStaleFence)
 	}
-	e.orders.Fence = max(e.orders.Fence, ask.Fence)
-	e.orders.LastOrder = ask.ID
-	e.obey(ask)
+	e.orders.Fence = max(e.orders.Fence, request.Fence)
+	e.orders.LastOrder = request.ID
+	e.applyOrder(request)
 	return c.JSON(http.StatusOK, e.orders)
 }
 
-func validOrder(ask engineapi.Order) bool {
-	switch ask.Kind {
+func validOrder(request engineapi.Order) bool {
+	switch request.Kind {
 	case engineapi.OrderLoad:
-		return ask.Version != ""
+		return request.Version != ""
 	case engineapi.OrderUnload:
 		return true
 	case engineapi.OrderRole:
-		return ask.Role != ""
+		return request.Role != ""
 	}
 	return false
 }
 
-func (e *Engine) record(ask engineapi.Order, stale bool) {
+func (e *Engine) recordOrder(request engineapi.Order, stale bool) {
 	result := journal.ResultFinished
 	if stale {
 		result = journal.ResultRefused
@@ -79,31 +79,31 @@
 	now := e.clock.Now()
 	e.journal.Add(journal.Entry{
 		Upstream: e.settings.Name, Domain: e.settings.Domain, Kind: journal.KindOrder,
-		RequestID: ask.ID, Path: ask.Kind, Fence: ask.Fence, Version: ask.Version,
+		RequestID: request.ID, Path: request.Kind, Fence: request.Fence, Version: request.Version,
 		Started: now, Finished: now, Result: result,
 	})
 }
 
-func (e *Engine) obey(ask engineapi.Order) {
-	switch ask.Kind {
+func (e *Engine) applyOrder(request engineapi.Order) {
+	switch request.Kind {
 	case engineapi.OrderRole:
-		e.orders.Role = ask.Role
+		e.orders.Role = request.Role
 	case engineapi.OrderUnload:
 		e.orders.Version, e.orders.Loading = "", ""
 	case engineapi.OrderLoad:
-		e.orders.Loading = ask.Version
-		time.AfterFunc(e.settings.LoadTime, func() { e.loaded(ask) })
+		e.orders.Loading = request.Version
+		time.AfterFunc(e.settings.LoadTime, func() { e.finishLoad(request) })
 	}
 }
 
 // loaded ends a load, unless a later order has taken its place.
-func (e *Engine) loaded(ask engineapi.Order) {
+func (e *Engine) finishLoad(request engineapi.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.orders.LastOrder != ask.ID {
+	if e.orders.LastOrder != request.ID {
 		return
 	}
-	e.orders.Version, e.orders.Loading = ask.Version, ""
+	e.orders.Version, e.orders.Loading = request.Version, ""
 	e.cache.clear()
 }
 
@@ -113,6 +113,6 @@
 	return c.JSON(http.StatusOK, e.orders)
 }
 
-func refuse(c echo.Context, status int, text string) error {
+func respondError(c echo.Context, status int, text string) error {
 	return c.JSON(status, engineapi.ErrorAnswer{Error: text})
 }
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -65,7 +65,7 @@
 	streams map[string]map[*stream]struct{}
 	orders  engineapi.OrderState
 	// report and previous are the last two samples of the load.
-	report, previous sample
+	latest, previous sample
 }
 
 type sample struct {
@@ -81,13 +81,13 @@
 		journal:   j,
 		scheduler: scheduler{slots: settings.Concurrency},
 		cache:     newCache(c, settings.CacheTokens, settings.EventLag),
-		switches:  switches{now: noFaults()},
+		switches:  switches{current: noFaults()},
 		prefill:   make(chan struct{}, 1),
 		streams:   make(map[string]map[*stream]struct{}),
 		orders:    engineapi.OrderState{Version: settings.Version},
 	}
-	e.report = e.sample()
-	e.previous = e.report
+	e.latest = e.sample()
+	e.previous = e.latest
 	return e
 }
 
@@ -103,7 +103,7 @@
 		}
 		fresh := e.sample()
 		e.mu.Lock()
-		e.previous, e.report = e.report, fresh
+		e.previous, e.latest = e.latest, fresh
 		e.mu.Unlock()
 	}
 }
@@ -111,7 +111,7 @@
 // Handler serves the engine's API.
 func (e *Engine) Handler() http.Handler {
 	server := echo.New()
-	server.Use(e.announce)
+	server.Use(e.markLeaving)
 	server.POST(engineapi.PathChat, e.handleChat)
 	server.POST(engineapi.PathCancel, e.handleCancel)
 	server.GET(engineapi.PathLoad, e.handleLoad)
@@ -122,7 +122,7 @@
 }
 
 // announce marks every answer of a leaving engine.
-func (e *Engine) announce(next echo.HandlerFunc) echo.HandlerFunc {
+func (e *Engine) markLeaving(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if e.switches.load().leaving() {
 			c.Response().Header().Set(header.Leaving, header.True)
@@ -132,10 +132,10 @@
 }
 
 // decodeRate is the rate of one stream at the present batch.
-func (e *Engine) decodeRate() float64 {
+func (e *Engine) currentDecodeRate() float64 {
 	running, _ := e.scheduler.load()
 	others := float64(max(running-1, 0))
-	return e.settings.DecodeRate / (1 + e.settings.BatchCost*others) / e.switches.load().slow
+	return e.settings.DecodeRate / (1 + e.settings.BatchCost*others) / e.switches.load().slowFactor
 }
 
 func (e *Engine) sample() sample {
@@ -143,18 +143,18 @@
 	e.mu.Lock()
 	version := e.orders.Version
 	e.mu.Unlock()
-	now := e.switches.load()
-	if now.lie {
+	active := e.switches.load()
+	if active.misreport {
 		running, queued = 0, 0
 	}
 	return sample{at: e.clock.Now(), load: engineapi.Load{
 		Running:     running,
 		Queued:      queued,
 		Concurrency: e.settings.Concurrency,
-		DecodeRate:  e.decodeRate(),
-		PrefillRate: e.settings.PrefillRate / now.slow,
+		DecodeRate:  e.currentDecodeRate(),
+		PrefillRate: e.settings.PrefillRate / active.slowFactor,
 		Version:     version,
-		Leaving:     now.leaving(),
-		Prefixes:    e.cache.recent(),
+		Leaving:     active.leaving(),
+		Prefixes:    e.cache.recentPrefixes(),
 	}}
 }
--- a/pkg/standin/engine/faults.go
+++ b/pkg/standin/engine/faults.go
@@ -31,7 +31,7 @@
 	// verbAnnounce announces that the engine leaves; it goes on taking requests.
 	verbAnnounce = "announce"
 	// verbLie reports an empty engine.
-	verbLie = "lie"
+	verbMisreport = "lie"
 	// verbNoResume refuses to resume.
 	verbNoResume = "no-resume"
 	// verbForget empties the prefix cache.
@@ -39,42 +39,42 @@
 )
 
 // never is a chunk count that no answer reaches.
-const never = -1
+const disabled = -1
 
 // faults is the state of the switches.
 type faults struct {
-	slow     float64
-	fail     int
-	refuse   int
-	dieAfter int
-	stall    int
-	cross    bool
-	truncate bool
-	leave    bool
-	announce bool
-	lie      bool
-	noResume bool
+	slowFactor      float64
+	fail            int
+	refuse          int
+	disconnectAfter int
+	stallAfter      int
+	cross           bool
+	truncate        bool
+	leave           bool
+	announce        bool
+	misreport       bool
+	noResume        bool
 }
 
 // leaving reports whether the engine says that it leaves.
 func (f faults) leaving() bool { return f.leave || f.announce }
 
-func noFaults() faults { return faults{slow: 1, dieAfter: never, stall: never} }
+func noFaults() faults { return faults{slowFactor: 1, disconnectAfter: disabled, stallAfter: disabled} }
 
 // switches guards faults.
 type switches struct {
-	mu  sync.Mutex
-	now faults
+	mu      sync.Mutex
+	current faults
 }
 
 func (s *switches) load() faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now
+	return s.current
 }
 
 // take uses up one of a number of faults, and reports whether there was one.
-func (s *switches) take(counter *int) bool {
+func (s *switches) consume(counter *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if *counter == 0 {
@@ -88,28 +88,28 @@
 func (e *Engine) Set(verb, argument string) error {
 	e.switches.mu.Lock()
 	defer e.switches.mu.Unlock()
-	now := &e.switches.now
+	current := &e.switches.current
 	switch verb {
 	case verbOK:
-		*now = noFaults()
+		*current = noFaults()
 	case verbCross:
-		now.cross = true
+		current.cross = true
 	case verbTruncate:
-		now.truncate = true
+		current.truncate = true
 	case verbLeave:
-		now.leave = true
+		current.leave = true
 	case verbAnnounce:
-		now.announce = true
-	case verbLie:
-		now.lie = true
+		current.announce = true
+	case verbMisreport:
+		current.misreport = true
 	case verbNoResume:
-		now.noResume = true
+		current.noResume = true
 	case verbForget:
 		e.cache.clear()
 	case verbSlow:
-		return setFactor(&now.slow, argument)
+		return setFactor(&current.slowFactor, argument)
 	default:
-		return setNumber(now, verb, argument)
+		return setCount(current, verb, argument)
 	}
 	return nil
 }
@@ -123,12 +123,12 @@
 	return nil
 }
 
-func setNumber(now *faults, verb, argument string) error {
+func setCount(current *faults, verb, argument string) error {
 	target := map[string]*int{
-		verbFail: &now.fail, verbRefuse: &now.refuse, verbDieAfter: &now.dieAfter, verbStall: &now.stall,
+		verbFail: &current.fail, verbRefuse: &current.refuse, verbDieAfter: &current.disconnectAfter, verbStall: &current.stallAfter,
 	}[verb]
 	if target == nil {
 		return &fault.VerbError{Verb: verb}
 	}
-	return fault.Number(target, argument)
+	return fault.SetCount(target, argument)
 }
--- a/pkg/standin/engine/generate.go
+++ b/pkg/standin/engine/generate.go
@@ -16,16 +16,16 @@
 )
 
 // words is the vocabulary of the answers.
-var words = [...]string{"sleep", "night", "rest", "room", "towel", "water", "linen", "early", "late", "steady", "short", "long", "calm", "full", "empty", "refill"}
+var vocabulary = [...]string{"sleep", "night", "rest", "room", "towel", "water", "linen", "early", "late", "steady", "short", "long", "calm", "full", "empty", "refill"}
 
 // mixer spreads the bits of seed and index (the 64-bit golden ratio).
-const mixer = 0x9e3779b97f4a7c15
+const hashMultiplier = 0x9e3779b97f4a7c15
 
 // Content returns the text of one chunk of the answer to a prompt whose last
 // prefix hash is seed.
 func Content(seed uint64, index int) string {
-	mixed := (seed ^ uint64(index)) * mixer
-	return fmt.Sprintf("%s%d ", words[mixed>>60], index)
+	hashed := (seed ^ uint64(index)) * hashMultiplier
+	return fmt.Sprintf("%s%d ", vocabulary[hashed>>60], index)
 }
 
 // generate produces the chunks of an answer in the engine's time and returns
@@ -36,15 +36,15 @@
 	}
 	due := time.Now()
 	sent := 0
-	for index := s.offset; index < s.ask.MaxTokens; index++ {
-		due = due.Add(time.Duration(float64(time.Second) / e.decodeRate()))
+	for index := s.offset; index < s.chat.MaxTokens; index++ {
+		due = due.Add(time.Duration(float64(time.Second) / e.currentDecodeRate()))
 		if !clock.Sleep(s.ctx, time.Until(due)) {
 			return journal.ResultCancelled
 		}
-		if result, end := e.strike(s, sent); end {
+		if result, end := e.injectFault(s, sent); end {
 			return result
 		}
-		if emit(Content(s.shownSeed(), index), index == s.ask.MaxTokens-1) != nil {
+		if emit(Content(s.responseSeed(), index), index == s.chat.MaxTokens-1) != nil {
 			return journal.ResultCancelled
 		}
 		sent++
@@ -54,14 +54,14 @@
 }
 
 // strike brings about the faults that end an answer early.
-func (e *Engine) strike(s *stream, sent int) (result string, end bool) {
+func (e *Engine) injectFault(s *stream, sent int) (result string, end bool) {
 	switch {
-	case sent == s.faults.dieAfter:
+	case sent == s.faults.disconnectAfter:
 		return journal.ResultBroken, true
-	case sent == s.faults.stall:
+	case sent == s.faults.stallAfter:
 		<-s.ctx.Done()
 		return journal.ResultCancelled, true
-	case s.faults.truncate && s.offset+sent >= s.ask.MaxTokens/2:
+	case s.faults.truncate && s.offset+sent >= s.chat.MaxTokens/2:
 		return journal.ResultTruncated, true
 	}
 	return "", false
@@ -76,8 +76,8 @@
 		return false
 	}
 	defer func() { <-e.prefill }()
-	missing := e.cache.admit(s.ask.Messages) + s.offset
-	seconds := float64(missing) / e.settings.PrefillRate * e.switches.load().slow
+	uncached := e.cache.admit(s.chat.Messages) + s.offset
+	seconds := float64(uncached) / e.settings.PrefillRate * e.switches.load().slowFactor
 	return clock.Sleep(s.ctx, time.Duration(seconds*float64(time.Second)))
 }
 
@@ -107,7 +107,7 @@
 		choice.FinishReason = &reason
 	}
 	return engineapi.ChatChunk{
-		ID: s.shownID(), Object: engineapi.ObjectChunk, Model: s.ask.Model,
+		ID: s.responseID(), Object: engineapi.ObjectChunk, Model: s.chat.Model,
 		Choices: []engineapi.ChunkChoice{choice},
 	}
 }
@@ -125,14 +125,14 @@
 }
 
 // shownID is the request ID in the answer, another one under the cross fault.
-func (s *stream) shownID() string {
+func (s *stream) responseID() string {
 	if s.faults.cross {
 		return "crossed-" + s.id
 	}
 	return s.id
 }
 
-func (s *stream) shownSeed() uint64 {
+func (s *stream) responseSeed() uint64 {
 	if s.faults.cross {
 		return prefix.Hashes([]prefix.Message{{Role: "user", Content: "another request"}})[0]
 	}
--- a/pkg/standin/engine/scheduler.go
+++ b/pkg/standin/engine/scheduler.go
@@ -23,7 +23,7 @@
 }
 
 // rank orders the priorities; a higher one goes first.
-func rank(priority string) (int, bool) {
+func priorityRank(priority string) (int, bool) {
 	switch priority {
 	case engineapi.PriorityLow:
 		return 0, true
@@ -37,20 +37,20 @@
 
 // acquire waits for a slot; ok is false when ctx ended first.
 func (s *scheduler) acquire(ctx context.Context, priority int) (ok bool) {
-	w := s.join(priority)
+	w := s.enqueue(priority)
 	select {
 	case <-w.granted:
 		return true
 	case <-ctx.Done():
 	}
-	if s.leave(w) {
+	if s.remove(w) {
 		return false
 	}
 	s.release()
 	return false
 }
 
-func (s *scheduler) join(priority int) *waiter {
+func (s *scheduler) enqueue(priority int) *waiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrived++
@@ -61,7 +61,7 @@
 }
 
 // leave takes a waiter out of the queue; false means that it has a slot already.
-func (s *scheduler) leave(w *waiter) bool {
+func (s *scheduler) remove(w *waiter) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, other := range s.queue {
@@ -82,14 +82,14 @@
 
 func (s *scheduler) grant() {
 	for s.running < s.slots && len(s.queue) > 0 {
-		best := 0
+		next := 0
 		for i, w := range s.queue {
-			if w.before(s.queue[best]) {
-				best = i
+			if w.before(s.queue[next]) {
+				next = i
 			}
 		}
-		close(s.queue[best].granted)
-		s.queue = append(s.queue[:best], s.queue[best+1:]...)
+		close(s.queue[next].granted)
+		s.queue = append(s.queue[:next], s.queue[next+1:]...)
 		s.running++
 	}
 }
--- a/pkg/standin/fault/fault.go
+++ b/pkg/standin/fault/fault.go
@@ -29,7 +29,7 @@
 }
 
 // Number sets target to a whole number of at least 0.
-func Number(target *int, argument string) error {
+func SetCount(target *int, argument string) error {
 	parsed, err := strconv.Atoi(argument)
 	if err != nil || parsed < 0 {
 		return &ArgumentError{Argument: argument, Expected: "a whole number of at least 0"}
--- a/pkg/standin/fleet/directory.go
+++ b/pkg/standin/fleet/directory.go
@@ -48,26 +48,26 @@
 	defer d.mu.Unlock()
 	answer := rest.Entries{Entries: []platform.DirectoryEntry{}}
 	now := d.clock.Now()
-	for name, kept := range d.entries {
-		if !now.Before(kept.expires) {
+	for name, stored := range d.entries {
+		if !now.Before(stored.expires) {
 			delete(d.entries, name)
 			continue
 		}
-		answer.Entries = append(answer.Entries, kept.entry)
+		answer.Entries = append(answer.Entries, stored.entry)
 	}
 	sort.Slice(answer.Entries, func(i, j int) bool { return answer.Entries[i].Instance < answer.Entries[j].Instance })
 	return c.JSON(http.StatusOK, answer)
 }
 
 func (d *Directory) register(c echo.Context) error {
-	var ask rest.Registration
-	if err := c.Bind(&ask); err != nil || ask.Entry.Instance != c.Param("instance") || ask.TTLMillis <= 0 {
+	var request rest.Registration
+	if err := c.Bind(&request); err != nil || request.Entry.Instance != c.Param("instance") || request.TTLMillis <= 0 {
 		return c.JSON(http.StatusBadRequest, rest.ErrorAnswer{Error: "expected entry.instance as in the path and ttl_ms above 0"})
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	expires := d.clock.Now().Add(time.Duration(ask.TTLMillis) * time.Millisecond)
-	d.entries[ask.Entry.Instance] = directoryEntry{entry: ask.Entry, expires: expires}
+	expires := d.clock.Now().Add(time.Duration(request.TTLMillis) * time.Millisecond)
+	d.entries[request.Entry.Instance] = directoryEntry{entry: request.Entry, expires: expires}
 	return c.NoContent(http.StatusNoContent)
 }
 
--- a/pkg/standin/fleet/list.go
+++ b/pkg/standin/fleet/list.go
@@ -82,13 +82,13 @@
 // visible returns the newest state that is at least the lag old.
 func (l *List) visible() map[string]platform.ListedInstance {
 	cutoff := l.clock.Now().Add(-l.lag)
-	shown := l.states[0].instances
+	newest := l.states[0].instances
 	for _, state := range l.states[1:] {
 		if !state.since.After(cutoff) {
-			shown = state.instances
+			newest = state.instances
 		}
 	}
-	return shown
+	return newest
 }
 
 // Handler serves the list.
--- a/pkg/standin/fleet/weights.go
+++ b/pkg/standin/fleet/weights.go
@@ -32,8 +32,8 @@
 }
 
 func (w *Weights) reserve(c echo.Context) error {
-	var ask rest.ReservationAsk
-	if err := c.Bind(&ask); err != nil || ask.Model == "" || ask.Version == "" {
+	var request rest.ReservationAsk
+	if err := c.Bind(&request); err != nil || request.Model == "" || request.Version == "" {
 		return c.JSON(http.StatusBadRequest, rest.ErrorAnswer{Error: "expected model and version"})
 	}
 	now := w.clock.Now()
--- a/pkg/standin/journal/journal.go
+++ b/pkg/standin/journal/journal.go
@@ -8,7 +8,7 @@
 )
 
 // limit bounds the entries that are kept; counts go on beyond it.
-const limit = 200_000
+const maxEntries = 200_000
 
 // Results of an entry.
 const (
@@ -57,10 +57,10 @@
 
 // Journal is safe for concurrent use.
 type Journal struct {
-	mu      sync.Mutex
-	first   int
-	entries []Entry
-	counts  map[countKey]int
+	mu          sync.Mutex
+	firstNumber int
+	entries     []Entry
+	counts      map[countKey]int
 }
 
 type countKey struct{ domain, caller string }
@@ -75,20 +75,20 @@
 	if entry.Kind != KindOrder {
 		j.counts[countKey{entry.Domain, entry.Caller}]++
 	}
-	if len(j.entries) == limit {
-		j.entries = append(j.entries[:0:0], j.entries[limit/2:]...)
-		j.first += limit / 2
+	if len(j.entries) == maxEntries {
+		j.entries = append(j.entries[:0:0], j.entries[maxEntries/2:]...)
+		j.firstNumber += maxEntries / 2
 	}
 	j.entries = append(j.entries, entry)
-	return j.first + len(j.entries) - 1
+	return j.firstNumber + len(j.entries) - 1
 }
 
 // Update changes an entry, if it is still kept.
 func (j *Journal) Update(number int, change func(*Entry)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if number >= j.first {
-		change(&j.entries[number-j.first])
+	if number >= j.firstNumber {
+		change(&j.entries[number-j.firstNumber])
 	}
 }
 
--- a/pkg/standin/kv/auth.go
+++ b/pkg/standin/kv/auth.go
@@ -20,16 +20,16 @@
 
 // tokens are given out for passwords.
 type tokens struct {
-	mu    sync.Mutex
-	users map[string]string
-	known map[string]bool
+	mu     sync.Mutex
+	users  map[string]string
+	issued map[string]bool
 }
 
 // ForgetTokens makes all tokens invalid, as when their time has run out.
 func (s *Service) ForgetTokens() {
 	s.tokens.mu.Lock()
 	defer s.tokens.mu.Unlock()
-	clear(s.tokens.known)
+	clear(s.tokens.issued)
 }
 
 // SetPassword changes a user's password; tokens stay valid.
@@ -39,32 +39,32 @@
 	s.tokens.users[user] = password
 }
 
-func (t *tokens) issue(ask wire.AuthenticateRequest) (string, bool) {
+func (t *tokens) issue(request wire.AuthenticateRequest) (string, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	password, ok := t.users[ask.Name]
-	if !ok || password != ask.Password {
+	password, ok := t.users[request.Name]
+	if !ok || password != request.Password {
 		return "", false
 	}
 	token := rand.Text()
-	t.known[token] = true
+	t.issued[token] = true
 	return token, true
 }
 
-func (t *tokens) accept(token string) bool {
+func (t *tokens) valid(token string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.users) == 0 || t.known[token]
+	return len(t.users) == 0 || t.issued[token]
 }
 
 func (s *Service) handleAuthenticate(c echo.Context) error {
-	var ask wire.AuthenticateRequest
-	if err := json.NewDecoder(c.Request().Body).Decode(&ask); err != nil {
-		return fail(c, http.StatusBadRequest, wire.CodeInvalidArgument, err)
+	var request wire.AuthenticateRequest
+	if err := json.NewDecoder(c.Request().Body).Decode(&request); err != nil {
+		return respondError(c, http.StatusBadRequest, wire.CodeInvalidArgument, err)
 	}
-	token, ok := s.tokens.issue(ask)
+	token, ok := s.tokens.issue(request)
 	if !ok {
-		return fail(c, http.StatusBadRequest, wire.CodeInvalidArgument, errAuthFailed)
+		return respondError(c, http.StatusBadRequest, wire.CodeInvalidArgument, errAuthFailed)
 	}
 	return c.JSON(http.StatusOK, wire.AuthenticateResponse{Token: token})
 }
@@ -73,10 +73,10 @@
 // asks for a token.
 func (s *Service) requireToken(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		asks := c.Path() == wire.PathAuthenticate
-		if asks || s.tokens.accept(c.Request().Header.Get(echo.HeaderAuthorization)) {
+		authenticating := c.Path() == wire.PathAuthenticate
+		if authenticating || s.tokens.valid(c.Request().Header.Get(echo.HeaderAuthorization)) {
 			return next(c)
 		}
-		return fail(c, http.StatusUnauthorized, wire.CodeUnauthenticated, errInvalidToken)
+		return respondError(c, http.StatusUnauthorized, wire.CodeUnauthenticated, errInvalidToken)
 	}
 }
--- a/pkg/standin/kv/handlers.go
+++ b/pkg/standin/kv/handlers.go
@@ -11,23 +11,23 @@
 )
 
 func (s *Service) handleRange(c echo.Context) error {
-	var ask wire.RangeRequest
-	up, err := s.begin(c, &s.counts.Range, s.reads, &ask)
+	var request wire.RangeRequest
+	up, err := s.admit(c, &s.counts.Range, s.reads, &request)
 	if up == nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, s.store.rangeKeys(ask))
+	return c.JSON(http.StatusOK, s.store.rangeKeys(request))
 }
 
 func (s *Service) handleTxn(c echo.Context) error {
-	var ask wire.TxnRequest
-	up, err := s.begin(c, &s.counts.Txn, s.writes, &ask)
+	var request wire.TxnRequest
+	up, err := s.admit(c, &s.counts.Txn, s.writes, &request)
 	if up == nil {
 		return err
 	}
-	answer, err := s.store.txn(ask)
+	answer, err := s.store.txn(request)
 	if err != nil {
-		return refuse(c, err)
+		return respondStoreError(c, err)
 	}
 	if !answer.Succeeded {
 		s.count(&s.counts.Conflicts)
@@ -36,33 +36,33 @@
 }
 
 func (s *Service) handleGrant(c echo.Context) error {
-	var ask wire.GrantRequest
-	up, err := s.begin(c, &s.counts.Grant, s.writes, &ask)
+	var request wire.GrantRequest
+	up, err := s.admit(c, &s.counts.Grant, s.writes, &request)
 	if up == nil {
 		return err
 	}
-	return s.answer(c, s.store.grant(ask.TTL))
+	return s.answer(c, s.store.grant(request.TTL))
 }
 
 func (s *Service) handleKeepAlive(c echo.Context) error {
-	var ask wire.LeaseRequest
-	up, err := s.begin(c, &s.counts.KeepAlive, s.writes, &ask)
+	var request wire.LeaseRequest
+	up, err := s.admit(c, &s.counts.KeepAlive, s.writes, &request)
 	if up == nil {
 		return err
 	}
-	answer := s.store.keepAlive(ask.ID)
+	answer := s.store.keepAlive(request.ID)
 	return s.answer(c, wire.KeepAliveMessage{Result: &answer})
 }
 
 func (s *Service) handleRevoke(c echo.Context) error {
-	var ask wire.LeaseRequest
-	up, err := s.begin(c, &s.counts.Revoke, s.writes, &ask)
+	var request wire.LeaseRequest
+	up, err := s.admit(c, &s.counts.Revoke, s.writes, &request)
 	if up == nil {
 		return err
 	}
-	answer, err := s.store.revoke(ask.ID)
+	answer, err := s.store.revoke(request.ID)
 	if err != nil {
-		return refuse(c, err)
+		return respondStoreError(c, err)
 	}
 	return s.answer(c, answer)
 }
@@ -70,13 +70,13 @@
 // handleWatch streams the key's events until the caller goes or the service is
 // switched down, which breaks the stream.
 func (s *Service) handleWatch(c echo.Context) error {
-	var ask wire.WatchRequest
-	up, err := s.begin(c, &s.counts.Watch, s.reads, &ask)
+	var request wire.WatchRequest
+	up, err := s.admit(c, &s.counts.Watch, s.reads, &request)
 	if up == nil {
 		return err
 	}
 	out := json.NewEncoder(c.Response())
-	w, revision, err := s.store.watch(string(ask.Create.Key), ask.Create.StartRevision)
+	w, revision, err := s.store.watch(string(request.Create.Key), request.Create.StartRevision)
 	if err != nil {
 		return out.Encode(cancelled(revision))
 	}
@@ -93,13 +93,13 @@
 		case <-up.Done():
 			panic(http.ErrAbortHandler)
 		}
-		if err := s.sendPending(c, out, w); err != nil {
+		if err := s.sendEvents(c, out, w); err != nil {
 			return err
 		}
 	}
 }
 
-func (s *Service) sendPending(c echo.Context, out *json.Encoder, w *watcher) error {
+func (s *Service) sendEvents(c echo.Context, out *json.Encoder, w *watcher) error {
 	events, revision, err := s.store.pending(w)
 	if err != nil {
 		return errors.Join(err, out.Encode(cancelled(revision)))
--- a/pkg/standin/kv/lease.go
+++ b/pkg/standin/kv/lease.go
@@ -22,7 +22,7 @@
 func (s *store) keepAlive(id int64) wire.LeaseResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLocked()
 	answer := wire.LeaseResponse{Header: wire.Header{Revision: s.revision}, ID: id}
 	if held, ok := s.leases[id]; ok {
 		held.expires = s.deadline(held.ttl)
@@ -34,32 +34,32 @@
 func (s *store) revoke(id int64) (wire.LeaseResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLocked()
 	held, ok := s.leases[id]
 	if !ok {
 		return wire.LeaseResponse{}, errLeaseNotFound
 	}
-	s.end(id, held)
+	s.deleteLease(id, held)
 	return wire.LeaseResponse{Header: wire.Header{Revision: s.revision}}, nil
 }
 
 // expireNow ends the leases that are due, so that their watchers are told.
-func (s *store) expireNow() {
+func (s *store) expireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLocked()
 }
 
-func (s *store) expire() {
+func (s *store) expireLocked() {
 	now := s.clock.Now()
 	for id, held := range s.leases {
 		if !now.Before(held.expires) {
-			s.end(id, held)
+			s.deleteLease(id, held)
 		}
 	}
 }
 
-func (s *store) end(id int64, held *lease) {
+func (s *store) deleteLease(id int64, held *lease) {
 	delete(s.leases, id)
 	if len(held.keys) == 0 {
 		return
--- a/pkg/standin/kv/service.go
+++ b/pkg/standin/kv/service.go
@@ -38,7 +38,7 @@
 
 const (
 	// queueLimit is how long a call waits for its turn before it is refused.
-	queueLimit = time.Second
+	queueTimeout = time.Second
 	// expiryInterval is how often leases are looked at.
 	expiryInterval = 50 * time.Millisecond
 )
@@ -68,24 +68,24 @@
 	reads, writes *rate.Limiter
 	tokens        tokens
 
-	mu     sync.Mutex
-	counts Counts
-	slow   time.Duration
-	lose   int
+	mu          sync.Mutex
+	counts      Counts
+	slow        time.Duration
+	dropAnswers int
 	// up is done while the service is down.
-	up   context.Context
-	stop context.CancelFunc
+	up     context.Context
+	goDown context.CancelFunc
 }
 
 // New returns a service that is up and empty.
 func New(settings Settings, c clock.Clock) *Service {
 	s := &Service{
-		tokens: tokens{users: maps.Clone(settings.Users), known: map[string]bool{}},
+		tokens: tokens{users: maps.Clone(settings.Users), issued: map[string]bool{}},
 		store:  newStore(c),
 		reads:  rate.NewLimiter(rate.Limit(settings.ReadsPerSecond), settings.ReadsPerSecond),
 		writes: rate.NewLimiter(rate.Limit(settings.WritesPerSecond), settings.WritesPerSecond),
 	}
-	s.up, s.stop = context.WithCancel(context.Background())
+	s.up, s.goDown = context.WithCancel(context.Background())
 	return s
 }
 
@@ -96,7 +96,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			s.store.expireNow()
+			s.store.expireLeases()
 		case <-ctx.Done():
 			return
 		}
@@ -107,9 +107,9 @@
 func (s *Service) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stop()
+	s.goDown()
 	if !down {
-		s.up, s.stop = context.WithCancel(context.Background())
+		s.up, s.goDown = context.WithCancel(context.Background())
 	}
 }
 
@@ -125,7 +125,7 @@
 func (s *Service) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.dropAnswers = n
 }
 
 // Compact forgets the history, so that a watch can't begin in the past.
@@ -133,11 +133,11 @@
 
 // Counts returns the counters.
 func (s *Service) Counts() Counts {
-	watching := s.store.watching()
+	watcherCount := s.store.watcherCount()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := s.counts
-	counts.Watching = watching
+	counts.Watching = watcherCount
 	return counts
 }
 
@@ -163,7 +163,7 @@
 
 // begin decodes a call, counts it and holds it to the rates and switches. It
 // returns the context that ends when the service goes down.
-func (s *Service) begin(c echo.Context, counter *int64, limiter *rate.Limiter, ask any) (context.Context, error) {
+func (s *Service) admit(c echo.Context, counter *int64, limiter *rate.Limiter, request any) (context.Context, error) {
 	s.mu.Lock()
 	up, slow := s.up, s.slow
 	*counter++
@@ -172,15 +172,15 @@
 		s.count(&s.counts.Refused)
 		panic(http.ErrAbortHandler)
 	}
-	if err := json.NewDecoder(c.Request().Body).Decode(ask); err != nil {
+	if err := json.NewDecoder(c.Request().Body).Decode(request); err != nil {
 		return nil, c.JSON(http.StatusBadRequest, wire.ErrorResponse{Error: err.Error(), Message: err.Error()})
 	}
 	wait(c.Request().Context(), up, slow)
-	limited, cancel := context.WithTimeout(c.Request().Context(), queueLimit)
+	limited, cancel := context.WithTimeout(c.Request().Context(), queueTimeout)
 	defer cancel()
 	if err := limiter.Wait(limited); err != nil {
 		s.count(&s.counts.Limited)
-		return nil, fail(c, http.StatusTooManyRequests, wire.CodeResourceExhausted, err)
+		return nil, respondError(c, http.StatusTooManyRequests, wire.CodeResourceExhausted, err)
 	}
 	if up.Err() != nil {
 		panic(http.ErrAbortHandler)
@@ -204,9 +204,9 @@
 // answer writes a write's answer, or loses it.
 func (s *Service) answer(c echo.Context, message any) error {
 	s.mu.Lock()
-	lost := s.lose > 0
+	lost := s.dropAnswers > 0
 	if lost {
-		s.lose--
+		s.dropAnswers--
 		s.counts.Lost++
 	}
 	s.mu.Unlock()
@@ -216,14 +216,14 @@
 	return c.JSON(http.StatusOK, message)
 }
 
-func fail(c echo.Context, status, code int, err error) error {
+func respondError(c echo.Context, status, code int, err error) error {
 	return c.JSON(status, wire.ErrorResponse{Error: err.Error(), Code: code, Message: err.Error()})
 }
 
 // refuse answers an error of the store.
-func refuse(c echo.Context, err error) error {
+func respondStoreError(c echo.Context, err error) error {
 	if errors.Is(err, errLeaseNotFound) {
-		return fail(c, http.StatusNotFound, wire.CodeNotFound, err)
+		return respondError(c, http.StatusNotFound, wire.CodeNotFound, err)
 	}
-	return fail(c, http.StatusBadRequest, wire.CodeInvalidArgument, err)
+	return respondError(c, http.StatusBadRequest, wire.CodeInvalidArgument, err)
 }
--- a/pkg/standin/kv/store.go
+++ b/pkg/standin/kv/store.go
@@ -62,54 +62,54 @@
 	}
 }
 
-func (s *store) rangeKeys(ask wire.RangeRequest) wire.RangeResponse {
+func (s *store) rangeKeys(request wire.RangeRequest) wire.RangeResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireLocked()
 	found := make([]wire.KeyValue, 0, 1)
 	for _, kv := range s.keys {
-		if !covers(ask, kv.Key) {
+		if !inRange(request, kv.Key) {
 			continue
 		}
-		if ask.KeysOnly {
+		if request.KeysOnly {
 			kv.Value = nil
 		}
 		found = append(found, kv)
 	}
 	sort.Slice(found, func(i, j int) bool { return bytes.Compare(found[i].Key, found[j].Key) < 0 })
 	answer := wire.RangeResponse{Header: wire.Header{Revision: s.revision}, Count: int64(len(found))}
-	if ask.Limit > 0 && int64(len(found)) > ask.Limit {
-		found = found[:ask.Limit]
+	if request.Limit > 0 && int64(len(found)) > request.Limit {
+		found = found[:request.Limit]
 		answer.More = true
 	}
 	answer.KVs = found
 	return answer
 }
 
-func covers(ask wire.RangeRequest, key []byte) bool {
-	if len(ask.RangeEnd) == 0 {
-		return bytes.Equal(ask.Key, key)
+func inRange(request wire.RangeRequest, key []byte) bool {
+	if len(request.RangeEnd) == 0 {
+		return bytes.Equal(request.Key, key)
 	}
-	openEnd := len(ask.RangeEnd) == 1 && ask.RangeEnd[0] == 0
-	return bytes.Compare(key, ask.Key) >= 0 && (openEnd || bytes.Compare(key, ask.RangeEnd) < 0)
+	openEnd := len(request.RangeEnd) == 1 && request.RangeEnd[0] == 0
+	return bytes.Compare(key, request.Key) >= 0 && (openEnd || bytes.Compare(key, request.RangeEnd) < 0)
 }
 
-func (s *store) txn(ask wire.TxnRequest) (wire.TxnResponse, error) {
+func (s *store) txn(request wire.TxnRequest) (wire.TxnResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
-	for _, compare := range ask.Compare {
+	s.expireLocked()
+	for _, compare := range request.Compare {
 		if s.keys[string(compare.Key)].ModRevision != compare.ModRevision {
 			return wire.TxnResponse{Header: wire.Header{Revision: s.revision}}, nil
 		}
 	}
-	if err := s.permitted(ask.Success); err != nil {
+	if err := s.validate(request.Success); err != nil {
 		return wire.TxnResponse{}, err
 	}
-	if len(ask.Success) > 0 {
+	if len(request.Success) > 0 {
 		s.revision++
 	}
-	for _, step := range ask.Success {
+	for _, step := range request.Success {
 		if step.Put != nil {
 			s.put(*step.Put)
 		}
@@ -120,7 +120,7 @@
 	return wire.TxnResponse{Header: wire.Header{Revision: s.revision}, Succeeded: true}, nil
 }
 
-func (s *store) permitted(steps []wire.RequestOp) error {
+func (s *store) validate(steps []wire.RequestOp) error {
 	for _, step := range steps {
 		if step.Put == nil {
 			continue
@@ -135,17 +135,17 @@
 	return nil
 }
 
-func (s *store) put(ask wire.PutRequest) {
-	key := string(ask.Key)
+func (s *store) put(request wire.PutRequest) {
+	key := string(request.Key)
 	kv, existed := s.keys[key]
 	if !existed {
-		kv = wire.KeyValue{Key: ask.Key, CreateRevision: s.revision}
+		kv = wire.KeyValue{Key: request.Key, CreateRevision: s.revision}
 	}
 	s.detach(key, kv.Lease)
-	kv.Value, kv.ModRevision, kv.Lease = ask.Value, s.revision, ask.Lease
+	kv.Value, kv.ModRevision, kv.Lease = request.Value, s.revision, request.Lease
 	kv.Version++
 	s.keys[key] = kv
-	if held, ok := s.leases[ask.Lease]; ok {
+	if held, ok := s.leases[request.Lease]; ok {
 		held.keys[key] = struct{}{}
 	}
 	s.record(wire.Event{KV: kv})
--- a/pkg/standin/kv/watch.go
+++ b/pkg/standin/kv/watch.go
@@ -32,7 +32,7 @@
 	delete(s.watchers, w)
 }
 
-func (s *store) watching() int {
+func (s *store) watcherCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.watchers)
--- a/pkg/standin/link/link.go
+++ b/pkg/standin/link/link.go
@@ -36,7 +36,7 @@
 	windowSegments = 256
 	// handshakeTrips is how many one-way delays a TCP handshake takes before the
 	// first data can leave.
-	handshakeTrips = 2
+	handshakeDelays = 2
 	// dialTimeout bounds the connection to the target.
 	dialTimeout = 2 * time.Second
 )
@@ -49,12 +49,12 @@
 	settings []Settings
 
 	mu        sync.Mutex
-	paths     map[pair]*path
+	paths     map[direction]*path
 	listeners []*cuttableListener
 }
 
 // pair is a direction.
-type pair struct{ from, to string }
+type direction struct{ from, to string }
 
 // path is the state of one direction.
 type path struct {
@@ -69,15 +69,15 @@
 
 // New returns a network whose directions are all open.
 func New(settings []Settings) *Network {
-	n := &Network{settings: settings, paths: make(map[pair]*path)}
+	n := &Network{settings: settings, paths: make(map[direction]*path)}
 	for _, s := range settings {
-		n.ensure(pair{s.From, s.To}, s.Delay)
-		n.ensure(pair{s.To, s.From}, s.Delay)
+		n.addDirection(direction{s.From, s.To}, s.Delay)
+		n.addDirection(direction{s.To, s.From}, s.Delay)
 	}
 	return n
 }
 
-func (n *Network) ensure(p pair, delay time.Duration) {
+func (n *Network) addDirection(p direction, delay time.Duration) {
 	if n.paths[p] == nil {
 		n.paths[p] = &path{delay: delay, changed: make(chan struct{})}
 	}
@@ -86,36 +86,36 @@
 func (n *Network) path(from, to string) *path {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.paths[pair{from, to}]
+	return n.paths[direction{from, to}]
 }
 
 // Cut stops one direction; with reset, connections between the two are closed
 // and new ones too, in place of silence. It returns when the cut is in force.
 func (n *Network) Cut(from, to string, reset bool) error {
-	if err := n.set(from, to, func(p *path) { p.cut, p.reset = true, reset }); err != nil || reset {
+	if err := n.update(from, to, func(p *path) { p.cut, p.reset = true, reset }); err != nil || reset {
 		return err
 	}
 	p := n.path(from, to)
-	for _, d := range n.between(p) {
-		d.waitClosed()
+	for _, l := range n.listenersOf(p) {
+		l.waitClosed()
 	}
 	return nil
 }
 
-func (n *Network) register(d *cuttableListener) {
+func (n *Network) register(l *cuttableListener) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.listeners = append(n.listeners, d)
+	n.listeners = append(n.listeners, l)
 }
 
 // between returns the listeners that a direction's state shuts.
-func (n *Network) between(p *path) []*cuttableListener {
+func (n *Network) listenersOf(p *path) []*cuttableListener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var found []*cuttableListener
-	for _, d := range n.listeners {
-		if d.forward == p || d.backward == p {
-			found = append(found, d)
+	for _, l := range n.listeners {
+		if l.forward == p || l.backward == p {
+			found = append(found, l)
 		}
 	}
 	return found
@@ -123,15 +123,15 @@
 
 // Heal opens one direction.
 func (n *Network) Heal(from, to string) error {
-	return n.set(from, to, func(p *path) { p.cut, p.reset = false, false })
+	return n.update(from, to, func(p *path) { p.cut, p.reset = false, false })
 }
 
 // SetDelay sets one direction's delay.
 func (n *Network) SetDelay(from, to string, delay time.Duration) error {
-	return n.set(from, to, func(p *path) { p.delay = delay })
+	return n.update(from, to, func(p *path) { p.delay = delay })
 }
 
-func (n *Network) set(from, to string, change func(*path)) error {
+func (n *Network) update(from, to string, change func(*path)) error {
 	p := n.path(from, to)
 	if p == nil {
 		return ErrNoPath
@@ -153,7 +153,7 @@
 
 // passable waits until the direction is open; false means that it was reset or
 // that ctx ended.
-func (p *path) passable(ctx context.Context) bool {
+func (p *path) waitOpen(ctx context.Context) bool {
 	for {
 		_, cut, reset, changed := p.state()
 		if reset || ctx.Err() != nil {
@@ -214,7 +214,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	for i, listener := range listeners {
-		running.Go(func() { n.accept(ctx, n.settings[i], listener) })
+		running.Go(func() { n.acceptLoop(ctx, n.settings[i], listener) })
 	}
 	<-ctx.Done()
 	for _, listener := range listeners {
@@ -223,13 +223,13 @@
 }
 
 // accept takes connections while both directions are open.
-func (n *Network) accept(ctx context.Context, s Settings, listener *net.TCPListener) {
+func (n *Network) acceptLoop(ctx context.Context, s Settings, listener *net.TCPListener) {
 	var running sync.WaitGroup
 	defer running.Wait()
-	d := newCuttableListener(listener, n.path(s.From, s.To), n.path(s.To, s.From))
-	n.register(d)
+	l := newCuttableListener(listener, n.path(s.From, s.To), n.path(s.To, s.From))
+	n.register(l)
 	for {
-		conn, err := d.next(ctx)
+		conn, err := l.accept(ctx)
 		if err != nil {
 			return
 		}
--- a/pkg/standin/link/link_test.go
+++ b/pkg/standin/link/link_test.go
@@ -14,7 +14,7 @@
 )
 
 // silence is how long a direction must bring nothing to count as cut.
-const silence = 150 * time.Millisecond
+const silenceTimeout = 150 * time.Millisecond
 
 // echoServer answers each line with the same line.
 func echoServer(t *testing.T) string {
@@ -32,9 +32,9 @@
 			}
 			go func() {
 				defer conn.Close()
-				lines := bufio.NewScanner(conn)
-				for lines.Scan() {
-					_, _ = conn.Write(append(lines.Bytes(), '\n'))
+				scanner := bufio.NewScanner(conn)
+				for scanner.Scan() {
+					_, _ = conn.Write(append(scanner.Bytes(), '\n'))
 				}
 			}()
 		}
@@ -61,7 +61,7 @@
 }
 
 // line sends a line and waits for its echo.
-func line(conn net.Conn, text string, wait time.Duration) (string, error) {
+func roundTrip(conn net.Conn, text string, wait time.Duration) (string, error) {
 	if text != "" {
 		if _, err := conn.Write([]byte(text + "\n")); err != nil {
 			return "", err
@@ -83,30 +83,30 @@
 	return conn
 }
 
-func TestEachDirectionIsCutByItself(t *testing.T) {
+func TestEachDirectionIsCutIndependently(t *testing.T) {
 	for _, cut := range [][2]string{{"a", "b"}, {"b", "a"}} {
 		t.Run(cut[0]+" to "+cut[1], func(t *testing.T) {
 			is := is.New(t)
 			network, address := startLink(t, time.Millisecond)
 			conn := dial(t, address)
-			got, err := line(conn, "one", time.Minute)
+			got, err := roundTrip(conn, "one", time.Minute)
 			is.NoErr(err)
 			is.Equal(got, "one\n")
 
 			is.NoErr(network.Cut(cut[0], cut[1], false))
-			_, err = line(conn, "two", silence)
+			_, err = roundTrip(conn, "two", silenceTimeout)
 			var timeout net.Error
 			is.True(errors.As(err, &timeout) && timeout.Timeout()) // silence, not a failure
 			for range 3 {
-				_, err = net.DialTimeout("tcp", address, silence)
+				_, err = net.DialTimeout("tcp", address, silenceTimeout)
 				is.True(errors.As(err, &timeout) && timeout.Timeout()) // no handshake either
 			}
 
 			is.NoErr(network.Heal(cut[0], cut[1]))
-			got, err = line(conn, "", time.Minute)
+			got, err = roundTrip(conn, "", time.Minute)
 			is.NoErr(err)
 			is.Equal(got, "two\n")
-			got, err = line(dial(t, address), "three", time.Minute)
+			got, err = roundTrip(dial(t, address), "three", time.Minute)
 			is.NoErr(err)
 			is.Equal(got, "three\n")
 		})
@@ -117,26 +117,26 @@
 	is := is.New(t)
 	network, address := startLink(t, 0)
 	conn := dial(t, address)
-	_, err := line(conn, "one", time.Minute)
+	_, err := roundTrip(conn, "one", time.Minute)
 	is.NoErr(err)
 	is.NoErr(network.Cut("b", "a", true))
-	_, err = line(conn, "", time.Minute)
+	_, err = roundTrip(conn, "", time.Minute)
 	var timeout net.Error
 	is.True(err != nil && !(errors.As(err, &timeout) && timeout.Timeout()))
 	is.Equal(network.Cut("a", "c", false), link.ErrNoPath)
 }
 
-func TestDelayIsOneWay(t *testing.T) {
+func TestDelayAppliesToEachDirection(t *testing.T) {
 	is := is.New(t)
 	const delay = 40 * time.Millisecond
 	_, address := startLink(t, delay)
 	conn := dial(t, address)
-	begun := time.Now()
-	_, err := line(conn, "one", time.Minute)
+	started := time.Now()
+	_, err := roundTrip(conn, "one", time.Minute)
 	is.NoErr(err)
-	is.True(time.Since(begun) >= 4*delay) // handshake, there and back
-	begun = time.Now()
-	_, err = line(conn, "two", time.Minute)
+	is.True(time.Since(started) >= 4*delay) // handshake, there and back
+	started = time.Now()
+	_, err = roundTrip(conn, "two", time.Minute)
 	is.NoErr(err)
-	is.True(time.Since(begun) >= 2*delay)
+	is.True(time.Since(started) >= 2*delay)
 }
--- a/pkg/standin/link/listener.go
+++ b/pkg/standin/link/listener.go
@@ -33,63 +33,63 @@
 
 	mu sync.Mutex
 	// closed says that the backlog is shut; whenClosed is closed with it.
-	closed     bool
-	whenClosed chan struct{}
+	closed       bool
+	closedSignal chan struct{}
 }
 
 func newCuttableListener(listener *net.TCPListener, forward, backward *path) *cuttableListener {
-	return &cuttableListener{listener: listener, forward: forward, backward: backward, whenClosed: make(chan struct{})}
+	return &cuttableListener{listener: listener, forward: forward, backward: backward, closedSignal: make(chan struct{})}
 }
 
 // waitClosed waits until the listener is shut, within bounds.
-func (d *cuttableListener) waitClosed() {
-	d.mu.Lock()
-	whenClosed := d.whenClosed
-	d.mu.Unlock()
+func (l *cuttableListener) waitClosed() {
+	l.mu.Lock()
+	closedSignal := l.closedSignal
+	l.mu.Unlock()
 	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
-	case <-whenClosed:
+	case <-closedSignal:
 	case <-timer.C:
 	}
 }
 
 // mark sets whether the listener is shut, and reports whether that is new.
-func (d *cuttableListener) mark(closed bool) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.closed == closed {
+func (l *cuttableListener) setClosed(closed bool) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed == closed {
 		return false
 	}
-	d.closed = closed
+	l.closed = closed
 	if closed {
-		close(d.whenClosed)
+		close(l.closedSignal)
 	} else {
-		d.whenClosed = make(chan struct{})
+		l.closedSignal = make(chan struct{})
 	}
 	return true
 }
 
 // next accepts a connection once both directions are open.
-func (d *cuttableListener) next(ctx context.Context) (net.Conn, error) {
+func (l *cuttableListener) accept(ctx context.Context) (net.Conn, error) {
 	for {
 		// The deadline is lifted before the state is read, and a change of state
 		// sets it: no change is missed.
-		if err := d.listener.SetDeadline(time.Time{}); err != nil {
+		if err := l.listener.SetDeadline(time.Time{}); err != nil {
 			return nil, err
 		}
-		shut, changed := d.shut()
-		if shut {
-			d.close(ctx)
-			await(ctx, changed)
+		blocked, changed := l.blocked()
+		if blocked {
+			l.close(ctx)
+			waitChange(ctx, changed)
 			continue
 		}
-		d.open()
-		conn, err := d.acceptUntil(ctx, changed)
+		l.open()
+		conn, err := l.acceptUntil(ctx, changed)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			continue
 		}
-		if err == nil && conn.RemoteAddr().String() == d.fillerAddress {
+		if err == nil && conn.RemoteAddr().String() == l.fillerAddress {
 			_ = conn.Close()
 			continue
 		}
@@ -99,16 +99,16 @@
 
 // shut reports whether new connections are held back, and returns what is closed
 // when either direction changes.
-func (d *cuttableListener) shut() (shut bool, changed []<-chan struct{}) {
-	for _, p := range []*path{d.forward, d.backward} {
+func (l *cuttableListener) blocked() (blocked bool, changed []<-chan struct{}) {
+	for _, p := range []*path{l.forward, l.backward} {
 		_, cut, reset, next := p.state()
-		shut = shut || (cut && !reset)
+		blocked = blocked || (cut && !reset)
 		changed = append(changed, next)
 	}
-	return shut, changed
+	return blocked, changed
 }
 
-func await(ctx context.Context, changed []<-chan struct{}) {
+func waitChange(ctx context.Context, changed []<-chan struct{}) {
 	select {
 	case <-changed[0]:
 	case <-changed[1]:
@@ -117,47 +117,47 @@
 }
 
 // acceptUntil accepts a connection, or gives up when a direction changes.
-func (d *cuttableListener) acceptUntil(ctx context.Context, changed []<-chan struct{}) (net.Conn, error) {
+func (l *cuttableListener) acceptUntil(ctx context.Context, changed []<-chan struct{}) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		await(ctx, changed)
+		waitChange(ctx, changed)
 		if ctx.Err() == nil {
-			_ = d.listener.SetDeadline(time.Unix(1, 0))
+			_ = l.listener.SetDeadline(time.Unix(1, 0))
 		}
 	}()
-	return d.listener.Accept()
+	return l.listener.Accept()
 }
 
-func (d *cuttableListener) close(ctx context.Context) {
-	if d.filler != nil {
+func (l *cuttableListener) close(ctx context.Context) {
+	if l.filler != nil {
 		return
 	}
-	d.setBacklog(0)
+	l.setBacklog(0)
 	dialer := net.Dialer{Timeout: fillerTimeout}
 	// Failing means that the backlog is full already.
-	filler, err := dialer.DialContext(ctx, "tcp", d.listener.Addr().String())
+	filler, err := dialer.DialContext(ctx, "tcp", l.listener.Addr().String())
 	if err == nil {
-		d.filler, d.fillerAddress = filler, filler.LocalAddr().String()
+		l.filler, l.fillerAddress = filler, filler.LocalAddr().String()
 	}
-	d.mark(true)
+	l.setClosed(true)
 }
 
-func (d *cuttableListener) open() {
-	if !d.mark(false) {
+func (l *cuttableListener) open() {
+	if !l.setClosed(false) {
 		return
 	}
-	d.setBacklog(openBacklog)
-	if d.filler != nil {
-		_ = d.filler.Close()
-		d.filler = nil
+	l.setBacklog(openBacklog)
+	if l.filler != nil {
+		_ = l.filler.Close()
+		l.filler = nil
 	}
 }
 
 // setBacklog bounds the connections that the system makes before they are
 // accepted. Where that fails, connections are made during a cut, and held back.
-func (d *cuttableListener) setBacklog(size int) {
-	raw, err := d.listener.SyscallConn()
+func (l *cuttableListener) setBacklog(size int) {
+	raw, err := l.listener.SyscallConn()
 	if err != nil {
 		return
 	}
--- a/pkg/standin/link/relay.go
+++ b/pkg/standin/link/relay.go
@@ -18,34 +18,34 @@
 }
 
 // relay carries one connection until both directions have ended.
-func (n *Network) relay(ctx context.Context, s Settings, near net.Conn) {
+func (n *Network) relay(ctx context.Context, s Settings, source net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer near.Close()
+	defer source.Close()
 	forward, backward := n.path(s.From, s.To), n.path(s.To, s.From)
 	go forward.watchReset(ctx, cancel)
 	go backward.watchReset(ctx, cancel)
-	if !forward.passable(ctx) || !backward.passable(ctx) {
+	if !forward.waitOpen(ctx) || !backward.waitOpen(ctx) {
 		return
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
-	far, err := dialer.DialContext(ctx, "tcp", s.Target)
+	target, err := dialer.DialContext(ctx, "tcp", s.Target)
 	if err != nil {
-		abort(near)
+		abort(source)
 		return
 	}
-	defer far.Close()
+	defer target.Close()
 	// Ends blocked reads and writes when the connection is reset.
 	stop := context.AfterFunc(ctx, func() {
-		abort(near)
-		abort(far)
+		abort(source)
+		abort(target)
 	})
 	defer stop()
-	var both sync.WaitGroup
+	var directions sync.WaitGroup
 	delay, _, _, _ := forward.state()
-	both.Go(func() { carry(ctx, cancel, forward, near, far, handshakeTrips*delay) })
-	both.Go(func() { carry(ctx, cancel, backward, far, near, 0) })
-	both.Wait()
+	directions.Go(func() { relayDirection(ctx, cancel, forward, source, target, handshakeDelays*delay) })
+	directions.Go(func() { relayDirection(ctx, cancel, backward, target, source, 0) })
+	directions.Wait()
 }
 
 // abort closes a connection with a reset, so that its peer sees the failure at once.
@@ -58,19 +58,19 @@
 
 // carry moves one direction's bytes, each after the delay of the moment in which
 // it came. first is added for the first segment.
-func carry(ctx context.Context, cancel context.CancelFunc, p *path, from, to net.Conn, first time.Duration) {
+func relayDirection(ctx context.Context, cancel context.CancelFunc, p *path, from, to net.Conn, first time.Duration) {
 	segments := make(chan segment, windowSegments)
 	go read(ctx, p, from, segments, first)
-	for part := range segments {
-		if !clock.Sleep(ctx, time.Until(part.due)) || !p.passable(ctx) {
+	for seg := range segments {
+		if !clock.Sleep(ctx, time.Until(seg.due)) || !p.waitOpen(ctx) {
 			cancel()
 			return
 		}
-		if len(part.data) == 0 {
+		if len(seg.data) == 0 {
 			closeWrite(to)
 			return
 		}
-		if _, err := to.Write(part.data); err != nil {
+		if _, err := to.Write(seg.data); err != nil {
 			cancel()
 			return
 		}
@@ -87,12 +87,12 @@
 	for {
 		count, err := from.Read(buffer)
 		delay, _, _, _ := p.state()
-		due := latest(time.Now(), opened.Add(extra)).Add(delay)
-		if count > 0 && !push(ctx, segments, segment{data: append([]byte(nil), buffer[:count]...), due: due}) {
+		due := later(time.Now(), opened.Add(extra)).Add(delay)
+		if count > 0 && !send(ctx, segments, segment{data: append([]byte(nil), buffer[:count]...), due: due}) {
 			return
 		}
 		if err == io.EOF {
-			push(ctx, segments, segment{due: due})
+			send(ctx, segments, segment{due: due})
 			return
 		}
 		if err != nil {
@@ -101,16 +101,16 @@
 	}
 }
 
-func push(ctx context.Context, segments chan<- segment, part segment) bool {
+func send(ctx context.Context, segments chan<- segment, seg segment) bool {
 	select {
-	case segments <- part:
+	case segments <- seg:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func latest(a, b time.Time) time.Time {
+func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/pkg/standin/plan/declare.go
+++ b/pkg/standin/plan/declare.go
@@ -25,7 +25,7 @@
 }
 
 func (b *builder) declare() {
-	to := &b.plan.Declaration
+	declaration := &b.plan.Declaration
 	var regions []string
 	for _, region := range b.topology.Regions {
 		declared := config.Region{Name: region.Name}
@@ -33,41 +33,41 @@
 			declared.Domains = append(declared.Domains, domain.Name)
 		}
 		slices.Sort(declared.Domains)
-		to.Regions = append(to.Regions, declared)
+		declaration.Regions = append(declaration.Regions, declared)
 		regions = append(regions, region.Name)
 	}
 	slices.Sort(regions)
 	for _, model := range b.topology.Models {
-		to.Models = append(to.Models, config.Model{Name: model.Name, Versions: model.Versions, Regions: regions, MaxTokens: model.MaxTokens})
+		declaration.Models = append(declaration.Models, config.Model{Name: model.Name, Versions: model.Versions, Regions: regions, MaxTokens: model.MaxTokens})
 	}
-	for _, one := range b.topology.Services {
-		to.Services = append(to.Services, config.Service{Name: one.Name, Prefix: one.Path, Regions: regions, Routes: one.Routes})
+	for _, svc := range b.topology.Services {
+		declaration.Services = append(declaration.Services, config.Service{Name: svc.Name, Prefix: svc.Path, Regions: regions, Routes: svc.Routes})
 	}
 	for _, caller := range b.topology.Callers {
-		to.Callers = append(to.Callers, config.Caller{
+		declaration.Callers = append(declaration.Callers, config.Caller{
 			Name: caller.Name, KeyHash: keyHash(caller.Name), Home: caller.Home, Regions: caller.Regions, Share: caller.Share,
 		})
 	}
 	for _, operator := range b.topology.Operators {
-		to.Operators = append(to.Operators, config.Operator{Name: operator, KeyHash: keyHash(operator)})
+		declaration.Operators = append(declaration.Operators, config.Operator{Name: operator, KeyHash: keyHash(operator)})
 	}
 	b.plan.Operator.Operator = b.topology.Operators[0]
-	to.Spill, to.Policy = b.topology.Spill, b.topology.Policy
+	declaration.Spill, declaration.Policy = b.topology.Spill, b.topology.Policy
 	b.sort()
 }
 
 // sort puts the declaration's lists in the order that they are kept in.
 func (b *builder) sort() {
-	to := &b.plan.Declaration
-	slices.SortFunc(to.Regions, func(x, y config.Region) int { return strings.Compare(x.Name, y.Name) })
-	slices.SortFunc(to.Models, func(x, y config.Model) int { return strings.Compare(x.Name, y.Name) })
-	slices.SortFunc(to.Services, func(x, y config.Service) int { return strings.Compare(x.Name, y.Name) })
-	slices.SortFunc(to.Callers, func(x, y config.Caller) int { return strings.Compare(x.Name, y.Name) })
-	slices.SortFunc(to.Operators, func(x, y config.Operator) int { return strings.Compare(x.Name, y.Name) })
+	declaration := &b.plan.Declaration
+	slices.SortFunc(declaration.Regions, func(x, y config.Region) int { return strings.Compare(x.Name, y.Name) })
+	slices.SortFunc(declaration.Models, func(x, y config.Model) int { return strings.Compare(x.Name, y.Name) })
+	slices.SortFunc(declaration.Services, func(x, y config.Service) int { return strings.Compare(x.Name, y.Name) })
+	slices.SortFunc(declaration.Callers, func(x, y config.Caller) int { return strings.Compare(x.Name, y.Name) })
+	slices.SortFunc(declaration.Operators, func(x, y config.Operator) int { return strings.Compare(x.Name, y.Name) })
 }
 
 func (b *builder) upstreams() {
-	for _, s := range b.sites {
+	for _, s := range b.domains {
 		next := 0
 		for _, model := range b.topology.Models {
 			for n := 1; n <= model.Engine.PerDomain; n++ {
@@ -76,11 +76,11 @@
 				b.engine(s, model, name, b.address(octetUpstreams+s.number, next, portUpstream), n)
 			}
 		}
-		for _, one := range b.topology.Services {
-			for n := 1; n <= one.PerDomain; n++ {
+		for _, svc := range b.topology.Services {
+			for n := 1; n <= svc.PerDomain; n++ {
 				next++
-				name := fmt.Sprintf("%s-%s-%d", one.Prefix, s.Prefix, n)
-				b.service(s, one, name, b.address(octetUpstreams+s.number, next, portUpstream))
+				name := fmt.Sprintf("%s-%s-%d", svc.Prefix, s.Prefix, n)
+				b.service(s, svc, name, b.address(octetUpstreams+s.number, next, portUpstream))
 			}
 		}
 	}
@@ -90,9 +90,9 @@
 
 // engine adds engine n of a model: it gets the version whose share of the
 // engines it falls into.
-func (b *builder) engine(s site, model Model, name, address string, n int) {
+func (b *builder) engine(s numberedDomain, model Model, name, address string, n int) {
 	e := model.Engine
-	version := versionOf(model, n)
+	version := engineVersion(model, n)
 	b.plan.Standin.Engines = append(b.plan.Standin.Engines, engine.Settings{
 		Name: name, Domain: s.Name, Address: address, Serves: model.Name, Version: version,
 		Concurrency: e.Concurrency, Queue: engineQueue * e.Concurrency,
@@ -107,24 +107,24 @@
 }
 
 // versionOf spreads a domain's engines over the versions by percent.
-func versionOf(model Model, n int) string {
-	const whole = 100
-	reached := 0
+func engineVersion(model Model, n int) string {
+	const allPercent = 100
+	cumulative := 0
 	for _, version := range model.Versions {
-		reached += version.Percent
-		if n*whole <= reached*model.Engine.PerDomain {
+		cumulative += version.Percent
+		if n*allPercent <= cumulative*model.Engine.PerDomain {
 			return version.Name
 		}
 	}
 	return model.Versions[len(model.Versions)-1].Name
 }
 
-func (b *builder) service(s site, one Service, name, address string) {
+func (b *builder) service(s numberedDomain, svc Service, name, address string) {
 	b.plan.Standin.Services = append(b.plan.Standin.Services, service.Settings{
-		Name: name, Domain: s.Name, Address: address, Serves: one.Name, Concurrency: one.Concurrency, Latency: one.Latency,
+		Name: name, Domain: s.Name, Address: address, Serves: svc.Name, Concurrency: svc.Concurrency, Latency: svc.Latency,
 	})
 	b.plan.Declaration.Upstreams = append(b.plan.Declaration.Upstreams, config.Upstream{
-		Name: name, Kind: config.KindService, Serves: one.Name, Domain: s.Name, Address: address, Concurrency: one.Concurrency,
+		Name: name, Kind: config.KindService, Serves: svc.Name, Domain: s.Name, Address: address, Concurrency: svc.Concurrency,
 	})
 	b.list(standin.Listed{Name: name, Domain: s.Name})
 }
--- a/pkg/standin/plan/plan.go
+++ b/pkg/standin/plan/plan.go
@@ -33,7 +33,7 @@
 )
 
 // platformSide names the platform's end of a link.
-const platformSide = "platform"
+const platformName = "platform"
 
 // Plan is every file of a deployment.
 type Plan struct {
@@ -44,7 +44,7 @@
 }
 
 // site is a failure domain with its number, counting from 1.
-type site struct {
+type numberedDomain struct {
 	Domain
 	number int
 	region string
@@ -54,7 +54,7 @@
 type builder struct {
 	topology Topology
 	net      int
-	sites    []site
+	domains  []numberedDomain
 	plan     Plan
 }
 
@@ -78,11 +78,11 @@
 	b := &builder{topology: topology, net: net}
 	for _, region := range topology.Regions {
 		for _, domain := range region.Domains {
-			b.sites = append(b.sites, site{Domain: domain, number: len(b.sites) + 1, region: region.Name})
+			b.domains = append(b.domains, numberedDomain{Domain: domain, number: len(b.domains) + 1, region: region.Name})
 		}
 	}
 	b.platform()
-	for _, s := range b.sites {
+	for _, s := range b.domains {
 		b.instances(s)
 	}
 	b.declare()
@@ -106,8 +106,8 @@
 	to.Weights.Address, to.Weights.LoadsPerMinute = at(portWeights), p.LoadsPerMinute
 }
 
-func (b *builder) instances(s site) {
-	via := b.links(s)
+func (b *builder) instances(s numberedDomain) {
+	dialVia := b.links(s)
 	for n := 1; n <= s.Instances; n++ {
 		name := fmt.Sprintf("%s-%d", s.Prefix, n)
 		at := func(port int) string { return b.address(s.number, n, port) }
@@ -117,7 +117,7 @@
 			Agent:    settings.Agent{Mesh: at(portMesh), Operators: at(portOperators)},
 			Platform: b.platformSettings(),
 			Seeds:    b.seeds(),
-			DialVia:  via,
+			DialVia:  dialVia,
 			Security: settings.Security{PlaintextLoopback: true},
 		}
 		b.plan.Instances = append(b.plan.Instances, instance)
@@ -139,7 +139,7 @@
 func (b *builder) seeds() []settings.Seed {
 	const seedsPerDomain = 2
 	var seeds []settings.Seed
-	for _, s := range b.sites {
+	for _, s := range b.domains {
 		for n := 1; n <= min(s.Instances, seedsPerDomain); n++ {
 			seeds = append(seeds, settings.Seed{Domain: s.Name, Mesh: b.address(s.number, n, portMesh)})
 		}
--- a/pkg/standin/plan/plan_test.go
+++ b/pkg/standin/plan/plan_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestEveryPathBetweenDomainsIsALink(t *testing.T) {
+func TestEveryPathBetweenDomainsUsesALink(t *testing.T) {
 	is := is.New(t)
 	topology, err := plan.Load(filepath.Join("..", "..", "..", "deploy", "wellness", "topology.yaml"))
 	is.NoErr(err)
@@ -50,16 +50,16 @@
 		listens[relay.Listen] = true
 		targets[relay.From+" "+relay.Target] = relay.Listen
 	}
-	for _, one := range built.Instances {
+	for _, instance := range built.Instances {
 		for _, other := range built.Instances {
 			for _, address := range []string{other.Gateway.Peers, other.Gateway.Control, other.Agent.Mesh, other.Agent.Operators} {
-				via, linked := one.DialVia[address]
-				is.Equal(linked, one.Domain != other.Domain)
-				is.Equal(via, targets[one.Domain+" "+address])
+				via, linked := instance.DialVia[address]
+				is.Equal(linked, instance.Domain != other.Domain)
+				is.Equal(via, targets[instance.Domain+" "+address])
 			}
 		}
-		for _, address := range append(one.Platform.KeyValue, one.Platform.Directory, one.Platform.InstanceList, one.Platform.WeightStore) {
-			is.True(listens[one.DialVia[address]])
+		for _, address := range append(instance.Platform.KeyValue, instance.Platform.Directory, instance.Platform.InstanceList, instance.Platform.WeightStore) {
+			is.True(listens[instance.DialVia[address]])
 		}
 	}
 }
--- a/pkg/standin/run.go
+++ b/pkg/standin/run.go
@@ -25,7 +25,7 @@
 )
 
 // drainTime bounds the end of running requests at a shutdown.
-const drainTime = 2 * time.Second
+const shutdownTimeout = 2 * time.Second
 
 // ListenError is an address that cannot be listened on.
 type ListenError struct {
@@ -82,11 +82,11 @@
 	return p.serve(ctx, log)
 }
 
-func (p *process) runs(group Group) bool {
+func (p *process) includesGroup(group Group) bool {
 	return len(p.selection.Groups) == 0 || slices.Contains(p.selection.Groups, group)
 }
 
-func (p *process) wants(upstream string) bool {
+func (p *process) includesUpstream(upstream string) bool {
 	return len(p.selection.Upstreams) == 0 || slices.Contains(p.selection.Upstreams, upstream)
 }
 
@@ -110,9 +110,9 @@
 	switch {
 	case p.selection.Admin != "":
 		return p.selection.Admin
-	case p.runs(GroupPlatform):
+	case p.includesGroup(GroupPlatform):
 		return p.settings.Admin.Platform
-	case p.runs(GroupUpstreams):
+	case p.includesGroup(GroupUpstreams):
 		return p.settings.Admin.Upstreams
 	}
 	return p.settings.Admin.Links
@@ -123,7 +123,7 @@
 }
 
 func (p *process) addPlatform() {
-	if !p.runs(GroupPlatform) {
+	if !p.includesGroup(GroupPlatform) {
 		return
 	}
 	platform := p.settings.Platform
@@ -138,30 +138,30 @@
 }
 
 func (p *process) addUpstreams() {
-	if !p.runs(GroupUpstreams) {
+	if !p.includesGroup(GroupUpstreams) {
 		return
 	}
 	for _, settings := range p.settings.Engines {
-		if !p.wants(settings.Name) {
+		if !p.includesUpstream(settings.Name) {
 			continue
 		}
-		one := engine.New(settings, p.clock, p.controls.Journal)
-		p.controls.Upstreams[settings.Name] = one
-		p.loops = append(p.loops, one.Run)
-		p.add(settings.Address, one.Handler())
+		upstream := engine.New(settings, p.clock, p.controls.Journal)
+		p.controls.Upstreams[settings.Name] = upstream
+		p.loops = append(p.loops, upstream.Run)
+		p.add(settings.Address, upstream.Handler())
 	}
 	for _, settings := range p.settings.Services {
-		if !p.wants(settings.Name) {
+		if !p.includesUpstream(settings.Name) {
 			continue
 		}
-		one := service.New(settings, p.clock, p.controls.Journal)
-		p.controls.Upstreams[settings.Name] = one
-		p.add(settings.Address, one.Handler())
+		upstream := service.New(settings, p.clock, p.controls.Journal)
+		p.controls.Upstreams[settings.Name] = upstream
+		p.add(settings.Address, upstream.Handler())
 	}
 }
 
 func (p *process) addLinks() error {
-	if !p.runs(GroupLinks) {
+	if !p.includesGroup(GroupLinks) {
 		return nil
 	}
 	network := link.New(p.settings.Links)
@@ -186,9 +186,9 @@
 		group.Go(func() error { loop(ctx); return nil })
 	}
 	for i, listener := range listeners {
-		one := &http.Server{Handler: p.servers[i].handler, ReadHeaderTimeout: drainTime}
-		group.Go(func() error { return serveOne(one, listener) })
-		group.Go(func() error { return shutdown(ctx, one) })
+		srv := &http.Server{Handler: p.servers[i].handler, ReadHeaderTimeout: shutdownTimeout}
+		group.Go(func() error { return serveListener(srv, listener) })
+		group.Go(func() error { return shutdown(ctx, srv) })
 	}
 	log.Info().Int("servers", len(p.servers)).Int("links", len(p.links)).Str("admin", p.adminAddress()).Msg("ready")
 	err = group.Wait()
@@ -198,12 +198,12 @@
 
 func (p *process) listen() ([]net.Listener, error) {
 	listeners := make([]net.Listener, 0, len(p.servers))
-	for _, one := range p.servers {
-		listener, err := one.listen()
+	for _, srv := range p.servers {
+		listener, err := srv.listen()
 		if err != nil {
 			closeAll(listeners)
 			closeAll(p.links)
-			return nil, &ListenError{Address: one.address, Err: err}
+			return nil, &ListenError{Address: srv.address, Err: err}
 		}
 		listeners = append(listeners, listener)
 	}
@@ -227,8 +227,8 @@
 	}
 }
 
-func serveOne(one *http.Server, listener net.Listener) error {
-	if err := one.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+func serveListener(srv *http.Server, listener net.Listener) error {
+	if err := srv.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve: %w", err)
 	}
 	return nil
@@ -236,12 +236,12 @@
 
 // shutdown ends a server's running requests within the drain time, and cuts
 // those that last longer, such as watches.
-func shutdown(ctx context.Context, one *http.Server) error {
+func shutdown(ctx context.Context, srv *http.Server) error {
 	<-ctx.Done()
-	bounded, cancel := context.WithTimeout(context.Background(), drainTime)
+	drainCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := one.Shutdown(bounded); err != nil {
-		_ = one.Close()
+	if err := srv.Shutdown(drainCtx); err != nil {
+		_ = srv.Close()
 	}
 	return nil
 }
--- a/pkg/standin/service/service.go
+++ b/pkg/standin/service/service.go
@@ -75,9 +75,9 @@
 }
 
 type faults struct {
-	latency                  time.Duration
-	fail, refuse, die, stall int
-	leave                    bool
+	latency                         time.Duration
+	fail, refuse, disconnect, stall int
+	leave                           bool
 }
 
 // Answer is what a call returns.
@@ -114,19 +114,19 @@
 		return nil
 	case verbSlow:
 		millis := 0
-		if err := fault.Number(&millis, argument); err != nil {
+		if err := fault.SetCount(&millis, argument); err != nil {
 			return err
 		}
 		s.faults.latency = time.Duration(millis) * time.Millisecond
 		return nil
 	}
 	target := map[string]*int{
-		verbFail: &s.faults.fail, verbRefuse: &s.faults.refuse, verbDie: &s.faults.die, verbStall: &s.faults.stall,
+		verbFail: &s.faults.fail, verbRefuse: &s.faults.refuse, verbDie: &s.faults.disconnect, verbStall: &s.faults.stall,
 	}[verb]
 	if target == nil {
 		return &fault.VerbError{Verb: verb}
 	}
-	return fault.Number(target, argument)
+	return fault.SetCount(target, argument)
 }
 
 // PathHealth answers whether the service serves. It is no call: it neither runs
@@ -142,7 +142,7 @@
 }
 
 // take uses up one of a number of faults, and reports whether there was one.
-func (s *Service) take(counter *int) bool {
+func (s *Service) consume(counter *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if *counter == 0 {
@@ -161,20 +161,20 @@
 func (s *Service) health(c echo.Context) error {
 	if s.leaving() {
 		c.Response().Header().Set(header.Leaving, header.True)
-		return notStarted(c)
+		return rejectNotStarted(c)
 	}
 	return c.NoContent(http.StatusOK)
 }
 
 func (s *Service) handle(c echo.Context) error {
-	answered := c.Response().Header()
-	answered.Set(header.RequestID, c.Request().Header.Get(header.RequestID))
+	responseHeader := c.Response().Header()
+	responseHeader.Set(header.RequestID, c.Request().Header.Get(header.RequestID))
 	leaving := s.leaving()
 	if leaving {
-		answered.Set(header.Leaving, header.True)
+		responseHeader.Set(header.Leaving, header.True)
 	}
-	if leaving || s.take(&s.faults.refuse) {
-		return notStarted(c)
+	if leaving || s.consume(&s.faults.refuse) {
+		return rejectNotStarted(c)
 	}
 	read, err := io.Copy(io.Discard, io.LimitReader(c.Request().Body, maxBody+1))
 	if err != nil {
@@ -187,13 +187,13 @@
 	select {
 	case s.slots <- struct{}{}:
 	case <-ctx.Done():
-		return notStarted(c)
+		return rejectNotStarted(c)
 	}
 	defer func() { <-s.slots }()
 	return s.run(ctx, c, read)
 }
 
-func notStarted(c echo.Context) error {
+func rejectNotStarted(c echo.Context) error {
 	c.Response().Header().Set(header.NotStarted, header.True)
 	c.Response().Header().Set(header.RetryAfter, "1")
 	return c.JSON(http.StatusServiceUnavailable, engineapi.ErrorAnswer{Error: "not started"})
@@ -214,24 +214,24 @@
 	s.runs++
 	run, latency := s.runs, s.faults.latency
 	s.mu.Unlock()
-	pause(ctx, latency)
+	sleep(ctx, latency)
 	s.journal.Update(number, func(entry *journal.Entry) {
 		entry.Finished, entry.Result = s.clock.Now(), journal.ResultFinished
 	})
 	switch {
-	case s.take(&s.faults.die):
+	case s.consume(&s.faults.disconnect):
 		panic(http.ErrAbortHandler)
-	case s.take(&s.faults.stall):
+	case s.consume(&s.faults.stall):
 		<-ctx.Done()
 		panic(http.ErrAbortHandler)
-	case s.take(&s.faults.fail):
+	case s.consume(&s.faults.fail):
 		return c.JSON(http.StatusInternalServerError, engineapi.ErrorAnswer{Error: "failed on purpose"})
 	}
-	return s.answer(c, bytes, run)
+	return s.respond(c, bytes, run)
 }
 
 // answer sends the call's answer, or so many bytes of an export as were asked for.
-func (s *Service) answer(c echo.Context, bytes int64, run int) error {
+func (s *Service) respond(c echo.Context, bytes int64, run int) error {
 	request := c.Request()
 	if size, err := strconv.Atoi(c.QueryParam("bytes")); err == nil && size > 0 {
 		size = min(size, maxExport)
@@ -245,7 +245,7 @@
 	})
 }
 
-func pause(ctx context.Context, wait time.Duration) {
+func sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
--- a/pkg/standin/service/service_test.go
+++ b/pkg/standin/service/service_test.go
@@ -14,7 +14,7 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/service"
 )
 
-func TestJournalHoldsWhatRan(t *testing.T) {
+func TestJournalHoldsOnlyCallsThatRan(t *testing.T) {
 	settings := service.Settings{Name: "sleeplog-1", Domain: "hall", Serves: "sleeplog-api", Concurrency: 1}
 	for name, test := range map[string]struct {
 		verb   string
@@ -30,10 +30,10 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			j := journal.New()
-			one := service.New(settings, clock.System{}, j)
-			server := httptest.NewServer(one.Handler())
+			upstream := service.New(settings, clock.System{}, j)
+			server := httptest.NewServer(upstream.Handler())
 			defer server.Close()
-			is.NoErr(one.Set(test.verb, "1"))
+			is.NoErr(upstream.Set(test.verb, "1"))
 			request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, server.URL+"/uploads", strings.NewReader("night"))
 			is.NoErr(err)
 			request.Header.Set(header.IdempotencyKey, "key-1")
@@ -56,22 +56,22 @@
 	}
 }
 
-func TestHealthIsNoCall(t *testing.T) {
+func TestHealthCheckIsNotJournaledAndConsumesNoFault(t *testing.T) {
 	is := is.New(t)
 	j := journal.New()
-	one := service.New(service.Settings{Name: "sleeplog-1", Concurrency: 1}, clock.System{}, j)
-	server := httptest.NewServer(one.Handler())
+	upstream := service.New(service.Settings{Name: "sleeplog-1", Concurrency: 1}, clock.System{}, j)
+	server := httptest.NewServer(upstream.Handler())
 	defer server.Close()
-	ask := func(path string) *http.Response {
+	get := func(path string) *http.Response {
 		response, err := http.Get(server.URL + path)
 		is.NoErr(err)
 		is.NoErr(response.Body.Close())
 		return response
 	}
-	is.NoErr(one.Set("refuse", "1"))
-	is.Equal(ask("/healthz").StatusCode, http.StatusOK)
+	is.NoErr(upstream.Set("refuse", "1"))
+	is.Equal(get("/healthz").StatusCode, http.StatusOK)
 	is.Equal(len(j.Entries("")), 0)                                   // it is not in the journal
-	is.Equal(ask("/calls").StatusCode, http.StatusServiceUnavailable) // it used up no fault
-	is.NoErr(one.Set("leave", ""))
-	is.Equal(ask("/healthz").Header.Get(header.Leaving), header.True)
+	is.Equal(get("/calls").StatusCode, http.StatusServiceUnavailable) // it used up no fault
+	is.NoErr(upstream.Set("leave", ""))
+	is.Equal(get("/healthz").Header.Get(header.Leaving), header.True)
 }
--- a/pkg/standin/settings.go
+++ b/pkg/standin/settings.go
@@ -74,8 +74,8 @@
 
 func (l InstanceList) listed() []platform.ListedInstance {
 	listed := make([]platform.ListedInstance, 0, len(l.Instances))
-	for _, one := range l.Instances {
-		listed = append(listed, platform.ListedInstance{Name: one.Name, Domain: one.Domain, Mesh: one.Mesh})
+	for _, instance := range l.Instances {
+		listed = append(listed, platform.ListedInstance{Name: instance.Name, Domain: instance.Domain, Mesh: instance.Mesh})
 	}
 	return listed
 }
