--- a/pkg/standin/admin/admin.go
+++ b/pkg/standin/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the stand-ins' fault switches and journals over HTTP, and
-// holds the client for them.
+// Package admin serves the fault injection commands and journals of the stand-ins
+// over HTTP, and holds a client for them.
 package admin
 
 import (
@@ -19,47 +19,49 @@
 
 // Paths of the API.
 const (
-	// PathCommand takes a Command by POST and answers JSON lines.
+	// PathCommand accepts a Command by POST and returns JSON lines.
 	PathCommand = "/v1/command"
-	// PathJournal answers the journal by GET, JSON lines; ?upstream= narrows it.
+	// PathJournal returns the journal as JSON lines by GET; ?upstream= selects one
+	// upstream.
 	PathJournal = "/journal"
-	// PathProcessed answers the counts by failure domain and caller by GET.
+	// PathProcessed returns the counts by failure domain and caller by GET.
 	PathProcessed = "/processed"
-	// PathHealth answers 204 by GET.
+	// PathHealth returns 204 by GET.
 	PathHealth = "/healthz"
 )
 
-// Command is a switch to throw or a thing to read.
+// Command injects a fault or reads a journal.
 type Command struct {
 	Verb string   `json:"verb"`
 	Args []string `json:"args"`
 }
 
-// Failure is the body of a refused command.
+// Failure is the response body of a rejected command.
 type Failure struct {
 	Error string `json:"error"`
 }
 
-// ErrNotHere: the process does not run the stand-in that a command is for.
+// ErrNotInProcess is returned when the process does not run the stand-in that a
+// command addresses.
 var ErrNotInProcess = errors.New("not run by this process")
 
-// UsageError is a command with wrong arguments.
+// UsageError reports a command with wrong arguments.
 type UsageError struct {
-	// Usage says how the command is written.
+	// Usage is the syntax of the command.
 	Usage string
 }
 
 // Error implements error.
 func (e *UsageError) Error() string { return "usage: " + e.Usage }
 
-// Switchable is an upstream with fault switches.
+// FaultInjector is an upstream that supports fault injection.
 type FaultInjector interface {
-	// Set throws a switch: a verb and its argument, empty if it has none.
+	// Set applies the fault that verb names; argument is empty if the fault has none.
 	Set(verb, argument string) error
 }
 
-// Controls reaches the stand-ins of this process; those that it does not run
-// are nil.
+// Controls holds the stand-ins of this process; those that it does not run are
+// nil.
 type Controls struct {
 	Journal   *journal.Journal
 	KeyValue  *kv.Service
@@ -68,12 +70,12 @@
 	Upstreams map[string]FaultInjector
 }
 
-// New returns controls without any stand-in.
+// New returns a Controls without any stand-in.
 func New(j *journal.Journal) *Controls {
 	return &Controls{Journal: j, Upstreams: make(map[string]FaultInjector)}
 }
 
-// Handler serves the controls.
+// Handler returns the handler of the API.
 func (c *Controls) Handler() http.Handler {
 	e := echo.New()
 	e.POST(PathCommand, c.handleCommand)
@@ -95,7 +97,7 @@
 	return writeLines(x, answer)
 }
 
-// lines writes one JSON value a line.
+// writeLines writes one JSON value per line.
 func writeLines(x echo.Context, values []any) error {
 	x.Response().Header().Set(header.ContentType, "application/x-ndjson")
 	x.Response().WriteHeader(http.StatusOK)
--- a/pkg/standin/admin/client.go
+++ b/pkg/standin/admin/client.go
@@ -13,17 +13,17 @@
 // clientTimeout bounds a command.
 const clientTimeout = 10 * time.Second
 
-// RefusedError is a command that the stand-in refused.
+// RefusedError reports a command that the stand-in rejected.
 type RefusedError struct {
-	// Message is the stand-in's.
+	// Message is the reason that the stand-in returned.
 	Message string
 }
 
 // Error implements error.
 func (e *RefusedError) Error() string { return "refused: " + e.Message }
 
-// Send sends a command to the stand-in at address and returns its answer, JSON
-// lines.
+// Send sends a command to the stand-in at address and returns its response in JSON
+// lines. A rejected command returns a *RefusedError.
 func Send(ctx context.Context, address string, command Command) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
--- a/pkg/standin/admin/command.go
+++ b/pkg/standin/admin/command.go
@@ -9,13 +9,13 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/fault"
 )
 
-// Words of the commands' arguments.
+// Optional arguments of the link commands.
 const (
 	argBoth  = "both"
 	argReset = "reset"
 )
 
-// Usage lists the commands, one a line.
+// Usage lists the commands, one per line.
 const Usage = `cut FROM TO [both] [reset]   stop a direction; reset closes connections
 heal FROM TO [both]          open it again
 delay FROM TO MS [both]      set the one-way delay
@@ -26,7 +26,7 @@
 journal [NAME]               what ran, JSON lines
 processed                    counts by failure domain and caller`
 
-// Do carries out a command.
+// Do executes a command.
 func (c *Controls) Do(command Command) ([]any, error) {
 	args := command.Args
 	switch command.Verb {
--- a/pkg/standin/certificate/certificate.go
+++ b/pkg/standin/certificate/certificate.go
@@ -1,6 +1,6 @@
-// Package certificate makes an authority and the certificates of instances, for
-// deployments of stand-ins and for tests. The authority's key lies beside what it
-// signed, which no deployment that matters should do.
+// Package certificate creates a certificate authority and the certificates of
+// instances, for stand-in deployments and tests. It stores the authority's key beside
+// the certificates that it signed, so it is not for production use.
 package certificate
 
 import (
@@ -23,14 +23,15 @@
 )
 
 const (
-	// authorityName names the authority's files.
+	// authorityName is the base name of the authority's files.
 	authorityName = "authority"
-	// life is how long certificates are valid, leeway how far clocks may differ.
+	// validity is the validity period of certificates, clockSkew the tolerated
+	// difference of clocks.
 	validity  = 30 * 24 * time.Hour
 	clockSkew = time.Hour
-	// serialBits is the length of serial numbers.
+	// serialBits is the length of serial numbers, in bits.
 	serialBits = 120
-	// Permissions of what is written.
+	// Permissions of the written files and folders.
 	filePermissions   = 0o600
 	folderPermissions = 0o700
 	// Types of PEM blocks.
@@ -38,13 +39,14 @@
 	blockKey         = "PRIVATE KEY"
 )
 
-// ErrNoPEM: a file holds no block of the expected type.
+// ErrNoPEM is returned if the first PEM block of a file is missing or not of the
+// expected type.
 var ErrNoPEM = errors.New("no such PEM block")
 
-// ErrKeyKind: a key cannot sign.
+// ErrKeyKind is returned if a key cannot sign.
 var ErrKeyKind = errors.New("not a signing key")
 
-// FileError is a file that cannot be used.
+// FileError reports a file that cannot be used.
 type FileError struct {
 	// File is the file, Err the cause.
 	File string
@@ -64,7 +66,7 @@
 	key         crypto.Signer
 }
 
-// Open reads the authority that a directory holds, or makes one there.
+// Open reads the authority in a directory, or creates one there.
 func Open(directory string) (*Authority, error) {
 	if err := os.MkdirAll(directory, folderPermissions); err != nil {
 		return nil, &FileError{File: directory, Err: err}
@@ -76,8 +78,8 @@
 	return a, a.read()
 }
 
-// Issue writes the certificate and key of the instance that has the address, and
-// returns the settings that name them. It replaces earlier ones.
+// Issue writes a certificate and key for an instance with the given address, and
+// returns the settings that name them. It replaces the previous ones.
 func (a *Authority) Issue(name string, address net.IP) (settings.Security, error) {
 	template := &x509.Certificate{
 		Subject:     pkix.Name{CommonName: name},
@@ -97,7 +99,7 @@
 	return filepath.Join(a.directory, name+extension)
 }
 
-// create makes an authority that signs itself.
+// create creates a self-signed authority.
 func (a *Authority) create() error {
 	template := &x509.Certificate{
 		Subject:               pkix.Name{CommonName: authorityName},
@@ -110,7 +112,7 @@
 	return err
 }
 
-// sign makes a key, signs its certificate and writes both.
+// sign generates a key, signs its certificate and writes both.
 func (a *Authority) sign(name string, template *x509.Certificate) (*x509.Certificate, crypto.Signer, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -147,7 +149,7 @@
 	return writePEM(a.file(name, ".pem"), blockCertificate, certificate)
 }
 
-// read reads an authority that was written before.
+// read reads an existing authority.
 func (a *Authority) read() error {
 	der, err := readPEM(a.file(authorityName, ".pem"), blockCertificate)
 	if err != nil {
--- a/pkg/standin/certificate/certificate_test.go
+++ b/pkg/standin/certificate/certificate_test.go
@@ -13,8 +13,8 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/certificate"
 )
 
-// A renewed certificate must be accepted by those that hold the earlier ones, so
-// the authority of a directory stays the same.
+// A renewed certificate must be accepted by peers that hold the earlier ones, so
+// reopening a directory must keep its authority.
 func TestReopenedAuthoritySignsCertificatesThatPeersAccept(t *testing.T) {
 	is := is.New(t)
 	directory := t.TempDir()
--- a/pkg/standin/engine/cache.go
+++ b/pkg/standin/engine/cache.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// eventLimit bounds the cache events that are kept.
+	// eventLimit bounds the retained cache events.
 	eventLimit = 2048
-	// eventGap leaves out every so-manieth event.
+	// eventGap is the period at which an event is dropped.
 	eventGap = 8
-	// reportedPrefixes bounds the prefixes of a load report.
+	// maxReportedPrefixes bounds the prefixes of a load report.
 	maxReportedPrefixes = 64
 	// hexadecimal is the base in which prefixes are written.
 	hexadecimal = 16
 )
 
-// cache holds prompt prefixes in limited memory and drops the least recently used.
+// cache is an LRU cache of prompt prefixes, bounded in tokens.
 type cache struct {
 	clock    clock.Clock
 	capacity int
@@ -38,7 +38,7 @@
 
 type cacheEntry struct {
 	hash uint64
-	// tokens is the length of the part that this prefix adds to the one before.
+	// tokens is the number of tokens that this prefix adds to the previous one.
 	tokens int
 }
 
@@ -51,7 +51,8 @@
 	return &cache{clock: c, capacity: capacity, lag: lag, order: list.New(), byHash: make(map[uint64]*list.Element)}
 }
 
-// admit returns how many tokens of a prompt are not cached, and caches them all.
+// admit returns the number of prompt tokens after the cached prefix, and caches the
+// whole prompt.
 func (c *cache) admit(messages []prefix.Message) int {
 	hashes := prefix.Hashes(messages)
 	c.mu.Lock()
@@ -99,7 +100,7 @@
 	}
 }
 
-// eventsAfter returns the events after a sequence number that are old enough.
+// eventsAfter returns the events after a sequence number that are at least lag old.
 func (c *cache) eventsAfter(sequence int64) []engineapi.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,7 +114,7 @@
 	return found
 }
 
-// recent returns the most recently used prefixes.
+// recentPrefixes returns the most recently used prefixes.
 func (c *cache) recentPrefixes() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/standin/engine/chat.go
+++ b/pkg/standin/engine/chat.go
@@ -14,18 +14,18 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// defaultTokens is an answer's length when the request does not say.
+// defaultTokens is the answer's length if the request does not set max_tokens.
 const defaultTokens = 32
 
-// finishReason ends every whole answer.
+// finishReason is the finish reason of every complete answer.
 const finishReason = "stop"
 
-// stream is one request that the engine has taken.
+// stream is one accepted request.
 type stream struct {
 	id     string
 	chat   engineapi.ChatRequest
 	offset int
-	// seed decides the text.
+	// seed determines the answer's text.
 	seed         uint64
 	priorityRank int
 	ctx          context.Context
@@ -61,7 +61,7 @@
 	return respondError(c, http.StatusServiceUnavailable, "not started")
 }
 
-// accepts reports whether there is a version loaded and room in the queue.
+// canAccept reports whether a version is loaded and the queue is not full.
 func (e *Engine) canAccept() bool {
 	e.mu.Lock()
 	loaded := e.orders.Version != ""
@@ -70,7 +70,8 @@
 	return loaded && queued <= e.settings.Queue
 }
 
-// read checks a request. A problem comes with its HTTP status.
+// read parses and validates a request. If problem is not empty, status is the HTTP
+// status to return with it.
 func (e *Engine) read(c echo.Context) (s *stream, status int, problem string) {
 	s = &stream{id: c.Request().Header.Get(header.RequestID), faults: e.switches.load()}
 	if err := c.Bind(&s.chat); err != nil {
@@ -123,7 +124,7 @@
 	}
 }
 
-// serve waits for a slot and produces the answer.
+// serve waits for a slot and writes the answer.
 func (e *Engine) serve(c echo.Context, s *stream) error {
 	if !e.scheduler.acquire(s.ctx, s.priorityRank) {
 		return rejectNotStarted(c)
--- a/pkg/standin/engine/control.go
+++ b/pkg/standin/engine/control.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// loaded ends a load, unless a later order has taken its place.
+// finishLoad activates a loaded version, unless a later order has superseded it.
 func (e *Engine) finishLoad(request engineapi.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -1,10 +1,10 @@
 // Package engine is a stand-in for a model engine: it batches continuously,
-// caches prompt prefixes in limited memory, honours priorities, resumes and
-// cancels streams, reports load with a lag and cache events late and with gaps,
-// and takes orders with fencing numbers, which it checks or ignores.
+// caches prompt prefixes in bounded memory, honours priorities, resumes and
+// cancels streams, reports its load with a lag and cache events late and with gaps,
+// and accepts orders with fencing numbers, which it checks or ignores.
 //
-// Guarantee: the text of an answer depends on the prompt alone, so that a resumed
-// answer equals the whole one on any engine.
+// The text of an answer depends only on the prompt, so that an answer resumed on any
+// engine equals an uninterrupted one.
 package engine
 
 import (
@@ -21,36 +21,36 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// Settings of an engine.
+// Settings configures an engine.
 type Settings struct {
 	Name    string `yaml:"name" validate:"required,name"`
 	Domain  string `yaml:"domain" validate:"required,name"`
 	Address string `yaml:"address" validate:"required,hostport"`
-	// Serves is the model, Version the version that is loaded at the start.
+	// Serves is the model, Version the initially loaded version.
 	Serves  string `yaml:"serves" validate:"required,name"`
 	Version string `yaml:"version" validate:"required,name"`
-	// Concurrency is the number of slots in the batch, Queue how many requests
-	// may wait for one.
+	// Concurrency is the number of slots in the batch, Queue the number of requests
+	// that may wait for one.
 	Concurrency int `yaml:"concurrency" validate:"gte=1"`
 	Queue       int `yaml:"queue" validate:"gte=0"`
-	// DecodeRate is tokens a second for a stream that runs alone; each further
-	// stream in the batch makes a token take BatchCost longer, as a share.
+	// DecodeRate is the tokens per second of a stream that runs alone. Each further
+	// stream in the batch lengthens a token's time by the fraction BatchCost.
 	DecodeRate float64 `yaml:"decode_rate" validate:"gt=0"`
 	BatchCost  float64 `yaml:"batch_cost" validate:"gte=0"`
-	// PrefillRate is prompt tokens a second, one prompt at a time.
+	// PrefillRate is the prompt tokens per second, one prompt at a time.
 	PrefillRate float64 `yaml:"prefill_rate" validate:"gt=0"`
-	// CacheTokens is the prefix cache's memory.
+	// CacheTokens is the capacity of the prefix cache, in tokens.
 	CacheTokens int `yaml:"cache_tokens" validate:"gte=0"`
-	// LoadLag and EventLag are how late load reports and cache events are.
+	// LoadLag and EventLag are the delays of load reports and cache events.
 	LoadLag  time.Duration `yaml:"load_lag" validate:"gt=0"`
 	EventLag time.Duration `yaml:"event_lag" validate:"gte=0"`
-	// LoadTime is how long loading a version takes.
+	// LoadTime is the time that loading a version takes.
 	LoadTime time.Duration `yaml:"load_time" validate:"gte=0"`
-	// ChecksFencing says that orders with an old fencing number are refused.
+	// ChecksFencing makes the engine reject orders with an old fencing number.
 	ChecksFencing bool `yaml:"checks_fencing,omitempty"`
 }
 
-// Engine is the stand-in.
+// Engine is a stand-in model engine.
 type Engine struct {
 	settings  Settings
 	clock     clock.Clock
@@ -58,13 +58,13 @@
 	scheduler scheduler
 	cache     *cache
 	switches  switches
-	// prefill has room for the one prompt that is processed at a time.
+	// prefill is a semaphore: one prompt is processed at a time.
 	prefill chan struct{}
 
 	mu      sync.Mutex
 	streams map[string]map[*stream]struct{}
 	orders  engineapi.OrderState
-	// report and previous are the last two samples of the load.
+	// latest and previous are the last two load samples; the older one is reported.
 	latest, previous sample
 }
 
@@ -73,7 +73,7 @@
 	load engineapi.Load
 }
 
-// New returns an engine that writes what it processes to the journal.
+// New returns an engine that records what it processes in the journal.
 func New(settings Settings, c clock.Clock, j *journal.Journal) *Engine {
 	e := &Engine{
 		settings:  settings,
@@ -121,7 +121,7 @@
 	return server
 }
 
-// announce marks every answer of a leaving engine.
+// markLeaving sets the leaving header on every response of a leaving engine.
 func (e *Engine) markLeaving(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if e.switches.load().leaving() {
@@ -131,7 +131,8 @@
 	}
 }
 
-// decodeRate is the rate of one stream at the present batch.
+// currentDecodeRate returns the tokens per second of one stream at the current
+// batch size.
 func (e *Engine) currentDecodeRate() float64 {
 	running, _ := e.scheduler.load()
 	others := float64(max(running-1, 0))
--- a/pkg/standin/engine/engine_test.go
+++ b/pkg/standin/engine/engine_test.go
@@ -22,7 +22,7 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// bench is an engine behind a server.
+// testServer is an engine behind an HTTP server.
 type testServer struct {
 	t       *testing.T
 	engine  *engine.Engine
@@ -88,7 +88,7 @@
 
 func requestIDHeader(id string) map[string]string { return map[string]string{header.RequestID: id} }
 
-// waitFor waits until the journal holds a state.
+// waitFor waits until holds returns true for the journal's entries.
 func (server testServer) waitFor(holds func([]journal.Entry) bool) {
 	server.t.Helper()
 	for !holds(server.journal.Entries("")) {
@@ -185,7 +185,7 @@
 	<-done
 	entries := server.journal.Entries("")
 	is.Equal(entries[0].Result, journal.ResultCancelled)
-	is.Equal(entries[1].RequestID, engineapi.PriorityHigh) // came last, went first
+	is.Equal(entries[1].RequestID, engineapi.PriorityHigh) // arrived last, ran first
 	is.Equal(entries[2].RequestID, engineapi.PriorityLow)
 }
 
@@ -199,7 +199,7 @@
 	long := []string{strings.Repeat("a", 240), strings.Repeat("b", 160)}
 	server.post(engineapi.PathChat, chatRequest(long[0], 1), requestIDHeader("a"))
 	server.post(engineapi.PathChat, chatRequest(long[1], 1), requestIDHeader("b")) // 60 and 40 tokens fill it
-	server.post(engineapi.PathChat, chatRequest(long[0], 1), requestIDHeader("a")) // used again
+	server.post(engineapi.PathChat, chatRequest(long[0], 1), requestIDHeader("a")) // makes the first the most recently used
 	server.post(engineapi.PathChat, chatRequest("short", 1), requestIDHeader("c"))
 	var events engineapi.CacheEvents
 	server.get(engineapi.PathCacheEvents+"?after=3", &events)
@@ -227,7 +227,7 @@
 	status, answered, _ = server.post(engineapi.PathChat, chatRequest("x", 2), requestIDHeader("r4"))
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.Equal(answered.Get(header.Leaving), "true")
-	is.Equal(len(server.journal.Entries("")), 2) // refused requests did not run
+	is.Equal(len(server.journal.Entries("")), 2) // rejected requests did not run
 	is.True(server.engine.Set("melt", "") != nil)
 	is.True(server.engine.Set("fail", "many") != nil)
 }
--- a/pkg/standin/engine/faults.go
+++ b/pkg/standin/engine/faults.go
@@ -7,41 +7,41 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/fault"
 )
 
-// Verbs of an engine's fault switches.
+// Fault injection verbs of an engine.
 const (
-	// verbOK takes every fault away.
+	// verbOK clears all faults.
 	verbOK = "ok"
-	// verbSlow multiplies all times.
+	// verbSlow multiplies all processing times by a factor.
 	verbSlow = "slow"
 	// verbFail answers the next N requests with 500.
 	verbFail = "fail"
-	// verbRefuse answers the next N requests with 503, not started.
+	// verbRefuse rejects the next N requests with 503 and the not-started header.
 	verbRefuse = "refuse"
-	// verbDieAfter breaks each stream's connection after K chunks.
+	// verbDieAfter drops each stream's connection after K chunks.
 	verbDieAfter = "die-after"
-	// verbStall stops each stream after K chunks without an end.
+	// verbStall stops each stream after K chunks and keeps its connection open.
 	verbStall = "stall"
 	// verbCross answers with another request's ID and text.
 	verbCross = "cross"
-	// verbTruncate ends each answer half-way, as if it were whole, without the
-	// end marker.
+	// verbTruncate ends each stream cleanly at half its length, without the end
+	// marker.
 	verbTruncate = "truncate"
-	// verbLeave announces that the engine leaves; it takes no new request.
+	// verbLeave announces that the engine is leaving and rejects new requests.
 	verbLeave = "leave"
-	// verbAnnounce announces that the engine leaves; it goes on taking requests.
+	// verbAnnounce announces that the engine is leaving and still accepts requests.
 	verbAnnounce = "announce"
-	// verbLie reports an empty engine.
+	// verbMisreport reports an idle engine whatever its load.
 	verbMisreport = "lie"
-	// verbNoResume refuses to resume.
+	// verbNoResume rejects requests to resume a stream.
 	verbNoResume = "no-resume"
 	// verbForget empties the prefix cache.
 	verbForget = "forget"
 )
 
-// never is a chunk count that no answer reaches.
+// disabled is a chunk count that no stream reaches.
 const disabled = -1
 
-// faults is the state of the switches.
+// faults holds the injected faults.
 type faults struct {
 	slowFactor      float64
 	fail            int
@@ -56,12 +56,12 @@
 	noResume        bool
 }
 
-// leaving reports whether the engine says that it leaves.
+// leaving reports whether the engine announces that it is leaving.
 func (f faults) leaving() bool { return f.leave || f.announce }
 
 func noFaults() faults { return faults{slowFactor: 1, disconnectAfter: disabled, stallAfter: disabled} }
 
-// switches guards faults.
+// switches guards the current faults with a mutex.
 type switches struct {
 	mu      sync.Mutex
 	current faults
@@ -73,7 +73,7 @@
 	return s.current
 }
 
-// take uses up one of a number of faults, and reports whether there was one.
+// consume decrements a fault counter and reports whether it was above zero.
 func (s *switches) consume(counter *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +84,8 @@
 	return true
 }
 
-// Set throws a switch: a verb and its argument, if it has one.
+// Set applies the fault that verb names, with its argument if it has one. The error
+// is a *fault.VerbError or *fault.ArgumentError.
 func (e *Engine) Set(verb, argument string) error {
 	e.switches.mu.Lock()
 	defer e.switches.mu.Unlock()
--- a/pkg/standin/engine/generate.go
+++ b/pkg/standin/engine/generate.go
@@ -15,10 +15,11 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// words is the vocabulary of the answers.
+// vocabulary holds the words of the answers.
 var vocabulary = [...]string{"sleep", "night", "rest", "room", "towel", "water", "linen", "early", "late", "steady", "short", "long", "calm", "full", "empty", "refill"}
 
-// mixer spreads the bits of seed and index (the 64-bit golden ratio).
+// hashMultiplier is 2^64 divided by the golden ratio, for Fibonacci hashing of seed
+// and index.
 const hashMultiplier = 0x9e3779b97f4a7c15
 
 // Content returns the text of one chunk of the answer to a prompt whose last
@@ -28,8 +29,8 @@
 	return fmt.Sprintf("%s%d ", vocabulary[hashed>>60], index)
 }
 
-// generate produces the chunks of an answer in the engine's time and returns
-// the result for the journal.
+// generate emits the chunks of an answer at the engine's rate and returns the
+// journal result.
 func (e *Engine) generate(s *stream, emit func(content string, last bool) error) string {
 	if !e.runPrefill(s) {
 		return journal.ResultCancelled
@@ -53,7 +54,7 @@
 	return journal.ResultFinished
 }
 
-// strike brings about the faults that end an answer early.
+// injectFault applies the faults that end an answer early.
 func (e *Engine) injectFault(s *stream, sent int) (result string, end bool) {
 	switch {
 	case sent == s.faults.disconnectAfter:
@@ -67,8 +68,8 @@
 	return "", false
 }
 
-// runPrefill processes the part of the prompt that is not cached, and what is
-// skipped of a resumed answer.
+// runPrefill waits for the prefill of the uncached prompt tokens and of the skipped
+// tokens of a resumed answer. It returns false if the request is cancelled.
 func (e *Engine) runPrefill(s *stream) bool {
 	select {
 	case e.prefill <- struct{}{}:
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// shownID is the request ID in the answer, another one under the cross fault.
+// responseID returns the request ID in the response, a wrong one under verbCross.
 func (s *stream) responseID() string {
 	if s.faults.cross {
 		return "crossed-" + s.id
--- a/pkg/standin/engine/scheduler.go
+++ b/pkg/standin/engine/scheduler.go
@@ -7,7 +7,7 @@
 	"github.com/lilacweir/lilacweir/pkg/engineapi"
 )
 
-// scheduler hands out the slots of the batch: by priority, then by arrival.
+// scheduler grants the slots of the batch by priority, then by arrival.
 type scheduler struct {
 	mu      sync.Mutex
 	slots   int
@@ -22,7 +22,7 @@
 	granted  chan struct{}
 }
 
-// rank orders the priorities; a higher one goes first.
+// priorityRank returns the rank of a priority, higher first, and whether it is known.
 func priorityRank(priority string) (int, bool) {
 	switch priority {
 	case engineapi.PriorityLow:
@@ -35,7 +35,7 @@
 	return 0, false
 }
 
-// acquire waits for a slot; ok is false when ctx ended first.
+// acquire waits for a slot; ok is false if ctx ends first.
 func (s *scheduler) acquire(ctx context.Context, priority int) (ok bool) {
 	w := s.enqueue(priority)
 	select {
@@ -60,7 +60,7 @@
 	return w
 }
 
-// leave takes a waiter out of the queue; false means that it has a slot already.
+// remove removes a waiter from the queue; false means that it already has a slot.
 func (s *scheduler) remove(w *waiter) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	return w.arrived < other.arrived
 }
 
-// load returns how many requests run and wait.
+// load returns the number of running and of queued requests.
 func (s *scheduler) load() (running, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/standin/fault/fault.go
+++ b/pkg/standin/fault/fault.go
@@ -1,4 +1,4 @@
-// Package fault holds the errors of the stand-ins' fault switches.
+// Package fault holds the errors and argument parsing of fault injection commands.
 package fault
 
 import (
@@ -6,20 +6,20 @@
 	"strconv"
 )
 
-// VerbError is a switch that does not exist.
+// VerbError reports an unknown fault.
 type VerbError struct {
-	// Verb is what was asked for.
+	// Verb is the requested fault.
 	Verb string
 }
 
 // Error implements error.
 func (e *VerbError) Error() string { return fmt.Sprintf("no such switch: %q", e.Verb) }
 
-// ArgumentError is a switch's argument that cannot be used.
+// ArgumentError reports an invalid argument.
 type ArgumentError struct {
-	// Argument is what was given.
+	// Argument is the given argument.
 	Argument string
-	// Expected says what can be used.
+	// Expected describes the valid arguments.
 	Expected string
 }
 
@@ -28,7 +28,8 @@
 	return fmt.Sprintf("argument %q: expected %s", e.Argument, e.Expected)
 }
 
-// Number sets target to a whole number of at least 0.
+// SetCount parses a whole number of at least 0 into target, or returns an
+// *ArgumentError.
 func SetCount(target *int, argument string) error {
 	parsed, err := strconv.Atoi(argument)
 	if err != nil || parsed < 0 {
--- a/pkg/standin/fleet/directory.go
+++ b/pkg/standin/fleet/directory.go
@@ -1,6 +1,6 @@
 // Package fleet holds stand-ins for the platform's smaller services: the
-// directory for clients, the lagging list of instances and the rate-limited
-// store of model weights. They speak the protocols of package platform/rest.
+// directory for clients, the delayed list of instances and the rate-limited
+// store of model weights. They implement the protocols of package platform/rest.
 package fleet
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/rest"
 )
 
-// Directory is a stand-in for the directory: entries vanish after their time to
+// Directory is a stand-in for the directory; entries expire after their time to
 // live.
 type Directory struct {
 	clock   clock.Clock
--- a/pkg/standin/fleet/list.go
+++ b/pkg/standin/fleet/list.go
@@ -14,12 +14,13 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/rest"
 )
 
-// List is a stand-in for the instance list: it says what was true a while ago.
+// List is a stand-in for the instance list, which returns its state as of the lag
+// ago.
 type List struct {
 	clock clock.Clock
 	mu    sync.Mutex
 	lag   time.Duration
-	// states is every state, oldest first; the last is the newest.
+	// states holds every state, oldest first.
 	states []listState
 }
 
@@ -28,7 +29,7 @@
 	instances map[string]platform.ListedInstance
 }
 
-// NewList returns a list that begins with the given instances.
+// NewList returns a list with the given initial instances.
 func NewList(c clock.Clock, lag time.Duration, instances []platform.ListedInstance) *List {
 	first := listState{instances: make(map[string]platform.ListedInstance, len(instances))}
 	for _, instance := range instances {
@@ -37,7 +38,7 @@
 	return &List{clock: c, lag: lag, states: []listState{first}}
 }
 
-// SetLag sets how old the answers are.
+// SetLag sets the age of the answers.
 func (l *List) SetLag(lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,13 +50,13 @@
 	l.change(func(instances map[string]platform.ListedInstance) { instances[instance.Name] = instance })
 }
 
-// Remove takes an instance out of the list.
+// Remove removes an instance; the answers omit it after the lag.
 func (l *List) Remove(name string) {
 	l.change(func(instances map[string]platform.ListedInstance) { delete(instances, name) })
 }
 
-// MarkLeaving marks an instance as leaving, or takes the mark away. It reports
-// whether the instance is in the list.
+// MarkLeaving sets whether an instance is marked as leaving. It reports whether the
+// instance is in the list.
 func (l *List) MarkLeaving(name string, leaving bool) bool {
 	found := false
 	l.change(func(instances map[string]platform.ListedInstance) {
--- a/pkg/standin/fleet/weights.go
+++ b/pkg/standin/fleet/weights.go
@@ -11,15 +11,14 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/rest"
 )
 
-// Weights is a stand-in for the weight store: so many loads a minute, the rest
-// told how long to wait.
+// Weights is a stand-in for the weight store, which limits the rate of loads and
+// returns the time to wait to the others.
 type Weights struct {
 	clock   clock.Clock
 	limiter *rate.Limiter
 }
 
-// NewWeights returns a store that gives out so many loads a minute, in bursts of
-// at most one.
+// NewWeights returns a store that permits loadsPerMinute loads, with a burst of one.
 func NewWeights(c clock.Clock, loadsPerMinute float64) *Weights {
 	return &Weights{clock: c, limiter: rate.NewLimiter(rate.Limit(loadsPerMinute/time.Minute.Seconds()), 1)}
 }
@@ -42,7 +41,7 @@
 	if wait > 0 {
 		reservation.CancelAt(now)
 	}
-	// Rounded up, so that a wait of part of a millisecond is not read as none.
+	// Rounded up, so that a wait of less than a millisecond is not returned as zero.
 	millis := (wait + time.Millisecond - 1).Milliseconds()
 	return c.JSON(http.StatusOK, rest.ReservationAnswer{WaitMillis: millis})
 }
--- a/pkg/standin/journal/journal.go
+++ b/pkg/standin/journal/journal.go
@@ -1,5 +1,5 @@
 // Package journal records what stand-in upstreams processed, so that a test can
-// compare it with what callers were told.
+// compare it with the responses that callers received.
 package journal
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// limit bounds the entries that are kept; counts go on beyond it.
+// maxEntries bounds the retained entries; counts include the dropped ones.
 const maxEntries = 200_000
 
 // Results of an entry.
@@ -27,7 +27,7 @@
 	KindOrder = "order"
 )
 
-// Entry is one thing that an upstream ran.
+// Entry is one request or order that an upstream processed.
 type Entry struct {
 	Upstream       string `json:"upstream"`
 	Domain         string `json:"domain"`
@@ -37,10 +37,10 @@
 	Method         string `json:"method,omitempty"`
 	Path           string `json:"path,omitempty"`
 	IdempotencyKey string `json:"idempotency_key,omitempty"`
-	// Offset is the first chunk sent, Chunks how many were sent.
+	// Offset is the index of the first chunk sent, Chunks the number sent.
 	Offset int `json:"offset,omitempty"`
 	Chunks int `json:"chunks,omitempty"`
-	// Fence and Version belong to orders.
+	// Fence and Version are set for orders.
 	Fence    int64     `json:"fence,omitempty"`
 	Version  string    `json:"version,omitempty"`
 	Started  time.Time `json:"started"`
@@ -48,14 +48,14 @@
 	Result   string    `json:"result"`
 }
 
-// Count is how many requests ran in a failure domain for a caller.
+// Count is the number of requests of a caller that ran in a failure domain.
 type Count struct {
 	Domain string `json:"domain"`
 	Caller string `json:"caller"`
 	Count  int    `json:"count"`
 }
 
-// Journal is safe for concurrent use.
+// Journal is a bounded list of entries. It is safe for concurrent use.
 type Journal struct {
 	mu          sync.Mutex
 	firstNumber int
@@ -83,7 +83,7 @@
 	return j.firstNumber + len(j.entries) - 1
 }
 
-// Update changes an entry, if it is still kept.
+// Update changes an entry, if it is still retained.
 func (j *Journal) Update(number int, change func(*Entry)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -92,8 +92,8 @@
 	}
 }
 
-// Entries returns the kept entries of an upstream in the order in which they
-// began; an empty name means all.
+// Entries returns the retained entries of an upstream in the order in which they
+// started; an empty name means all upstreams.
 func (j *Journal) Entries(upstream string) []Entry {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/pkg/standin/kv/auth.go
+++ b/pkg/standin/kv/auth.go
@@ -12,27 +12,27 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/etcd/wire"
 )
 
-// Refusals, in the service's own words.
+// Errors with the messages of etcd.
 var (
 	errAuthFailed   = errors.New(wire.MessageAuthFailed)
 	errInvalidToken = errors.New(wire.MessageInvalidToken)
 )
 
-// tokens are given out for passwords.
+// tokens issues and validates authentication tokens.
 type tokens struct {
 	mu     sync.Mutex
 	users  map[string]string
 	issued map[string]bool
 }
 
-// ForgetTokens makes all tokens invalid, as when their time has run out.
+// ForgetTokens invalidates all tokens, as their expiry does.
 func (s *Service) ForgetTokens() {
 	s.tokens.mu.Lock()
 	defer s.tokens.mu.Unlock()
 	clear(s.tokens.issued)
 }
 
-// SetPassword changes a user's password; tokens stay valid.
+// SetPassword changes a user's password; issued tokens stay valid.
 func (s *Service) SetPassword(user, password string) {
 	s.tokens.mu.Lock()
 	defer s.tokens.mu.Unlock()
@@ -69,8 +69,7 @@
 	return c.JSON(http.StatusOK, wire.AuthenticateResponse{Token: token})
 }
 
-// requireToken refuses calls without a token that was given out, but the one that
-// asks for a token.
+// requireToken rejects calls without an issued token, except authentication.
 func (s *Service) requireToken(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		authenticating := c.Path() == wire.PathAuthenticate
--- a/pkg/standin/kv/handlers.go
+++ b/pkg/standin/kv/handlers.go
@@ -67,8 +67,8 @@
 	return s.answer(c, answer)
 }
 
-// handleWatch streams the key's events until the caller goes or the service is
-// switched down, which breaks the stream.
+// handleWatch streams the key's events until the client disconnects or the service
+// is set down, which aborts the stream.
 func (s *Service) handleWatch(c echo.Context) error {
 	var request wire.WatchRequest
 	up, err := s.admit(c, &s.counts.Watch, s.reads, &request)
--- a/pkg/standin/kv/lease.go
+++ b/pkg/standin/kv/lease.go
@@ -43,7 +43,8 @@
 	return wire.LeaseResponse{Header: wire.Header{Revision: s.revision}}, nil
 }
 
-// expireNow ends the leases that are due, so that their watchers are told.
+// expireLeases deletes the expired leases, so that watchers of their keys are
+// notified.
 func (s *store) expireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/standin/kv/service.go
+++ b/pkg/standin/kv/service.go
@@ -1,8 +1,8 @@
 // Package kv is a stand-in for the platform's key-value service: the part of
-// etcd's v3 JSON API that lilacweir uses, held in memory, with bounded rates and
-// switches for the faults that the platform is known for.
+// etcd's v3 JSON API that lilacweir uses, in memory, with rate limits and injection
+// of the faults that the platform is known to have.
 //
-// Guarantee: a transaction is atomic; a lost answer's write has taken effect.
+// A transaction is atomic. A write with a lost response has taken effect.
 package kv
 
 import (
@@ -22,29 +22,30 @@
 	"github.com/lilacweir/lilacweir/pkg/settings"
 )
 
-// Settings of the service.
+// Settings configures the service.
 type Settings struct {
-	// Address is where it listens.
+	// Address is the address to listen on.
 	Address string `yaml:"address" validate:"required,hostport"`
-	// WritesPerSecond and ReadsPerSecond bound its rates; a watch counts as one
-	// read when it is opened. Calls beyond wait for QueueLimit at most.
+	// WritesPerSecond and ReadsPerSecond are rate limits; opening a watch counts as
+	// one read. Calls over the limit wait up to queueTimeout.
 	WritesPerSecond int `yaml:"writes_per_second" validate:"gte=1"`
 	ReadsPerSecond  int `yaml:"reads_per_second" validate:"gte=1"`
-	// Users holds passwords by user; with none, anyone may call.
+	// Users maps users to passwords; if empty, calls need no authentication.
 	Users map[string]string `yaml:"users,omitempty"`
-	// TLS is the service's certificate; empty means plain HTTP.
+	// TLS is the service's certificate and key; empty means plain HTTP.
 	TLS settings.Pair `yaml:"tls,omitempty"`
 }
 
 const (
-	// queueLimit is how long a call waits for its turn before it is refused.
+	// queueTimeout is the time that a call waits for the rate limiter before it is
+	// rejected.
 	queueTimeout = time.Second
-	// expiryInterval is how often leases are looked at.
+	// expiryInterval is the interval of checks for expired leases.
 	expiryInterval = 50 * time.Millisecond
 )
 
-// Counts is how many calls came, by kind, since the service started, and what
-// became of them.
+// Counts holds the number of calls since the service started, by kind and by
+// outcome.
 type Counts struct {
 	Range     int64 `json:"range"`
 	Txn       int64 `json:"txn"`
@@ -53,16 +54,16 @@
 	Grant     int64 `json:"grant"`
 	KeepAlive int64 `json:"keepalive"`
 	Revoke    int64 `json:"revoke"`
-	// Limited counts calls refused for the rates, Lost answers lost on purpose,
-	// Refused calls that came while the service was down.
+	// Limited counts calls rejected by the rate limits, Lost responses dropped by
+	// LoseAnswers, Refused calls received while the service was down.
 	Limited int64 `json:"limited"`
 	Lost    int64 `json:"lost"`
 	Refused int64 `json:"refused"`
-	// Watching is how many watches wait now.
+	// Watching is the number of open watches.
 	Watching int `json:"watching"`
 }
 
-// Service is the stand-in.
+// Service is a stand-in key-value service.
 type Service struct {
 	store         *store
 	reads, writes *rate.Limiter
@@ -72,12 +73,12 @@
 	counts      Counts
 	slow        time.Duration
 	dropAnswers int
-	// up is done while the service is down.
+	// up is cancelled while the service is down.
 	up     context.Context
 	goDown context.CancelFunc
 }
 
-// New returns a service that is up and empty.
+// New returns an empty service that is up.
 func New(settings Settings, c clock.Clock) *Service {
 	s := &Service{
 		tokens: tokens{users: maps.Clone(settings.Users), issued: map[string]bool{}},
@@ -89,7 +90,7 @@
 	return s
 }
 
-// Run ends leases that are due until ctx ends.
+// Run deletes expired leases periodically until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
@@ -103,7 +104,8 @@
 	}
 }
 
-// SetDown makes the service drop every connection that asks, and its watches.
+// SetDown makes the service drop the connection of every call and its open watches,
+// or brings it up again.
 func (s *Service) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,15 +122,15 @@
 	s.slow = delay
 }
 
-// LoseAnswers drops the connection in place of the answer of the next n writes,
-// after they have taken effect.
+// LoseAnswers drops the connection instead of sending the response for the next n
+// writes, after they have taken effect.
 func (s *Service) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropAnswers = n
 }
 
-// Compact forgets the history, so that a watch can't begin in the past.
+// Compact deletes the history, so that a watch cannot start at a past revision.
 func (s *Service) Compact() { s.store.compact() }
 
 // Counts returns the counters.
@@ -141,7 +143,7 @@
 	return counts
 }
 
-// Handler serves the API.
+// Handler returns the handler of the API.
 func (s *Service) Handler() http.Handler {
 	e := echo.New()
 	e.Use(s.requireToken)
@@ -161,8 +163,9 @@
 	*counter++
 }
 
-// begin decodes a call, counts it and holds it to the rates and switches. It
-// returns the context that ends when the service goes down.
+// admit decodes and counts a call, and applies the rate limits and injected faults.
+// It returns the context that is cancelled when the service goes down, or nil if the
+// call was rejected and answered.
 func (s *Service) admit(c echo.Context, counter *int64, limiter *rate.Limiter, request any) (context.Context, error) {
 	s.mu.Lock()
 	up, slow := s.up, s.slow
@@ -201,7 +204,7 @@
 	}
 }
 
-// answer writes a write's answer, or loses it.
+// answer sends the response for a write, or drops it under LoseAnswers.
 func (s *Service) answer(c echo.Context, message any) error {
 	s.mu.Lock()
 	lost := s.dropAnswers > 0
@@ -220,7 +223,7 @@
 	return c.JSON(status, wire.ErrorResponse{Error: err.Error(), Code: code, Message: err.Error()})
 }
 
-// refuse answers an error of the store.
+// respondStoreError sends the response for an error of the store.
 func respondStoreError(c echo.Context, err error) error {
 	if errors.Is(err, errLeaseNotFound) {
 		return respondError(c, http.StatusNotFound, wire.CodeNotFound, err)
--- a/pkg/standin/kv/store.go
+++ b/pkg/standin/kv/store.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// historyLimit is how many events are kept for watches that begin in the past.
+	// historyLimit is the number of events retained for watches from a past revision.
 	historyLimit = 4096
 	// maxValue is the largest value, in bytes.
 	maxValue = 1 << 20
 )
 
-// store is the state behind the API.
+// store holds keys, leases and watchers.
 type store struct {
 	clock clock.Clock
 
@@ -34,7 +34,7 @@
 	keys     map[string]wire.KeyValue
 	leases   map[int64]*lease
 	lastID   int64
-	// history holds the last events; compacted is the newest revision dropped.
+	// history holds the latest events; compacted is the newest deleted revision.
 	history   []wire.Event
 	compacted int64
 	watchers  map[*watcher]struct{}
@@ -46,7 +46,7 @@
 	keys    map[string]struct{}
 }
 
-// watcher is woken when its key changed; it reads the history by itself.
+// watcher is woken when its key changes, and then reads the events in the history.
 type watcher struct {
 	key  string
 	next int64
--- a/pkg/standin/kv/watch.go
+++ b/pkg/standin/kv/watch.go
@@ -2,7 +2,9 @@
 
 import "github.com/lilacweir/lilacweir/pkg/platform/etcd/wire"
 
-// watch registers a watcher from a revision on; zero means from now on.
+// watch registers a watcher that starts at a revision; zero means after the current
+// one. It returns the current revision, or errCompacted with the newest compacted
+// revision.
 func (s *store) watch(key string, start int64) (*watcher, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -18,7 +20,7 @@
 	return w, s.revision, nil
 }
 
-// compact forgets the history.
+// compact deletes the history.
 func (s *store) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +40,9 @@
 	return len(s.watchers)
 }
 
-// pending returns the watcher's events that it has not been given.
+// pending returns the events that the watcher has not received yet, and the current
+// revision. If they are compacted it returns errCompacted and the newest compacted
+// revision.
 func (s *store) pending(w *watcher) ([]wire.Event, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/standin/link/link.go
+++ b/pkg/standin/link/link.go
@@ -1,12 +1,12 @@
 // Package link is a stand-in for the network between failure domains: a TCP
-// relay with a one-way delay that can be cut in each direction by itself.
+// relay with a one-way delay, in which each direction can be cut independently.
 //
-// A cut holds back what is sent, without a sign to either end, and lets it
-// through when the link is healed, as TCP's retransmission does. Closing a
-// connection is held back in the same way. While either direction is cut, a new
-// connection is not made: its dialer waits in vain, as when a handshake is lost.
-// A target that refuses connections shows as a connection that is reset, since a
-// relay has accepted it by then.
+// A cut withholds sent data, including the close of a connection, with no error at
+// either end, and delivers it when the link is healed, as TCP retransmission does.
+// While either direction is cut, no new connection is established: its dialer waits
+// until it times out, as when handshake packets are lost. A target that refuses
+// connections appears as a connection reset, since the relay has already accepted
+// the connection.
 package link
 
 import (
@@ -17,12 +17,13 @@
 	"time"
 )
 
-// Settings of one relay.
+// Settings configures one relay.
 type Settings struct {
 	// From and To name the two sides: failure domains, or "platform".
 	From string `yaml:"from" validate:"required,name"`
 	To   string `yaml:"to" validate:"required,name"`
-	// Listen is where From's processes connect, Target where that leads.
+	// Listen is the address that From's processes connect to, Target the address that
+	// the relay connects to.
 	Listen string `yaml:"listen" validate:"required,hostport"`
 	Target string `yaml:"target" validate:"required,hostport"`
 	// Delay is the one-way delay, the same in both directions.
@@ -30,18 +31,18 @@
 }
 
 const (
-	// bufferSize is the size of one read, in bytes.
+	// bufferSize is the maximum size of one read, in bytes.
 	bufferSize = 32 << 10
-	// windowSegments bounds what is under way in one direction of a connection.
+	// windowSegments bounds the segments in flight in one direction of a connection.
 	windowSegments = 256
-	// handshakeTrips is how many one-way delays a TCP handshake takes before the
-	// first data can leave.
+	// handshakeDelays is the number of one-way delays that a TCP handshake takes
+	// before the first data can be sent.
 	handshakeDelays = 2
-	// dialTimeout bounds the connection to the target.
+	// dialTimeout bounds the connection attempt to the target.
 	dialTimeout = 2 * time.Second
 )
 
-// ErrNoPath: no relay leads from the one side to the other.
+// ErrNoPath is returned if no relay connects the two sides.
 var ErrNoPath = errors.New("no link between these two")
 
 // Network is a set of relays and the state of each direction between two sides.
@@ -53,7 +54,7 @@
 	listeners []*cuttableListener
 }
 
-// pair is a direction.
+// direction is an ordered pair of sides.
 type direction struct{ from, to string }
 
 // path is the state of one direction.
@@ -61,13 +62,13 @@
 	mu    sync.Mutex
 	delay time.Duration
 	cut   bool
-	// reset says that a cut closes connections.
+	// reset makes a cut close connections with a reset.
 	reset bool
-	// changed is closed at the next change.
+	// changed is closed at the next change and then replaced.
 	changed chan struct{}
 }
 
-// New returns a network whose directions are all open.
+// New returns a network in which all directions are open.
 func New(settings []Settings) *Network {
 	n := &Network{settings: settings, paths: make(map[direction]*path)}
 	for _, s := range settings {
@@ -89,8 +90,9 @@
 	return n.paths[direction{from, to}]
 }
 
-// Cut stops one direction; with reset, connections between the two are closed
-// and new ones too, in place of silence. It returns when the cut is in force.
+// Cut blocks one direction without an error at either end; with reset, it closes the
+// existing and new connections between the two sides instead. It returns when the
+// cut has taken effect, or with ErrNoPath.
 func (n *Network) Cut(from, to string, reset bool) error {
 	if err := n.update(from, to, func(p *path) { p.cut, p.reset = true, reset }); err != nil || reset {
 		return err
@@ -108,7 +110,7 @@
 	n.listeners = append(n.listeners, l)
 }
 
-// between returns the listeners that a direction's state shuts.
+// listenersOf returns the listeners that a cut of a direction closes.
 func (n *Network) listenersOf(p *path) []*cuttableListener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -121,7 +123,7 @@
 	return found
 }
 
-// Heal opens one direction.
+// Heal reopens one direction.
 func (n *Network) Heal(from, to string) error {
 	return n.update(from, to, func(p *path) { p.cut, p.reset = false, false })
 }
@@ -144,15 +146,15 @@
 	return nil
 }
 
-// state returns the direction's state and what is closed when that changes.
+// state returns the direction's state, and a channel that is closed when it changes.
 func (p *path) state() (delay time.Duration, cut, reset bool, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.delay, p.cut, p.reset, p.changed
 }
 
-// passable waits until the direction is open; false means that it was reset or
-// that ctx ended.
+// waitOpen waits until the direction is open; false means that it was reset or that
+// ctx ended.
 func (p *path) waitOpen(ctx context.Context) bool {
 	for {
 		_, cut, reset, changed := p.state()
@@ -169,7 +171,7 @@
 	}
 }
 
-// watchReset ends a connection as soon as the direction is reset.
+// watchReset calls cancel as soon as the direction is reset.
 func (p *path) watchReset(ctx context.Context, cancel context.CancelFunc) {
 	for {
 		_, _, reset, changed := p.state()
@@ -185,7 +187,7 @@
 	}
 }
 
-// Listen opens every relay's listener. Close them all when ctx ends.
+// Listen opens every relay's listener. Serve closes them.
 func (n *Network) Listen() ([]*net.TCPListener, error) {
 	listeners := make([]*net.TCPListener, 0, len(n.settings))
 	for _, s := range n.settings {
@@ -209,7 +211,8 @@
 	return net.ListenTCP("tcp", resolved)
 }
 
-// Serve relays connections of the listeners that Listen returned until ctx ends.
+// Serve relays connections of the listeners that Listen returned until ctx ends, and
+// then closes the listeners.
 func (n *Network) Serve(ctx context.Context, listeners []*net.TCPListener) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -222,7 +225,7 @@
 	}
 }
 
-// accept takes connections while both directions are open.
+// acceptLoop accepts and relays connections while both directions are open.
 func (n *Network) acceptLoop(ctx context.Context, s Settings, listener *net.TCPListener) {
 	var running sync.WaitGroup
 	defer running.Wait()
--- a/pkg/standin/link/link_test.go
+++ b/pkg/standin/link/link_test.go
@@ -13,7 +13,7 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/link"
 )
 
-// silence is how long a direction must bring nothing to count as cut.
+// silenceTimeout is the time without data after which a direction counts as cut.
 const silenceTimeout = 150 * time.Millisecond
 
 // echoServer answers each line with the same line.
@@ -60,7 +60,7 @@
 	return network, listeners[0].Addr().String()
 }
 
-// line sends a line and waits for its echo.
+// roundTrip sends text as a line, unless empty, and waits for an echo.
 func roundTrip(conn net.Conn, text string, wait time.Duration) (string, error) {
 	if text != "" {
 		if _, err := conn.Write([]byte(text + "\n")); err != nil {
@@ -96,7 +96,7 @@
 			is.NoErr(network.Cut(cut[0], cut[1], false))
 			_, err = roundTrip(conn, "two", silenceTimeout)
 			var timeout net.Error
-			is.True(errors.As(err, &timeout) && timeout.Timeout()) // silence, not a failure
+			is.True(errors.As(err, &timeout) && timeout.Timeout()) // timeout, not a connection error
 			for range 3 {
 				_, err = net.DialTimeout("tcp", address, silenceTimeout)
 				is.True(errors.As(err, &timeout) && timeout.Timeout()) // no handshake either
--- a/pkg/standin/link/listener.go
+++ b/pkg/standin/link/listener.go
@@ -11,28 +11,30 @@
 )
 
 const (
-	// openBacklog is how many connections may wait to be accepted; the system
-	// may allow fewer.
+	// openBacklog is the accept backlog of an open listener; the system may allow
+	// less.
 	openBacklog = 4096
-	// fillerTimeout bounds the connection that fills a shut backlog.
+	// fillerTimeout bounds the dial of the connection that fills a closed listener's
+	// backlog.
 	fillerTimeout = 100 * time.Millisecond
-	// closeTimeout bounds the wait of a cut for the listeners to be shut.
+	// closeTimeout bounds the wait of a cut for the listeners to close.
 	closeTimeout = time.Second
 )
 
-// cuttableListener is a relay's listener. It is shut while either direction is cut: then its
-// backlog has room for one connection, which the listener makes itself, so that the
-// system answers no other handshake.
+// cuttableListener is a relay's listener. It is closed while either direction is cut:
+// its backlog then fits one connection, which the listener opens to itself, so that
+// the system completes no other handshake.
 type cuttableListener struct {
 	listener          *net.TCPListener
 	forward, backward *path
-	// filler is the connection that fills the shut backlog, or nil.
+	// filler is the connection that fills the backlog while closed, or nil.
 	filler net.Conn
-	// fillerAddress is the filler's address, to tell it from others when accepted.
+	// fillerAddress is the filler's local address, to recognise it when accepted.
 	fillerAddress string
 
 	mu sync.Mutex
-	// closed says that the backlog is shut; whenClosed is closed with it.
+	// closed is true while the backlog is full; closedSignal is a channel that is
+	// closed when it becomes true.
 	closed       bool
 	closedSignal chan struct{}
 }
@@ -41,7 +43,7 @@
 	return &cuttableListener{listener: listener, forward: forward, backward: backward, closedSignal: make(chan struct{})}
 }
 
-// waitClosed waits until the listener is shut, within bounds.
+// waitClosed waits until the listener is closed, up to closeTimeout.
 func (l *cuttableListener) waitClosed() {
 	l.mu.Lock()
 	closedSignal := l.closedSignal
@@ -54,7 +56,7 @@
 	}
 }
 
-// mark sets whether the listener is shut, and reports whether that is new.
+// setClosed sets whether the listener is closed, and reports whether that changed.
 func (l *cuttableListener) setClosed(closed bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,11 +72,11 @@
 	return true
 }
 
-// next accepts a connection once both directions are open.
+// accept returns the next connection, once both directions are open.
 func (l *cuttableListener) accept(ctx context.Context) (net.Conn, error) {
 	for {
-		// The deadline is lifted before the state is read, and a change of state
-		// sets it: no change is missed.
+		// The deadline is cleared before the state is read, and a change of state
+		// sets it, so that no change is missed.
 		if err := l.listener.SetDeadline(time.Time{}); err != nil {
 			return nil, err
 		}
@@ -97,8 +99,8 @@
 	}
 }
 
-// shut reports whether new connections are held back, and returns what is closed
-// when either direction changes.
+// blocked reports whether new connections are blocked, and returns the channels that
+// are closed when a direction changes.
 func (l *cuttableListener) blocked() (blocked bool, changed []<-chan struct{}) {
 	for _, p := range []*path{l.forward, l.backward} {
 		_, cut, reset, next := p.state()
@@ -116,7 +118,8 @@
 	}
 }
 
-// acceptUntil accepts a connection, or gives up when a direction changes.
+// acceptUntil accepts a connection. It returns os.ErrDeadlineExceeded if a direction
+// changes first.
 func (l *cuttableListener) acceptUntil(ctx context.Context, changed []<-chan struct{}) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -135,7 +138,7 @@
 	}
 	l.setBacklog(0)
 	dialer := net.Dialer{Timeout: fillerTimeout}
-	// Failing means that the backlog is full already.
+	// A failed dial means that the backlog is already full.
 	filler, err := dialer.DialContext(ctx, "tcp", l.listener.Addr().String())
 	if err == nil {
 		l.filler, l.fillerAddress = filler, filler.LocalAddr().String()
@@ -154,8 +157,9 @@
 	}
 }
 
-// setBacklog bounds the connections that the system makes before they are
-// accepted. Where that fails, connections are made during a cut, and held back.
+// setBacklog bounds the connections that the system completes before they are
+// accepted. If that fails, connections are completed during a cut, but not relayed
+// until it is healed.
 func (l *cuttableListener) setBacklog(size int) {
 	raw, err := l.listener.SyscallConn()
 	if err != nil {
--- a/pkg/standin/link/relay.go
+++ b/pkg/standin/link/relay.go
@@ -10,14 +10,14 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// segment is what one read brought, due at the other end at a moment. An empty
-// one is the end of the stream.
+// segment is the data of one read and the time at which it is due at the other end.
+// Empty data marks the end of the stream.
 type segment struct {
 	data []byte
 	due  time.Time
 }
 
-// relay carries one connection until both directions have ended.
+// relay relays one connection until both directions have ended.
 func (n *Network) relay(ctx context.Context, s Settings, source net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -35,7 +35,7 @@
 		return
 	}
 	defer target.Close()
-	// Ends blocked reads and writes when the connection is reset.
+	// Unblocks reads and writes when the connection is reset.
 	stop := context.AfterFunc(ctx, func() {
 		abort(source)
 		abort(target)
@@ -56,8 +56,9 @@
 	_ = conn.Close()
 }
 
-// carry moves one direction's bytes, each after the delay of the moment in which
-// it came. first is added for the first segment.
+// relayDirection copies the bytes of one direction, each after the delay that
+// applied when it was read. No byte is due before first plus that delay has passed
+// since the start.
 func relayDirection(ctx context.Context, cancel context.CancelFunc, p *path, from, to net.Conn, first time.Duration) {
 	segments := make(chan segment, windowSegments)
 	go read(ctx, p, from, segments, first)
@@ -78,8 +79,8 @@
 	cancel()
 }
 
-// read turns the stream into segments; it closes the channel without an empty
-// segment when the stream broke.
+// read splits the stream into segments. If the stream fails, it closes the channel
+// without an empty segment.
 func read(ctx context.Context, p *path, from net.Conn, segments chan<- segment, extra time.Duration) {
 	defer close(segments)
 	opened := time.Now()
--- a/pkg/standin/plan/declare.go
+++ b/pkg/standin/plan/declare.go
@@ -13,10 +13,11 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/service"
 )
 
-// keyPrefix begins every caller's and operator's key in a stand-in deployment.
+// keyPrefix precedes the name in every caller's and operator's key in a stand-in
+// deployment.
 const keyPrefix = "key-"
 
-// engineQueue is how many requests wait at an engine for each of its slots.
+// engineQueue is the queue length of an engine per slot.
 const engineQueue = 2
 
 func keyHash(name string) string {
@@ -56,7 +57,7 @@
 	b.sort()
 }
 
-// sort puts the declaration's lists in the order that they are kept in.
+// sort sorts the declaration's lists by name, the order in which they are stored.
 func (b *builder) sort() {
 	declaration := &b.plan.Declaration
 	slices.SortFunc(declaration.Regions, func(x, y config.Region) int { return strings.Compare(x.Name, y.Name) })
@@ -88,8 +89,7 @@
 	slices.SortFunc(declared, func(x, y config.Upstream) int { return strings.Compare(x.Name, y.Name) })
 }
 
-// engine adds engine n of a model: it gets the version whose share of the
-// engines it falls into.
+// engine adds engine n of a model.
 func (b *builder) engine(s numberedDomain, model Model, name, address string, n int) {
 	e := model.Engine
 	version := engineVersion(model, n)
@@ -106,7 +106,7 @@
 	b.list(standin.Listed{Name: name, Domain: s.Name})
 }
 
-// versionOf spreads a domain's engines over the versions by percent.
+// engineVersion assigns a domain's engines to the versions by percent.
 func engineVersion(model Model, n int) string {
 	const allPercent = 100
 	cumulative := 0
--- a/pkg/standin/plan/links.go
+++ b/pkg/standin/plan/links.go
@@ -7,7 +7,7 @@
 )
 
 // links adds the relays from a failure domain to the instances of the others and
-// to the platform, and returns what its processes dial in place of the targets.
+// to the platform, and returns the relay address to dial by target address.
 func (b *builder) links(from numberedDomain) map[string]string {
 	dialVia := make(map[string]string)
 	host := 0
--- a/pkg/standin/plan/plan.go
+++ b/pkg/standin/plan/plan.go
@@ -32,10 +32,10 @@
 	hostPlatform = 250
 )
 
-// platformSide names the platform's end of a link.
+// platformName is the name of the platform's side of a link.
 const platformName = "platform"
 
-// Plan is every file of a deployment.
+// Plan holds the content of every file of a deployment.
 type Plan struct {
 	Instances   []settings.Instance
 	Standin     standin.Settings
@@ -43,14 +43,14 @@
 	Operator    settings.Client
 }
 
-// site is a failure domain with its number, counting from 1.
+// numberedDomain is a failure domain with its number, starting at 1.
 type numberedDomain struct {
 	Domain
 	number int
 	region string
 }
 
-// builder collects a plan.
+// builder assembles a plan.
 type builder struct {
 	topology Topology
 	net      int
@@ -58,9 +58,9 @@
 	plan     Plan
 }
 
-// NetError is a second octet that is out of range.
+// NetError reports a second octet that is out of range.
 type NetError struct {
-	// Net is what was given.
+	// Net is the given octet.
 	Net int
 }
 
@@ -70,7 +70,8 @@
 // maxNet is the highest second octet.
 const maxNet = 254
 
-// Build makes the plan for the second octet net.
+// Build returns the plan of a topology with net as the second octet of all addresses.
+// A net out of range returns a *NetError.
 func Build(topology Topology, net int) (Plan, error) {
 	if net < 1 || net > maxNet {
 		return Plan{}, &NetError{Net: net}
@@ -135,7 +136,7 @@
 	}
 }
 
-// seeds names the first two agents of every failure domain.
+// seeds returns the first two agents of every failure domain.
 func (b *builder) seeds() []settings.Seed {
 	const seedsPerDomain = 2
 	var seeds []settings.Seed
--- a/pkg/standin/plan/plan_test.go
+++ b/pkg/standin/plan/plan_test.go
@@ -10,7 +10,7 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/plan"
 )
 
-// deployments are those in the repository, with their second octets.
+// deployments maps the deployments in the repository to their second octets.
 var deployments = map[string]int{"wellness": 10, "minibar": 11}
 
 func TestCommittedDeploymentsAreUpToDate(t *testing.T) {
--- a/pkg/standin/plan/topology.go
+++ b/pkg/standin/plan/topology.go
@@ -3,8 +3,8 @@
 //
 // Addresses, for the second octet N: entry instance n of failure domain d has
 // 127.N.d.n, the platform 127.N.0.1, upstream m of domain d 127.N.(100+d).m, and
-// the links out of domain d listen on 127.N.(200+d).x. Processes learn targets'
-// real addresses everywhere, and dial links by their dial_via setting.
+// the links out of domain d listen on 127.N.(200+d).x. Processes always exchange the
+// real addresses of targets, and dial links instead through their dial_via setting.
 package plan
 
 import (
@@ -17,17 +17,18 @@
 
 // Topology describes a deployment.
 type Topology struct {
-	// Name names the deployment; its keys in the key-value service begin with it.
+	// Name is the name of the deployment and the prefix of its keys in the key-value
+	// service.
 	Name    string   `yaml:"name" validate:"required,name"`
 	Regions []Region `yaml:"regions" validate:"required,min=1,dive"`
 	Delays  Delays   `yaml:"delays"`
-	// Platform bounds the platform's services.
+	// Platform sets the limits of the platform's services.
 	Platform  Platform  `yaml:"platform"`
 	Models    []Model   `yaml:"models" validate:"dive"`
 	Services  []Service `yaml:"services" validate:"dive"`
 	Callers   []Caller  `yaml:"callers" validate:"dive"`
 	Operators []string  `yaml:"operators" validate:"required,min=1,dive,name"`
-	// Spill and Policy go into the declaration as they are.
+	// Spill and Policy are copied to the declaration.
 	Spill  []config.Spill `yaml:"spill" validate:"dive"`
 	Policy config.Policy  `yaml:"policy"`
 }
@@ -47,14 +48,14 @@
 
 // Delays are one-way delays.
 type Delays struct {
-	// Regions is between failure domains of different regions, Domains between
+	// Regions applies between failure domains of different regions, Domains between
 	// those of one region, Platform between any of them and the platform.
 	Regions  time.Duration `yaml:"regions" validate:"gte=0"`
 	Domains  time.Duration `yaml:"domains" validate:"gte=0"`
 	Platform time.Duration `yaml:"platform" validate:"gte=0"`
 }
 
-// Platform bounds the platform's services.
+// Platform sets the limits of the platform's services.
 type Platform struct {
 	WritesPerSecond int           `yaml:"writes_per_second" validate:"gte=1"`
 	ReadsPerSecond  int           `yaml:"reads_per_second" validate:"gte=1"`
@@ -66,7 +67,7 @@
 type Model struct {
 	Name     string                `yaml:"name" validate:"required,name"`
 	Versions []config.ModelVersion `yaml:"versions" validate:"required,min=1,dive"`
-	// MaxTokens is the longest answer, in tokens.
+	// MaxTokens is the maximum length of an answer, in tokens.
 	MaxTokens int    `yaml:"max_tokens" validate:"gte=0"`
 	Engine    Engine `yaml:"engine"`
 }
@@ -97,7 +98,7 @@
 	Latency     time.Duration  `yaml:"latency" validate:"gte=0"`
 }
 
-// Caller is a caller; its key is "key-" and its name.
+// Caller is a caller; its key is "key-" followed by its name.
 type Caller struct {
 	Name    string   `yaml:"name" validate:"required,name"`
 	Home    string   `yaml:"home" validate:"required,name"`
@@ -105,7 +106,7 @@
 	Share   int      `yaml:"share,omitempty" validate:"gte=0,lte=1000"`
 }
 
-// FileError is a file that cannot be written.
+// FileError reports a file that cannot be written.
 type FileError struct {
 	// File is the file, Err the cause.
 	File string
@@ -118,7 +119,7 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// Load reads a topology; its error names every fault with file, line and key.
+// Load reads a topology. Its error lists every problem with file, line and key.
 func Load(file string) (Topology, error) {
 	var topology Topology
 	err := yamlfile.Load(file, &topology)
--- a/pkg/standin/run.go
+++ b/pkg/standin/run.go
@@ -24,10 +24,11 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/service"
 )
 
-// drainTime bounds the end of running requests at a shutdown.
+// shutdownTimeout bounds the wait for running requests at a shutdown, and the
+// reading of request headers.
 const shutdownTimeout = 2 * time.Second
 
-// ListenError is an address that cannot be listened on.
+// ListenError reports an address on which listening failed.
 type ListenError struct {
 	// Address is the address, Err the cause.
 	Address string
@@ -40,16 +41,16 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// SelectionError is a name in a Selection that the settings don't have.
+// SelectionError reports a name in a Selection that the settings do not define.
 type SelectionError struct {
-	// Name is the group or upstream.
+	// Name is the name of the group or upstream.
 	Name string
 }
 
 // Error implements error.
 func (e *SelectionError) Error() string { return fmt.Sprintf("no group or upstream named %q", e.Name) }
 
-// process collects what one process runs before any of it starts.
+// process holds the servers and loops of one process before they are started.
 type process struct {
 	settings  Settings
 	selection Selection
@@ -63,7 +64,7 @@
 type server struct {
 	address string
 	handler http.Handler
-	// pair is the certificate; empty means plain HTTP.
+	// pair is the TLS certificate and key; empty means plain HTTP.
 	pair settings.Pair
 }
 
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// serve opens every listener before it says that it is ready.
+// serve opens every listener before it logs that the process is ready.
 func (p *process) serve(ctx context.Context, log zerolog.Logger) error {
 	listeners, err := p.listen()
 	if err != nil {
@@ -234,8 +235,8 @@
 	return nil
 }
 
-// shutdown ends a server's running requests within the drain time, and cuts
-// those that last longer, such as watches.
+// shutdown waits for a server's running requests up to shutdownTimeout, then
+// closes the connections of those that last longer, such as watches.
 func shutdown(ctx context.Context, srv *http.Server) error {
 	<-ctx.Done()
 	drainCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
--- a/pkg/standin/service/service.go
+++ b/pkg/standin/service/service.go
@@ -1,7 +1,5 @@
-// Package service is a stand-in for a plain HTTP service. It runs whatever it is
-// asked, and writes each call that ran to the journal.
-//
-// Guarantee: a call is in the journal before any of its answer is sent.
+// Package service is a stand-in for a plain HTTP service. It accepts every call, and
+// records each call that runs in the journal before it sends any of the answer.
 package service
 
 import (
@@ -22,47 +20,47 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// Settings of a service.
+// Settings configures a service.
 type Settings struct {
 	Name    string `yaml:"name" validate:"required,name"`
 	Domain  string `yaml:"domain" validate:"required,name"`
 	Address string `yaml:"address" validate:"required,hostport"`
 	// Serves is the service's name in the declaration.
 	Serves string `yaml:"serves" validate:"required,name"`
-	// Concurrency is how many calls run at once; the others wait.
+	// Concurrency is the number of calls that run at once; the others wait.
 	Concurrency int `yaml:"concurrency" validate:"gte=1"`
-	// Latency is how long a call runs.
+	// Latency is the duration of a call.
 	Latency time.Duration `yaml:"latency" validate:"gte=0"`
 }
 
 const (
 	// maxBody bounds a call's body, in bytes.
 	maxBody = 32 << 20
-	// maxExport bounds the answer that a caller may ask for, in bytes.
+	// maxExport bounds the answer size that a caller may request, in bytes.
 	maxExport = 64 << 20
-	// exportLine is what an export repeats.
+	// exportLine is the line that an export repeats.
 	exportLine = "22:47 asleep, 06:12 awake, 3 wakings\n"
 )
 
-// Verbs of a service's fault switches.
+// Fault injection verbs of a service.
 const (
-	// verbOK takes every fault away.
+	// verbOK clears all faults.
 	verbOK = "ok"
 	// verbSlow sets the latency in milliseconds.
 	verbSlow = "slow"
 	// verbFail runs the next N calls and answers 500.
 	verbFail = "fail"
-	// verbRefuse answers the next N calls with 503, not started.
+	// verbRefuse rejects the next N calls with 503 and the not-started header.
 	verbRefuse = "refuse"
 	// verbDie runs the next N calls and drops the connection.
 	verbDie = "die"
 	// verbStall runs the next N calls and never answers.
 	verbStall = "stall"
-	// verbLeave announces that the service leaves; it takes no new call.
+	// verbLeave announces that the service is leaving and rejects new calls.
 	verbLeave = "leave"
 )
 
-// Service is the stand-in.
+// Service is a stand-in plain service.
 type Service struct {
 	settings Settings
 	clock    clock.Clock
@@ -80,19 +78,19 @@
 	leave                           bool
 }
 
-// Answer is what a call returns.
+// Answer is the response body of a call.
 type Answer struct {
 	Service   string `json:"service"`
 	Upstream  string `json:"upstream"`
 	RequestID string `json:"request_id"`
 	Method    string `json:"method"`
 	Path      string `json:"path"`
-	// Bytes is the length of the call's body, Run its number at this upstream.
+	// Bytes is the length of the call's body, Run its sequence number at this upstream.
 	Bytes int64 `json:"bytes"`
 	Run   int   `json:"run"`
 }
 
-// New returns a service that writes what it runs to the journal.
+// New returns a service that records the calls that it runs in the journal.
 func New(settings Settings, c clock.Clock, j *journal.Journal) *Service {
 	return &Service{
 		settings: settings, clock: c, journal: j,
@@ -101,7 +99,8 @@
 	}
 }
 
-// Set throws a switch: a verb and its argument, if it has one.
+// Set applies the fault that verb names, with its argument if it has one. The error
+// is a *fault.VerbError or *fault.ArgumentError.
 func (s *Service) Set(verb, argument string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,8 +128,8 @@
 	return fault.SetCount(target, argument)
 }
 
-// PathHealth answers whether the service serves. It is no call: it neither runs
-// nor uses up a fault.
+// PathHealth is the health check. It is not a call: it is not journaled and consumes
+// no fault.
 const PathHealth = "/healthz"
 
 // Handler serves every path.
@@ -141,7 +140,7 @@
 	return e
 }
 
-// take uses up one of a number of faults, and reports whether there was one.
+// consume decrements a fault counter and reports whether it was above zero.
 func (s *Service) consume(counter *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,8 +198,8 @@
 	return c.JSON(http.StatusServiceUnavailable, engineapi.ErrorAnswer{Error: "not started"})
 }
 
-// run does the call: its effect is the journal entry, which stands even when
-// the caller goes away.
+// run performs the call. Its effect is the journal entry, which remains even if the
+// caller disconnects.
 func (s *Service) run(ctx context.Context, c echo.Context, bytes int64) error {
 	request := c.Request()
 	number := s.journal.Add(journal.Entry{
@@ -230,7 +229,7 @@
 	return s.respond(c, bytes, run)
 }
 
-// answer sends the call's answer, or so many bytes of an export as were asked for.
+// respond sends the call's answer, or an export of the requested number of bytes.
 func (s *Service) respond(c echo.Context, bytes int64, run int) error {
 	request := c.Request()
 	if size, err := strconv.Atoi(c.QueryParam("bytes")); err == nil && size > 0 {
--- a/pkg/standin/service/service_test.go
+++ b/pkg/standin/service/service_test.go
@@ -43,7 +43,7 @@
 				status = response.StatusCode
 				is.NoErr(response.Body.Close())
 				notStarted := response.Header.Get(header.NotStarted) == "true"
-				is.Equal(notStarted, test.ran == 0) // said exactly when true
+				is.Equal(notStarted, test.ran == 0) // the header is set if and only if the call did not run
 			}
 			is.Equal(status, test.status)
 			entries := j.Entries("sleeplog-1")
@@ -70,8 +70,8 @@
 	}
 	is.NoErr(upstream.Set("refuse", "1"))
 	is.Equal(get("/healthz").StatusCode, http.StatusOK)
-	is.Equal(len(j.Entries("")), 0)                                   // it is not in the journal
-	is.Equal(get("/calls").StatusCode, http.StatusServiceUnavailable) // it used up no fault
+	is.Equal(len(j.Entries("")), 0)                                   // not in the journal
+	is.Equal(get("/calls").StatusCode, http.StatusServiceUnavailable) // consumed no fault
 	is.NoErr(upstream.Set("leave", ""))
 	is.Equal(get("/healthz").Header.Get(header.Leaving), header.True)
 }
--- a/pkg/standin/settings.go
+++ b/pkg/standin/settings.go
@@ -1,7 +1,7 @@
-// Package standin runs small stand-ins for what lilacweir's platform gives: the
+// Package standin runs small stand-ins for what lilacweir's platform provides: the
 // key-value service, the directory, the instance list, the weight store, model
-// engines, plain services, and the links between failure domains. They promise
-// what the interfaces promise, with fault switches, and simulate nothing more.
+// engines, plain services, and the links between failure domains. They implement
+// the guarantees of the interfaces and fault injection, and simulate nothing more.
 package standin
 
 import (
@@ -16,19 +16,20 @@
 
 // Settings is the settings file of a stand-in process.
 type Settings struct {
-	// Admin is where the fault switches are served.
+	// Admin holds the addresses of the fault injection API.
 	Admin Admin `yaml:"admin"`
-	// Platform holds the platform's services.
+	// Platform configures the platform's services.
 	Platform Platform `yaml:"platform"`
 	// Engines and Services are the upstreams.
 	Engines  []engine.Settings  `yaml:"engines" validate:"dive"`
 	Services []service.Settings `yaml:"services" validate:"dive"`
-	// Links are the relays between failure domains, and to the platform.
+	// Links are the relays between failure domains and to the platform.
 	Links []link.Settings `yaml:"links" validate:"dive"`
 }
 
-// Admin holds the address of the fault switches of a process that runs one group
-// alone. A process that runs several uses the first of theirs in this order.
+// Admin holds the address of the fault injection API of a process that runs only
+// one group. A process that runs several groups uses the first of their addresses
+// in this order.
 type Admin struct {
 	Platform  string `yaml:"platform" validate:"required,hostport"`
 	Upstreams string `yaml:"upstreams" validate:"required,hostport"`
@@ -43,17 +44,17 @@
 	Weights   WeightStore  `yaml:"weight_store"`
 }
 
-// Directory is the directory for clients.
+// Directory configures the directory for clients.
 type Directory struct {
 	Address string `yaml:"address" validate:"required,hostport"`
 }
 
-// InstanceList is the lagging list of instances.
+// InstanceList configures the delayed list of instances.
 type InstanceList struct {
 	Address string `yaml:"address" validate:"required,hostport"`
-	// Lag is how old its answers are.
+	// Lag is the age of its answers.
 	Lag time.Duration `yaml:"lag" validate:"gte=0"`
-	// Instances is what it lists at the start.
+	// Instances is its initial content.
 	Instances []Listed `yaml:"instances" validate:"dive"`
 }
 
@@ -61,14 +62,14 @@
 type Listed struct {
 	Name   string `yaml:"name" validate:"required,name"`
 	Domain string `yaml:"domain" validate:"required,name"`
-	// Mesh is an entry instance's agent address; empty for upstreams.
+	// Mesh is the agent address of an entry instance, empty for upstreams.
 	Mesh string `yaml:"mesh,omitempty" validate:"omitempty,hostport"`
 }
 
-// WeightStore is the rate-limited store of weights.
+// WeightStore configures the rate-limited store of model weights.
 type WeightStore struct {
 	Address string `yaml:"address" validate:"required,hostport"`
-	// LoadsPerMinute is how many loads it serves.
+	// LoadsPerMinute is the rate of loads that it permits.
 	LoadsPerMinute float64 `yaml:"loads_per_minute" validate:"gt=0"`
 }
 
@@ -80,7 +81,7 @@
 	return listed
 }
 
-// Group is a part of the stand-ins that can run in a process of its own.
+// Group is a set of stand-ins that can run in its own process.
 type Group string
 
 // The groups.
@@ -90,12 +91,12 @@
 	GroupLinks     Group = "links"
 )
 
-// Selection says which stand-ins a process runs.
+// Selection chooses the stand-ins that a process runs.
 type Selection struct {
-	// Groups to run; empty means all.
+	// Groups lists the groups to run; empty means all.
 	Groups []Group
 	// Upstreams names the upstreams to run; empty means all of them.
 	Upstreams []string
-	// Admin replaces the address of the fault switches, unless empty.
+	// Admin overrides the address of the fault injection API, unless empty.
 	Admin string
 }
