--- a/pkg/standin/engine/chat.go
+++ b/pkg/standin/engine/chat.go
@@ -35,10 +35,10 @@
 }
 
 func (e *Engine) handleChat(c echo.Context) error {
-	if e.switches.load().leave || e.switches.consume(&e.switches.current.refuse) {
+	if e.injectedFaults.load().leave || e.injectedFaults.consume(&e.injectedFaults.current.refuse) {
 		return rejectNotStarted(c)
 	}
-	if e.switches.consume(&e.switches.current.fail) {
+	if e.injectedFaults.consume(&e.injectedFaults.current.fail) {
 		return respondError(c, http.StatusInternalServerError, "failed on purpose")
 	}
 	s, status, problem := e.read(c)
@@ -73,7 +73,7 @@
 // read parses and validates a request. If problem is not empty, status is the HTTP
 // status to return with it.
 func (e *Engine) read(c echo.Context) (s *stream, status int, problem string) {
-	s = &stream{id: c.Request().Header.Get(header.RequestID), faults: e.switches.load()}
+	s = &stream{id: c.Request().Header.Get(header.RequestID), faults: e.injectedFaults.load()}
 	if err := c.Bind(&s.chat); err != nil {
 		return nil, http.StatusBadRequest, "body is not a chat request"
 	}
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -52,12 +52,12 @@
 
 // Engine is a stand-in model engine.
 type Engine struct {
-	settings  Settings
-	clock     clock.Clock
-	journal   *journal.Journal
-	scheduler scheduler
-	cache     *cache
-	switches  switches
+	settings       Settings
+	clock          clock.Clock
+	journal        *journal.Journal
+	scheduler      scheduler
+	cache          *cache
+	injectedFaults injectedFaults
 	// prefill is a semaphore: one prompt is processed at a time.
 	prefill chan struct{}
 
@@ -76,15 +76,15 @@
 // New returns an engine that records what it processes in the journal.
 func New(settings Settings, c clock.Clock, j *journal.Journal) *Engine {
 	e := &Engine{
-		settings:  settings,
-		clock:     c,
-		journal:   j,
-		scheduler: scheduler{slots: settings.Concurrency},
-		cache:     newCache(c, settings.CacheTokens, settings.EventLag),
-		switches:  switches{current: noFaults()},
-		prefill:   make(chan struct{}, 1),
-		streams:   make(map[string]map[*stream]struct{}),
-		orders:    engineapi.OrderState{Version: settings.Version},
+		settings:       settings,
+		clock:          c,
+		journal:        j,
+		scheduler:      scheduler{slots: settings.Concurrency},
+		cache:          newCache(c, settings.CacheTokens, settings.EventLag),
+		injectedFaults: injectedFaults{current: noFaults()},
+		prefill:        make(chan struct{}, 1),
+		streams:        make(map[string]map[*stream]struct{}),
+		orders:         engineapi.OrderState{Version: settings.Version},
 	}
 	e.latest = e.sample()
 	e.previous = e.latest
@@ -124,7 +124,7 @@
 // markLeaving sets the leaving header on every response of a leaving engine.
 func (e *Engine) markLeaving(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		if e.switches.load().leaving() {
+		if e.injectedFaults.load().leaving() {
 			c.Response().Header().Set(header.Leaving, header.True)
 		}
 		return next(c)
@@ -136,7 +136,7 @@
 func (e *Engine) currentDecodeRate() float64 {
 	running, _ := e.scheduler.load()
 	others := float64(max(running-1, 0))
-	return e.settings.DecodeRate / (1 + e.settings.BatchCost*others) / e.switches.load().slowFactor
+	return e.settings.DecodeRate / (1 + e.settings.BatchCost*others) / e.injectedFaults.load().slowFactor
 }
 
 func (e *Engine) sample() sample {
@@ -144,7 +144,7 @@
 	e.mu.Lock()
 	version := e.orders.Version
 	e.mu.Unlock()
-	active := e.switches.load()
+	active := e.injectedFaults.load()
 	if active.misreport {
 		running, queued = 0, 0
 	}
--- a/pkg/standin/engine/faults.go
+++ b/pkg/standin/engine/faults.go
@@ -61,20 +61,20 @@
 
 func noFaults() faults { return faults{slowFactor: 1, disconnectAfter: disabled, stallAfter: disabled} }
 
-// switches guards the current faults with a mutex.
-type switches struct {
+// injectedFaults guards the current faults with a mutex.
+type injectedFaults struct {
 	mu      sync.Mutex
 	current faults
 }
 
-func (s *switches) load() faults {
+func (s *injectedFaults) load() faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current
 }
 
 // consume decrements a fault counter and reports whether it was above zero.
-func (s *switches) consume(counter *int) bool {
+func (s *injectedFaults) consume(counter *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if *counter == 0 {
@@ -87,9 +87,9 @@
 // Set applies the fault that verb names, with its argument if it has one. The error
 // is a *fault.VerbError or *fault.ArgumentError.
 func (e *Engine) Set(verb, argument string) error {
-	e.switches.mu.Lock()
-	defer e.switches.mu.Unlock()
-	current := &e.switches.current
+	e.injectedFaults.mu.Lock()
+	defer e.injectedFaults.mu.Unlock()
+	current := &e.injectedFaults.current
 	switch verb {
 	case verbOK:
 		*current = noFaults()
--- a/pkg/standin/engine/generate.go
+++ b/pkg/standin/engine/generate.go
@@ -78,7 +78,7 @@
 	}
 	defer func() { <-e.prefill }()
 	uncached := e.cache.admit(s.chat.Messages) + s.offset
-	seconds := float64(uncached) / e.settings.PrefillRate * e.switches.load().slowFactor
+	seconds := float64(uncached) / e.settings.PrefillRate * e.injectedFaults.load().slowFactor
 	return clock.Sleep(s.ctx, time.Duration(seconds*float64(time.Second)))
 }
 
