--- a/pkg/standin/admin/admin.go
+++ b/pkg/standin/admin/admin.go
@@ -21,8 +21,7 @@
 const (
 	// PathCommand accepts a Command by POST and returns JSON lines.
 	PathCommand = "/v1/command"
-	// PathJournal returns the journal as JSON lines by GET; ?upstream= selects one
-	// upstream.
+	// PathJournal returns the journal by GET, as JSON lines; ?upstream= filters it.
 	PathJournal = "/journal"
 	// PathProcessed returns the counts by failure domain and caller by GET.
 	PathProcessed = "/processed"
@@ -41,8 +40,7 @@
 	Error string `json:"error"`
 }
 
-// ErrNotInProcess is returned when the process does not run the stand-in that a
-// command addresses.
+// ErrNotInProcess is returned for a stand-in that the process does not run.
 var ErrNotInProcess = errors.New("not run by this process")
 
 // UsageError reports a command with wrong arguments.
@@ -75,7 +73,7 @@
 	return &Controls{Journal: j, Upstreams: make(map[string]FaultInjector)}
 }
 
-// Handler returns the handler of the API.
+// Handler serves the API.
 func (c *Controls) Handler() http.Handler {
 	e := echo.New()
 	e.POST(PathCommand, c.handleCommand)
--- a/pkg/standin/admin/client.go
+++ b/pkg/standin/admin/client.go
@@ -22,8 +22,8 @@
 // Error implements error.
 func (e *RefusedError) Error() string { return "refused: " + e.Message }
 
-// Send sends a command to the stand-in at address and returns its response in JSON
-// lines. A rejected command returns a *RefusedError.
+// Send sends a command to the stand-in at address and returns its response, JSON
+// lines. A rejection returns a *RefusedError.
 func Send(ctx context.Context, address string, command Command) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
--- a/pkg/standin/certificate/certificate.go
+++ b/pkg/standin/certificate/certificate.go
@@ -25,8 +25,7 @@
 const (
 	// authorityName is the base name of the authority's files.
 	authorityName = "authority"
-	// validity is the validity period of certificates, clockSkew the tolerated
-	// difference of clocks.
+	// validity is the validity period, clockSkew the tolerated clock difference.
 	validity  = 30 * 24 * time.Hour
 	clockSkew = time.Hour
 	// serialBits is the length of serial numbers, in bits.
@@ -39,8 +38,7 @@
 	blockKey         = "PRIVATE KEY"
 )
 
-// ErrNoPEM is returned if the first PEM block of a file is missing or not of the
-// expected type.
+// ErrNoPEM is returned if a file does not begin with a block of the expected type.
 var ErrNoPEM = errors.New("no such PEM block")
 
 // ErrKeyKind is returned if a key cannot sign.
@@ -48,7 +46,6 @@
 
 // FileError reports a file that cannot be used.
 type FileError struct {
-	// File is the file, Err the cause.
 	File string
 	Err  error
 }
--- a/pkg/standin/engine/chat.go
+++ b/pkg/standin/engine/chat.go
@@ -70,8 +70,7 @@
 	return loaded && queued <= e.settings.Queue
 }
 
-// read parses and validates a request. If problem is not empty, status is the HTTP
-// status to return with it.
+// read parses and validates a request. A problem comes with its HTTP status.
 func (e *Engine) read(c echo.Context) (s *stream, status int, problem string) {
 	s = &stream{id: c.Request().Header.Get(header.RequestID), faults: e.injectedFaults.load()}
 	if err := c.Bind(&s.chat); err != nil {
--- a/pkg/standin/engine/engine.go
+++ b/pkg/standin/engine/engine.go
@@ -131,8 +131,7 @@
 	}
 }
 
-// currentDecodeRate returns the tokens per second of one stream at the current
-// batch size.
+// currentDecodeRate returns the rate of one stream at the current batch size.
 func (e *Engine) currentDecodeRate() float64 {
 	running, _ := e.scheduler.load()
 	others := float64(max(running-1, 0))
--- a/pkg/standin/engine/faults.go
+++ b/pkg/standin/engine/faults.go
@@ -84,8 +84,7 @@
 	return true
 }
 
-// Set applies the fault that verb names, with its argument if it has one. The error
-// is a *fault.VerbError or *fault.ArgumentError.
+// Set applies the fault that verb names, with its argument if it has one.
 func (e *Engine) Set(verb, argument string) error {
 	e.injectedFaults.mu.Lock()
 	defer e.injectedFaults.mu.Unlock()
--- a/pkg/standin/engine/generate.go
+++ b/pkg/standin/engine/generate.go
@@ -68,8 +68,8 @@
 	return "", false
 }
 
-// runPrefill waits for the prefill of the uncached prompt tokens and of the skipped
-// tokens of a resumed answer. It returns false if the request is cancelled.
+// runPrefill simulates the prefill of uncached prompt tokens and of the skipped part
+// of a resumed answer. It returns false if the request is cancelled.
 func (e *Engine) runPrefill(s *stream) bool {
 	select {
 	case e.prefill <- struct{}{}:
--- a/pkg/standin/engine/scheduler.go
+++ b/pkg/standin/engine/scheduler.go
@@ -22,7 +22,7 @@
 	granted  chan struct{}
 }
 
-// priorityRank returns the rank of a priority, higher first, and whether it is known.
+// priorityRank returns a priority's rank, higher first, and whether it is known.
 func priorityRank(priority string) (int, bool) {
 	switch priority {
 	case engineapi.PriorityLow:
--- a/pkg/standin/fault/fault.go
+++ b/pkg/standin/fault/fault.go
@@ -8,7 +8,6 @@
 
 // VerbError reports an unknown fault.
 type VerbError struct {
-	// Verb is the requested fault.
 	Verb string
 }
 
@@ -17,7 +16,6 @@
 
 // ArgumentError reports an invalid argument.
 type ArgumentError struct {
-	// Argument is the given argument.
 	Argument string
 	// Expected describes the valid arguments.
 	Expected string
@@ -28,8 +26,7 @@
 	return fmt.Sprintf("argument %q: expected %s", e.Argument, e.Expected)
 }
 
-// SetCount parses a whole number of at least 0 into target, or returns an
-// *ArgumentError.
+// SetCount parses a whole number of at least 0 into target.
 func SetCount(target *int, argument string) error {
 	parsed, err := strconv.Atoi(argument)
 	if err != nil || parsed < 0 {
--- a/pkg/standin/fleet/weights.go
+++ b/pkg/standin/fleet/weights.go
@@ -11,8 +11,8 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/rest"
 )
 
-// Weights is a stand-in for the weight store, which limits the rate of loads and
-// returns the time to wait to the others.
+// Weights is a stand-in for the weight store: it limits the rate of loads and returns
+// the time to wait.
 type Weights struct {
 	clock   clock.Clock
 	limiter *rate.Limiter
--- a/pkg/standin/journal/journal.go
+++ b/pkg/standin/journal/journal.go
@@ -55,7 +55,7 @@
 	Count  int    `json:"count"`
 }
 
-// Journal is a bounded list of entries. It is safe for concurrent use.
+// Journal is safe for concurrent use.
 type Journal struct {
 	mu          sync.Mutex
 	firstNumber int
--- a/pkg/standin/kv/lease.go
+++ b/pkg/standin/kv/lease.go
@@ -43,8 +43,7 @@
 	return wire.LeaseResponse{Header: wire.Header{Revision: s.revision}}, nil
 }
 
-// expireLeases deletes the expired leases, so that watchers of their keys are
-// notified.
+// expireLeases deletes the expired leases, so that watchers are notified.
 func (s *store) expireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/standin/kv/service.go
+++ b/pkg/standin/kv/service.go
@@ -24,7 +24,6 @@
 
 // Settings configures the service.
 type Settings struct {
-	// Address is the address to listen on.
 	Address string `yaml:"address" validate:"required,hostport"`
 	// WritesPerSecond and ReadsPerSecond are rate limits; opening a watch counts as
 	// one read. Calls over the limit wait up to queueTimeout.
@@ -37,15 +36,13 @@
 }
 
 const (
-	// queueTimeout is the time that a call waits for the rate limiter before it is
-	// rejected.
+	// queueTimeout bounds the wait of a call for the rate limiter.
 	queueTimeout = time.Second
 	// expiryInterval is the interval of checks for expired leases.
 	expiryInterval = 50 * time.Millisecond
 )
 
-// Counts holds the number of calls since the service started, by kind and by
-// outcome.
+// Counts counts the calls since the service started, by kind and outcome.
 type Counts struct {
 	Range     int64 `json:"range"`
 	Txn       int64 `json:"txn"`
@@ -104,8 +101,8 @@
 	}
 }
 
-// SetDown makes the service drop the connection of every call and its open watches,
-// or brings it up again.
+// SetDown makes the service drop the connections of all calls and watches, or
+// brings it up again.
 func (s *Service) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,8 +119,8 @@
 	s.slow = delay
 }
 
-// LoseAnswers drops the connection instead of sending the response for the next n
-// writes, after they have taken effect.
+// LoseAnswers drops the connection instead of answering the next n writes, after
+// they have taken effect.
 func (s *Service) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +140,7 @@
 	return counts
 }
 
-// Handler returns the handler of the API.
+// Handler serves the API.
 func (s *Service) Handler() http.Handler {
 	e := echo.New()
 	e.Use(s.requireToken)
@@ -163,9 +160,9 @@
 	*counter++
 }
 
-// admit decodes and counts a call, and applies the rate limits and injected faults.
-// It returns the context that is cancelled when the service goes down, or nil if the
-// call was rejected and answered.
+// admit decodes and counts a call, and applies rate limits and injected faults. It
+// returns the context that ends when the service goes down, or nil for a rejected
+// call.
 func (s *Service) admit(c echo.Context, counter *int64, limiter *rate.Limiter, request any) (context.Context, error) {
 	s.mu.Lock()
 	up, slow := s.up, s.slow
--- a/pkg/standin/kv/watch.go
+++ b/pkg/standin/kv/watch.go
@@ -2,9 +2,8 @@
 
 import "github.com/lilacweir/lilacweir/pkg/platform/etcd/wire"
 
-// watch registers a watcher that starts at a revision; zero means after the current
-// one. It returns the current revision, or errCompacted with the newest compacted
-// revision.
+// watch registers a watcher from a revision on; zero means after the current one.
+// It returns the current revision; with errCompacted, the compacted one.
 func (s *store) watch(key string, start int64) (*watcher, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,9 +39,8 @@
 	return len(s.watchers)
 }
 
-// pending returns the events that the watcher has not received yet, and the current
-// revision. If they are compacted it returns errCompacted and the newest compacted
-// revision.
+// pending returns the events that the watcher has not received yet, and the same
+// revision as watch.
 func (s *store) pending(w *watcher) ([]wire.Event, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/standin/link/link.go
+++ b/pkg/standin/link/link.go
@@ -1,12 +1,11 @@
 // Package link is a stand-in for the network between failure domains: a TCP
 // relay with a one-way delay, in which each direction can be cut independently.
 //
-// A cut withholds sent data, including the close of a connection, with no error at
-// either end, and delivers it when the link is healed, as TCP retransmission does.
-// While either direction is cut, no new connection is established: its dialer waits
-// until it times out, as when handshake packets are lost. A target that refuses
-// connections appears as a connection reset, since the relay has already accepted
-// the connection.
+// A cut withholds data and connection closes, with no error at either end, and
+// delivers them when the link is healed, as TCP retransmission does. While either
+// direction is cut, new connections are not established: the dialer times out, as
+// when handshake packets are lost. A target that refuses connections appears as a
+// connection reset, since the relay has already accepted.
 package link
 
 import (
@@ -22,8 +21,7 @@
 	// From and To name the two sides: failure domains, or "platform".
 	From string `yaml:"from" validate:"required,name"`
 	To   string `yaml:"to" validate:"required,name"`
-	// Listen is the address that From's processes connect to, Target the address that
-	// the relay connects to.
+	// Listen is the address that From's processes dial, Target the one it leads to.
 	Listen string `yaml:"listen" validate:"required,hostport"`
 	Target string `yaml:"target" validate:"required,hostport"`
 	// Delay is the one-way delay, the same in both directions.
@@ -35,8 +33,8 @@
 	bufferSize = 32 << 10
 	// windowSegments bounds the segments in flight in one direction of a connection.
 	windowSegments = 256
-	// handshakeDelays is the number of one-way delays that a TCP handshake takes
-	// before the first data can be sent.
+	// handshakeDelays is the number of one-way delays of a TCP handshake before the
+	// first data can be sent.
 	handshakeDelays = 2
 	// dialTimeout bounds the connection attempt to the target.
 	dialTimeout = 2 * time.Second
@@ -90,9 +88,8 @@
 	return n.paths[direction{from, to}]
 }
 
-// Cut blocks one direction without an error at either end; with reset, it closes the
-// existing and new connections between the two sides instead. It returns when the
-// cut has taken effect, or with ErrNoPath.
+// Cut blocks one direction without an error at either end; with reset, it closes
+// existing and new connections instead. It returns when the cut has taken effect.
 func (n *Network) Cut(from, to string, reset bool) error {
 	if err := n.update(from, to, func(p *path) { p.cut, p.reset = true, reset }); err != nil || reset {
 		return err
@@ -146,7 +143,7 @@
 	return nil
 }
 
-// state returns the direction's state, and a channel that is closed when it changes.
+// state returns the state, and a channel that is closed when it changes.
 func (p *path) state() (delay time.Duration, cut, reset bool, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -211,8 +208,8 @@
 	return net.ListenTCP("tcp", resolved)
 }
 
-// Serve relays connections of the listeners that Listen returned until ctx ends, and
-// then closes the listeners.
+// Serve relays connections of the listeners from Listen until ctx ends, then closes
+// them.
 func (n *Network) Serve(ctx context.Context, listeners []*net.TCPListener) {
 	var running sync.WaitGroup
 	defer running.Wait()
--- a/pkg/standin/link/link_test.go
+++ b/pkg/standin/link/link_test.go
@@ -134,7 +134,7 @@
 	started := time.Now()
 	_, err := roundTrip(conn, "one", time.Minute)
 	is.NoErr(err)
-	is.True(time.Since(started) >= 4*delay) // handshake, there and back
+	is.True(time.Since(started) >= 4*delay) // handshake and one round trip
 	started = time.Now()
 	_, err = roundTrip(conn, "two", time.Minute)
 	is.NoErr(err)
--- a/pkg/standin/link/listener.go
+++ b/pkg/standin/link/listener.go
@@ -11,11 +11,9 @@
 )
 
 const (
-	// openBacklog is the accept backlog of an open listener; the system may allow
-	// less.
+	// openBacklog is the backlog of an open listener; the system may allow less.
 	openBacklog = 4096
-	// fillerTimeout bounds the dial of the connection that fills a closed listener's
-	// backlog.
+	// fillerTimeout bounds the dial of the connection that fills the backlog.
 	fillerTimeout = 100 * time.Millisecond
 	// closeTimeout bounds the wait of a cut for the listeners to close.
 	closeTimeout = time.Second
@@ -33,8 +31,7 @@
 	fillerAddress string
 
 	mu sync.Mutex
-	// closed is true while the backlog is full; closedSignal is a channel that is
-	// closed when it becomes true.
+	// closed is true while the backlog is full; closedSignal is closed with it.
 	closed       bool
 	closedSignal chan struct{}
 }
@@ -99,8 +96,8 @@
 	}
 }
 
-// blocked reports whether new connections are blocked, and returns the channels that
-// are closed when a direction changes.
+// blocked reports whether new connections are blocked; a channel of changed is
+// closed when its direction changes.
 func (l *cuttableListener) blocked() (blocked bool, changed []<-chan struct{}) {
 	for _, p := range []*path{l.forward, l.backward} {
 		_, cut, reset, next := p.state()
@@ -118,8 +115,8 @@
 	}
 }
 
-// acceptUntil accepts a connection. It returns os.ErrDeadlineExceeded if a direction
-// changes first.
+// acceptUntil accepts a connection, or fails with os.ErrDeadlineExceeded when a
+// direction changes.
 func (l *cuttableListener) acceptUntil(ctx context.Context, changed []<-chan struct{}) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -158,8 +155,7 @@
 }
 
 // setBacklog bounds the connections that the system completes before they are
-// accepted. If that fails, connections are completed during a cut, but not relayed
-// until it is healed.
+// accepted. If that fails, connections made during a cut are relayed once healed.
 func (l *cuttableListener) setBacklog(size int) {
 	raw, err := l.listener.SyscallConn()
 	if err != nil {
--- a/pkg/standin/link/relay.go
+++ b/pkg/standin/link/relay.go
@@ -56,9 +56,8 @@
 	_ = conn.Close()
 }
 
-// relayDirection copies the bytes of one direction, each after the delay that
-// applied when it was read. No byte is due before first plus that delay has passed
-// since the start.
+// relayDirection copies one direction's bytes, each after the delay that applied
+// when it was read, and none before first and that delay have passed.
 func relayDirection(ctx context.Context, cancel context.CancelFunc, p *path, from, to net.Conn, first time.Duration) {
 	segments := make(chan segment, windowSegments)
 	go read(ctx, p, from, segments, first)
--- a/pkg/standin/plan/declare.go
+++ b/pkg/standin/plan/declare.go
@@ -13,8 +13,7 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/service"
 )
 
-// keyPrefix precedes the name in every caller's and operator's key in a stand-in
-// deployment.
+// keyPrefix precedes the name in every caller's and operator's key.
 const keyPrefix = "key-"
 
 // engineQueue is the queue length of an engine per slot.
@@ -57,7 +56,7 @@
 	b.sort()
 }
 
-// sort sorts the declaration's lists by name, the order in which they are stored.
+// sort sorts the declaration's lists by name, as they are stored.
 func (b *builder) sort() {
 	declaration := &b.plan.Declaration
 	slices.SortFunc(declaration.Regions, func(x, y config.Region) int { return strings.Compare(x.Name, y.Name) })
--- a/pkg/standin/plan/plan.go
+++ b/pkg/standin/plan/plan.go
@@ -60,7 +60,6 @@
 
 // NetError reports a second octet that is out of range.
 type NetError struct {
-	// Net is the given octet.
 	Net int
 }
 
@@ -70,8 +69,7 @@
 // maxNet is the highest second octet.
 const maxNet = 254
 
-// Build returns the plan of a topology with net as the second octet of all addresses.
-// A net out of range returns a *NetError.
+// Build returns the plan with net as the second octet of all addresses.
 func Build(topology Topology, net int) (Plan, error) {
 	if net < 1 || net > maxNet {
 		return Plan{}, &NetError{Net: net}
--- a/pkg/standin/plan/topology.go
+++ b/pkg/standin/plan/topology.go
@@ -3,8 +3,8 @@
 //
 // Addresses, for the second octet N: entry instance n of failure domain d has
 // 127.N.d.n, the platform 127.N.0.1, upstream m of domain d 127.N.(100+d).m, and
-// the links out of domain d listen on 127.N.(200+d).x. Processes always exchange the
-// real addresses of targets, and dial links instead through their dial_via setting.
+// the links out of domain d listen on 127.N.(200+d).x. Processes exchange only
+// targets' real addresses, and dial links through their dial_via setting.
 package plan
 
 import (
@@ -17,8 +17,7 @@
 
 // Topology describes a deployment.
 type Topology struct {
-	// Name is the name of the deployment and the prefix of its keys in the key-value
-	// service.
+	// Name is the deployment's name and its key prefix in the key-value service.
 	Name    string   `yaml:"name" validate:"required,name"`
 	Regions []Region `yaml:"regions" validate:"required,min=1,dive"`
 	Delays  Delays   `yaml:"delays"`
@@ -108,7 +107,6 @@
 
 // FileError reports a file that cannot be written.
 type FileError struct {
-	// File is the file, Err the cause.
 	File string
 	Err  error
 }
--- a/pkg/standin/plan/write.go
+++ b/pkg/standin/plan/write.go
@@ -25,8 +25,7 @@
 	folderPermissions = 0o755
 )
 
-// Write writes the plan's files into a directory, which it creates if it does not
-// exist. Its error is a *FileError.
+// Write writes the plan's files into a directory, which it creates if necessary.
 func Write(p Plan, directory string) error {
 	if err := os.MkdirAll(directory, folderPermissions); err != nil {
 		return &FileError{File: directory, Err: err}
--- a/pkg/standin/run.go
+++ b/pkg/standin/run.go
@@ -24,13 +24,11 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/service"
 )
 
-// shutdownTimeout bounds the wait for running requests at a shutdown, and the
-// reading of request headers.
+// shutdownTimeout bounds running requests at a shutdown and the reading of headers.
 const shutdownTimeout = 2 * time.Second
 
 // ListenError reports an address on which listening failed.
 type ListenError struct {
-	// Address is the address, Err the cause.
 	Address string
 	Err     error
 }
@@ -43,7 +41,6 @@
 
 // SelectionError reports a name in a Selection that the settings do not define.
 type SelectionError struct {
-	// Name is the name of the group or upstream.
 	Name string
 }
 
@@ -235,8 +232,8 @@
 	return nil
 }
 
-// shutdown waits for a server's running requests up to shutdownTimeout, then
-// closes the connections of those that last longer, such as watches.
+// shutdown waits for running requests up to shutdownTimeout, then aborts those that
+// last longer, such as watches.
 func shutdown(ctx context.Context, srv *http.Server) error {
 	<-ctx.Done()
 	drainCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
--- a/pkg/standin/service/service.go
+++ b/pkg/standin/service/service.go
@@ -99,8 +99,7 @@
 	}
 }
 
-// Set applies the fault that verb names, with its argument if it has one. The error
-// is a *fault.VerbError or *fault.ArgumentError.
+// Set applies the fault that verb names, with its argument if it has one.
 func (s *Service) Set(verb, argument string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,8 +127,7 @@
 	return fault.SetCount(target, argument)
 }
 
-// PathHealth is the health check. It is not a call: it is not journaled and consumes
-// no fault.
+// PathHealth is the health check. It is not journaled and consumes no fault.
 const PathHealth = "/healthz"
 
 // Handler serves every path.
--- a/pkg/standin/settings.go
+++ b/pkg/standin/settings.go
@@ -27,9 +27,8 @@
 	Links []link.Settings `yaml:"links" validate:"dive"`
 }
 
-// Admin holds the address of the fault injection API of a process that runs only
-// one group. A process that runs several groups uses the first of their addresses
-// in this order.
+// Admin holds the addresses of the fault injection API by group. A process that
+// runs several groups uses the first of theirs in this order.
 type Admin struct {
 	Platform  string `yaml:"platform" validate:"required,hostport"`
 	Upstreams string `yaml:"upstreams" validate:"required,hostport"`
