--- a/pkg/standin/admin/admin.go
+++ b/pkg/standin/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves the stand-ins' fault switches and journals over HTTP, and
-// holds the client for them.
+// Package admin serves the fault injection commands and journals of the stand-ins
+// over HTTP, and holds a client for them.
 package admin
 
 import (
@@ -19,66 +19,66 @@
 
 // Paths of the API.
 const (
-	// PathCommand takes a Command by POST and answers JSON lines.
+	// PathCommand accepts a Command by POST and returns JSON lines.
 	PathCommand = "/v1/command"
-	// PathJournal answers the journal by GET, JSON lines; ?upstream= narrows it.
+	// PathJournal returns the journal by GET, as JSON lines; ?upstream= filters it.
 	PathJournal = "/journal"
-	// PathProcessed answers the counts by failure domain and caller by GET.
+	// PathProcessed returns the counts by failure domain and caller by GET.
 	PathProcessed = "/processed"
-	// PathHealth answers 204 by GET.
+	// PathHealth returns 204 by GET.
 	PathHealth = "/healthz"
 )
 
-// Command is a switch to throw or a thing to read.
+// Command injects a fault or reads a journal.
 type Command struct {
 	Verb string   `json:"verb"`
 	Args []string `json:"args"`
 }
 
-// Failure is the body of a refused command.
+// Failure is the response body of a rejected command.
 type Failure struct {
 	Error string `json:"error"`
 }
 
-// ErrNotHere: the process does not run the stand-in that a command is for.
-var ErrNotHere = errors.New("not run by this process")
+// ErrNotInProcess is returned for a stand-in that the process does not run.
+var ErrNotInProcess = errors.New("not run by this process")
 
-// UsageError is a command with wrong arguments.
+// UsageError reports a command with wrong arguments.
 type UsageError struct {
-	// Usage says how the command is written.
+	// Usage is the syntax of the command.
 	Usage string
 }
 
 // Error implements error.
 func (e *UsageError) Error() string { return "usage: " + e.Usage }
 
-// Switchable is an upstream with fault switches.
-type Switchable interface {
-	// Set throws a switch: a verb and its argument, empty if it has none.
+// FaultInjector is an upstream that supports fault injection.
+type FaultInjector interface {
+	// Set applies the fault that verb names; argument is empty if the fault has none.
 	Set(verb, argument string) error
 }
 
-// Controls reaches the stand-ins of this process; those that it does not run
-// are nil.
+// Controls holds the stand-ins of this process; those that it does not run are
+// nil.
 type Controls struct {
 	Journal   *journal.Journal
 	KeyValue  *kv.Service
 	List      *fleet.List
 	Network   *link.Network
-	Upstreams map[string]Switchable
+	Upstreams map[string]FaultInjector
 }
 
-// New returns controls without any stand-in.
+// New returns a Controls without any stand-in.
 func New(j *journal.Journal) *Controls {
-	return &Controls{Journal: j, Upstreams: make(map[string]Switchable)}
+	return &Controls{Journal: j, Upstreams: make(map[string]FaultInjector)}
 }
 
-// Handler serves the controls.
+// Handler serves the API.
 func (c *Controls) Handler() http.Handler {
 	e := echo.New()
 	e.POST(PathCommand, c.handleCommand)
-	e.GET(PathJournal, func(x echo.Context) error { return lines(x, c.entries(x.QueryParam("upstream"))) })
-	e.GET(PathProcessed, func(x echo.Context) error { return lines(x, c.processed()) })
+	e.GET(PathJournal, func(x echo.Context) error { return writeLines(x, c.entries(x.QueryParam("upstream"))) })
+	e.GET(PathProcessed, func(x echo.Context) error { return writeLines(x, c.processed()) })
 	e.GET(PathHealth, func(x echo.Context) error { return x.NoContent(http.StatusNoContent) })
 	return e
 }
@@ -92,11 +92,11 @@
 	if err != nil {
 		return x.JSON(http.StatusBadRequest, Failure{Error: err.Error()})
 	}
-	return lines(x, answer)
+	return writeLines(x, answer)
 }
 
-// lines writes one JSON value a line.
-func lines(x echo.Context, values []any) error {
+// writeLines writes one JSON value per line.
+func writeLines(x echo.Context, values []any) error {
 	x.Response().Header().Set(header.ContentType, "application/x-ndjson")
 	x.Response().WriteHeader(http.StatusOK)
 	encoder := json.NewEncoder(x.Response())
@@ -108,14 +108,14 @@
 	return nil
 }
 
-func (c *Controls) entries(upstream string) []any { return boxed(c.Journal.Entries(upstream)) }
+func (c *Controls) entries(upstream string) []any { return toAny(c.Journal.Entries(upstream)) }
 
-func (c *Controls) processed() []any { return boxed(c.Journal.Counts()) }
+func (c *Controls) processed() []any { return toAny(c.Journal.Counts()) }
 
-func boxed[T any](values []T) []any {
-	boxes := make([]any, 0, len(values))
+func toAny[T any](values []T) []any {
+	converted := make([]any, 0, len(values))
 	for _, value := range values {
-		boxes = append(boxes, value)
+		converted = append(converted, value)
 	}
-	return boxes
+	return converted
 }
--- a/pkg/standin/engine/faults.go
+++ b/pkg/standin/engine/faults.go
@@ -7,74 +7,74 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/fault"
 )
 
-// Verbs of an engine's fault switches.
+// Fault injection verbs of an engine.
 const (
-	// verbOK takes every fault away.
+	// verbOK clears all faults.
 	verbOK = "ok"
-	// verbSlow multiplies all times.
+	// verbSlow multiplies all processing times by a factor.
 	verbSlow = "slow"
 	// verbFail answers the next N requests with 500.
 	verbFail = "fail"
-	// verbRefuse answers the next N requests with 503, not started.
+	// verbRefuse rejects the next N requests with 503 and the not-started header.
 	verbRefuse = "refuse"
-	// verbDieAfter breaks each stream's connection after K chunks.
+	// verbDieAfter drops each stream's connection after K chunks.
 	verbDieAfter = "die-after"
-	// verbStall stops each stream after K chunks without an end.
+	// verbStall stops each stream after K chunks and keeps its connection open.
 	verbStall = "stall"
 	// verbCross answers with another request's ID and text.
 	verbCross = "cross"
-	// verbTruncate ends each answer half-way, as if it were whole, without the
-	// end marker.
+	// verbTruncate ends each stream cleanly at half its length, without the end
+	// marker.
 	verbTruncate = "truncate"
-	// verbLeave announces that the engine leaves; it takes no new request.
+	// verbLeave announces that the engine is leaving and rejects new requests.
 	verbLeave = "leave"
-	// verbAnnounce announces that the engine leaves; it goes on taking requests.
+	// verbAnnounce announces that the engine is leaving and still accepts requests.
 	verbAnnounce = "announce"
-	// verbLie reports an empty engine.
-	verbLie = "lie"
-	// verbNoResume refuses to resume.
+	// verbMisreport reports an idle engine whatever its load.
+	verbMisreport = "lie"
+	// verbNoResume rejects requests to resume a stream.
 	verbNoResume = "no-resume"
 	// verbForget empties the prefix cache.
 	verbForget = "forget"
 )
 
-// never is a chunk count that no answer reaches.
-const never = -1
+// disabled is a chunk count that no stream reaches.
+const disabled = -1
 
-// faults is the state of the switches.
+// faults holds the injected faults.
 type faults struct {
-	slow     float64
-	fail     int
-	refuse   int
-	dieAfter int
-	stall    int
-	cross    bool
-	truncate bool
-	leave    bool
-	announce bool
-	lie      bool
-	noResume bool
+	slowFactor      float64
+	fail            int
+	refuse          int
+	disconnectAfter int
+	stallAfter      int
+	cross           bool
+	truncate        bool
+	leave           bool
+	announce        bool
+	misreport       bool
+	noResume        bool
 }
 
-// leaving reports whether the engine says that it leaves.
+// leaving reports whether the engine announces that it is leaving.
 func (f faults) leaving() bool { return f.leave || f.announce }
 
-func noFaults() faults { return faults{slow: 1, dieAfter: never, stall: never} }
+func noFaults() faults { return faults{slowFactor: 1, disconnectAfter: disabled, stallAfter: disabled} }
 
-// switches guards faults.
-type switches struct {
-	mu  sync.Mutex
-	now faults
+// injectedFaults guards the current faults with a mutex.
+type injectedFaults struct {
+	mu      sync.Mutex
+	current faults
 }
 
-func (s *switches) load() faults {
+func (s *injectedFaults) load() faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now
+	return s.current
 }
 
-// take uses up one of a number of faults, and reports whether there was one.
-func (s *switches) take(counter *int) bool {
+// consume decrements a fault counter and reports whether it was above zero.
+func (s *injectedFaults) consume(counter *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if *counter == 0 {
@@ -84,32 +84,32 @@
 	return true
 }
 
-// Set throws a switch: a verb and its argument, if it has one.
+// Set applies the fault that verb names, with its argument if it has one.
 func (e *Engine) Set(verb, argument string) error {
-	e.switches.mu.Lock()
-	defer e.switches.mu.Unlock()
-	now := &e.switches.now
+	e.injectedFaults.mu.Lock()
+	defer e.injectedFaults.mu.Unlock()
+	current := &e.injectedFaults.current
 	switch verb {
 	case verbOK:
-		*now = noFaults()
+		*current = noFaults()
 	case verbCross:
-		now.cross = true
+		current.cross = true
 	case verbTruncate:
-		now.truncate = true
+		current.truncate = true
 	case verbLeave:
-		now.leave = true
+		current.leave = true
 	case verbAnnounce:
-		now.announce = true
-	case verbLie:
-		now.lie = true
+		current.announce = true
+	case verbMisreport:
+		current.misreport = true
 	case verbNoResume:
-		now.noResume = true
+		current.noResume = true
 	case verbForget:
 		e.cache.clear()
 	case verbSlow:
-		return setFactor(&now.slow, argument)
+		return setFactor(&current.slowFactor, argument)
 	default:
-		return setNumber(now, verb, argument)
+		return setCount(current, verb, argument)
 	}
 	return nil
 }
@@ -123,12 +123,12 @@
 	return nil
 }
 
-func setNumber(now *faults, verb, argument string) error {
+func setCount(current *faults, verb, argument string) error {
 	target := map[string]*int{
-		verbFail: &now.fail, verbRefuse: &now.refuse, verbDieAfter: &now.dieAfter, verbStall: &now.stall,
+		verbFail: &current.fail, verbRefuse: &current.refuse, verbDieAfter: &current.disconnectAfter, verbStall: &current.stallAfter,
 	}[verb]
 	if target == nil {
 		return &fault.VerbError{Verb: verb}
 	}
-	return fault.Number(target, argument)
+	return fault.SetCount(target, argument)
 }
--- a/pkg/standin/engine/generate.go
+++ b/pkg/standin/engine/generate.go
@@ -15,36 +15,37 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// words is the vocabulary of the answers.
-var words = [...]string{"sleep", "night", "rest", "room", "towel", "water", "linen", "early", "late", "steady", "short", "long", "calm", "full", "empty", "refill"}
+// vocabulary holds the words of the answers.
+var vocabulary = [...]string{"sleep", "night", "rest", "room", "towel", "water", "linen", "early", "late", "steady", "short", "long", "calm", "full", "empty", "refill"}
 
-// mixer spreads the bits of seed and index (the 64-bit golden ratio).
-const mixer = 0x9e3779b97f4a7c15
+// hashMultiplier is 2^64 divided by the golden ratio, for Fibonacci hashing of seed
+// and index.
+const hashMultiplier = 0x9e3779b97f4a7c15
 
 // Content returns the text of one chunk of the answer to a prompt whose last
 // prefix hash is seed.
 func Content(seed uint64, index int) string {
-	mixed := (seed ^ uint64(index)) * mixer
-	return fmt.Sprintf("%s%d ", words[mixed>>60], index)
+	hashed := (seed ^ uint64(index)) * hashMultiplier
+	return fmt.Sprintf("%s%d ", vocabulary[hashed>>60], index)
 }
 
-// generate produces the chunks of an answer in the engine's time and returns
-// the result for the journal.
+// generate emits the chunks of an answer at the engine's rate and returns the
+// journal result.
 func (e *Engine) generate(s *stream, emit func(content string, last bool) error) string {
 	if !e.runPrefill(s) {
 		return journal.ResultCancelled
 	}
 	due := time.Now()
 	sent := 0
-	for index := s.offset; index < s.ask.MaxTokens; index++ {
-		due = due.Add(time.Duration(float64(time.Second) / e.decodeRate()))
+	for index := s.offset; index < s.chat.MaxTokens; index++ {
+		due = due.Add(time.Duration(float64(time.Second) / e.currentDecodeRate()))
 		if !clock.Sleep(s.ctx, time.Until(due)) {
 			return journal.ResultCancelled
 		}
-		if result, end := e.strike(s, sent); end {
+		if result, end := e.injectFault(s, sent); end {
 			return result
 		}
-		if emit(Content(s.shownSeed(), index), index == s.ask.MaxTokens-1) != nil {
+		if emit(Content(s.responseSeed(), index), index == s.chat.MaxTokens-1) != nil {
 			return journal.ResultCancelled
 		}
 		sent++
@@ -53,22 +54,22 @@
 	return journal.ResultFinished
 }
 
-// strike brings about the faults that end an answer early.
-func (e *Engine) strike(s *stream, sent int) (result string, end bool) {
+// injectFault applies the faults that end an answer early.
+func (e *Engine) injectFault(s *stream, sent int) (result string, end bool) {
 	switch {
-	case sent == s.faults.dieAfter:
+	case sent == s.faults.disconnectAfter:
 		return journal.ResultBroken, true
-	case sent == s.faults.stall:
+	case sent == s.faults.stallAfter:
 		<-s.ctx.Done()
 		return journal.ResultCancelled, true
-	case s.faults.truncate && s.offset+sent >= s.ask.MaxTokens/2:
+	case s.faults.truncate && s.offset+sent >= s.chat.MaxTokens/2:
 		return journal.ResultTruncated, true
 	}
 	return "", false
 }
 
-// runPrefill processes the part of the prompt that is not cached, and what is
-// skipped of a resumed answer.
+// runPrefill simulates the prefill of uncached prompt tokens and of the skipped part
+// of a resumed answer. It returns false if the request is cancelled.
 func (e *Engine) runPrefill(s *stream) bool {
 	select {
 	case e.prefill <- struct{}{}:
@@ -76,8 +77,8 @@
 		return false
 	}
 	defer func() { <-e.prefill }()
-	missing := e.cache.admit(s.ask.Messages) + s.offset
-	seconds := float64(missing) / e.settings.PrefillRate * e.switches.load().slow
+	uncached := e.cache.admit(s.chat.Messages) + s.offset
+	seconds := float64(uncached) / e.settings.PrefillRate * e.injectedFaults.load().slowFactor
 	return clock.Sleep(s.ctx, time.Duration(seconds*float64(time.Second)))
 }
 
@@ -107,7 +108,7 @@
 		choice.FinishReason = &reason
 	}
 	return engineapi.ChatChunk{
-		ID: s.shownID(), Object: engineapi.ObjectChunk, Model: s.ask.Model,
+		ID: s.responseID(), Object: engineapi.ObjectChunk, Model: s.chat.Model,
 		Choices: []engineapi.ChunkChoice{choice},
 	}
 }
@@ -124,15 +125,15 @@
 	return nil
 }
 
-// shownID is the request ID in the answer, another one under the cross fault.
-func (s *stream) shownID() string {
+// responseID returns the request ID in the response, a wrong one under verbCross.
+func (s *stream) responseID() string {
 	if s.faults.cross {
 		return "crossed-" + s.id
 	}
 	return s.id
 }
 
-func (s *stream) shownSeed() uint64 {
+func (s *stream) responseSeed() uint64 {
 	if s.faults.cross {
 		return prefix.Hashes([]prefix.Message{{Role: "user", Content: "another request"}})[0]
 	}
--- a/pkg/standin/engine/scheduler.go
+++ b/pkg/standin/engine/scheduler.go
@@ -7,7 +7,7 @@
 	"github.com/lilacweir/lilacweir/pkg/engineapi"
 )
 
-// scheduler hands out the slots of the batch: by priority, then by arrival.
+// scheduler grants the slots of the batch by priority, then by arrival.
 type scheduler struct {
 	mu      sync.Mutex
 	slots   int
@@ -22,8 +22,8 @@
 	granted  chan struct{}
 }
 
-// rank orders the priorities; a higher one goes first.
-func rank(priority string) (int, bool) {
+// priorityRank returns a priority's rank, higher first, and whether it is known.
+func priorityRank(priority string) (int, bool) {
 	switch priority {
 	case engineapi.PriorityLow:
 		return 0, true
@@ -35,22 +35,22 @@
 	return 0, false
 }
 
-// acquire waits for a slot; ok is false when ctx ended first.
+// acquire waits for a slot; ok is false if ctx ends first.
 func (s *scheduler) acquire(ctx context.Context, priority int) (ok bool) {
-	w := s.join(priority)
+	w := s.enqueue(priority)
 	select {
 	case <-w.granted:
 		return true
 	case <-ctx.Done():
 	}
-	if s.leave(w) {
+	if s.remove(w) {
 		return false
 	}
 	s.release()
 	return false
 }
 
-func (s *scheduler) join(priority int) *waiter {
+func (s *scheduler) enqueue(priority int) *waiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.arrived++
@@ -60,8 +60,8 @@
 	return w
 }
 
-// leave takes a waiter out of the queue; false means that it has a slot already.
-func (s *scheduler) leave(w *waiter) bool {
+// remove removes a waiter from the queue; false means that it already has a slot.
+func (s *scheduler) remove(w *waiter) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, other := range s.queue {
@@ -82,14 +82,14 @@
 
 func (s *scheduler) grant() {
 	for s.running < s.slots && len(s.queue) > 0 {
-		best := 0
+		next := 0
 		for i, w := range s.queue {
-			if w.before(s.queue[best]) {
-				best = i
+			if w.before(s.queue[next]) {
+				next = i
 			}
 		}
-		close(s.queue[best].granted)
-		s.queue = append(s.queue[:best], s.queue[best+1:]...)
+		close(s.queue[next].granted)
+		s.queue = append(s.queue[:next], s.queue[next+1:]...)
 		s.running++
 	}
 }
@@ -101,7 +101,7 @@
 	return w.arrived < other.arrived
 }
 
-// load returns how many requests run and wait.
+// load returns the number of running and of queued requests.
 func (s *scheduler) load() (running, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/standin/journal/journal.go
+++ b/pkg/standin/journal/journal.go
@@ -1,5 +1,5 @@
 // Package journal records what stand-in upstreams processed, so that a test can
-// compare it with what callers were told.
+// compare it with the responses that callers received.
 package journal
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// limit bounds the entries that are kept; counts go on beyond it.
-const limit = 200_000
+// maxEntries bounds the retained entries; counts include the dropped ones.
+const maxEntries = 200_000
 
 // Results of an entry.
 const (
@@ -27,7 +27,7 @@
 	KindOrder = "order"
 )
 
-// Entry is one thing that an upstream ran.
+// Entry is one request or order that an upstream processed.
 type Entry struct {
 	Upstream       string `json:"upstream"`
 	Domain         string `json:"domain"`
@@ -37,10 +37,10 @@
 	Method         string `json:"method,omitempty"`
 	Path           string `json:"path,omitempty"`
 	IdempotencyKey string `json:"idempotency_key,omitempty"`
-	// Offset is the first chunk sent, Chunks how many were sent.
+	// Offset is the index of the first chunk sent, Chunks the number sent.
 	Offset int `json:"offset,omitempty"`
 	Chunks int `json:"chunks,omitempty"`
-	// Fence and Version belong to orders.
+	// Fence and Version are set for orders.
 	Fence    int64     `json:"fence,omitempty"`
 	Version  string    `json:"version,omitempty"`
 	Started  time.Time `json:"started"`
@@ -48,7 +48,7 @@
 	Result   string    `json:"result"`
 }
 
-// Count is how many requests ran in a failure domain for a caller.
+// Count is the number of requests of a caller that ran in a failure domain.
 type Count struct {
 	Domain string `json:"domain"`
 	Caller string `json:"caller"`
@@ -57,10 +57,10 @@
 
 // Journal is safe for concurrent use.
 type Journal struct {
-	mu      sync.Mutex
-	first   int
-	entries []Entry
-	counts  map[countKey]int
+	mu          sync.Mutex
+	firstNumber int
+	entries     []Entry
+	counts      map[countKey]int
 }
 
 type countKey struct{ domain, caller string }
@@ -75,25 +75,25 @@
 	if entry.Kind != KindOrder {
 		j.counts[countKey{entry.Domain, entry.Caller}]++
 	}
-	if len(j.entries) == limit {
-		j.entries = append(j.entries[:0:0], j.entries[limit/2:]...)
-		j.first += limit / 2
+	if len(j.entries) == maxEntries {
+		j.entries = append(j.entries[:0:0], j.entries[maxEntries/2:]...)
+		j.firstNumber += maxEntries / 2
 	}
 	j.entries = append(j.entries, entry)
-	return j.first + len(j.entries) - 1
+	return j.firstNumber + len(j.entries) - 1
 }
 
-// Update changes an entry, if it is still kept.
+// Update changes an entry, if it is still retained.
 func (j *Journal) Update(number int, change func(*Entry)) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if number >= j.first {
-		change(&j.entries[number-j.first])
+	if number >= j.firstNumber {
+		change(&j.entries[number-j.firstNumber])
 	}
 }
 
-// Entries returns the kept entries of an upstream in the order in which they
-// began; an empty name means all.
+// Entries returns the retained entries of an upstream in the order in which they
+// started; an empty name means all upstreams.
 func (j *Journal) Entries(upstream string) []Entry {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/pkg/standin/kv/service.go
+++ b/pkg/standin/kv/service.go
@@ -1,8 +1,8 @@
 // Package kv is a stand-in for the platform's key-value service: the part of
-// etcd's v3 JSON API that lilacweir uses, held in memory, with bounded rates and
-// switches for the faults that the platform is known for.
+// etcd's v3 JSON API that lilacweir uses, in memory, with rate limits and injection
+// of the faults that the platform is known to have.
 //
-// Guarantee: a transaction is atomic; a lost answer's write has taken effect.
+// A transaction is atomic. A write with a lost response has taken effect.
 package kv
 
 import (
@@ -22,29 +22,27 @@
 	"github.com/lilacweir/lilacweir/pkg/settings"
 )
 
-// Settings of the service.
+// Settings configures the service.
 type Settings struct {
-	// Address is where it listens.
 	Address string `yaml:"address" validate:"required,hostport"`
-	// WritesPerSecond and ReadsPerSecond bound its rates; a watch counts as one
-	// read when it is opened. Calls beyond wait for QueueLimit at most.
+	// WritesPerSecond and ReadsPerSecond are rate limits; opening a watch counts as
+	// one read. Calls over the limit wait up to queueTimeout.
 	WritesPerSecond int `yaml:"writes_per_second" validate:"gte=1"`
 	ReadsPerSecond  int `yaml:"reads_per_second" validate:"gte=1"`
-	// Users holds passwords by user; with none, anyone may call.
+	// Users maps users to passwords; if empty, calls need no authentication.
 	Users map[string]string `yaml:"users,omitempty"`
-	// TLS is the service's certificate; empty means plain HTTP.
+	// TLS is the service's certificate and key; empty means plain HTTP.
 	TLS settings.Pair `yaml:"tls,omitempty"`
 }
 
 const (
-	// queueLimit is how long a call waits for its turn before it is refused.
-	queueLimit = time.Second
-	// expiryInterval is how often leases are looked at.
+	// queueTimeout bounds the wait of a call for the rate limiter.
+	queueTimeout = time.Second
+	// expiryInterval is the interval of checks for expired leases.
 	expiryInterval = 50 * time.Millisecond
 )
 
-// Counts is how many calls came, by kind, since the service started, and what
-// became of them.
+// Counts counts the calls since the service started, by kind and outcome.
 type Counts struct {
 	Range     int64 `json:"range"`
 	Txn       int64 `json:"txn"`
@@ -53,63 +51,64 @@
 	Grant     int64 `json:"grant"`
 	KeepAlive int64 `json:"keepalive"`
 	Revoke    int64 `json:"revoke"`
-	// Limited counts calls refused for the rates, Lost answers lost on purpose,
-	// Refused calls that came while the service was down.
+	// Limited counts calls rejected by the rate limits, Lost responses dropped by
+	// LoseAnswers, Refused calls received while the service was down.
 	Limited int64 `json:"limited"`
 	Lost    int64 `json:"lost"`
 	Refused int64 `json:"refused"`
-	// Watching is how many watches wait now.
+	// Watching is the number of open watches.
 	Watching int `json:"watching"`
 }
 
-// Service is the stand-in.
+// Service is a stand-in key-value service.
 type Service struct {
 	store         *store
 	reads, writes *rate.Limiter
 	tokens        tokens
 
-	mu     sync.Mutex
-	counts Counts
-	slow   time.Duration
-	lose   int
-	// up is done while the service is down.
-	up   context.Context
-	stop context.CancelFunc
+	mu          sync.Mutex
+	counts      Counts
+	slow        time.Duration
+	dropAnswers int
+	// up is cancelled while the service is down.
+	up     context.Context
+	goDown context.CancelFunc
 }
 
-// New returns a service that is up and empty.
+// New returns an empty service that is up.
 func New(settings Settings, c clock.Clock) *Service {
 	s := &Service{
-		tokens: tokens{users: maps.Clone(settings.Users), known: map[string]bool{}},
+		tokens: tokens{users: maps.Clone(settings.Users), issued: map[string]bool{}},
 		store:  newStore(c),
 		reads:  rate.NewLimiter(rate.Limit(settings.ReadsPerSecond), settings.ReadsPerSecond),
 		writes: rate.NewLimiter(rate.Limit(settings.WritesPerSecond), settings.WritesPerSecond),
 	}
-	s.up, s.stop = context.WithCancel(context.Background())
+	s.up, s.goDown = context.WithCancel(context.Background())
 	return s
 }
 
-// Run ends leases that are due until ctx ends.
+// Run deletes expired leases periodically until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			s.store.expireNow()
+			s.store.expireLeases()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// SetDown makes the service drop every connection that asks, and its watches.
+// SetDown makes the service drop the connections of all calls and watches, or
+// brings it up again.
 func (s *Service) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stop()
+	s.goDown()
 	if !down {
-		s.up, s.stop = context.WithCancel(context.Background())
+		s.up, s.goDown = context.WithCancel(context.Background())
 	}
 }
 
@@ -120,24 +119,24 @@
 	s.slow = delay
 }
 
-// LoseAnswers drops the connection in place of the answer of the next n writes,
-// after they have taken effect.
+// LoseAnswers drops the connection instead of answering the next n writes, after
+// they have taken effect.
 func (s *Service) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.dropAnswers = n
 }
 
-// Compact forgets the history, so that a watch can't begin in the past.
+// Compact deletes the history, so that a watch cannot start at a past revision.
 func (s *Service) Compact() { s.store.compact() }
 
 // Counts returns the counters.
 func (s *Service) Counts() Counts {
-	watching := s.store.watching()
+	watcherCount := s.store.watcherCount()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := s.counts
-	counts.Watching = watching
+	counts.Watching = watcherCount
 	return counts
 }
 
@@ -161,9 +160,10 @@
 	*counter++
 }
 
-// begin decodes a call, counts it and holds it to the rates and switches. It
-// returns the context that ends when the service goes down.
-func (s *Service) begin(c echo.Context, counter *int64, limiter *rate.Limiter, ask any) (context.Context, error) {
+// admit decodes and counts a call, and applies rate limits and injected faults. It
+// returns the context that ends when the service goes down, or nil for a rejected
+// call.
+func (s *Service) admit(c echo.Context, counter *int64, limiter *rate.Limiter, request any) (context.Context, error) {
 	s.mu.Lock()
 	up, slow := s.up, s.slow
 	*counter++
@@ -172,15 +172,15 @@
 		s.count(&s.counts.Refused)
 		panic(http.ErrAbortHandler)
 	}
-	if err := json.NewDecoder(c.Request().Body).Decode(ask); err != nil {
+	if err := json.NewDecoder(c.Request().Body).Decode(request); err != nil {
 		return nil, c.JSON(http.StatusBadRequest, wire.ErrorResponse{Error: err.Error(), Message: err.Error()})
 	}
 	wait(c.Request().Context(), up, slow)
-	limited, cancel := context.WithTimeout(c.Request().Context(), queueLimit)
+	limited, cancel := context.WithTimeout(c.Request().Context(), queueTimeout)
 	defer cancel()
 	if err := limiter.Wait(limited); err != nil {
 		s.count(&s.counts.Limited)
-		return nil, fail(c, http.StatusTooManyRequests, wire.CodeResourceExhausted, err)
+		return nil, respondError(c, http.StatusTooManyRequests, wire.CodeResourceExhausted, err)
 	}
 	if up.Err() != nil {
 		panic(http.ErrAbortHandler)
@@ -201,12 +201,12 @@
 	}
 }
 
-// answer writes a write's answer, or loses it.
+// answer sends the response for a write, or drops it under LoseAnswers.
 func (s *Service) answer(c echo.Context, message any) error {
 	s.mu.Lock()
-	lost := s.lose > 0
+	lost := s.dropAnswers > 0
 	if lost {
-		s.lose--
+		s.dropAnswers--
 		s.counts.Lost++
 	}
 	s.mu.Unlock()
@@ -216,14 +216,14 @@
 	return c.JSON(http.StatusOK, message)
 }
 
-func fail(c echo.Context, status, code int, err error) error {
+func respondError(c echo.Context, status, code int, err error) error {
 	return c.JSON(status, wire.ErrorResponse{Error: err.Error(), Code: code, Message: err.Error()})
 }
 
-// refuse answers an error of the store.
-func refuse(c echo.Context, err error) error {
+// respondStoreError sends the response for an error of the store.
+func respondStoreError(c echo.Context, err error) error {
 	if errors.Is(err, errLeaseNotFound) {
-		return fail(c, http.StatusNotFound, wire.CodeNotFound, err)
+		return respondError(c, http.StatusNotFound, wire.CodeNotFound, err)
 	}
-	return fail(c, http.StatusBadRequest, wire.CodeInvalidArgument, err)
+	return respondError(c, http.StatusBadRequest, wire.CodeInvalidArgument, err)
 }
--- a/pkg/standin/kv/watch.go
+++ b/pkg/standin/kv/watch.go
@@ -2,7 +2,8 @@
 
 import "github.com/lilacweir/lilacweir/pkg/platform/etcd/wire"
 
-// watch registers a watcher from a revision on; zero means from now on.
+// watch registers a watcher from a revision on; zero means after the current one.
+// It returns the current revision; with errCompacted, the compacted one.
 func (s *store) watch(key string, start int64) (*watcher, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -18,7 +19,7 @@
 	return w, s.revision, nil
 }
 
-// compact forgets the history.
+// compact deletes the history.
 func (s *store) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,13 +33,14 @@
 	delete(s.watchers, w)
 }
 
-func (s *store) watching() int {
+func (s *store) watcherCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.watchers)
 }
 
-// pending returns the watcher's events that it has not been given.
+// pending returns the events that the watcher has not received yet, and the same
+// revision as watch.
 func (s *store) pending(w *watcher) ([]wire.Event, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/standin/link/listener.go
+++ b/pkg/standin/link/listener.go
@@ -11,85 +11,84 @@
 )
 
 const (
-	// openBacklog is how many connections may wait to be accepted; the system
-	// may allow fewer.
+	// openBacklog is the backlog of an open listener; the system may allow less.
 	openBacklog = 4096
-	// fillerTimeout bounds the connection that fills a shut backlog.
+	// fillerTimeout bounds the dial of the connection that fills the backlog.
 	fillerTimeout = 100 * time.Millisecond
-	// closeTimeout bounds the wait of a cut for the listeners to be shut.
+	// closeTimeout bounds the wait of a cut for the listeners to close.
 	closeTimeout = time.Second
 )
 
-// cuttableListener is a relay's listener. It is shut while either direction is cut: then its
-// backlog has room for one connection, which the listener makes itself, so that the
-// system answers no other handshake.
+// cuttableListener is a relay's listener. It is closed while either direction is cut:
+// its backlog then fits one connection, which the listener opens to itself, so that
+// the system completes no other handshake.
 type cuttableListener struct {
 	listener          *net.TCPListener
 	forward, backward *path
-	// filler is the connection that fills the shut backlog, or nil.
+	// filler is the connection that fills the backlog while closed, or nil.
 	filler net.Conn
-	// fillerAddress is the filler's address, to tell it from others when accepted.
+	// fillerAddress is the filler's local address, to recognise it when accepted.
 	fillerAddress string
 
 	mu sync.Mutex
-	// closed says that the backlog is shut; whenClosed is closed with it.
-	closed     bool
-	whenClosed chan struct{}
+	// closed is true while the backlog is full; closedSignal is closed with it.
+	closed       bool
+	closedSignal chan struct{}
 }
 
 func newCuttableListener(listener *net.TCPListener, forward, backward *path) *cuttableListener {
-	return &cuttableListener{listener: listener, forward: forward, backward: backward, whenClosed: make(chan struct{})}
+	return &cuttableListener{listener: listener, forward: forward, backward: backward, closedSignal: make(chan struct{})}
 }
 
-// waitClosed waits until the listener is shut, within bounds.
-func (d *cuttableListener) waitClosed() {
-	d.mu.Lock()
-	whenClosed := d.whenClosed
-	d.mu.Unlock()
+// waitClosed waits until the listener is closed, up to closeTimeout.
+func (l *cuttableListener) waitClosed() {
+	l.mu.Lock()
+	closedSignal := l.closedSignal
+	l.mu.Unlock()
 	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
-	case <-whenClosed:
+	case <-closedSignal:
 	case <-timer.C:
 	}
 }
 
-// mark sets whether the listener is shut, and reports whether that is new.
-func (d *cuttableListener) mark(closed bool) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.closed == closed {
+// setClosed sets whether the listener is closed, and reports whether that changed.
+func (l *cuttableListener) setClosed(closed bool) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed == closed {
 		return false
 	}
-	d.closed = closed
+	l.closed = closed
 	if closed {
-		close(d.whenClosed)
+		close(l.closedSignal)
 	} else {
-		d.whenClosed = make(chan struct{})
+		l.closedSignal = make(chan struct{})
 	}
 	return true
 }
 
-// next accepts a connection once both directions are open.
-func (d *cuttableListener) next(ctx context.Context) (net.Conn, error) {
+// accept returns the next connection, once both directions are open.
+func (l *cuttableListener) accept(ctx context.Context) (net.Conn, error) {
 	for {
-		// The deadline is lifted before the state is read, and a change of state
-		// sets it: no change is missed.
-		if err := d.listener.SetDeadline(time.Time{}); err != nil {
+		// The deadline is cleared before the state is read, and a change of state
+		// sets it, so that no change is missed.
+		if err := l.listener.SetDeadline(time.Time{}); err != nil {
 			return nil, err
 		}
-		shut, changed := d.shut()
-		if shut {
-			d.close(ctx)
-			await(ctx, changed)
+		blocked, changed := l.blocked()
+		if blocked {
+			l.close(ctx)
+			waitChange(ctx, changed)
 			continue
 		}
-		d.open()
-		conn, err := d.acceptUntil(ctx, changed)
+		l.open()
+		conn, err := l.acceptUntil(ctx, changed)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			continue
 		}
-		if err == nil && conn.RemoteAddr().String() == d.fillerAddress {
+		if err == nil && conn.RemoteAddr().String() == l.fillerAddress {
 			_ = conn.Close()
 			continue
 		}
@@ -97,18 +96,18 @@
 	}
 }
 
-// shut reports whether new connections are held back, and returns what is closed
-// when either direction changes.
-func (d *cuttableListener) shut() (shut bool, changed []<-chan struct{}) {
-	for _, p := range []*path{d.forward, d.backward} {
+// blocked reports whether new connections are blocked; a channel of changed is
+// closed when its direction changes.
+func (l *cuttableListener) blocked() (blocked bool, changed []<-chan struct{}) {
+	for _, p := range []*path{l.forward, l.backward} {
 		_, cut, reset, next := p.state()
-		shut = shut || (cut && !reset)
+		blocked = blocked || (cut && !reset)
 		changed = append(changed, next)
 	}
-	return shut, changed
+	return blocked, changed
 }
 
-func await(ctx context.Context, changed []<-chan struct{}) {
+func waitChange(ctx context.Context, changed []<-chan struct{}) {
 	select {
 	case <-changed[0]:
 	case <-changed[1]:
@@ -116,48 +115,49 @@
 	}
 }
 
-// acceptUntil accepts a connection, or gives up when a direction changes.
-func (d *cuttableListener) acceptUntil(ctx context.Context, changed []<-chan struct{}) (net.Conn, error) {
+// acceptUntil accepts a connection, or fails with os.ErrDeadlineExceeded when a
+// direction changes.
+func (l *cuttableListener) acceptUntil(ctx context.Context, changed []<-chan struct{}) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		await(ctx, changed)
+		waitChange(ctx, changed)
 		if ctx.Err() == nil {
-			_ = d.listener.SetDeadline(time.Unix(1, 0))
+			_ = l.listener.SetDeadline(time.Unix(1, 0))
 		}
 	}()
-	return d.listener.Accept()
+	return l.listener.Accept()
 }
 
-func (d *cuttableListener) close(ctx context.Context) {
-	if d.filler != nil {
+func (l *cuttableListener) close(ctx context.Context) {
+	if l.filler != nil {
 		return
 	}
-	d.setBacklog(0)
+	l.setBacklog(0)
 	dialer := net.Dialer{Timeout: fillerTimeout}
-	// Failing means that the backlog is full already.
-	filler, err := dialer.DialContext(ctx, "tcp", d.listener.Addr().String())
+	// A failed dial means that the backlog is already full.
+	filler, err := dialer.DialContext(ctx, "tcp", l.listener.Addr().String())
 	if err == nil {
-		d.filler, d.fillerAddress = filler, filler.LocalAddr().String()
+		l.filler, l.fillerAddress = filler, filler.LocalAddr().String()
 	}
-	d.mark(true)
+	l.setClosed(true)
 }
 
-func (d *cuttableListener) open() {
-	if !d.mark(false) {
+func (l *cuttableListener) open() {
+	if !l.setClosed(false) {
 		return
 	}
-	d.setBacklog(openBacklog)
-	if d.filler != nil {
-		_ = d.filler.Close()
-		d.filler = nil
+	l.setBacklog(openBacklog)
+	if l.filler != nil {
+		_ = l.filler.Close()
+		l.filler = nil
 	}
 }
 
-// setBacklog bounds the connections that the system makes before they are
-// accepted. Where that fails, connections are made during a cut, and held back.
-func (d *cuttableListener) setBacklog(size int) {
-	raw, err := d.listener.SyscallConn()
+// setBacklog bounds the connections that the system completes before they are
+// accepted. If that fails, connections made during a cut are relayed once healed.
+func (l *cuttableListener) setBacklog(size int) {
+	raw, err := l.listener.SyscallConn()
 	if err != nil {
 		return
 	}
--- a/pkg/standin/plan/plan.go
+++ b/pkg/standin/plan/plan.go
@@ -32,10 +32,10 @@
 	hostPlatform = 250
 )
 
-// platformSide names the platform's end of a link.
-const platformSide = "platform"
+// platformName is the name of the platform's side of a link.
+const platformName = "platform"
 
-// Plan is every file of a deployment.
+// Plan holds the content of every file of a deployment.
 type Plan struct {
 	Instances   []settings.Instance
 	Standin     standin.Settings
@@ -43,24 +43,23 @@
 	Operator    settings.Client
 }
 
-// site is a failure domain with its number, counting from 1.
-type site struct {
+// numberedDomain is a failure domain with its number, starting at 1.
+type numberedDomain struct {
 	Domain
 	number int
 	region string
 }
 
-// builder collects a plan.
+// builder assembles a plan.
 type builder struct {
 	topology Topology
 	net      int
-	sites    []site
+	domains  []numberedDomain
 	plan     Plan
 }
 
-// NetError is a second octet that is out of range.
+// NetError reports a second octet that is out of range.
 type NetError struct {
-	// Net is what was given.
 	Net int
 }
 
@@ -70,7 +69,7 @@
 // maxNet is the highest second octet.
 const maxNet = 254
 
-// Build makes the plan for the second octet net.
+// Build returns the plan with net as the second octet of all addresses.
 func Build(topology Topology, net int) (Plan, error) {
 	if net < 1 || net > maxNet {
 		return Plan{}, &NetError{Net: net}
@@ -78,11 +77,11 @@
 	b := &builder{topology: topology, net: net}
 	for _, region := range topology.Regions {
 		for _, domain := range region.Domains {
-			b.sites = append(b.sites, site{Domain: domain, number: len(b.sites) + 1, region: region.Name})
+			b.domains = append(b.domains, numberedDomain{Domain: domain, number: len(b.domains) + 1, region: region.Name})
 		}
 	}
 	b.platform()
-	for _, s := range b.sites {
+	for _, s := range b.domains {
 		b.instances(s)
 	}
 	b.declare()
@@ -106,8 +105,8 @@
 	to.Weights.Address, to.Weights.LoadsPerMinute = at(portWeights), p.LoadsPerMinute
 }
 
-func (b *builder) instances(s site) {
-	via := b.links(s)
+func (b *builder) instances(s numberedDomain) {
+	dialVia := b.links(s)
 	for n := 1; n <= s.Instances; n++ {
 		name := fmt.Sprintf("%s-%d", s.Prefix, n)
 		at := func(port int) string { return b.address(s.number, n, port) }
@@ -117,7 +116,7 @@
 			Agent:    settings.Agent{Mesh: at(portMesh), Operators: at(portOperators)},
 			Platform: b.platformSettings(),
 			Seeds:    b.seeds(),
-			DialVia:  via,
+			DialVia:  dialVia,
 			Security: settings.Security{PlaintextLoopback: true},
 		}
 		b.plan.Instances = append(b.plan.Instances, instance)
@@ -135,11 +134,11 @@
 	}
 }
 
-// seeds names the first two agents of every failure domain.
+// seeds returns the first two agents of every failure domain.
 func (b *builder) seeds() []settings.Seed {
 	const seedsPerDomain = 2
 	var seeds []settings.Seed
-	for _, s := range b.sites {
+	for _, s := range b.domains {
 		for n := 1; n <= min(s.Instances, seedsPerDomain); n++ {
 			seeds = append(seeds, settings.Seed{Domain: s.Name, Mesh: b.address(s.number, n, portMesh)})
 		}
--- a/pkg/standin/run.go
+++ b/pkg/standin/run.go
@@ -24,12 +24,11 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/service"
 )
 
-// drainTime bounds the end of running requests at a shutdown.
-const drainTime = 2 * time.Second
+// shutdownTimeout bounds running requests at a shutdown and the reading of headers.
+const shutdownTimeout = 2 * time.Second
 
-// ListenError is an address that cannot be listened on.
+// ListenError reports an address on which listening failed.
 type ListenError struct {
-	// Address is the address, Err the cause.
 	Address string
 	Err     error
 }
@@ -40,16 +39,15 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// SelectionError is a name in a Selection that the settings don't have.
+// SelectionError reports a name in a Selection that the settings do not define.
 type SelectionError struct {
-	// Name is the group or upstream.
 	Name string
 }
 
 // Error implements error.
 func (e *SelectionError) Error() string { return fmt.Sprintf("no group or upstream named %q", e.Name) }
 
-// process collects what one process runs before any of it starts.
+// process holds the servers and loops of one process before they are started.
 type process struct {
 	settings  Settings
 	selection Selection
@@ -63,7 +61,7 @@
 type server struct {
 	address string
 	handler http.Handler
-	// pair is the certificate; empty means plain HTTP.
+	// pair is the TLS certificate and key; empty means plain HTTP.
 	pair settings.Pair
 }
 
@@ -82,11 +80,11 @@
 	return p.serve(ctx, log)
 }
 
-func (p *process) runs(group Group) bool {
+func (p *process) includesGroup(group Group) bool {
 	return len(p.selection.Groups) == 0 || slices.Contains(p.selection.Groups, group)
 }
 
-func (p *process) wants(upstream string) bool {
+func (p *process) includesUpstream(upstream string) bool {
 	return len(p.selection.Upstreams) == 0 || slices.Contains(p.selection.Upstreams, upstream)
 }
 
@@ -110,9 +108,9 @@
 	switch {
 	case p.selection.Admin != "":
 		return p.selection.Admin
-	case p.runs(GroupPlatform):
+	case p.includesGroup(GroupPlatform):
 		return p.settings.Admin.Platform
-	case p.runs(GroupUpstreams):
+	case p.includesGroup(GroupUpstreams):
 		return p.settings.Admin.Upstreams
 	}
 	return p.settings.Admin.Links
@@ -123,7 +121,7 @@
 }
 
 func (p *process) addPlatform() {
-	if !p.runs(GroupPlatform) {
+	if !p.includesGroup(GroupPlatform) {
 		return
 	}
 	platform := p.settings.Platform
@@ -138,30 +136,30 @@
 }
 
 func (p *process) addUpstreams() {
-	if !p.runs(GroupUpstreams) {
+	if !p.includesGroup(GroupUpstreams) {
 		return
 	}
 	for _, settings := range p.settings.Engines {
-		if !p.wants(settings.Name) {
+		if !p.includesUpstream(settings.Name) {
 			continue
 		}
-		one := engine.New(settings, p.clock, p.controls.Journal)
-		p.controls.Upstreams[settings.Name] = one
-		p.loops = append(p.loops, one.Run)
-		p.add(settings.Address, one.Handler())
+		upstream := engine.New(settings, p.clock, p.controls.Journal)
+		p.controls.Upstreams[settings.Name] = upstream
+		p.loops = append(p.loops, upstream.Run)
+		p.add(settings.Address, upstream.Handler())
 	}
 	for _, settings := range p.settings.Services {
-		if !p.wants(settings.Name) {
+		if !p.includesUpstream(settings.Name) {
 			continue
 		}
-		one := service.New(settings, p.clock, p.controls.Journal)
-		p.controls.Upstreams[settings.Name] = one
-		p.add(settings.Address, one.Handler())
+		upstream := service.New(settings, p.clock, p.controls.Journal)
+		p.controls.Upstreams[settings.Name] = upstream
+		p.add(settings.Address, upstream.Handler())
 	}
 }
 
 func (p *process) addLinks() error {
-	if !p.runs(GroupLinks) {
+	if !p.includesGroup(GroupLinks) {
 		return nil
 	}
 	network := link.New(p.settings.Links)
@@ -175,7 +173,7 @@
 	return nil
 }
 
-// serve opens every listener before it says that it is ready.
+// serve opens every listener before it logs that the process is ready.
 func (p *process) serve(ctx context.Context, log zerolog.Logger) error {
 	listeners, err := p.listen()
 	if err != nil {
@@ -186,9 +184,9 @@
 		group.Go(func() error { loop(ctx); return nil })
 	}
 	for i, listener := range listeners {
-		one := &http.Server{Handler: p.servers[i].handler, ReadHeaderTimeout: drainTime}
-		group.Go(func() error { return serveOne(one, listener) })
-		group.Go(func() error { return shutdown(ctx, one) })
+		srv := &http.Server{Handler: p.servers[i].handler, ReadHeaderTimeout: shutdownTimeout}
+		group.Go(func() error { return serveListener(srv, listener) })
+		group.Go(func() error { return shutdown(ctx, srv) })
 	}
 	log.Info().Int("servers", len(p.servers)).Int("links", len(p.links)).Str("admin", p.adminAddress()).Msg("ready")
 	err = group.Wait()
@@ -198,12 +196,12 @@
 
 func (p *process) listen() ([]net.Listener, error) {
 	listeners := make([]net.Listener, 0, len(p.servers))
-	for _, one := range p.servers {
-		listener, err := one.listen()
+	for _, srv := range p.servers {
+		listener, err := srv.listen()
 		if err != nil {
 			closeAll(listeners)
 			closeAll(p.links)
-			return nil, &ListenError{Address: one.address, Err: err}
+			return nil, &ListenError{Address: srv.address, Err: err}
 		}
 		listeners = append(listeners, listener)
 	}
@@ -227,21 +225,21 @@
 	}
 }
 
-func serveOne(one *http.Server, listener net.Listener) error {
-	if err := one.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+func serveListener(srv *http.Server, listener net.Listener) error {
+	if err := srv.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve: %w", err)
 	}
 	return nil
 }
 
-// shutdown ends a server's running requests within the drain time, and cuts
-// those that last longer, such as watches.
-func shutdown(ctx context.Context, one *http.Server) error {
+// shutdown waits for running requests up to shutdownTimeout, then aborts those that
+// last longer, such as watches.
+func shutdown(ctx context.Context, srv *http.Server) error {
 	<-ctx.Done()
-	bounded, cancel := context.WithTimeout(context.Background(), drainTime)
+	drainCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if err := one.Shutdown(bounded); err != nil {
-		_ = one.Close()
+	if err := srv.Shutdown(drainCtx); err != nil {
+		_ = srv.Close()
 	}
 	return nil
 }
