--- a/pkg/cli/explain.go
+++ b/pkg/cli/explain.go
@@ -31,7 +31,7 @@
 			return err
 		}
 	}
-	explanation, err := read.Tell()
+	explanation, err := read.Reconstruct()
 	if err != nil {
 		return err
 	}
--- a/pkg/explain/explain_test.go
+++ b/pkg/explain/explain_test.go
@@ -23,7 +23,7 @@
 // tell reads logs and tells the request r-1's way.
 func tell(t *testing.T, logs ...string) *explain.Story {
 	t.Helper()
-	story, err := read(t, logs...).Tell()
+	story, err := read(t, logs...).Reconstruct()
 	is.New(t).NoErr(err)
 	return story
 }
@@ -224,7 +224,7 @@
 	is := is.New(t)
 	log := explain.NewLog("r-9")
 	is.NoErr(log.Add(strings.NewReader(strings.Join(crash, "\n") + "\n" + line("06.000", "front-b", event.Start, ""))))
-	_, err := log.Tell()
+	_, err := log.Reconstruct()
 	var unknown *explain.UnknownRequestError
 	is.True(errors.As(err, &unknown))
 	is.Equal(unknown.Read, len(crash)+1)
@@ -251,7 +251,7 @@
 		if err := log.Add(strings.NewReader(strings.Join(lines, "\n"))); err != nil {
 			t.Fatal(err)
 		}
-		story, err := log.Tell()
+		story, err := log.Reconstruct()
 		if err != nil {
 			return
 		}
--- a/pkg/explain/story.go
+++ b/pkg/explain/story.go
@@ -45,8 +45,8 @@
 		e.Request, e.Read, e.Instances, e.LeftOut, e.Cut, e.Starts)
 }
 
-// Tell puts a request's way together. The error is an *UnknownRequestError.
-func (l *Log) Tell() (*Story, error) {
+// Reconstruct puts a request's way together. The error is an *UnknownRequestError.
+func (l *Log) Reconstruct() (*Story, error) {
 	l.sort()
 	if len(l.Own) == 0 {
 		return nil, l.unknown()
