--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -110,7 +110,7 @@
 	for i := range m.instances {
 		m.At(m.Now().Add(o.Told*time.Duration(i)/time.Duration(o.Instances)), func() { m.tell(end) })
 	}
-	m.Play()
+	m.Run()
 	return m.results
 }
 
--- a/pkg/emulator/plain.go
+++ b/pkg/emulator/plain.go
@@ -104,7 +104,7 @@
 		d.results[o.Regions[i].Name] = &PlainResult{}
 		d.arrivals(&o.Regions[i], end)
 	}
-	d.Play()
+	d.Run()
 	return d.results
 }
 
--- a/pkg/load/decide/simulation.go
+++ b/pkg/load/decide/simulation.go
@@ -118,7 +118,7 @@
 		j := &s.jobs[i]
 		s.After(j.at, func() { s.failureDomains[j.failureDomain].gateways[j.gateway].arrive(j) })
 	}
-	s.Play()
+	s.Run()
 	s.result.finish(s)
 	return s.result
 }
--- a/pkg/timeline/timeline.go
+++ b/pkg/timeline/timeline.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Play has everything happen, until nothing is left.
-func (t *Timeline) Play() {
+// Run has everything happen, until nothing is left.
+func (t *Timeline) Run() {
 	for len(t.events) > 0 {
 		next := heap.Pop(&t.events).(event)
 		t.now = next.at
--- a/pkg/timeline/timeline_test.go
+++ b/pkg/timeline/timeline_test.go
@@ -19,7 +19,7 @@
 		line.After(time.Second, note("last"))
 	})
 	line.After(time.Second, note("second"))
-	line.Play()
+	line.Run()
 	is.Equal(seen, []string{"first", "second", "later", "last"})
 	is.Equal(line.Now(), Epoch.Add(2*time.Second))
 }
@@ -29,7 +29,7 @@
 	is := is.New(t)
 	line, times := New(), 0
 	line.Every(time.Second, Epoch.Add(3500*time.Millisecond), func() { times++ })
-	line.Play()
+	line.Run()
 	is.Equal(times, 4)
 	is.Equal(line.Now(), Epoch.Add(3*time.Second))
 }
