--- a/pkg/claim/property_test.go
+++ b/pkg/claim/property_test.go
@@ -230,7 +230,7 @@
 
 func (m *machine) outage(t *rapid.T) {
 	kv := m.simulation.keyValue
-	kv.Mend()
+	kv.ClearFaults()
 	kv.SetDown(rapid.IntRange(0, 3).Draw(t, "down") == 0)
 	answers := rapid.IntRange(0, 2).Draw(t, "answers")
 	if rapid.IntRange(0, 1).Draw(t, "writes") == 1 {
--- a/pkg/config/property_test.go
+++ b/pkg/config/property_test.go
@@ -241,7 +241,7 @@
 			group.Go(kv.Release)
 		})
 		kv.Release()
-		kv.Mend()
+		kv.ClearFaults()
 		for i := range maxPauses {
 			final, err := newStore(kv).Lookup(context.Background(), testID(1, i+1))
 			if err != nil {
--- a/pkg/config/store_test.go
+++ b/pkg/config/store_test.go
@@ -112,7 +112,7 @@
 			decision := limitedStore(kv, test.pauses).Change(t.Context(), propose(id, "eleni", 1, drainOp("nurse-1", true)))
 			is.Equal(decision.State, test.want)
 
-			kv.Mend()
+			kv.ClearFaults()
 			found, err := newStore(kv).Lookup(t.Context(), id)
 			is.NoErr(err)
 			is.Equal(found.State, test.later)
--- a/pkg/platform/platformtest/service.go
+++ b/pkg/platform/platformtest/service.go
@@ -133,8 +133,8 @@
 	s.failing = count
 }
 
-// Mend takes back FailWrites and FailReads. Delayed writes stay on their way.
-func (s *Service) Mend() {
+// ClearFaults takes back FailWrites and FailReads. Delayed writes stay on their way.
+func (s *Service) ClearFaults() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults, s.failing = nil, 0
