--- a/pkg/config/property_test.go
+++ b/pkg/config/property_test.go
@@ -167,7 +167,7 @@
 		kv := newService()
 		store := newStore(kv)
 		store.Change(context.Background(), config.Proposal{ID: "c0-00000000", Operator: "eleni", Line: "apply", Build: config.Fixed(config.Diff(&config.Declaration{}, sample()))})
-		kv.FailWrites(rapid.SliceOfN(rapid.SampledFrom([]platformtest.Fault{platformtest.Works, platformtest.Works, platformtest.LoseWrite, platformtest.LoseAnswer, platformtest.DelayWrite}), 0, 30).Draw(t, "faults")...)
+		kv.FailWrites(rapid.SliceOfN(rapid.SampledFrom([]platformtest.Fault{platformtest.NoFault, platformtest.NoFault, platformtest.LoseWrite, platformtest.LoseAnswer, platformtest.DelayWrite}), 0, 30).Draw(t, "faults")...)
 		operators := rapid.IntRange(2, 5).Draw(t, "operators")
 		decisions := make([]config.Decision, operators)
 		runConcurrently(outer, operators, func(i int, group *sync.WaitGroup) {
@@ -227,7 +227,7 @@
 		kv := newService()
 		store := newStore(kv)
 		store.Change(context.Background(), config.Proposal{ID: "c0-00000000", Operator: "eleni", Line: "apply", Build: config.Fixed(config.Diff(&config.Declaration{}, sample()))})
-		kv.FailWrites(rapid.SliceOfN(rapid.SampledFrom([]platformtest.Fault{platformtest.Works, platformtest.LoseWrite, platformtest.LoseAnswer, platformtest.DelayWrite, platformtest.DelayWrite}), 4, 12).Draw(t, "faults")...)
+		kv.FailWrites(rapid.SliceOfN(rapid.SampledFrom([]platformtest.Fault{platformtest.NoFault, platformtest.LoseWrite, platformtest.LoseAnswer, platformtest.DelayWrite, platformtest.DelayWrite}), 4, 12).Draw(t, "faults")...)
 		maxPauses := rapid.SliceOfN(rapid.IntRange(0, 3), 3, 3).Draw(t, "patience")
 		proposed := make([]config.Decision, len(maxPauses))
 		lookedUp := make([]config.Decision, len(maxPauses))
--- a/pkg/platform/platformtest/link.go
+++ b/pkg/platform/platformtest/link.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return 0, err
 	}
-	fault := Works
+	fault := NoFault
 	if len(s.faults) > 0 {
 		fault, s.faults = s.faults[0], s.faults[1:]
 	}
--- a/pkg/platform/platformtest/service.go
+++ b/pkg/platform/platformtest/service.go
@@ -18,8 +18,8 @@
 
 // The faults of a write.
 const (
-	// Works: the write is judged and answered.
-	Works Fault = iota
+	// NoFault: the write is judged and answered.
+	NoFault Fault = iota
 	// LoseWrite: no answer, and the write never arrives.
 	LoseWrite
 	// LoseAnswer: the write is judged, its answer is lost.
