--- a/pkg/agent/agent_test.go
+++ b/pkg/agent/agent_test.go
@@ -33,7 +33,7 @@
 		r.wait(name, "revision 1 in force on all", func(a *Agent) bool { return inForce(a, 1) == len(r.nodes) })
 	}
 
-	r.store.Cut("b", true)
+	r.store.SetPartitioned("b", true)
 	r.wait("a-1", "b reports that it cannot reach the platform", func(a *Agent) bool {
 		d, _ := a.mesh.digest("b")
 		return !d.Platform
@@ -48,7 +48,7 @@
 	is.Equal(r.nodes["b-1"].agent.readiness(time.Now()).State, StateIsolated)
 	is.Equal(r.nodes["a-1"].agent.readiness(time.Now()).State, StateServing)
 
-	r.store.Cut("b", false)
+	r.store.SetPartitioned("b", false)
 	r.wait("a-1", "b reports that it reaches the platform again", func(a *Agent) bool {
 		d, _ := a.mesh.digest("b")
 		return d.Platform
@@ -65,7 +65,7 @@
 	for name := range r.nodes {
 		r.wait(name, "revision 1 in force on all", func(a *Agent) bool { return inForce(a, 1) == len(r.nodes) })
 	}
-	r.store.Cut("b", true)
+	r.store.SetPartitioned("b", true)
 	head := acceptedHead(2)
 	other := *head.Recent[0].Ops[0].SetCaller
 	other.Share = 99
@@ -177,7 +177,7 @@
 	r.write(acceptedHead(7))
 	r.wait("a-1", "revision 7 in force", func(a *Agent) bool { return inForce(a, 7) == 1 })
 	r.stop("a-1")
-	r.store.Cut("a", true)
+	r.store.SetPartitioned("a", true)
 	r.start("a-1")
 	r.wait("a-1", "revision 7 recovered", func(a *Agent) bool { return inForce(a, 7) == 1 })
 	is.True(!r.nodes["a-1"].gateway.downgraded)
--- a/pkg/platform/platformtest/service.go
+++ b/pkg/platform/platformtest/service.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Cut cuts or heals all links of a name; cutting breaks their watches.
-func (s *Service) Cut(link string, cut bool) {
+// SetPartitioned cuts or heals all links of a name; cutting breaks their watches.
+func (s *Service) SetPartitioned(link string, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cut[link] = cut
