--- a/pkg/platform/rest/client.go
+++ b/pkg/platform/rest/client.go
@@ -58,8 +58,8 @@
 	Instances []platform.ListedInstance `json:"instances"`
 }
 
-// ReservationAsk asks to read a version's weights.
-type ReservationAsk struct {
+// ReservationRequest asks to read a version's weights.
+type ReservationRequest struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 }
--- a/pkg/platform/rest/services.go
+++ b/pkg/platform/rest/services.go
@@ -75,7 +75,7 @@
 // Reserve implements platform.WeightStore.
 func (w *WeightStore) Reserve(ctx context.Context, model, version string) (time.Duration, error) {
 	var answer ReservationAnswer
-	ask := ReservationAsk{Model: model, Version: version}
+	ask := ReservationRequest{Model: model, Version: version}
 	if err := w.client.call(ctx, http.MethodPost, PathReservations, ask, &answer); err != nil {
 		return 0, err
 	}
--- a/pkg/standin/fleet/weights.go
+++ b/pkg/standin/fleet/weights.go
@@ -32,7 +32,7 @@
 }
 
 func (w *Weights) reserve(c echo.Context) error {
-	var ask rest.ReservationAsk
+	var ask rest.ReservationRequest
 	if err := c.Bind(&ask); err != nil || ask.Model == "" || ask.Version == "" {
 		return c.JSON(http.StatusBadRequest, rest.ErrorAnswer{Error: "expected model and version"})
 	}
