--- a/pkg/explain/cause.go
+++ b/pkg/explain/cause.go
@@ -11,26 +11,27 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// Times within which other events may bear on a failure.
+// Time windows in which other events are related to a failure.
 const (
-	// before is how long ago an event may still be a cause: an ejection's first period and
-	// the time until a silent instance counts as gone are below it.
+	// before is the time before a failure in which an event may be its cause. It exceeds the
+	// first ejection period and the time after which a silent instance is removed.
 	before = 5 * time.Second
-	// after is how much later what caused a failure may be told: an upstream's entry lapses
-	// some seconds after the upstream has gone.
+	// after is the time after a failure in which its cause may be logged, because an
+	// upstream's entry expires some seconds after the upstream has gone.
 	after = 8 * time.Second
-	// beside is how far failures of other requests may be away to have the same cause.
+	// beside is the distance in time within which failures of other requests count as related.
 	beside = time.Second
-	// contentWindow is over which time tries of the same request are counted together.
+	// contentWindow is the time before and after a failure in which tries of the same request
+	// are counted together.
 	contentWindow = 10 * time.Minute
-	// quarantineWindow is how far back a quarantine's causes are looked for.
+	// quarantineWindow is the time before a refusal in which the causes of a quarantine are sought.
 	quarantineWindow = time.Hour
 )
 
-// slow is from when on an answer that is late in beginning is explained.
+// slow is the time to the first part of an answer from which the delay is explained.
 const slow = time.Second
 
-// causes tells why a visit ended as it did.
+// causes returns the reasons for the outcome of a visit.
 func (l *Log) causes(visit *Visit) []string {
 	var all []string
 	told := make(map[string]bool)
@@ -54,7 +55,7 @@
 	return slices.Compact(all)
 }
 
-// whyAttempt tells what else is known of the target of a failed attempt.
+// whyAttempt describes a failed attempt and related events at its target.
 func (l *Log) whyAttempt(attempt *Line) []string {
 	target := attempt.Get(event.KeyTarget)
 	all := []string{target + " " + howFailed(attempt)}
@@ -65,7 +66,8 @@
 	return append(all, l.fateOf(target, attempt.Time)...)
 }
 
-// sameContent tells where the same request, as other tries of callers sent it, broke off.
+// sameContent counts the other tries of the same request, by content, that broke off, and
+// their targets.
 func (l *Log) sameContent(attempt *Line) []string {
 	content := attempt.Get(event.KeyContent)
 	if content == "" {
@@ -88,7 +90,7 @@
 	return []string{fmt.Sprintf("the same request, in %d other tries, broke off at %d other targets within %v", len(tries), len(places), contentWindow)}
 }
 
-// howFailed tells a failed attempt in a few words.
+// howFailed describes the failure of an attempt.
 func howFailed(attempt *Line) string {
 	switch {
 	case attempt.Is(event.KeyUnsent):
@@ -110,7 +112,7 @@
 	return count
 }
 
-// fates are events that tell what became of a target, with the key that names it.
+// fates are the events that explain a failure at a target, with the key that names the target.
 var fates = []struct {
 	name event.Name
 	key  string
@@ -128,7 +130,7 @@
 	{event.Start, event.KeyInstance, "started anew"},
 }
 
-// fateOf tells what became of an upstream or instance around a time.
+// fateOf describes the events of an upstream or instance around a time.
 func (l *Log) fateOf(target string, at time.Time) []string {
 	var all []string
 	for _, fate := range fates {
@@ -142,7 +144,7 @@
 	return all
 }
 
-// distance tells one time by another.
+// distance formats the time to relative to from.
 func distance(from, to time.Time) string {
 	apart := to.Sub(from).Round(time.Millisecond)
 	if apart < 0 {
@@ -151,7 +153,7 @@
 	return fmt.Sprintf("%v after", apart)
 }
 
-// whyUnended tells what became of an instance that did not log a visit's end.
+// whyUnended explains why an instance did not log the end of a visit.
 func (l *Log) whyUnended(visit *Visit) []string {
 	at := visit.last()
 	for _, line := range l.near(event.Start, at, at.Add(time.Hour)) {
@@ -165,7 +167,7 @@
 	return nil
 }
 
-// whyRefused tells what stands behind the reason of a refusal.
+// whyRefused explains the reason of a refusal.
 func (l *Log) whyRefused(visit *Visit) []string {
 	end := visit.End
 	switch outcome.Reason(end.Get(event.KeyReason)) {
@@ -195,7 +197,8 @@
 	}
 }
 
-// whyQuarantined tells which upstreams ended under a request that is refused for it.
+// whyQuarantined lists the upstreams that crashed while running a request that is now
+// refused as quarantined.
 func (l *Log) whyQuarantined(visit *Visit) []string {
 	content := visit.End.Get(event.KeyContent)
 	until := visit.End.Time
@@ -219,7 +222,7 @@
 	return all
 }
 
-// ended says whether an instance found an upstream ended around a time.
+// ended reports whether an instance found that an upstream had crashed around a time.
 func (l *Log) ended(upstream string, at time.Time) bool {
 	for _, line := range l.near(event.UpstreamEnded, at.Add(-beside), at.Add(beside)) {
 		if line.Get(event.KeyUpstream) == upstream {
@@ -229,7 +232,7 @@
 	return false
 }
 
-// since tells how long before the visit's end an event was.
+// since describes the instance's last event of a name before the end of the visit.
 func (l *Log) since(visit *Visit, name event.Name) string {
 	line := l.last(visit.Instance, visit.End.Time, name)
 	if line == nil {
@@ -238,7 +241,7 @@
 	return fmt.Sprintf(" (%s %s)", name, distance(visit.End.Time, line.Time))
 }
 
-// whyNoUpstream tells why none of a service's upstreams took the request.
+// whyNoUpstream explains why no upstream of the service accepted the request.
 func (l *Log) whyNoUpstream(visit *Visit) []string {
 	end := visit.End
 	known, usable, cold := end.Int(event.KeyKnown), end.Int(event.KeyUsable), end.Int(event.KeyCold)
@@ -256,7 +259,7 @@
 	return append(all, l.lostUpstreams(visit)...)
 }
 
-// lostUpstreams counts what the instance learned of upstreams shortly before the end.
+// lostUpstreams counts the upstream failures that the instance logged shortly before the end.
 func (l *Log) lostUpstreams(visit *Visit) []string {
 	var all []string
 	until := visit.End.Time
@@ -295,10 +298,10 @@
 	return all
 }
 
-// retryWindow is the time over which repeats are bounded.
+// retryWindow is the time over which the retry budget bounds retries.
 const retryWindow = 10 * time.Second
 
-// whyNoRepeat tells what used up the retry budget.
+// whyNoRepeat explains what used up the retry budget.
 func (l *Log) whyNoRepeat(visit *Visit) []string {
 	until := visit.End.Time
 	failures := l.countAt(visit.Instance, event.AttemptFailed, until.Add(-retryWindow), until)
@@ -308,11 +311,11 @@
 	}
 }
 
-// restoreWindow is for how long after the store's return from a copy it may explain what an
-// instance did: until the operator and the upstreams have written theirs again.
+// restoreWindow is the time after a restore of the store from a backup in which the restore may
+// explain a failure: the operator and the upstreams have to write their entries again.
 const restoreWindow = 30 * time.Second
 
-// store tells whether the store was lost to the instance, or had come back from a copy.
+// store reports whether the store was unreachable for the instance, or restored from a backup.
 func (l *Log) store(visit *Visit) []string {
 	var all []string
 	until := visit.End.Time
@@ -328,19 +331,19 @@
 	return all
 }
 
-// whyLeft tells what a caller that has left was waiting for.
+// whyLeft explains what a caller waited for before it disconnected.
 func (l *Log) whyLeft(visit *Visit) []string {
 	all := []string{fmt.Sprintf("the caller left after %d ms", visit.End.Int(event.KeyMS))}
 	return append(all, l.whyWaited(visit)...)
 }
 
-// whyLate tells what an answer that began late waited for.
+// whyLate explains the delay of an answer that began late.
 func (l *Log) whyLate(visit *Visit) []string {
 	all := []string{fmt.Sprintf("the answer began after %d ms", visit.End.Int(event.KeyFirstMS))}
 	return append(all, l.whyWaited(visit)...)
 }
 
-// whyWaited tells what the attempts of a request met.
+// whyWaited describes the attempts of a request and the load of the last target.
 func (l *Log) whyWaited(visit *Visit) []string {
 	var all []string
 	routes := visit.steps(event.RequestRouted)
--- a/pkg/explain/explain_test.go
+++ b/pkg/explain/explain_test.go
@@ -15,12 +15,12 @@
 	"github.com/lilacweir/lilacweir/pkg/explain"
 )
 
-// line is a log line at a second of the test's minute.
+// line returns a log line at a second of the test's minute.
 func line(second, instance string, name event.Name, pairs string) string {
 	return fmt.Sprintf("time=2026-03-01T10:00:%sZ level=info event=%s instance=%s program=lilacweir-edge %s", second, name, instance, pairs)
 }
 
-// tell reads logs and tells the request r-1's way.
+// tell reads logs and reconstructs the path of request r-1.
 func tell(t *testing.T, logs ...string) *explain.Story {
 	t.Helper()
 	story, err := read(t, logs...).Reconstruct()
@@ -37,8 +37,8 @@
 	return log
 }
 
-// crash is a request that front-a sent to the region of front-b, where its upstream went
-// away within its answer.
+// crash is the log of a request that front-a forwarded to front-b, where the upstream crashed
+// during the answer.
 var crash = []string{
 	line("01.000", "front-a", event.RequestRouted, "request=r-1 target=front-b domain=south-a send=1 heard_ms=80 usable=0 version=7 store_age_ms=300"),
 	line("01.020", "front-b", event.RequestRouted, "request=r-1 forwarded=true target=u-9 domain=south-a send=1 in_flight=4 prefill=900 prompt=500 uncached=20 usable=3 version=7 store_age_ms=40"),
@@ -66,7 +66,7 @@
 	is.True(!strings.Contains(text, "r-2"))
 }
 
-// TestTheOrderOfLinesAndFilesDoesNotMatter, nor that a line is there twice.
+// Duplicate lines do not matter either.
 func TestTheOrderOfLinesAndFilesDoesNotMatter(t *testing.T) {
 	is := is.New(t)
 	want := tell(t, strings.Join(crash, "\n")).Text(explain.Screen)
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestTriesOfTheSameRequestAreCountedTogether guards against taking engines that end one
-// after the other under one request for faults of their own.
+// Guards against reporting engines that crash one after the other while running the same
+// request as unrelated failures.
 func TestTriesOfTheSameRequestAreCountedTogether(t *testing.T) {
 	broke := func(second, request, target, content string) string {
 		return line(second, "front-a", event.AttemptFailed, fmt.Sprintf(`request=%s target=%s send=1 unsent=false content=%s status=200 error="await: unexpected EOF"`, request, target, content))
@@ -91,8 +91,8 @@
 	is.New(t).True(strings.Contains(strings.Join(strings.Fields(text), " "), "the same request, in 2 other tries, broke off at 2 other targets"))
 }
 
-// TestAQuarantineIsExplainedByTheUpstreamsThatEnded guards against an operator who is told that
-// a request is refused, and not which upstreams it cost.
+// Guards against a report that a request is refused without the upstreams that crashed while
+// running it.
 func TestAQuarantineIsExplainedByTheUpstreamsThatEnded(t *testing.T) {
 	logs := []string{
 		line("01.000", "front-b", event.AttemptFailed, `request=r-7 target=u-1 send=1 unsent=false content=c1 status=200 error="await: unexpected EOF"`),
@@ -107,7 +107,7 @@
 			t.Errorf("no %q in %s", says, text)
 		}
 	}
-	is.New(t).True(!strings.Contains(text, "u-2")) // nobody found that it had ended
+	is.New(t).True(!strings.Contains(text, "u-2")) // no instance logged that it crashed
 }
 
 func TestWhatIsMissingIsTold(t *testing.T) {
@@ -201,8 +201,8 @@
 	}
 }
 
-// TestAHeldStepComesBeforeWhatItLedTo although it is written after it and clocks have
-// milliseconds only.
+// A deferred line is written after the lines that follow from it, and times have a resolution of
+// one millisecond.
 func TestAHeldStepComesBeforeWhatItLedTo(t *testing.T) {
 	story := tell(t, strings.Join([]string{
 		line("10.000", "front-a", event.AttemptFailed, "request=r-1 target=u-1 send=1"),
@@ -232,8 +232,7 @@
 	is.Equal(unknown.Starts, 1)
 }
 
-// TestAnyLogFitsAPhone: whatever is cut out of logs, the story has no line longer than a
-// phone's and nothing panics.
+// Truncated logs cause neither a panic nor a line wider than a phone.
 func TestAnyLogFitsAPhone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var lines []string
@@ -263,7 +262,7 @@
 	})
 }
 
-// TestWhyAKeyOrALimitRefused: which configuration decided, and what was known of the use.
+// The cause names the configuration that decided, and for a limit the known usage.
 func TestWhyAKeyOrALimitRefused(t *testing.T) {
 	for name, c := range map[string]struct{ end, want string }{
 		"key": {
--- a/pkg/explain/line.go
+++ b/pkg/explain/line.go
@@ -1,8 +1,8 @@
-// Package explain reads the logs of several instances and tells one request's way
-// through them, in the order of time, with what led to its end.
+// Package explain reads the logs of several instances and reconstructs the path of one
+// request through them, in order of time, with the causes of its outcome.
 //
-// It makes do with what there is: lines that were cut off, are out of order or missing
-// are told of, not guessed.
+// It works with incomplete logs: truncated and missing lines are reported, and lines may come
+// in any order.
 package explain
 
 import (
@@ -19,7 +19,7 @@
 
 // Line is one line of an instance's log.
 type Line struct {
-	// Time is when it happened, by the instance's clock.
+	// Time is the time of the event by the instance's clock.
 	Time     time.Time
 	Instance string
 	Event    event.Name
@@ -28,9 +28,9 @@
 
 type value struct{ key, text string }
 
-// CutError is a line that is not whole.
+// CutError reports a log line that cannot be parsed, for instance a truncated one.
 type CutError struct {
-	// Request is the ID of the request it is about; empty: not known, or none.
+	// Request is the request ID on the line, or empty if there is none or it cannot be read.
 	Request string
 	Err     error
 }
@@ -41,17 +41,17 @@
 // Unwrap returns the cause.
 func (e *CutError) Unwrap() error { return e.Err }
 
-// Why a line is not whole.
+// Causes of a CutError.
 var (
 	errNoTime     = errors.New("no time")
 	errNoEvent    = errors.New("no event")
 	errNoInstance = errors.New("no instance")
 )
 
-// begin is what a line begins with; what collectors of logs put before it is skipped.
+// begin is the start of a line. A prefix that a log collector added is skipped.
 const begin = event.KeyTime + "="
 
-// Parse reads a line. The error is a *CutError.
+// Parse parses a line. The error is a *CutError.
 func Parse(text string) (*Line, error) {
 	line := &Line{}
 	at := strings.Index(text, begin)
@@ -74,7 +74,7 @@
 	return line, nil
 }
 
-// fill reads the values that every line has.
+// fill sets the fields that every line has.
 func (l *Line) fill() error {
 	l.Event = event.Name(l.Get(event.KeyEvent))
 	l.Instance = l.Get(event.KeyInstance)
@@ -93,7 +93,7 @@
 	return err
 }
 
-// Get returns a value; empty when there is none.
+// Get returns the value of a key, or an empty string if there is none.
 func (l *Line) Get(key string) string {
 	for i := range l.values {
 		if l.values[i].key == key {
@@ -103,7 +103,7 @@
 	return ""
 }
 
-// Int returns a value as a whole number; zero when it is none.
+// Int returns the value of a key truncated to an integer, or zero if it is not a number.
 func (l *Line) Int(key string) int {
 	number, err := strconv.ParseFloat(l.Get(key), 64)
 	if err != nil {
@@ -112,5 +112,5 @@
 	return int(number)
 }
 
-// Is says whether a value is true.
+// Is reports whether the value of a key is "true".
 func (l *Line) Is(key string) bool { return l.Get(key) == "true" }
--- a/pkg/explain/log.go
+++ b/pkg/explain/log.go
@@ -14,18 +14,18 @@
 	"github.com/lilacweir/lilacweir/pkg/event"
 )
 
-// Log is what the logs of some instances say that matters for one request.
+// Log holds the lines from the logs of several instances that concern one request.
 type Log struct {
 	// Request is the request's ID.
 	Request string
-	// Own are the lines about the request, Others all that may bear on it: changes of
-	// what an instance believes, and failed attempts of other requests.
+	// Own are the lines about the request. Others may explain it: state changes of an
+	// instance and failed attempts of other requests.
 	Own, Others []*Line
-	// Cut is how many lines are not whole, OwnCut how many of these are about the request.
+	// Cut is the number of lines that cannot be parsed, OwnCut that of those about the request.
 	Cut, OwnCut int
-	// Read is how many lines there are, whole or not.
+	// Read is the number of lines read, including those that cannot be parsed.
 	Read int
-	// spans is the time over which there are lines, by instance.
+	// spans holds the times of the first and last line of each instance.
 	spans map[string]span
 	seen  map[string]bool
 }
@@ -37,11 +37,11 @@
 	return &Log{Request: request, spans: make(map[string]span), seen: make(map[string]bool)}
 }
 
-// longestLine bounds, in bytes, a line that can be read.
+// longestLine is the maximum length of a line in bytes.
 const longestLine = 1 << 20
 
-// Add reads lines until the end of r. Lines may come in any order, also between files;
-// a line that is there twice counts once.
+// Add reads lines until the end of r. Lines may come in any order, within and across readers.
+// Duplicates count once.
 func (l *Log) Add(r io.Reader) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, longestLine)
@@ -89,7 +89,7 @@
 	}
 }
 
-// extend makes the instance's span include the line.
+// extend extends the time range of the line's instance to include the line.
 func (l *Log) extend(line *Line) {
 	known, ok := l.spans[line.Instance]
 	if !ok {
@@ -104,7 +104,7 @@
 	l.spans[line.Instance] = known
 }
 
-// sort puts the lines in the order of time.
+// sort sorts the lines by time.
 func (l *Log) sort() {
 	byTime := func(a, b *Line) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(attempt(a), attempt(b)), cmp.Compare(phase(a), phase(b)))
@@ -113,8 +113,8 @@
 	slices.SortStableFunc(l.Others, byTime)
 }
 
-// attempt is the number of the attempt that a line is about: those of the same time are in
-// the order of the attempts, and the end comes last.
+// attempt returns the number of the attempt that a line is about. It orders lines with the same
+// time; the end of the request comes last.
 func attempt(line *Line) int {
 	switch {
 	case line.Event == event.RequestEnded, line.Event == event.RequestFailed:
@@ -126,8 +126,8 @@
 	}
 }
 
-// phase orders the lines of one attempt that have the same time: a step that was held
-// back is written after what it led to.
+// phase orders the lines of one attempt that have the same time: the routing step comes first,
+// although a deferred line is written after the lines that follow from it.
 func phase(line *Line) int {
 	if line.Event == event.RequestRouted {
 		return 0
@@ -135,7 +135,7 @@
 	return 1
 }
 
-// near returns the other lines with an event, from one time to another.
+// near returns the lines of Others with an event between two times, both included.
 func (l *Log) near(name event.Name, from, to time.Time) []*Line {
 	start, _ := slices.BinarySearchFunc(l.Others, from, func(line *Line, at time.Time) int { return line.Time.Compare(at) })
 	var found []*Line
@@ -150,7 +150,7 @@
 	return found
 }
 
-// last returns the instance's last line with one of the events before a time, or nil.
+// last returns the instance's last line with one of the events at or before a time, or nil.
 func (l *Log) last(instance string, before time.Time, names ...event.Name) *Line {
 	for i := len(l.Others) - 1; i >= 0; i-- {
 		line := l.Others[i]
--- a/pkg/explain/missing.go
+++ b/pkg/explain/missing.go
@@ -7,10 +7,10 @@
 	"github.com/lilacweir/lilacweir/pkg/event"
 )
 
-// toldWithin is how long after lines were left out that is told at the latest.
+// toldWithin is the maximum delay between dropping lines and logging their count.
 const toldWithin = 6 * time.Second
 
-// missing tells what the logs lack of a story.
+// missing describes what the logs lack of a story.
 func (l *Log) missing(story *Story) []string {
 	var all []string
 	for _, visit := range story.Visits {
@@ -26,7 +26,7 @@
 	return append(all, l.leftOut(story)...)
 }
 
-// missingOf tells what is missing of one visit.
+// missingOf describes what the logs lack of one visit.
 func (l *Log) missingOf(visit *Visit) []string {
 	var all []string
 	if visit.End == nil {
@@ -45,7 +45,7 @@
 	return all
 }
 
-// unheard tells of instances to which the request was sent and that say nothing of it.
+// unheard lists the instances that the request was sent to and that logged nothing about it.
 func (l *Log) unheard(story *Story, visit *Visit) []string {
 	var all []string
 	for _, line := range visit.steps(event.RequestRouted) {
@@ -71,7 +71,7 @@
 	return false
 }
 
-// leftOut tells of lines that the visited instances left out at the time.
+// leftOut describes the lines that the visited instances dropped around that time.
 func (l *Log) leftOut(story *Story) []string {
 	var all []string
 	first, last := story.Visits[0].Steps[0].Time, time.Time{}
--- a/pkg/explain/render.go
+++ b/pkg/explain/render.go
@@ -8,17 +8,17 @@
 	"github.com/lilacweir/lilacweir/pkg/event"
 )
 
-// Widths of what is printed, in characters.
+// Widths of the text, in characters.
 const (
-	// Phone fits an operator's phone.
+	// Phone is the width of an operator's phone.
 	Phone = 40
-	// Screen fits a terminal.
+	// Screen is the width of a terminal.
 	Screen = 100
-	// indent is that of lines that go on.
+	// indent is one level of indentation; continuation lines have two.
 	indent = "  "
 )
 
-// Text is the story in lines of at most so many characters.
+// Text formats the story in lines of at most width characters.
 func (s *Story) Text(width int) string {
 	p := &page{width: width, start: s.Visits[0].Steps[0].Time}
 	p.add("", "request "+s.Request)
@@ -31,8 +31,8 @@
 	return p.text.String()
 }
 
-// causes are those of the last visit before those of earlier ones. Where there are
-// several visits each names its instance.
+// causes returns the causes of all visits, those of the last visit first, without duplicates. If
+// there are several visits, each cause names its instance.
 func (s *Story) causes() []string {
 	var all []string
 	seen := make(map[string]bool)
@@ -50,15 +50,15 @@
 	return all
 }
 
-// page collects lines.
+// page collects the lines of the text.
 type page struct {
 	width int
-	// start is what times are told from.
+	// start is the time that other times are relative to.
 	start time.Time
 	text  strings.Builder
 }
 
-// add writes a text with a first prefix, broken into lines at spaces.
+// add writes a text after a prefix, wrapped at spaces.
 func (p *page) add(prefix, text string) {
 	line := prefix
 	for _, word := range strings.Fields(text) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// describe tells a step in a few words.
+// describe summarises a step.
 func describe(step *Line) string {
 	switch step.Event {
 	case event.RequestRouted:
@@ -137,10 +137,10 @@
 	}
 }
 
-// callerGone is the outcome of a request whose caller left before its end.
+// callerGone is the outcome of a request if the caller disconnected before its end.
 const callerGone = "caller-gone"
 
-// firstPart is when the first part of an answer was passed on.
+// firstPart formats the time to the first part of the answer.
 func firstPart(step *Line) string {
 	if ms := step.Int(event.KeyFirstMS); ms >= 0 {
 		return fmt.Sprintf("%d ms", ms)
--- a/pkg/explain/story.go
+++ b/pkg/explain/story.go
@@ -7,35 +7,36 @@
 	"github.com/lilacweir/lilacweir/pkg/event"
 )
 
-// Story is one request's way.
+// Story is the path of one request through the instances.
 type Story struct {
 	Request string
-	// Visits are in the order in which they began.
+	// Visits are in order of their first line.
 	Visits []*Visit
-	// Missing tells what the logs lack, one sentence each.
+	// Missing describes what the logs lack, one sentence each.
 	Missing []string
 }
 
-// Visit is what one instance did for the request. A caller that comes back with the
-// same ID, and an instance that asks one of another region, make further visits.
+// Visit is the part of a request that one instance handled. A retry by the caller with the
+// same ID, and forwarding to another instance, start further visits.
 type Visit struct {
 	Instance string
-	// Steps are its lines, in the order of time; End is the last of them, or nil when it
-	// is not known how the visit ended.
+	// Steps are its lines in order of time. End is the last of them, or nil if the end of
+	// the visit is not logged.
 	Steps []*Line
 	End   *Line
-	// Causes tell why it ended as it did, one sentence each, the nearest first; empty
-	// when it went well.
+	// Causes explain its outcome, one sentence each, the most direct first. They are empty
+	// if it succeeded without delay.
 	Causes []string
 }
 
-// UnknownRequestError: no line is about the request.
+// UnknownRequestError reports that no line is about the request.
 type UnknownRequestError struct {
 	Request string
-	// Read is how many lines were read, of so many instances; Cut were not whole.
+	// Read is the number of lines read, Instances that of their instances, and Cut that of
+	// the lines that cannot be parsed.
 	Read, Instances, Cut int
-	// Starts is how many instances began, which lose what they had in work at their end;
-	// LeftOut how many lines of requests were over the budgets.
+	// Starts is the number of instance starts; a killed instance logs nothing about its
+	// requests in flight. LeftOut is the number of request lines that the loggers dropped.
 	Starts, LeftOut int
 }
 
@@ -45,7 +46,7 @@
 		e.Request, e.Read, e.Instances, e.LeftOut, e.Cut, e.Starts)
 }
 
-// Reconstruct puts a request's way together. The error is an *UnknownRequestError.
+// Reconstruct returns the path of the request. The error is an *UnknownRequestError.
 func (l *Log) Reconstruct() (*Story, error) {
 	l.sort()
 	if len(l.Own) == 0 {
@@ -72,8 +73,8 @@
 	return e
 }
 
-// visits divides lines, in the order of time, into visits: each ends with the line of
-// its end.
+// visits divides the sorted lines into visits. The line that ends the request at an instance
+// closes its visit.
 func visits(lines []*Line) []*Visit {
 	var all []*Visit
 	open := make(map[string]*Visit)
@@ -93,10 +94,10 @@
 	return all
 }
 
-// Failed says whether the visit ended other than well, as far as is known.
+// Failed reports whether the visit failed or its end is not logged.
 func (v *Visit) Failed() bool { return v.End == nil || v.End.Event == event.RequestFailed }
 
-// last is when the visit ended, as far as is known.
+// last returns the time of the visit's last line.
 func (v *Visit) last() time.Time { return v.Steps[len(v.Steps)-1].Time }
 
 // steps returns the visit's lines with an event.
