--- a/pkg/explain/line.go
+++ b/pkg/explain/line.go
@@ -36,16 +36,16 @@
 }
 
 // Error implements error.
-func (e *IncompleteLineError) Error() string { return fmt.Sprintf("line is not whole: %v", e.Err) }
+func (e *IncompleteLineError) Error() string { return fmt.Sprintf("incomplete log line: %v", e.Err) }
 
 // Unwrap returns the cause.
 func (e *IncompleteLineError) Unwrap() error { return e.Err }
 
 // Causes of a CutError.
 var (
-	errNoTime     = errors.New("no time")
-	errNoEvent    = errors.New("no event")
-	errNoInstance = errors.New("no instance")
+	errNoTime     = errors.New("time is missing")
+	errNoEvent    = errors.New("event is missing")
+	errNoInstance = errors.New("instance is missing")
 )
 
 // linePrefix is the start of a line. A prefix that a log collector added is skipped.
