--- a/pkg/event/event.go
+++ b/pkg/event/event.go
@@ -1,44 +1,46 @@
-// Package event names the events that lilacweir-edge logs and the keys of their values.
-// Whoever writes a line and whoever reads one use the same constants.
+// Package event defines the names of the events that lilacweir-edge logs and the keys of their
+// fields. Code that writes lines and code that parses them share these constants.
 //
 // docs/OPERATIONS.md lists them for operators.
 package event
 
-// Name is the name of an event; in a line it is the value of the key "event".
+// Name is the name of an event, the value of the key "event" in a line.
 type Name string
 
 // Events of the process.
 const (
-	// Start: the instance serves from now on.
+	// Start is logged when the instance begins to serve.
 	Start Name = "start"
-	// SettingsReloaded: the settings were read again; the level of the log is that of the
-	// file now, all else stays as it was at the start.
+	// SettingsReloaded is logged when the settings file was reloaded. Only the log level is
+	// applied; all other settings stay as they were at the start.
 	SettingsReloaded Name = "settings-reloaded"
-	// SettingsRejected: the settings cannot be read; everything stays.
+	// SettingsRejected is logged when the settings cannot be read; nothing changes.
 	SettingsRejected Name = "settings-rejected"
-	// Leaving: the instance was told to end.
+	// Leaving is logged when the instance received the signal to shut down.
 	Leaving Name = "leaving"
-	// RequestsCutOff: requests still ran at the end of the grace.
+	// RequestsCutOff is logged when requests were still running at the end of the grace period.
 	RequestsCutOff Name = "requests-cut-off"
-	// Stop: the instance has ended.
+	// Stop is logged when the instance has shut down.
 	Stop Name = "stop"
-	// LinesLeftOut: lines were over budget, or nobody read them.
+	// LinesLeftOut is logged when lines were dropped, over budget or for a stalled reader.
 	LinesLeftOut Name = "lines-left-out"
 )
 
-// Events of what the instance knows from the store.
+// Events of entries and configurations that the instance reads from the store.
 const (
 	ConfigurationInForce  Name = "configuration-in-force"
 	ConfigurationRejected Name = "configuration-rejected"
-	// ConfigurationOlder: the store holds an older one than that in force, which stays.
+	// ConfigurationOlder is logged when the store holds a configuration older than the one in
+	// force, which stays in force.
 	ConfigurationOlder Name = "configuration-older"
 	UpstreamChanged    Name = "upstream-changed"
 	UpstreamGone       Name = "upstream-gone"
-	// EntryRejected: an entry of the store cannot be read.
+	// EntryRejected is logged when an entry of the store cannot be decoded.
 	EntryRejected Name = "entry-rejected"
-	// EntryLapsed: an entry is missing after the store was away, and is still believed.
+	// EntryLapsed is logged when an entry is missing after an outage of the store. The
+	// instance retains it for a time.
 	EntryLapsed Name = "entry-lapsed"
-	// EntryGone: the time of a lapsed entry is over.
+	// EntryGone is logged when the retention of such an entry ends.
 	EntryGone Name = "entry-gone"
 )
 
@@ -47,16 +49,16 @@
 	StoreReached  Name = "store-reached"
 	StoreLost     Name = "store-lost"
 	StoreRegained Name = "store-regained"
-	// StoreRestored: the store has come back from a copy of its past, with a lower revision.
-	// StoreFollowed: the copy follows the store's new revisions from here on.
+	// StoreFollowed is logged when the local replica begins to follow a restored store.
 	StoreFollowed Name = "store-followed"
-	// EntriesLeftOut: changes that it told were left out, as no newer than what is known.
+	// StoreRestored is logged when the store was restored from a backup, with a lower revision.
+	// EntriesLeftOut counts changes from it that were ignored as no newer than the replica.
 	StoreRestored  Name = "store-restored"
 	EntriesLeftOut Name = "entries-left-out"
-	// StoreHistoryGone: changes were missed; everything is read anew.
+	// StoreHistoryGone is logged when changes were missed and all entries are read again.
 	StoreHistoryGone Name = "store-history-gone"
-	// StoreHistoryMissed: what came and went before a revision is not known; upstreams are asked
-	// whether they are cold.
+	// StoreHistoryMissed is logged when deletions before a revision are unknown. Upstreams are
+	// probed whether they are cold.
 	StoreHistoryMissed   Name = "store-history-missed"
 	Registered           Name = "registered"
 	RegistrationLost     Name = "registration-lost"
@@ -67,59 +69,64 @@
 	PeerLeaving          Name = "peer-leaving"
 	PeerLost             Name = "peer-lost"
 	DomainHeard          Name = "domain-heard"
-	// CopyAdopted: changes of the store came from another instance.
+	// CopyAdopted is logged when changes of the store were accepted from another instance.
 	CopyAdopted Name = "copy-adopted"
 	CopyFailed  Name = "copy-failed"
-	// SumsRejected: a hub told of the others' work in a form that was not asked for.
+	// SumsRejected is logged when a hub reported the load of the others in a form that was not
+	// requested.
 	SumsRejected Name = "sums-rejected"
-	// UpstreamEjected: an upstream failed too often and gets nothing for a while.
+	// UpstreamEjected is logged when an upstream failed too often and gets no requests for a while.
 	UpstreamEjected Name = "upstream-ejected"
-	// UpstreamReborn: an upstream says that it has started again; its entry does not yet.
+	// UpstreamReborn is logged when an upstream reports a restart that its entry does not show yet.
 	UpstreamReborn Name = "upstream-reborn"
-	// UpstreamCold: an upstream says, asked, that it is cold; its entry does not.
+	// UpstreamCold is logged when an upstream replies to a probe that it is cold and its entry
+	// does not show it.
 	UpstreamCold Name = "upstream-cold"
-	// UpstreamSilent: an upstream does not say which of its starts it is, or whether it is cold.
+	// UpstreamSilent is logged when a status query for an upstream's start time and cold state
+	// failed.
 	UpstreamSilent Name = "upstream-silent"
-	// UpstreamDark: no instance hears any of an engine's streams; it gets nothing for a
-	// while, and what can goes on elsewhere.
+	// UpstreamDark is logged when an engine is unresponsive: no instance receives data on any of
+	// its streams. It gets no requests for a while, and resumable streams move to other engines.
 	UpstreamDark Name = "upstream-dark"
-	// UpstreamEnded: answers of an upstream broke off, and nobody listens at its address.
+	// UpstreamEnded is logged when answers of an upstream broke off and its address refuses
+	// connections.
 	UpstreamEnded Name = "upstream-ended"
-	// RequestQuarantined: upstreams ended one after the other under a request, which is
-	// refused from now on. RequestCleared: a suspected one has run to a good end.
+	// RequestQuarantined is logged when upstreams crashed one after the other while running a
+	// request, which is refused from then on. RequestCleared is logged when a suspected request
+	// completed.
 	RequestQuarantined Name = "request-quarantined"
 	RequestCleared     Name = "request-cleared"
-	// QuarantineNotKept: the store could not be told of a quarantine, or of its end.
+	// QuarantineNotKept is logged when a quarantine or its end could not be written to the store.
 	QuarantineNotKept Name = "quarantine-not-kept"
-	// UpstreamLimited: an upstream names how many requests a second it takes, or another
-	// number than before. UpstreamUnlimited: it names none any more. UpstreamLimitOdd: it names
-	// something that is no number, and what was known counts on.
+	// UpstreamLimited is logged when an upstream advertises a new limit in requests a second,
+	// UpstreamUnlimited when it no longer advertises one, and UpstreamLimitOdd when the limit is
+	// not a number and the previous one stays in force.
 	UpstreamLimited   Name = "upstream-limited"
 	UpstreamUnlimited Name = "upstream-unlimited"
 	UpstreamLimitOdd  Name = "upstream-limit-odd"
-	// UpstreamLeaving: an upstream has said in an answer that it leaves.
+	// UpstreamLeaving is logged when an upstream reported in an answer that it is leaving.
 	UpstreamLeaving Name = "upstream-leaving"
-	// UpstreamResting: an upstream has turned a request away and wants nothing from this
-	// instance for a while.
+	// UpstreamResting is logged when an upstream rejected a request and requested a backoff of
+	// this instance.
 	UpstreamResting Name = "upstream-resting"
-	// UpstreamRestored: an ejected upstream has answered its probe.
+	// UpstreamRestored is logged when an ejected upstream answered its probe.
 	UpstreamRestored Name = "upstream-restored"
 )
 
 // Events of single requests.
 const (
-	// RequestRouted: where a request is sent next, and why.
+	// RequestRouted records the next target of a request and the inputs of the choice.
 	RequestRouted Name = "request-routed"
-	// AttemptRejected: the upstream states that it did not run the request.
+	// AttemptRejected is logged when the upstream states that it did not run the request.
 	AttemptRejected Name = "attempt-rejected"
-	// AttemptFailed: a send without a whole answer.
+	// AttemptFailed is logged when a send got no complete answer.
 	AttemptFailed Name = "attempt-failed"
-	// AnswerOdd: an answer that cannot be passed on.
+	// AnswerOdd is logged when an answer cannot be passed on.
 	AnswerOdd Name = "answer-odd"
-	// RefusalTooLong: a refusal's body was not read to its end.
+	// RefusalTooLong is logged when the body of a refusal was not read to its end.
 	RefusalTooLong Name = "refusal-too-long"
-	// RequestFailed: a request ended other than complete.
+	// RequestFailed is logged when a request ended with an outcome other than complete.
 	RequestFailed Name = "request-failed"
-	// RequestEnded: a request ended complete.
+	// RequestEnded is logged when a request ended with the outcome complete.
 	RequestEnded Name = "request-ended"
 )
--- a/pkg/event/event_test.go
+++ b/pkg/event/event_test.go
@@ -32,7 +32,7 @@
 	return found
 }
 
-// TestEventsAndKeysAreListedForOperators: each is in the page that explains them.
+// docs/OPERATIONS.md has to list every event and key.
 func TestEventsAndKeysAreListedForOperators(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "OPERATIONS.md"))
 	is.New(t).NoErr(err)
@@ -45,7 +45,7 @@
 	}
 }
 
-// loggers are the packages that make up lilacweir-edge and log.
+// loggers are the packages of lilacweir-edge that log.
 var loggers = []string{"pkg/edge", "pkg/peer", "pkg/mirror", "pkg/logging", "platform", "platform/cmd/lilacweir-edge"}
 
 // fieldMethods are the methods of a log event whose first argument is a key.
@@ -53,7 +53,7 @@
 	"Str": true, "Int": true, "Int64": true, "Uint64": true, "Float64": true, "Bool": true, "Dur": true, "AnErr": true, "Msg": true,
 }
 
-// TestNoLineNamesItsEventOrKeysItself: who reads lines knows only the constants.
+// Parsers of the log know only the constants of this package.
 func TestNoLineNamesItsEventOrKeysItself(t *testing.T) {
 	for _, directory := range loggers {
 		files, err := filepath.Glob(filepath.Join("..", "..", directory, "*.go"))
