--- a/pkg/logging/bounded.go
+++ b/pkg/logging/bounded.go
@@ -14,56 +14,57 @@
 	"github.com/lilacweir/lilacweir/pkg/event"
 )
 
-// Budgets of a Bounded logger, in lines a second; none crowds the others out.
+// Budgets of a Bounded logger, in lines a second. They are separate, so that no kind of line
+// starves the others.
 const (
-	// goodBudget is for the lines of requests that go well.
+	// goodBudget bounds the lines of successful requests.
 	goodBudget = 50
-	// stepBudget is for the steps of requests that failed or were slow.
+	// stepBudget bounds the steps of requests that failed or were slow.
 	stepBudget = 200
-	// failedBudget is for the ends of those: when everything fails at once, hundreds of
-	// requests a second are refused by one instance, and each of them can be asked about.
+	// failedBudget bounds the ends of those. In a total outage one instance refuses hundreds
+	// of requests a second, and an operator may look up any of them.
 	failedBudget = 400
-	// heldLines is how many lines wait for a reader that has stalled; further ones are
+	// heldLines is the number of lines buffered for a stalled reader. Further lines are
 	// dropped and counted.
 	heldLines = 2000
-	// drainEvery is how often waiting lines are written.
+	// drainEvery is the interval at which buffered lines are written.
 	drainEvery = 20 * time.Millisecond
 )
 
-// Bounded writes lines within budgets and never waits for whoever reads them. Lines
-// that are left out are counted, and the count is logged.
+// Bounded writes lines within budgets and never blocks on a slow reader. Dropped lines are
+// counted, and the count is logged.
 type Bounded struct {
 	writer              diode.Writer
 	dropped             atomic.Int64
 	good, steps, failed budget
 }
 
-// NewBounded returns a Bounded that writes to w. Close it to write what waits.
+// NewBounded returns a Bounded that writes to w. Close writes the buffered lines.
 func NewBounded(w io.Writer) *Bounded {
 	b := &Bounded{good: budget{size: goodBudget}, steps: budget{size: stepBudget}, failed: budget{size: failedBudget}}
 	b.writer = diode.NewWriter(w, heldLines, drainEvery, func(missed int) { b.dropped.Add(int64(missed)) })
 	return b
 }
 
-// Write implements io.Writer; it does not wait.
+// Write implements io.Writer. It does not block.
 func (b *Bounded) Write(line []byte) (int, error) { return b.writer.Write(line) }
 
-// Close writes what waits.
+// Close writes the buffered lines.
 func (b *Bounded) Close() error { return b.writer.Close() }
 
-// Good is the budget of lines about requests that go well.
+// Good returns the budget of lines about successful requests.
 func (b *Bounded) Good() zerolog.Sampler { return &b.good }
 
-// Steps is the budget of the steps of requests that failed or were slow.
+// Steps returns the budget of the steps of requests that failed or were slow.
 func (b *Bounded) Steps() zerolog.Sampler { return &b.steps }
 
-// Failed is the budget of failures and of the ends of such requests.
+// Failed returns the budget of failures and of the ends of such requests.
 func (b *Bounded) Failed() zerolog.Sampler { return &b.failed }
 
-// tellEvery is how often left out lines are told of.
+// tellEvery is the interval at which the counts of dropped lines are logged.
 const tellEvery = 5 * time.Second
 
-// Run logs, until ctx ends, how many lines were left out.
+// Run logs the counts of dropped lines until ctx ends.
 func (b *Bounded) Run(ctx context.Context, log zerolog.Logger) {
 	for clock.Sleep(ctx, tellEvery) {
 		b.tell(log)
@@ -80,7 +81,7 @@
 	}
 }
 
-// budget permits size lines in each second, and counts those beyond.
+// budget permits size lines in each second and counts the lines over it.
 type budget struct {
 	size   int
 	over   atomic.Int64
--- a/pkg/logging/bounded_test.go
+++ b/pkg/logging/bounded_test.go
@@ -13,7 +13,7 @@
 	"github.com/lilacweir/lilacweir/pkg/logging"
 )
 
-// stalled is a reader of lines that takes none until it is released.
+// stalled is a writer that blocks until it is released.
 type stalled struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -27,8 +27,8 @@
 	return s.text.Write(line)
 }
 
-// TestAReaderThatStalledHoldsNoOneUp writes more lines than are held while nobody reads:
-// no call waits, and what was dropped is told afterwards.
+// Writes more lines than the buffer holds while the reader is stalled. No call blocks, and the
+// excess is dropped.
 func TestAReaderThatStalledHoldsNoOneUp(t *testing.T) {
 	is := is.New(t)
 	reader := &stalled{release: make(chan struct{})}
@@ -45,8 +45,7 @@
 	is.True(lines < 10_000)
 }
 
-// TestFailuresAreNotCrowdedOutByWhatWentWell: budgets are apart, a second long, and what
-// is left out is counted.
+// Budgets are separate and renewed every second, and dropped lines are counted.
 func TestFailuresAreNotCrowdedOutByWhatWentWell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -14,9 +14,9 @@
 	"github.com/rs/zerolog"
 )
 
-// LevelError is a log level that does not exist.
+// LevelError reports an unknown log level.
 type LevelError struct {
-	// Level is what was asked for.
+	// Level is the requested level.
 	Level string
 }
 
@@ -25,9 +25,8 @@
 	return fmt.Sprintf("log level %q: expected debug, info, warn or error", e.Level)
 }
 
-// codePlaceField is zerolog's name for a place in the code, which nothing here logs
-// and which its console writer writes in a form of its own. Its default, "caller", is
-// what a request's sender is called.
+// codePlaceField replaces zerolog's field name for code locations. Its default, "caller", is the
+// key of the sender of a request here, and the console writer would format that as a location.
 const codePlaceField = "code_place"
 
 func init() { zerolog.CallerFieldName = codePlaceField }
@@ -56,8 +55,8 @@
 	return logger, nil
 }
 
-// SetLevel has all loggers of the process leave out what is below a level, from now on;
-// a logger's own level holds as well. An empty level means info.
+// SetLevel sets the minimum level of all loggers of the process, in addition to the level of
+// each logger. An empty level means info.
 func SetLevel(level string) error {
 	if level == "" {
 		level = zerolog.LevelInfoValue
@@ -70,10 +69,10 @@
 	return nil
 }
 
-// timestamp puts the time on each event, in UTC with milliseconds.
+// timestamp is a hook that adds the time to each event, in UTC with milliseconds.
 type timestamp struct{}
 
-// TimeLayout is that of times in lines: RFC 3339 with milliseconds.
+// TimeLayout is the layout of times in lines, RFC 3339 with milliseconds.
 const TimeLayout = "2006-01-02T15:04:05.000Z07:00"
 
 // Run implements zerolog.Hook.
@@ -81,8 +80,8 @@
 	event.Str(zerolog.TimestampFieldName, time.Now().UTC().Format(TimeLayout))
 }
 
-// ServerErrors returns what net/http's server writes its errors to: one debug
-// event each, since strangers can cause any number of them.
+// ServerErrors returns a logger for the ErrorLog of net/http's server. Each error is a debug
+// event, since unauthenticated clients can cause any number of them.
 func ServerErrors(to zerolog.Logger) *log.Logger { return log.New(serverErrors{to}, "", 0) }
 
 type serverErrors struct{ to zerolog.Logger }
--- a/pkg/logging/logtest/lines.go
+++ b/pkg/logging/logtest/lines.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Lines collects what is written to it. The zero value is empty; it is safe for
+// Lines collects the lines that are written to it. The zero value is empty. It is safe for
 // concurrent use.
 type Lines struct {
 	mu   sync.Mutex
@@ -21,7 +21,7 @@
 	return l.text.Write(line)
 }
 
-// With returns the lines that hold all of the texts.
+// With returns the lines that contain all of the texts.
 func (l *Lines) With(texts ...string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,8 +34,8 @@
 	return found
 }
 
-// Has says whether there is a line that holds all of the texts.
+// Has reports whether a line contains all of the texts.
 func (l *Lines) Has(texts ...string) bool { return len(l.With(texts...)) > 0 }
 
-// Count is how many lines hold all of the texts.
+// Count returns the number of lines that contain all of the texts.
 func (l *Lines) Count(texts ...string) int { return len(l.With(texts...)) }
