--- a/pkg/telemetry/latency.go
+++ b/pkg/telemetry/latency.go
@@ -10,10 +10,10 @@
 
 // Range and precision of a Latency.
 const (
-	// longestLatency, in ms, is what longer ones count as.
+	// longestLatency is the upper bound in ms; longer times are recorded as this value.
 	longestLatency = 60_000
-	// latencyDigits is the precision in significant decimal digits: steps of about 6 %,
-	// in 1 to 2 KB a histogram.
+	// latencyDigits is the precision in significant decimal digits. One digit gives buckets
+	// about 6 % wide and 1 to 2 KB for a histogram.
 	latencyDigits = 1
 )
 
@@ -32,14 +32,14 @@
 	return &Latency{times: hdrhistogram.New(1, longestLatency, latencyDigits)}
 }
 
-// Add counts one time.
+// Add records one duration.
 func (l *Latency) Add(took time.Duration) { l.Update(took.Milliseconds()) }
 
 // Update implements metrics.Histogram.
 func (l *Latency) Update(ms int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// The value is within the range, so that it is always recorded.
+	// The value is clamped to the range, so that recording cannot fail.
 	_ = l.times.RecordValue(min(max(ms, 0), longestLatency))
 	l.sum += ms
 }
@@ -123,5 +123,5 @@
 	return values
 }
 
-// Sample implements metrics.Histogram: no single times are kept.
+// Sample implements metrics.Histogram. It is empty because single values are not retained.
 func (l *Latency) Sample() metrics.Sample { return metrics.NilSample{} }
--- a/pkg/telemetry/series.go
+++ b/pkg/telemetry/series.go
@@ -11,13 +11,13 @@
 // Label is one dimension of a metric.
 type Label struct{ Name, Value string }
 
-// overflow is the value of all labels of the one metric of a family that stands for
-// those for which there was no room.
+// overflow is the value of all labels of the metric that counts a family's label sets beyond
+// the limit.
 const overflow = "other"
 
-// Series hands out the labelled metrics of a registry, and bounds how many there are: a
-// metric too many is counted under labels with the value "other". It is safe for
-// concurrent use.
+// Series creates the labelled metrics of a registry and bounds their number. Label sets beyond
+// the limit share one metric for each family, whose labels have the value "other". It is safe
+// for concurrent use.
 type Series struct {
 	registry metrics.Registry
 	most     int
@@ -26,7 +26,7 @@
 	labels   map[string][]Label
 }
 
-// NewSeries returns Series with at most so many metrics.
+// NewSeries returns a Series with at most most metrics, not counting the shared ones.
 func NewSeries(registry metrics.Registry, most int) *Series {
 	return &Series{registry: registry, most: most, known: make(map[string]any), labels: make(map[string][]Label)}
 }
@@ -65,12 +65,11 @@
 	}
 	created := create()
 	s.known[name], s.labels[name] = created, labels
-	_ = s.registry.Register(name, created) // the name is new: known holds all
+	_ = s.registry.Register(name, created) // cannot fail, since known holds every registered name
 	return created
 }
 
-// Remove forgets all metrics with the label, for instance those of an upstream that is
-// gone.
+// Remove unregisters all metrics with the label, for instance those of a deregistered upstream.
 func (s *Series) Remove(label Label) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +93,7 @@
 	return others
 }
 
-// seriesName is a metric's name in the registry, with its labels as they are exposed.
+// seriesName returns the name of a metric in the registry, with its labels in exposition format.
 func seriesName(family string, labels []Label) string {
 	if len(labels) == 0 {
 		return family
--- a/pkg/telemetry/series_test.go
+++ b/pkg/telemetry/series_test.go
@@ -32,11 +32,10 @@
 	line := text[strings.Index(text, `lilacweir_first_ms{route="a",quantile="0.99"}`):]
 	_, err := fmt.Sscanf(line, `lilacweir_first_ms{route="a",quantile="0.99"} %f`, &p99)
 	is.NoErr(err)
-	is.True(p99 > 920 && p99 < 1060) // 990 within a bucket's width
+	is.True(p99 > 920 && p99 < 1060) // the exact value is 990; the bound is a bucket's width
 }
 
-// TestMetricsBeyondTheBoundAreCountedTogether: nothing is lost, and the number of
-// metrics stays bounded whatever labels come.
+// Guards against unbounded memory from arbitrary labels, and against lost counts.
 func TestMetricsBeyondTheBoundAreCountedTogether(t *testing.T) {
 	is := is.New(t)
 	registry := metrics.NewRegistry()
--- a/pkg/telemetry/telemetry.go
+++ b/pkg/telemetry/telemetry.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// Write writes every metric of the registry, sorted by name. Errors of w end it
-// silently: the reader has gone.
+// Write writes every metric of the registry, sorted by name. It ignores errors of w, which mean
+// that the client has disconnected.
 func Write(w io.Writer, registry metrics.Registry) {
 	named := make(map[string]any)
 	registry.Each(func(name string, metric any) { named[name] = metric })
@@ -43,8 +43,8 @@
 	}
 }
 
-// exposed splits a metric's name into that of its family, in the form of Prometheus, and
-// its labels without braces.
+// exposed splits a metric's name into the Prometheus name of its family and its labels without
+// braces.
 func exposed(name string) (family, labels string) {
 	family, labels, _ = strings.Cut(strings.TrimSuffix(name, "}"), "{")
 	return "lilacweir_" + strings.NewReplacer(".", "_", "-", "_").Replace(family), labels
@@ -69,7 +69,7 @@
 	}
 }
 
-// sample is one metric as it is exposed. The first of a family tells its type.
+// sample is one metric in exposition format. The first of a family writes the TYPE line.
 type sample struct {
 	family, labels string
 	first          bool
@@ -81,7 +81,8 @@
 	}
 }
 
-// name is the family's with a suffix, the labels and perhaps one label more.
+// name returns the family's name with a suffix, the labels and more, an additional label or
+// an empty string.
 func (s sample) name(suffix, more string) string {
 	labels := s.labels
 	if labels != "" && more != "" {
