--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace remembers the path of recent requests, in bounded memory, so that
-// operators can ask a gateway why a request ended as it did.
+// Package trace retains the paths of recent requests in bounded memory, so that operators can
+// query a gateway for the reason of a request's outcome.
 package trace
 
 import (
@@ -41,10 +41,10 @@
 	Outcome outcome.Outcome
 }
 
-// maxEvents bounds the events of one request; later ones replace the last.
+// maxEvents bounds the events of one request. Each later event replaces the last one.
 const maxEvents = 16
 
-// Record is the path of one request. One goroutine adds events; any may read.
+// Record is the path of one request. One goroutine adds events; any number may read.
 type Record struct {
 	ID    string
 	Start time.Time
@@ -73,7 +73,7 @@
 	return lines
 }
 
-// lineWidth fits an operator's phone.
+// lineWidth is the width of an operator's phone, in characters.
 const lineWidth = 40
 
 func line(event *Event) string {
@@ -90,7 +90,7 @@
 	return text
 }
 
-// Log holds the last requests. It is safe for concurrent use and takes no lock.
+// Log is a ring buffer of the last requests. It is lock-free and safe for concurrent use.
 type Log struct {
 	records []atomic.Pointer[Record]
 	next    atomic.Uint64
@@ -107,8 +107,8 @@
 	return record
 }
 
-// Find returns the newest record of a request. The ID may be as the caller gave
-// it, or in its scoped form.
+// Find returns the newest record of a request, or nil. The ID may be the caller's or its scoped
+// form.
 func (l *Log) Find(id string) *Record {
 	newest := l.next.Load()
 	size := uint64(len(l.records))
@@ -121,16 +121,16 @@
 	return nil
 }
 
-// ScopedID makes a request ID that a caller chose unique: neither another caller's
-// request with the same ID, nor the same caller's next try, can be taken for it.
+// ScopedID makes a request ID that a caller chose unique, so that it differs from the same ID of
+// another caller and from a retry by the same caller.
 func ScopedID(caller, id string, random uint64) string {
 	return caller + ScopeSeparator + id + ScopeSeparator + strconv.FormatUint(random%scopeRange, scopeBase)
 }
 
-// ScopeSeparator stands between the parts of a scoped ID. Callers' IDs do not hold it.
+// ScopeSeparator separates the parts of a scoped ID. Callers' IDs do not contain it.
 const ScopeSeparator = "~"
 
-// The random part of a scoped ID: six characters.
+// The random part of a scoped ID has six characters in base 36.
 const (
 	scopeBase  = 36
 	scopeRange = 36 * 36 * 36 * 36 * 36 * 36
