--- a/pkg/timeline/timeline.go
+++ b/pkg/timeline/timeline.go
@@ -1,5 +1,5 @@
-// Package timeline is virtual time for models of a deployment: what is to happen, in order.
-// It is used by one goroutine.
+// Package timeline is a discrete-event scheduler with virtual time, for simulations of a
+// deployment. It is not safe for concurrent use.
 package timeline
 
 import (
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// Epoch is when virtual time begins.
+// Epoch is the start of virtual time.
 var Epoch = time.Unix(1_000_000, 0)
 
-// Timeline is what is to happen, and when it is now. New makes one.
+// Timeline is the virtual time and the queue of pending events. New creates one.
 type Timeline struct {
 	now    time.Time
 	order  int
 	events events
 }
 
-// New returns a Timeline at Epoch on which nothing is to happen.
+// New returns a Timeline at Epoch without events.
 func New() Timeline { return Timeline{now: Epoch} }
 
-// Now is the time of what happens at present. It implements clock.Clock.
+// Now returns the time of the current event. It implements clock.Clock.
 func (t *Timeline) Now() time.Time { return t.now }
 
-// At has something happen at a time, after what was to happen then before.
+// At schedules do at a time, after the events already scheduled for that time.
 func (t *Timeline) At(when time.Time, do func()) {
 	t.order++
 	heap.Push(&t.events, event{at: when, order: t.order, do: do})
 }
 
-// After has something happen after a wait.
+// After schedules do after a delay.
 func (t *Timeline) After(wait time.Duration, do func()) { t.At(t.now.Add(wait), do) }
 
-// Every has something happen now and after each pause, the last time at end or before.
+// Every runs do now and at a fixed interval, the last time at or before end.
 func (t *Timeline) Every(pause time.Duration, end time.Time, do func()) {
 	do()
 	if !t.now.Add(pause).After(end) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// Run has everything happen, until nothing is left.
+// Run runs all events in order until none is left.
 func (t *Timeline) Run() {
 	for len(t.events) > 0 {
 		next := heap.Pop(&t.events).(event)
@@ -49,14 +49,14 @@
 	}
 }
 
-// event is something that happens at a time.
+// event is a function scheduled at a time. Events at the same time run in order of scheduling.
 type event struct {
 	at    time.Time
 	order int
 	do    func()
 }
 
-// events implements heap.Interface.
+// events is a min-heap that implements heap.Interface.
 type events []event
 
 func (e events) Len() int { return len(e) }
--- a/pkg/timeline/timeline_test.go
+++ b/pkg/timeline/timeline_test.go
@@ -7,7 +7,6 @@
 	"github.com/matryer/is"
 )
 
-// TestWhatIsDueAtOneTimeHappensInTheOrderInWhichItWasAsked.
 func TestWhatIsDueAtOneTimeHappensInTheOrderInWhichItWasAsked(t *testing.T) {
 	is := is.New(t)
 	line := New()
@@ -24,7 +23,6 @@
 	is.Equal(line.Now(), Epoch.Add(2*time.Second))
 }
 
-// TestEveryEndsAtItsEnd.
 func TestEveryEndsAtItsEnd(t *testing.T) {
 	is := is.New(t)
 	line, times := New(), 0
