--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -1,17 +1,17 @@
-// Package clock gives the decisions of lilacweir their notion of time, so that a
-// test, a benchmark or an outside driver can run them without waiting.
+// Package clock abstracts the time that lilacweir's decisions use, so that tests, benchmarks and
+// simulations run them without waiting.
 package clock
 
 import "time"
 
-// Clock tells the time. Implementations are safe for concurrent use.
+// Clock returns the current time. Implementations are safe for concurrent use.
 type Clock interface {
-	// Now returns the current time; values from one Clock may be compared and
+	// Now returns the current time. Values from one Clock may be compared and
 	// subtracted (the system clock carries a monotonic reading).
 	Now() time.Time
 }
 
-// System is the machine's clock.
+// System is the system clock.
 type System struct{}
 
 // Now implements Clock.
--- a/pkg/clock/sleep.go
+++ b/pkg/clock/sleep.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Sleep waits for d on the machine's clock, or until ctx ends; it reports whether
-// ctx lasted. It is for loops around decisions, not for decisions.
+// Sleep waits for d on the system clock or until ctx ends, and reports whether ctx is still
+// active. It is meant for loops around decisions; decisions themselves use a Clock.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
