--- a/pkg/logging/bounded.go
+++ b/pkg/logging/bounded.go
@@ -24,11 +24,11 @@
 	// failedBudget bounds the ends of those. In a total outage one instance refuses hundreds
 	// of requests a second, and an operator may look up any of them.
 	failedBudget = 400
-	// heldLines is the number of lines buffered for a stalled reader. Further lines are
+	// bufferedLines is the number of lines buffered for a stalled reader. Further lines are
 	// dropped and counted.
-	heldLines = 2000
-	// drainEvery is the interval at which buffered lines are written.
-	drainEvery = 20 * time.Millisecond
+	bufferedLines = 2000
+	// drainInterval is the interval at which buffered lines are written.
+	drainInterval = 20 * time.Millisecond
 )
 
 // Bounded writes lines within budgets and never blocks on a slow reader. Dropped lines are
@@ -42,7 +42,7 @@
 // NewBounded returns a Bounded that writes to w. Close writes the buffered lines.
 func NewBounded(w io.Writer) *Bounded {
 	b := &Bounded{good: budget{size: goodBudget}, steps: budget{size: stepBudget}, failed: budget{size: failedBudget}}
-	b.writer = diode.NewWriter(w, heldLines, drainEvery, func(missed int) { b.dropped.Add(int64(missed)) })
+	b.writer = diode.NewWriter(w, bufferedLines, drainInterval, func(missed int) { b.dropped.Add(int64(missed)) })
 	return b
 }
 
@@ -61,19 +61,19 @@
 // Failed returns the budget of failures and of the ends of such requests.
 func (b *Bounded) Failed() zerolog.Sampler { return &b.failed }
 
-// tellEvery is the interval at which the counts of dropped lines are logged.
-const tellEvery = 5 * time.Second
+// reportInterval is the interval at which the counts of dropped lines are logged.
+const reportInterval = 5 * time.Second
 
 // Run logs the counts of dropped lines until ctx ends.
 func (b *Bounded) Run(ctx context.Context, log zerolog.Logger) {
-	for clock.Sleep(ctx, tellEvery) {
-		b.tell(log)
+	for clock.Sleep(ctx, reportInterval) {
+		b.report(log)
 	}
-	b.tell(log)
+	b.report(log)
 }
 
-func (b *Bounded) tell(log zerolog.Logger) {
-	good, steps, failed := b.good.over.Swap(0), b.steps.over.Swap(0), b.failed.over.Swap(0)
+func (b *Bounded) report(log zerolog.Logger) {
+	good, steps, failed := b.good.excess.Swap(0), b.steps.excess.Swap(0), b.failed.excess.Swap(0)
 	dropped := b.dropped.Swap(0)
 	if good+steps+failed+dropped > 0 {
 		log.Warn().Int64(event.KeyGood, good).Int64(event.KeySteps, steps).Int64(event.KeyFailed, failed).
@@ -84,7 +84,7 @@
 // budget permits size lines in each second and counts the lines over it.
 type budget struct {
 	size   int
-	over   atomic.Int64
+	excess atomic.Int64
 	mu     sync.Mutex
 	second int64
 	used   int
@@ -92,14 +92,14 @@
 
 // Sample implements zerolog.Sampler.
 func (b *budget) Sample(zerolog.Level) bool {
-	if b.take(time.Now()) {
+	if b.allow(time.Now()) {
 		return true
 	}
-	b.over.Add(1)
+	b.excess.Add(1)
 	return false
 }
 
-func (b *budget) take(now time.Time) bool {
+func (b *budget) allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if second := now.Unix(); second != b.second {
--- a/pkg/logging/bounded_test.go
+++ b/pkg/logging/bounded_test.go
@@ -13,14 +13,14 @@
 	"github.com/lilacweir/lilacweir/pkg/logging"
 )
 
-// stalled is a writer that blocks until it is released.
-type stalled struct {
+// stalledWriter is a writer that blocks until it is released.
+type stalledWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	text    strings.Builder
 }
 
-func (s *stalled) Write(line []byte) (int, error) {
+func (s *stalledWriter) Write(line []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,9 +29,9 @@
 
 // Writes more lines than the buffer holds while the reader is stalled. No call blocks, and the
 // excess is dropped.
-func TestAReaderThatStalledHoldsNoOneUp(t *testing.T) {
+func TestStalledReaderDoesNotBlockWriters(t *testing.T) {
 	is := is.New(t)
-	reader := &stalled{release: make(chan struct{})}
+	reader := &stalledWriter{release: make(chan struct{})}
 	bounded := logging.NewBounded(reader)
 	log, err := logging.New(bounded, "test", "n-1", "info")
 	is.NoErr(err)
@@ -46,7 +46,7 @@
 }
 
 // Budgets are separate and renewed every second, and dropped lines are counted.
-func TestFailuresAreNotCrowdedOutByWhatWentWell(t *testing.T) {
+func TestSuccessLinesDoNotUseTheBudgetOfFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var text strings.Builder
--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -25,11 +25,11 @@
 	return fmt.Sprintf("log level %q: expected debug, info, warn or error", e.Level)
 }
 
-// codePlaceField replaces zerolog's field name for code locations. Its default, "caller", is the
+// codeLocationField replaces zerolog's field name for code locations. Its default, "caller", is the
 // key of the sender of a request here, and the console writer would format that as a location.
-const codePlaceField = "code_place"
+const codeLocationField = "code_place"
 
-func init() { zerolog.CallerFieldName = codePlaceField }
+func init() { zerolog.CallerFieldName = codeLocationField }
 
 // New returns a logger that writes key=value lines to w. An empty level means info.
 func New(w io.Writer, program, instance, level string) (zerolog.Logger, error) {
--- a/pkg/logging/logging_test.go
+++ b/pkg/logging/logging_test.go
@@ -30,7 +30,7 @@
 	is.Equal(levelError.Level, "loud")
 }
 
-func TestCallerIsAPairToo(t *testing.T) {
+func TestCallerIsWrittenAsAPair(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	log, err := logging.New(&out, "gateway", "kal-1", "")
