--- a/pkg/telemetry/latency.go
+++ b/pkg/telemetry/latency.go
@@ -10,8 +10,8 @@
 
 // Range and precision of a Latency.
 const (
-	// longestLatency is the upper bound in ms; longer times are recorded as this value.
-	longestLatency = 60_000
+	// maxLatencyMS is the upper bound in ms; longer times are recorded as this value.
+	maxLatencyMS = 60_000
 	// latencyDigits is the precision in significant decimal digits. One digit gives buckets
 	// about 6 % wide and 1 to 2 KB for a histogram.
 	latencyDigits = 1
@@ -29,7 +29,7 @@
 
 // NewLatency returns an empty Latency.
 func NewLatency() *Latency {
-	return &Latency{times: hdrhistogram.New(1, longestLatency, latencyDigits)}
+	return &Latency{times: hdrhistogram.New(1, maxLatencyMS, latencyDigits)}
 }
 
 // Add records one duration.
@@ -40,7 +40,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// The value is clamped to the range, so that recording cannot fail.
-	_ = l.times.RecordValue(min(max(ms, 0), longestLatency))
+	_ = l.times.RecordValue(min(max(ms, 0), maxLatencyMS))
 	l.sum += ms
 }
 
--- a/pkg/telemetry/series.go
+++ b/pkg/telemetry/series.go
@@ -19,53 +19,53 @@
 // the limit share one metric for each family, whose labels have the value "other". It is safe
 // for concurrent use.
 type Series struct {
-	registry metrics.Registry
-	most     int
-	mu       sync.RWMutex
-	known    map[string]any
-	labels   map[string][]Label
+	registry   metrics.Registry
+	maxMetrics int
+	mu         sync.RWMutex
+	registered map[string]any
+	labels     map[string][]Label
 }
 
-// NewSeries returns a Series with at most most metrics, not counting the shared ones.
-func NewSeries(registry metrics.Registry, most int) *Series {
-	return &Series{registry: registry, most: most, known: make(map[string]any), labels: make(map[string][]Label)}
+// NewSeries returns a Series with at most maxMetrics metrics, plus the shared ones.
+func NewSeries(registry metrics.Registry, maxMetrics int) *Series {
+	return &Series{registry: registry, maxMetrics: maxMetrics, registered: make(map[string]any), labels: make(map[string][]Label)}
 }
 
 // Counter returns the family's counter with the labels.
 func (s *Series) Counter(family string, labels ...Label) metrics.Counter {
-	return find(s, family, labels, metrics.NewCounter)
+	return getOrCreate(s, family, labels, metrics.NewCounter)
 }
 
 // Gauge returns the family's gauge with the labels.
 func (s *Series) Gauge(family string, labels ...Label) metrics.Gauge {
-	return find(s, family, labels, metrics.NewGauge)
+	return getOrCreate(s, family, labels, metrics.NewGauge)
 }
 
 // Latency returns the family's histogram with the labels.
 func (s *Series) Latency(family string, labels ...Label) *Latency {
-	return find(s, family, labels, NewLatency)
+	return getOrCreate(s, family, labels, NewLatency)
 }
 
-func find[M any](s *Series, family string, labels []Label, create func() M) M {
+func getOrCreate[M any](s *Series, family string, labels []Label, create func() M) M {
 	name := seriesName(family, labels)
 	s.mu.RLock()
-	found, ok := s.known[name]
+	found, ok := s.registered[name]
 	s.mu.RUnlock()
 	if ok {
 		return found.(M)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.known) >= s.most && s.known[name] == nil {
-		labels = overflowed(labels)
+	if len(s.registered) >= s.maxMetrics && s.registered[name] == nil {
+		labels = overflowLabels(labels)
 		name = seriesName(family, labels)
 	}
-	if found, ok := s.known[name]; ok {
+	if found, ok := s.registered[name]; ok {
 		return found.(M)
 	}
 	created := create()
-	s.known[name], s.labels[name] = created, labels
-	_ = s.registry.Register(name, created) // cannot fail, since known holds every registered name
+	s.registered[name], s.labels[name] = created, labels
+	_ = s.registry.Register(name, created) // cannot fail, since s.registered holds every registered name
 	return created
 }
 
@@ -77,7 +77,7 @@
 		for _, has := range labels {
 			if has == label {
 				s.registry.Unregister(name)
-				delete(s.known, name)
+				delete(s.registered, name)
 				delete(s.labels, name)
 				break
 			}
@@ -85,12 +85,12 @@
 	}
 }
 
-func overflowed(labels []Label) []Label {
-	others := make([]Label, len(labels))
+func overflowLabels(labels []Label) []Label {
+	replaced := make([]Label, len(labels))
 	for i, label := range labels {
-		others[i] = Label{Name: label.Name, Value: overflow}
+		replaced[i] = Label{Name: label.Name, Value: overflow}
 	}
-	return others
+	return replaced
 }
 
 // seriesName returns the name of a metric in the registry, with its labels in exposition format.
--- a/pkg/telemetry/series_test.go
+++ b/pkg/telemetry/series_test.go
@@ -52,7 +52,7 @@
 	is.Equal(total, int64(500))
 }
 
-func TestRemoveForgetsWhatIsGone(t *testing.T) {
+func TestRemoveUnregistersLabelledMetrics(t *testing.T) {
 	is := is.New(t)
 	registry := metrics.NewRegistry()
 	series := telemetry.NewSeries(registry, 10)
--- a/pkg/telemetry/telemetry.go
+++ b/pkg/telemetry/telemetry.go
@@ -37,15 +37,15 @@
 	sort.Strings(names)
 	last := ""
 	for _, name := range names {
-		family, labels := exposed(name)
+		family, labels := splitName(name)
 		write(w, sample{family: family, labels: labels, first: family != last}, named[name])
 		last = family
 	}
 }
 
-// exposed splits a metric's name into the Prometheus name of its family and its labels without
+// splitName splits a metric's name into the Prometheus name of its family and its labels without
 // braces.
-func exposed(name string) (family, labels string) {
+func splitName(name string) (family, labels string) {
 	family, labels, _ = strings.Cut(strings.TrimSuffix(name, "}"), "{")
 	return "lilacweir_" + strings.NewReplacer(".", "_", "-", "_").Replace(family), labels
 }
@@ -81,14 +81,14 @@
 	}
 }
 
-// name returns the family's name with a suffix, the labels and more, an additional label or
+// name returns the family's name with a suffix, the labels and extra, an additional label or
 // an empty string.
-func (s sample) name(suffix, more string) string {
+func (s sample) name(suffix, extra string) string {
 	labels := s.labels
-	if labels != "" && more != "" {
+	if labels != "" && extra != "" {
 		labels += ","
 	}
-	if labels += more; labels == "" {
+	if labels += extra; labels == "" {
 		return s.family + suffix
 	}
 	return s.family + suffix + "{" + labels + "}"
