--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -55,8 +55,8 @@
 
 // Add appends an event.
 func (r *Record) Add(event Event) {
-	at := min(r.count, maxEvents-1)
-	r.events[at].Store(&event)
+	index := min(r.count, maxEvents-1)
+	r.events[index].Store(&event)
 	r.count++
 }
 
@@ -102,8 +102,8 @@
 // Begin adds a request.
 func (l *Log) Begin(id string, start time.Time) *Record {
 	record := &Record{ID: id, Start: start}
-	at := (l.next.Add(1) - 1) % uint64(len(l.records))
-	l.records[at].Store(record)
+	index := (l.next.Add(1) - 1) % uint64(len(l.records))
+	l.records[index].Store(record)
 	return record
 }
 
--- a/pkg/trace/trace_test.go
+++ b/pkg/trace/trace_test.go
@@ -21,7 +21,7 @@
 	is.True(log.Find("r5") != nil)
 }
 
-func TestFindTakesCallersForm(t *testing.T) {
+func TestFindByCallerIDOrScopedID(t *testing.T) {
 	is := is.New(t)
 	log := trace.NewLog(4)
 	log.Begin(trace.ScopedID("clinic", "42", 7), time.Now())
