--- a/pkg/timeline/timeline.go
+++ b/pkg/timeline/timeline.go
@@ -12,9 +12,9 @@
 
 // Timeline is the virtual time and the queue of pending events. New creates one.
 type Timeline struct {
-	now    time.Time
-	order  int
-	events events
+	now      time.Time
+	sequence int
+	events   events
 }
 
 // New returns a Timeline at Epoch without events.
@@ -25,18 +25,18 @@
 
 // At schedules do at a time, after the events already scheduled for that time.
 func (t *Timeline) At(when time.Time, do func()) {
-	t.order++
-	heap.Push(&t.events, event{at: when, order: t.order, do: do})
+	t.sequence++
+	heap.Push(&t.events, event{at: when, sequence: t.sequence, do: do})
 }
 
 // After schedules do after a delay.
-func (t *Timeline) After(wait time.Duration, do func()) { t.At(t.now.Add(wait), do) }
+func (t *Timeline) After(delay time.Duration, do func()) { t.At(t.now.Add(delay), do) }
 
 // Every runs do now and at a fixed interval, the last time at or before end.
-func (t *Timeline) Every(pause time.Duration, end time.Time, do func()) {
+func (t *Timeline) Every(interval time.Duration, end time.Time, do func()) {
 	do()
-	if !t.now.Add(pause).After(end) {
-		t.After(pause, func() { t.Every(pause, end, do) })
+	if !t.now.Add(interval).After(end) {
+		t.After(interval, func() { t.Every(interval, end, do) })
 	}
 }
 
@@ -51,9 +51,9 @@
 
 // event is a function scheduled at a time. Events at the same time run in order of scheduling.
 type event struct {
-	at    time.Time
-	order int
-	do    func()
+	at       time.Time
+	sequence int
+	do       func()
 }
 
 // events is a min-heap that implements heap.Interface.
@@ -62,7 +62,7 @@
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
-		return e[i].order < e[j].order
+		return e[i].sequence < e[j].sequence
 	}
 	return e[i].at.Before(e[j].at)
 }
--- a/pkg/timeline/timeline_test.go
+++ b/pkg/timeline/timeline_test.go
@@ -7,27 +7,27 @@
 	"github.com/matryer/is"
 )
 
-func TestWhatIsDueAtOneTimeHappensInTheOrderInWhichItWasAsked(t *testing.T) {
+func TestEventsAtOneTimeRunInSchedulingOrder(t *testing.T) {
 	is := is.New(t)
-	line := New()
+	timeline := New()
 	var seen []string
-	note := func(what string) func() { return func() { seen = append(seen, what) } }
-	line.After(2*time.Second, note("later"))
-	line.After(time.Second, func() {
-		note("first")()
-		line.After(time.Second, note("last"))
+	record := func(name string) func() { return func() { seen = append(seen, name) } }
+	timeline.After(2*time.Second, record("later"))
+	timeline.After(time.Second, func() {
+		record("first")()
+		timeline.After(time.Second, record("last"))
 	})
-	line.After(time.Second, note("second"))
-	line.Run()
+	timeline.After(time.Second, record("second"))
+	timeline.Run()
 	is.Equal(seen, []string{"first", "second", "later", "last"})
-	is.Equal(line.Now(), Epoch.Add(2*time.Second))
+	is.Equal(timeline.Now(), Epoch.Add(2*time.Second))
 }
 
-func TestEveryEndsAtItsEnd(t *testing.T) {
+func TestEveryStopsAtItsEnd(t *testing.T) {
 	is := is.New(t)
-	line, times := New(), 0
-	line.Every(time.Second, Epoch.Add(3500*time.Millisecond), func() { times++ })
-	line.Run()
-	is.Equal(times, 4)
-	is.Equal(line.Now(), Epoch.Add(3*time.Second))
+	timeline, count := New(), 0
+	timeline.Every(time.Second, Epoch.Add(3500*time.Millisecond), func() { count++ })
+	timeline.Run()
+	is.Equal(count, 4)
+	is.Equal(timeline.Now(), Epoch.Add(3*time.Second))
 }
