--- a/pkg/event/event_test.go
+++ b/pkg/event/event_test.go
@@ -54,7 +54,7 @@
 }
 
 // Parsers of the log know only the constants of this package.
-func TestNoLineNamesItsEventOrKeysItself(t *testing.T) {
+func TestEventsAndKeysAreNotStringLiterals(t *testing.T) {
 	for _, directory := range loggers {
 		files, err := filepath.Glob(filepath.Join("..", "..", directory, "*.go"))
 		is.New(t).NoErr(err)
