--- a/pkg/platform/access/access.go
+++ b/pkg/platform/access/access.go
@@ -1,5 +1,5 @@
-// Package access makes the adapters of the platform's services from the settings:
-// addresses, certificates and credentials.
+// Package access creates the adapters of the platform's services from the addresses,
+// certificates and credentials in the settings.
 package access
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/lilacweir/lilacweir/pkg/settings"
 )
 
-// Services are the platform's; those that the settings don't name are nil.
+// Services are the adapters of the platform's services. A service without settings is nil.
 type Services struct {
 	KeyValue  *etcd.Client
 	Directory platform.Directory
@@ -18,15 +18,15 @@
 	Weights   platform.WeightStore
 }
 
-// opener reads what the settings name.
+// opener loads the certificates and secrets that the settings name.
 type opener struct {
 	store *credential.Store
 	dial  credential.Dial
-	// err is the first failure.
+	// err is the first error.
 	err error
 }
 
-// Open makes all adapters; they connect at the first call. The error is a
+// Open creates all adapters. They connect at the first call. The error is a
 // *credential.FileError.
 func Open(store *credential.Store, named settings.Platform, dial credential.Dial) (Services, error) {
 	o := &opener{store: store, dial: dial}
@@ -43,7 +43,7 @@
 	return services, o.err
 }
 
-// KeyValue makes the adapter of the key-value service alone.
+// KeyValue creates only the adapter of the key-value service.
 func KeyValue(store *credential.Store, named settings.Platform, dial credential.Dial) (*etcd.Client, error) {
 	o := &opener{store: store, dial: dial}
 	return o.keyValue(named), o.err
@@ -65,7 +65,7 @@
 	return rest.Access{TLS: o.client(named.TLS), Token: o.secret(named.TokenFile)}
 }
 
-// client returns nil for plain text.
+// client returns the TLS client, or nil for plain text.
 func (o *opener) client(named settings.ClientTLS) *credential.Client {
 	if named.Authority == "" {
 		return nil
@@ -83,7 +83,7 @@
 	return client
 }
 
-// secret returns nil when no file is named.
+// secret returns a function that reads the current secret, or nil if no file is named.
 func (o *opener) secret(file string) func() string {
 	if file == "" {
 		return nil
--- a/pkg/platform/etcd/auth.go
+++ b/pkg/platform/etcd/auth.go
@@ -11,11 +11,11 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/etcd/wire"
 )
 
-// AuthenticationError: the service gave no token.
+// AuthenticationError reports that no token could be obtained from the service.
 type AuthenticationError struct {
-	// User is who asked.
+	// User is the user that requested the token.
 	User string
-	// Err is the cause; it holds no password.
+	// Err is the cause. It contains no password.
 	Err error
 }
 
@@ -27,18 +27,18 @@
 // Unwrap returns the cause.
 func (e *AuthenticationError) Unwrap() error { return e.Err }
 
-// session keeps the token of the user.
+// session caches the user's token.
 type session struct {
-	// asking is held while the token is read or asked for; waiting for it ends with
-	// the call's context.
+	// asking guards token, also while a new one is requested. It is a semaphore so that
+	// waiting for it ends with the call's context.
 	asking *semaphore.Weighted
 	token  string
 }
 
 func newSession() session { return session{asking: semaphore.NewWeighted(1)} }
 
-// authorized runs one exchange with the endpoint. When its token is refused, so
-// that nothing was run, it runs once more with a new one.
+// authorized runs one exchange with the endpoint. If the service rejects the token, so
+// that nothing was run, it retries once with a new token.
 func (c *Client) authorized(ctx context.Context, index int, exchange func(token string) error) error {
 	if c.options.User == "" {
 		return exchange("")
@@ -57,8 +57,8 @@
 	return exchange(token)
 }
 
-// token returns the present token, and asks for a new one when there is none or
-// the present one is the refused one.
+// token returns the cached token. It requests a new one if there is none or the cached
+// one is the refused one.
 func (c *Client) token(ctx context.Context, index int, refused string) (string, error) {
 	if err := c.session.asking.Acquire(ctx, 1); err != nil {
 		return "", &AuthenticationError{User: c.options.User, Err: err}
@@ -92,11 +92,11 @@
 	return answer.Token, nil
 }
 
-// ErrNoToken: the service accepted the password and gave no token.
+// ErrNoToken means that the service accepted the password but returned no token.
 var ErrNoToken = errors.New("no token in the answer")
 
-// refusesToken tells a token that the service does not know, or that was given out
-// under earlier permissions, from other failures. Nothing was run then.
+// refusesToken reports whether the service rejected the token because it is unknown or was
+// issued for an older revision of the permissions. Nothing was run then.
 func refusesToken(err error) bool {
 	var status *StatusError
 	if !errors.As(err, &status) {
--- a/pkg/platform/etcd/auth_test.go
+++ b/pkg/platform/etcd/auth_test.go
@@ -98,7 +98,7 @@
 	changes, err := client.Watch(ctx, "head", revision)
 	is.NoErr(err)
 	is.Equal(string((<-changes).Value), "two")
-	is.Equal(p.service.Counts().Txn, int64(2)) // nothing ran that was refused
+	is.Equal(p.service.Counts().Txn, int64(2)) // the rejected calls did not run
 }
 
 func TestCallsThatThePlatformOrWeRefuse(t *testing.T) {
--- a/pkg/platform/etcd/client.go
+++ b/pkg/platform/etcd/client.go
@@ -1,9 +1,9 @@
-// Package etcd adapts platform.KeyValue to the published JSON form of etcd's v3
-// API over HTTP.
+// Package etcd implements platform.KeyValue with the JSON gateway of etcd's v3 API
+// over HTTP.
 //
-// Guarantees: every call ends by its deadline; a write is sent to a second
-// endpoint only when no byte of it left for the first; a write whose answer was
-// lost is platform.ErrUnavailable.
+// Every call ends by its deadline. A write is sent to a second endpoint only if no
+// byte of it was sent to the first. A write without an answer fails with
+// platform.ErrUnavailable.
 package etcd
 
 import (
@@ -23,15 +23,15 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/etcd/wire"
 )
 
-// Bounds of a client whose options are silent.
+// Default and fixed bounds of a client.
 const (
 	// DefaultCallTimeout bounds each call that is not a watch.
 	DefaultCallTimeout = 2 * time.Second
-	// DefaultWatchIdle is how long a watch may be silent before it is opened anew:
-	// a connection that was cut without a sign looks the same.
+	// DefaultWatchIdle is the time without a message after which a watch is reopened,
+	// since an idle watch cannot be told from a connection that was lost silently.
 	DefaultWatchIdle = 4 * time.Second
-	// maxAnswer bounds an answer that is read, in bytes: a value of a megabyte in
-	// base64 and a transaction's worth of room.
+	// maxAnswer bounds the size of an answer in bytes. It fits a value of a megabyte in
+	// base64 and leaves space for a transaction.
 	maxAnswer = 8 << 20
 	// idleConnections bounds the connections kept for each endpoint.
 	idleConnections = 8
@@ -42,16 +42,16 @@
 
 // Options of a client.
 type Options struct {
-	// Endpoints lists the service's host:port addresses; one at least.
+	// Endpoints lists the service's host:port addresses, at least one.
 	Endpoints []string
-	// Prefix is put before every key and taken off every key that is returned.
+	// Prefix is prepended to every key and trimmed from every returned key.
 	Prefix string
-	// Dial makes all connections.
+	// Dial opens all connections.
 	Dial credential.Dial
-	// TLS makes the connections secure; nil means plain text.
+	// TLS secures the connections; nil means plain text.
 	TLS *credential.Client
-	// User is who asks for tokens; empty means that the service asks for none.
-	// Password returns the user's present password.
+	// User is the user that requests tokens, or empty if the service requires none.
+	// Password returns the user's current password.
 	User     string
 	Password func() string
 	// CallTimeout and WatchIdle default to the package's constants.
@@ -64,13 +64,13 @@
 	http    *http.Client
 	scheme  string
 	session session
-	// preferred is the index of the endpoint that answered last.
+	// preferred is the index of the endpoint that is tried first.
 	preferred atomic.Int64
 }
 
 var _ platform.KeyValue = (*Client)(nil)
 
-// New returns a client; it connects at the first call.
+// New returns a client. It connects at the first call.
 func New(options Options) *Client {
 	if options.CallTimeout == 0 {
 		options.CallTimeout = DefaultCallTimeout
@@ -92,14 +92,14 @@
 	return client
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// StatusError is an answer other than 200.
+// StatusError reports a response with a status other than 200, or an error in a stream.
 type StatusError struct {
 	// Status is the HTTP status, Code the gRPC code.
 	Status, Code int
-	// Message is the service's.
+	// Message is the service's error message.
 	Message string
 }
 
@@ -108,8 +108,8 @@
 	return fmt.Sprintf("status %d, code %d: %s", e.Status, e.Code, e.Message)
 }
 
-// call posts one message and decodes the answer. A read that an endpoint did not
-// answer is tried at the next; a write only when the connection was not made.
+// call posts one message and decodes the answer. A read that an endpoint did not answer
+// is retried at the next one, a write only if the connection could not be opened.
 func (c *Client) call(ctx context.Context, name, path string, write bool, ask, answer any) error {
 	body, err := json.Marshal(ask)
 	if err != nil {
@@ -168,7 +168,7 @@
 	if token != "" {
 		request.Header.Set("Authorization", token)
 	}
-	// The transport repeats a POST by itself only when none of it was written.
+	// The transport retries a POST by itself only if no byte of it was written.
 	response, err := c.http.Do(request)
 	if err != nil {
 		return nil, fmt.Errorf("exchange: %w", err)
@@ -189,7 +189,7 @@
 	return &StatusError{Status: response.StatusCode, Code: message.Code, Message: message.Message}
 }
 
-// classify puts one of the platform's errors around a cause.
+// classify wraps a cause in one of the errors of package platform.
 func classify(err error) error {
 	var status *StatusError
 	if errors.As(err, &status) {
--- a/pkg/platform/etcd/client_test.go
+++ b/pkg/platform/etcd/client_test.go
@@ -19,10 +19,10 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/kv"
 )
 
-// shortTimeout keeps tests of lost calls short.
+// shortTimeout keeps tests that wait for a timeout short.
 const shortTimeout = 100 * time.Millisecond
 
-// manualClock is a clock that a test moves.
+// manualClock is a clock that a test advances.
 type manualClock struct{ nanos atomic.Int64 }
 
 func (m *manualClock) Now() time.Time          { return time.Unix(0, m.nanos.Load()) }
@@ -63,7 +63,7 @@
 	first, err := client.Swap(ctx, map[string]int64{"head": 0}, put("head", "one"))
 	is.NoErr(err)
 	_, err = client.Swap(ctx, map[string]int64{"head": 0}, put("head", "two"))
-	is.True(errors.Is(err, platform.ErrConflict)) // the key is there by now
+	is.True(errors.Is(err, platform.ErrConflict)) // the key exists by now
 	both := append(put("head", "three"), put("audit/1", "a")...)
 	second, err := client.Swap(ctx, map[string]int64{"head": first, "audit/1": 0}, both)
 	is.NoErr(err)
@@ -103,7 +103,7 @@
 	service, address := start(t, clock.System{}, 1000)
 	_, spare := start(t, clock.System{}, 1000)
 	client := connect(t, etcd.Options{Endpoints: []string{address, spare}})
-	_, _, err := client.Get(t.Context(), "head") // so that the lost write has a warm connection
+	_, _, err := client.Get(t.Context(), "head") // opens the connection for the lost write
 	is.NoErr(err)
 
 	service.LoseAnswers(1)
@@ -153,11 +153,11 @@
 	is.NoErr(err)
 }
 
-// deadlyDialer makes connections that can be made to bring nothing any more.
+// deadlyDialer opens connections that can be made to deliver no more data.
 type deadlyDialer struct {
 	mu    sync.Mutex
 	conns []*deadlyConn
-	// all says that new connections bring nothing either.
+	// all reports whether new connections deliver no data either.
 	all bool
 }
 
@@ -181,7 +181,7 @@
 	return deadly, nil
 }
 
-// kill silences the connections that were made, and with all also new ones.
+// kill stops all open connections from delivering data, and new ones too if all is set.
 func (d *deadlyDialer) kill(all bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -219,11 +219,11 @@
 		dialer.kill(false)
 		_, err = other.Swap(t.Context(), nil, put("head", value))
 		is.NoErr(err)
-		is.Equal(string((<-changes).Value), value) // once, although its connection is dead
+		is.Equal(string((<-changes).Value), value) // delivered once, although its connection is dead
 	}
 	dialer.kill(true)
 	_, open := <-changes
-	is.True(!open) // the service can't be reached: the owner is told
+	is.True(!open) // the service is unreachable, so the watch ends
 }
 
 func TestWatchAndCompaction(t *testing.T) {
@@ -240,7 +240,7 @@
 	service.Compact()
 
 	_, err = client.Watch(ctx, "head", first)
-	is.True(errors.Is(err, platform.ErrCompacted)) // it did change since
+	is.True(errors.Is(err, platform.ErrCompacted)) // the key has changed since
 	unchanged, err := client.Watch(ctx, "head", last)
 	is.NoErr(err)
 	absent, err := client.Watch(ctx, "absent", 0)
@@ -269,7 +269,7 @@
 	is.NoErr(err)
 	is.Equal(left, 5*time.Second) // the service counts in whole seconds
 	now.advance(5 * time.Second)
-	is.Equal((<-changes).CreateRevision, int64(0)) // the watch is told without any call
+	is.Equal((<-changes).CreateRevision, int64(0)) // the watch reports the expiry without any call
 
 	_, err = client.KeepAlive(ctx, lease)
 	is.True(errors.Is(err, platform.ErrLeaseLost))
@@ -300,7 +300,7 @@
 	gone := closed.Listener.Addr().String()
 	closed.Close()
 	client := connect(t, etcd.Options{Endpoints: []string{gone, address}})
-	_, err := client.Swap(t.Context(), nil, put("head", "one")) // never left for the first endpoint
+	_, err := client.Swap(t.Context(), nil, put("head", "one")) // the write was never sent to the first endpoint
 	is.NoErr(err)
 	is.Equal(service.Counts().Txn, int64(1))
 }
@@ -308,7 +308,7 @@
 func TestRatesAndSizesAreBounded(t *testing.T) {
 	is := is.New(t)
 	service, address := start(t, clock.System{}, 1)
-	// A megabyte takes seconds on a busy machine: what is judged is what the service refuses.
+	// A megabyte takes seconds on a busy machine, and only the service's refusals count here.
 	client := connect(t, etcd.Options{Endpoints: []string{address}, CallTimeout: time.Minute})
 	largest := bytes.Repeat([]byte{'x'}, 1<<20)
 	_, err := client.Swap(t.Context(), nil, []platform.Put{{Key: "head", Value: largest}})
--- a/pkg/platform/etcd/keyvalue.go
+++ b/pkg/platform/etcd/keyvalue.go
@@ -75,8 +75,8 @@
 	return steps
 }
 
-// Grant implements platform.KeyValue. The service counts in whole seconds; ttl
-// is rounded up.
+// Grant implements platform.KeyValue. The service counts in whole seconds, so ttl is
+// rounded up.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (platform.LeaseID, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	var answer wire.LeaseResponse
--- a/pkg/platform/etcd/watch.go
+++ b/pkg/platform/etcd/watch.go
@@ -13,14 +13,14 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/etcd/wire"
 )
 
-// Watch implements platform.KeyValue. A removed key is sent as an entry with
-// neither value nor CreateRevision.
+// Watch implements platform.KeyValue. A deleted key is sent as an entry with neither
+// value nor CreateRevision.
 //
-// After Options.WatchIdle without a message the watch is opened anew, from where
-// it was: a change that was lost on a dead connection comes then. The channel
-// closes when that fails, so a service that can't be reached is noticed within
-// WatchIdle and CallTimeout. A key that did not change since the revision can be
-// watched although the service has compacted its history meanwhile.
+// After Options.WatchIdle without a message the watch is reopened at the next revision,
+// which delivers changes that were lost on a dead connection. The channel is closed if
+// that fails, so an unreachable service is detected within WatchIdle plus CallTimeout. A
+// key that did not change since the revision can be watched even if the service has
+// compacted its history since then.
 func (c *Client) Watch(ctx context.Context, key string, after int64) (<-chan platform.Entry, error) {
 	w := &watch{client: c, key: c.full(key), next: after + 1, entries: make(chan platform.Entry)}
 	first, err := w.open(ctx)
@@ -31,7 +31,7 @@
 	return w.entries, nil
 }
 
-// watch is one key's watch over the streams that carry it.
+// watch is the watch of one key over successive streams.
 type watch struct {
 	client  *Client
 	key     []byte
@@ -52,8 +52,8 @@
 	_ = s.response.Body.Close()
 }
 
-// open opens a stream from the next revision on. When the service has compacted
-// that away, it asks whether the key changed since.
+// open opens a stream from the next revision on. If the service has compacted that
+// revision, it checks whether the key has changed since.
 func (w *watch) open(ctx context.Context) (*stream, error) {
 	opened, err := w.openAt(ctx)
 	var status *StatusError
@@ -71,7 +71,7 @@
 	return w.openAt(ctx)
 }
 
-// probe returns the service's revision, and whether the key is as it was.
+// probe returns the service's revision and whether the key is unchanged.
 func (w *watch) probe(ctx context.Context) (revision int64, unchanged bool, err error) {
 	ask := wire.RangeRequest{Key: w.key, KeysOnly: true}
 	var answer wire.RangeResponse
@@ -84,7 +84,7 @@
 	return answer.Header.Revision, answer.KVs[0].ModRevision < w.next, nil
 }
 
-// openAt opens a stream and waits until the service says that it stands.
+// openAt opens a stream and waits until the service confirms the watch.
 func (w *watch) openAt(ctx context.Context) (*stream, error) {
 	ask := wire.WatchRequest{Create: wire.WatchCreate{Key: w.key, StartRevision: w.next}}
 	body, err := json.Marshal(ask)
@@ -106,8 +106,8 @@
 	return opened, nil
 }
 
-// begin posts a watch and reads its first message. After a failure the next
-// endpoint is preferred.
+// begin posts a watch and reads its first message. If the request fails, the next endpoint
+// becomes the preferred one.
 func (c *Client) begin(ctx context.Context, body []byte) (*stream, error) {
 	index := int(c.preferred.Load())
 	var begun *stream
@@ -123,7 +123,7 @@
 	return begun, err
 }
 
-// beginStream reads the first message of a watch's stream.
+// beginStream reads the first message of a stream.
 func beginStream(response *http.Response) (*stream, error) {
 	begun := &stream{response: response, decoder: json.NewDecoder(response.Body)}
 	var first wire.WatchMessage
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// follow passes the events of one stream after the other on.
+// follow passes on the events of successive streams.
 func (w *watch) follow(ctx context.Context, current *stream) {
 	defer close(w.entries)
 	for w.drain(ctx, current) {
@@ -166,8 +166,8 @@
 	}
 }
 
-// drain passes a stream's events on until it ends; silent says that it was given
-// up for its silence.
+// drain passes on a stream's events until it ends. silent reports whether it was closed
+// because it was idle.
 func (w *watch) drain(ctx context.Context, current *stream) (silent bool) {
 	defer current.close()
 	var idle atomic.Bool
--- a/pkg/platform/etcd/wire/wire.go
+++ b/pkg/platform/etcd/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire holds the JSON messages of etcd's v3 API that lilacweir uses, as
-// published for its HTTP gateway: keys and values in base64, 64-bit integers as
-// strings, absent fields meaning zero.
+// Package wire defines the JSON messages of etcd's v3 API that lilacweir uses, as
+// published for its HTTP gateway. Keys and values are in base64, 64-bit integers are
+// strings, and absent fields mean zero.
 package wire
 
 // Paths of the API. Every call is a POST.
@@ -32,7 +32,7 @@
 	CodeUnauthenticated   = 16
 )
 
-// Messages that tell failures of one code apart.
+// Messages that distinguish failures with the same code.
 const (
 	MessageInvalidToken    = "etcdserver: invalid auth token"
 	MessageAuthFailed      = "etcdserver: authentication failed, invalid user ID or password"
@@ -60,11 +60,11 @@
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 	Limit    int64  `json:"limit,string,omitempty"`
-	// KeysOnly leaves the values out of the answer.
+	// KeysOnly omits the values from the response.
 	KeysOnly bool `json:"keys_only,omitempty"`
 }
 
-// RangeResponse answers RangeRequest, in key order.
+// RangeResponse is the response to RangeRequest, in key order.
 type RangeResponse struct {
 	Header Header     `json:"header"`
 	KVs    []KeyValue `json:"kvs,omitempty"`
@@ -87,24 +87,24 @@
 	Lease int64  `json:"lease,string,omitempty"`
 }
 
-// DeleteRangeRequest removes one key.
+// DeleteRangeRequest deletes one key.
 type DeleteRangeRequest struct {
 	Key []byte `json:"key"`
 }
 
-// RequestOp is one step of a transaction; exactly one field is set.
+// RequestOp is one operation of a transaction. Exactly one field is set.
 type RequestOp struct {
 	Put         *PutRequest         `json:"request_put,omitempty"`
 	DeleteRange *DeleteRangeRequest `json:"request_delete_range,omitempty"`
 }
 
-// TxnRequest runs Success when every Compare holds.
+// TxnRequest runs Success if every Compare holds.
 type TxnRequest struct {
 	Compare []Compare   `json:"compare,omitempty"`
 	Success []RequestOp `json:"success,omitempty"`
 }
 
-// TxnResponse says whether the comparisons held.
+// TxnResponse reports whether the comparisons held.
 type TxnResponse struct {
 	Header    Header `json:"header"`
 	Succeeded bool   `json:"succeeded,omitempty"`
@@ -115,13 +115,13 @@
 	Create WatchCreate `json:"create_request"`
 }
 
-// WatchCreate says what to watch, and from which revision on.
+// WatchCreate defines the key to watch and the first revision.
 type WatchCreate struct {
 	Key           []byte `json:"key"`
 	StartRevision int64  `json:"start_revision,string,omitempty"`
 }
 
-// WatchMessage is one line of a watch's stream; one field is set.
+// WatchMessage is one line of a watch's stream. One field is set.
 type WatchMessage struct {
 	Result *WatchResponse `json:"result,omitempty"`
 	Error  *StreamError   `json:"error,omitempty"`
@@ -133,7 +133,7 @@
 	Message  string `json:"message,omitempty"`
 }
 
-// WatchResponse carries events, or says that the watch was made or cancelled.
+// WatchResponse carries events, or reports that the watch was created or cancelled.
 type WatchResponse struct {
 	Header          Header  `json:"header"`
 	Created         bool    `json:"created,omitempty"`
@@ -143,13 +143,13 @@
 	Events          []Event `json:"events,omitempty"`
 }
 
-// Event is one change of a key; an empty Type is a put.
+// Event is one change of a key. An empty Type is a put.
 type Event struct {
 	Type string   `json:"type,omitempty"`
 	KV   KeyValue `json:"kv"`
 }
 
-// GrantRequest asks for a lease of TTL seconds.
+// GrantRequest requests a lease of TTL seconds.
 type GrantRequest struct {
 	TTL int64 `json:"TTL,string"`
 }
@@ -159,8 +159,8 @@
 	ID int64 `json:"ID,string"`
 }
 
-// LeaseResponse answers grant and keepalive; a TTL of zero means that the lease
-// has ended.
+// LeaseResponse is the response to grant and keepalive. A TTL of zero means that the
+// lease has ended.
 type LeaseResponse struct {
 	Header Header `json:"header"`
 	ID     int64  `json:"ID,string,omitempty"`
@@ -173,8 +173,8 @@
 	Error  *StreamError   `json:"error,omitempty"`
 }
 
-// AuthenticateRequest asks for a token, which calls then carry as they are in the
-// header Authorization.
+// AuthenticateRequest requests a token, which calls then carry in the header
+// Authorization without a scheme.
 type AuthenticateRequest struct {
 	Name     string `json:"name"`
 	Password string `json:"password"`
@@ -186,7 +186,7 @@
 	Token  string `json:"token,omitempty"`
 }
 
-// ErrorResponse is the body of every status but 200.
+// ErrorResponse is the body of every response with a status other than 200.
 type ErrorResponse struct {
 	Error   string `json:"error"`
 	Code    int    `json:"code"`
--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform holds what lilacweir asks of the platform that it runs on,
-// as small interfaces. Adapters live in sub-packages; a second platform costs
-// one adapter.
+// Package platform defines the services that lilacweir requires of the platform it
+// runs on, as small interfaces. Adapters are in sub-packages; supporting another
+// platform takes one adapter.
 package platform
 
 import (
@@ -12,22 +12,22 @@
 
 // Errors that every adapter maps its own onto. Test with errors.Is.
 var (
-	// ErrUnavailable: the service did not answer, or refused for now. For a write
-	// this says nothing about whether it took effect.
+	// ErrUnavailable means that the service did not answer or refused for now. A
+	// write may or may not have taken effect.
 	ErrUnavailable = errors.New("platform service unavailable")
-	// ErrConflict: a compare-and-swap lost; nothing was written.
+	// ErrConflict means that a compare-and-swap failed and nothing was written.
 	ErrConflict = errors.New("compare-and-swap conflict")
-	// ErrCompacted: a watch asked for history that the service no longer has.
+	// ErrCompacted means that a watch requested history that the service no longer has.
 	ErrCompacted = errors.New("revision compacted")
-	// ErrLeaseLost: the lease has expired or was revoked.
+	// ErrLeaseLost means that the lease has expired or was revoked.
 	ErrLeaseLost = errors.New("lease lost")
 )
 
 // Error is a failed call of a platform service.
 type Error struct {
-	// Service and Call name what was asked, for example "key-value" and "txn".
+	// Service and Call name the call, for example "key-value" and "txn".
 	Service, Call string
-	// Err is one of the package's errors, possibly wrapped with a cause.
+	// Err is one of the errors of this package, possibly wrapped with a cause.
 	Err error
 }
 
@@ -38,92 +38,93 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 // KeyValue is the platform's key-value service. Every call counts against the
-// service's rate, a waiting watch as one. Values are at most a megabyte.
+// service's rate limit, an open watch as one call. Values are at most a megabyte.
 type KeyValue interface {
-	// Get returns a key's value; ok is false when there is none.
+	// Get returns the entry of a key. If there is none, ok is false.
 	Get(ctx context.Context, key string) (entry Entry, ok bool, err error)
-	// Range returns the entries of a prefix in key order, limit at most (0: all),
-	// and whether there were more.
+	// Range returns at most limit entries of a prefix in key order, all of them if
+	// limit is 0, and whether there were more.
 	Range(ctx context.Context, prefix string, limit int) (entries []Entry, more bool, err error)
-	// Swap writes all puts when every key's modification revision is as
-	// expected (0: absent), else ErrConflict. ErrUnavailable leaves open whether
-	// the write took effect. It returns the service's revision of the write.
+	// Swap writes all puts if every key's modification revision is as expected (0
+	// for an absent key), and returns the service's revision of the write. Otherwise
+	// it returns ErrConflict. After ErrUnavailable the write may have taken effect.
 	Swap(ctx context.Context, expect map[string]int64, puts []Put) (int64, error)
-	// Watch sends the key's changes after the given revision until ctx ends or
-	// the stream breaks, which closes the channel.
+	// Watch sends the key's changes after the given revision. The channel is closed
+	// when ctx ends or the stream breaks.
 	Watch(ctx context.Context, key string, after int64) (<-chan Entry, error)
 	Leaser
 }
 
-// Leaser makes leases, with which keys vanish.
+// Leaser manages leases. Keys attached to a lease are deleted when it ends.
 type Leaser interface {
-	// Grant makes a lease. Keys put with it vanish when it ends.
+	// Grant creates a lease.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive renews a lease once and returns its new time to live;
-	// ErrLeaseLost when it has ended.
+	// KeepAlive renews a lease once and returns its new time to live, or
+	// ErrLeaseLost if it has ended.
 	KeepAlive(ctx context.Context, lease LeaseID) (time.Duration, error)
 	// Revoke ends a lease.
 	Revoke(ctx context.Context, lease LeaseID) error
 }
 
-// PrefixReader reads all keys of a prefix and follows their changes. A waiting call
+// PrefixReader lists all keys of a prefix and follows their changes. A waiting call
 // of Changes counts as one call.
 type PrefixReader interface {
-	// List returns the entries of a prefix whose keys come after the key after, in
-	// key order, as many as the service gives at once. Pages of one listing are not
-	// of one moment: follow the changes after the first page's revision.
+	// List returns a page of the entries of a prefix whose keys come after the key
+	// after, in key order. The service chooses the size of the page. The pages of a
+	// listing are not one snapshot, so follow the changes after the first page's
+	// revision.
 	List(ctx context.Context, prefix, after string) (Page, error)
-	// Changes waits for changes of a prefix's keys after a revision, for wait at
-	// most, and returns those that there are; ErrCompacted when that history is gone.
+	// Changes waits at most wait for changes of a prefix's keys after a revision and
+	// returns them, or ErrCompacted if that history is no longer available.
 	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (Changes, error)
 }
 
-// Page is a part of a listing.
+// Page is one page of a listing.
 type Page struct {
 	Entries []Entry
-	// Revision is the service's when it answered.
+	// Revision is the service's revision when it answered.
 	Revision int64
-	// Era is the service's when it answered; see Entry.
+	// Era is the service's epoch when it answered; see Entry.
 	Era uint64
-	// More says that there are further entries after the last of these.
+	// More reports whether there are further entries after these.
 	More bool
 }
 
-// Changes are what happened to a prefix's keys, in order.
+// Changes are the changes of a prefix's keys, in order.
 type Changes struct {
 	Entries []Change
-	// Revision is the one from which to go on.
+	// Revision is the revision to continue from.
 	Revision int64
-	// Era is the service's when it answered; see Entry.
+	// Era is the service's epoch when it answered; see Entry.
 	Era uint64
 }
 
-// Change is one write, or one removal when Removed is set; then Value is empty.
+// Change is one write, or a deletion without a value if Removed is set.
 type Change struct {
 	Entry
 	Removed bool
 }
 
-// LeaseID names a lease.
+// LeaseID identifies a lease.
 type LeaseID int64
 
 // Entry is one key with its value.
 type Entry struct {
 	Key   string
 	Value []byte
-	// ModRevision is the service's revision of the last write to the key; it
-	// grows with every write and serves as a fencing number.
+	// ModRevision is the service's revision of the last write to the key. It
+	// grows with every write and serves as a fencing token.
 	ModRevision int64
 	// CreateRevision is the service's revision of the key's creation.
 	CreateRevision int64
-	// Era is in which of the service's eras the entry was read. An era ends when the service
-	// comes back from a copy of its past: it has forgotten what it acknowledged since, leases
-	// included, and gives revisions out again. So revisions of two eras cannot be compared. It
-	// rises with each return; 0 where the service does not say.
+	// Era is the service's epoch in which the entry was read. An epoch ends when the service is
+	// restored from a backup: acknowledged writes and leases since then are lost and revisions
+	// are assigned again, so revisions of different epochs cannot be compared. It increases with
+	// each restore and is 0 if the service does not report it.
 	Era uint64
 }
 
-// Put is one write; with a Lease the key ends with it. Delete removes the key.
+// Put is one write. A key with a Lease is deleted when the lease ends. Delete deletes the key.
 type Put struct {
 	Key    string
 	Value  []byte
@@ -131,47 +132,47 @@
 	Delete bool
 }
 
-// DirectoryEntry is what clients find in the directory for one entry instance.
+// DirectoryEntry is the directory's entry of one entry instance, for clients.
 type DirectoryEntry struct {
 	Instance string `json:"instance"`
 	Domain   string `json:"domain"`
 	Region   string `json:"region"`
-	// Address is where callers' HTTP is served.
+	// Address serves callers over HTTP.
 	Address string `json:"address"`
 }
 
 // Directory is the platform's directory for clients.
 type Directory interface {
-	// Register puts an entry for ttl, or renews it.
+	// Register creates an entry that expires after ttl, or renews it.
 	Register(ctx context.Context, entry DirectoryEntry, ttl time.Duration) error
-	// Deregister removes an instance's entry.
+	// Deregister deletes an instance's entry.
 	Deregister(ctx context.Context, instance string) error
 	// Lookup returns all entries.
 	Lookup(ctx context.Context) ([]DirectoryEntry, error)
 }
 
-// ListedInstance is a line of the lagging list.
+// ListedInstance is an item of the instance list.
 type ListedInstance struct {
 	// Name is the name of an entry instance or of an upstream.
 	Name string `json:"name"`
-	// Leaving is true when the machine is about to go.
+	// Leaving reports whether the machine is about to be removed.
 	Leaving bool `json:"leaving"`
-	// Mesh is an entry instance's agent address; empty for upstreams.
+	// Mesh is the agent address of an entry instance, empty for upstreams.
 	Mesh string `json:"mesh,omitempty"`
 	// Domain is the failure domain.
 	Domain string `json:"domain"`
 }
 
-// InstanceList is the platform's lagging list of live and leaving instances,
-// entry instances and upstreams alike. It proposes; it does not decide.
+// InstanceList is the platform's list of live and leaving entry instances and
+// upstreams. It lags behind, so its entries are only hints.
 type InstanceList interface {
-	// List returns what the list says now, which may be seconds old.
+	// List returns the current list of a domain, which may be seconds old.
 	List(ctx context.Context, domain string) ([]ListedInstance, error)
 }
 
 // WeightStore is the rate-limited store of model weights.
 type WeightStore interface {
-	// Reserve asks to read a version's weights now. When the store is busy it
-	// returns how long to wait, and nothing is reserved.
+	// Reserve requests permission to read a version's weights now. If the store is
+	// busy, it reserves nothing and returns the time to wait before a retry.
 	Reserve(ctx context.Context, model, version string) (wait time.Duration, err error)
 }
--- a/pkg/platform/platformtest/link.go
+++ b/pkg/platform/platformtest/link.go
@@ -9,7 +9,7 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// Link is one client's way to a Service.
+// Link is one client's connection to a Service.
 type Link struct {
 	service *Service
 	name    string
@@ -22,8 +22,8 @@
 	return &platform.Error{Service: "key-value", Call: call, Err: cause}
 }
 
-// enter begins a call: the service is locked until leave, and its leases are up
-// to date. The error says that it cannot be reached.
+// enter begins a call. It locks the service until leave and expires leases. The error
+// means that the service is unreachable.
 func (l *Link) enter(call string, count *int) error {
 	l.hold()
 	l.service.mu.Lock()
@@ -83,8 +83,8 @@
 	return found, false, nil
 }
 
-// Swap implements platform.KeyValue. A write arrives although ctx has ended: it
-// may have been on its way.
+// Swap implements platform.KeyValue. A write takes effect even after ctx has ended,
+// since it may already have been sent.
 func (l *Link) Swap(_ context.Context, expect map[string]int64, puts []platform.Put) (int64, error) {
 	l.service.arrive()
 	s := l.service
--- a/pkg/platform/platformtest/service.go
+++ b/pkg/platform/platformtest/service.go
@@ -1,7 +1,7 @@
-// Package platformtest holds an in-memory stand-in for the platform's key-value
-// service, with switches for its faults, for those who drive the decisions of
-// lilacweir without a platform. It keeps to the contract of platform.KeyValue:
-// revisions, compare-and-swap, leases by a given clock, watches.
+// Package platformtest is an in-memory fake of the platform's key-value service with
+// fault injection, for tests and simulations without a platform. It implements the
+// contract of platform.KeyValue with revisions, compare-and-swap, watches, and leases
+// on a given clock.
 package platformtest
 
 import (
@@ -13,30 +13,30 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// Fault is how the service treats one write.
+// Fault is a fault that the service injects into one write.
 type Fault int
 
 // The faults of a write.
 const (
-	// NoFault: the write is judged and answered.
+	// NoFault applies and answers the write.
 	NoFault Fault = iota
-	// LoseWrite: no answer, and the write never arrives.
+	// LoseWrite loses the write, which is not answered.
 	LoseWrite
-	// LoseAnswer: the write is judged, its answer is lost.
+	// LoseAnswer applies the write and loses the answer.
 	LoseAnswer
-	// DelayWrite: no answer yet; the write is judged at the next Release.
+	// DelayWrite does not answer the write and applies it at the next Release.
 	DelayWrite
-	// StopAfterWrite: as LoseAnswer, and the service is down from then on.
+	// StopAfterWrite is LoseAnswer followed by SetDown(true).
 	StopAfterWrite
 )
 
-// Counts are the calls that the service was asked, those that failed included.
+// Counts are the numbers of calls, including failed ones.
 type Counts struct {
 	Reads, Writes, Watches, Grants, KeepAlives, Revokes int
 }
 
-// Service is a key-value service. Its own calls (it is a platform.KeyValue) come
-// over a link without a name; Link gives others. It is safe for concurrent use.
+// Service is a key-value service. Its own methods of platform.KeyValue use a link with
+// an empty name; Connect creates others. It is safe for concurrent use.
 type Service struct {
 	*Link
 	clock clock.Clock
@@ -51,14 +51,14 @@
 
 	down bool
 	cut  map[string]bool
-	// faults are used up by writes, one each, failing by reads.
+	// faults are consumed by writes, one each. failing is the number of reads that fail.
 	faults  []Fault
 	failing int
 	late    []func()
 	before  func()
 }
 
-// record is an entry with the lease that it ends with (0: none).
+// record is an entry and its lease, which is 0 if there is none.
 type record struct {
 	entry platform.Entry
 	lease platform.LeaseID
@@ -69,7 +69,7 @@
 	end time.Time
 }
 
-// New returns an empty service whose leases end by the clock.
+// New returns an empty service whose leases expire by the clock.
 func New(now clock.Clock) *Service {
 	s := &Service{
 		clock:   now,
@@ -82,8 +82,8 @@
 	return s
 }
 
-// Connect returns a way to the service, which Cut cuts by its name. Hold, unless
-// nil, runs before and after each call: what it takes, the caller stands still.
+// Connect returns a link to the service. SetPartitioned partitions links by name. Hold,
+// unless nil, runs before and after each call and can block the caller.
 func (s *Service) Connect(name string, hold func()) *Link {
 	if hold == nil {
 		hold = func() {}
@@ -91,7 +91,7 @@
 	return &Link{service: s, name: name, hold: hold}
 }
 
-// SetDown says whether every call fails; going down breaks all watches.
+// SetDown sets whether every call fails. Going down breaks all watches.
 func (s *Service) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// SetPartitioned cuts or heals all links of a name; cutting breaks their watches.
+// SetPartitioned partitions or heals all links of a name. A partition breaks their watches.
 func (s *Service) SetPartitioned(link string, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,29 +118,29 @@
 	s.breakWatches(func(*watch) bool { return true })
 }
 
-// FailWrites appends to the faults that the next writes meet, one each. A write
-// that meets the service down uses none up.
+// FailWrites appends faults for the next writes, one each. A write that fails because
+// the service is down consumes none.
 func (s *Service) FailWrites(faults ...Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, faults...)
 }
 
-// FailReads makes that many reads by Get fail.
+// FailReads makes the next count reads by Get fail.
 func (s *Service) FailReads(count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failing = count
 }
 
-// ClearFaults takes back FailWrites and FailReads. Delayed writes stay on their way.
+// ClearFaults cancels FailWrites and FailReads. Delayed writes stay pending.
 func (s *Service) ClearFaults() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults, s.failing = nil, 0
 }
 
-// Release lets the delayed writes arrive, in their order.
+// Release applies the delayed writes in order.
 func (s *Service) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,15 +150,15 @@
 	s.late = nil
 }
 
-// BeforeNextWrite runs a function once, when the next write arrives and before
-// it is judged. The function may call the service.
+// BeforeNextWrite runs a function once, when the next write arrives and before it is
+// evaluated. The function may call the service.
 func (s *Service) BeforeNextWrite(run func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.before = run
 }
 
-// Set writes a key whatever the faults, and tells its watches.
+// Set writes a key regardless of faults and notifies its watches.
 func (s *Service) Set(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +166,7 @@
 	s.apply(platform.Put{Key: key, Value: value})
 }
 
-// Remove removes a key whatever the faults, and tells its watches.
+// Remove deletes a key regardless of faults and notifies its watches.
 func (s *Service) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +174,7 @@
 	s.apply(platform.Put{Key: key, Delete: true})
 }
 
-// Value returns a key's value whatever the faults; nil when there is none.
+// Value returns a key's value regardless of faults, or nil if there is none.
 func (s *Service) Value(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,7 +182,7 @@
 	return slices.Clone(s.records[key].entry.Value)
 }
 
-// Len returns how many keys there are.
+// Len returns the number of keys.
 func (s *Service) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,14 +190,14 @@
 	return len(s.records)
 }
 
-// Counts returns what the service was asked so far.
+// Counts returns the numbers of calls so far.
 func (s *Service) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Watching returns how many watches stand over the links of a name.
+// Watching returns the number of open watches on the links of a name.
 func (s *Service) Watching(link string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/platform/platformtest/service_test.go
+++ b/pkg/platform/platformtest/service_test.go
@@ -14,8 +14,8 @@
 	"github.com/lilacweir/lilacweir/pkg/platform/platformtest"
 )
 
-// A key that is put with a lease vanishes when the lease ends by the clock, and a
-// watch tells both.
+// A key with a lease is deleted when the lease expires by the clock, and a watch reports
+// the write and the deletion.
 func TestKeysEndWithTheirLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -42,14 +42,15 @@
 		_, err = s.Swap(ctx, nil, put)
 		is.True(errors.Is(err, platform.ErrLeaseLost))
 		is.Equal((<-changes).ModRevision, first)
-		is.Equal((<-changes).CreateRevision, int64(0)) // removed
+		is.Equal((<-changes).CreateRevision, int64(0)) // deleted
 		cancel()
 		_, open := <-changes
 		is.True(!open)
 	})
 }
 
-// Every fault of a write fails it alike; they differ in what takes effect.
+// Every fault fails the write with the same error. They differ in whether and when the
+// write takes effect.
 func TestWriteFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault       platformtest.Fault
--- a/pkg/platform/platformtest/state.go
+++ b/pkg/platform/platformtest/state.go
@@ -7,17 +7,17 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// watchBuffer is how many changes a watch holds for a slow reader; one that is
-// slower still loses its watch.
+// watchBuffer is the number of changes buffered for the reader of a watch. The watch
+// is closed when the buffer is full.
 const watchBuffer = 64
 
-// watch is one standing watch.
+// watch is one open watch.
 type watch struct {
 	link, key string
 	changes   chan platform.Entry
 }
 
-// arrive runs what BeforeNextWrite set.
+// arrive runs the function set by BeforeNextWrite.
 func (s *Service) arrive() {
 	s.mu.Lock()
 	run := s.before
@@ -28,7 +28,7 @@
 	}
 }
 
-// expire ends the leases whose time is up.
+// expire removes the expired leases.
 func (s *Service) expire() {
 	now, ended := s.clock.Now(), false
 	for id, held := range s.leases {
@@ -42,7 +42,7 @@
 	}
 }
 
-// sweep removes the keys whose lease has ended.
+// sweep deletes the keys of ended leases.
 func (s *Service) sweep() {
 	for key, record := range s.records {
 		if _, held := s.leases[record.lease]; record.lease != 0 && !held {
@@ -52,7 +52,7 @@
 	}
 }
 
-// swap judges a write and makes it.
+// swap evaluates the conditions of a write and applies it.
 func (s *Service) swap(expect map[string]int64, puts []platform.Put) (int64, error) {
 	s.expire()
 	for key, revision := range expect {
@@ -72,7 +72,7 @@
 	return s.revision, nil
 }
 
-// apply makes one put at the present revision and tells the key's watches.
+// apply applies one put at the current revision and notifies the key's watches.
 func (s *Service) apply(put platform.Put) {
 	entry := platform.Entry{Key: put.Key, ModRevision: s.revision}
 	if put.Delete {
@@ -116,9 +116,8 @@
 	}
 }
 
-// Watch implements platform.KeyValue. Of the changes before the call only the
-// last is sent. A removed key is sent as an entry with neither value nor
-// CreateRevision.
+// Watch implements platform.KeyValue. Of the changes before the call only the last is
+// sent. A deleted key is sent as an entry with neither value nor CreateRevision.
 func (l *Link) Watch(ctx context.Context, key string, after int64) (<-chan platform.Entry, error) {
 	s := l.service
 	err := l.enter("watch", &s.counts.Watches)
--- a/pkg/platform/rest/client.go
+++ b/pkg/platform/rest/client.go
@@ -1,5 +1,5 @@
 // Package rest adapts the platform's directory, instance list and weight store,
-// which speak small JSON protocols over HTTP:
+// which use small JSON protocols over HTTP:
 //
 //	GET    /v1/entries              → {"entries":[DirectoryEntry…]}
 //	PUT    /v1/entries/INSTANCE     ← {"entry":DirectoryEntry,"ttl_ms":n} → 204
@@ -8,10 +8,9 @@
 //	POST   /v1/reservations         ← {"model":m,"version":v} → {"wait_ms":n}
 //
 // The types are those of package platform. A reservation with a wait above zero
-// has reserved nothing. Any other status than these is an error whose body is
-// {"error":"…"}.
+// has reserved nothing. Any other status is an error with the body {"error":"…"}.
 //
-// Guarantee: every call ends by its deadline.
+// Every call ends by its deadline.
 package rest
 
 import (
@@ -37,35 +36,35 @@
 const (
 	// callTimeout bounds each call.
 	callTimeout = 2 * time.Second
-	// maxAnswer bounds an answer that is read, in bytes.
+	// maxAnswer bounds the size of an answer in bytes.
 	maxAnswer = 4 << 20
 )
 
-// Entries is the directory's answer.
+// Entries is the directory's response.
 type Entries struct {
 	Entries []platform.DirectoryEntry `json:"entries"`
 }
 
-// Registration puts or renews an entry of the directory.
+// Registration creates or renews an entry of the directory.
 type Registration struct {
 	Entry platform.DirectoryEntry `json:"entry"`
-	// TTLMillis is how long the entry lasts, in milliseconds.
+	// TTLMillis is the lifetime of the entry in milliseconds.
 	TTLMillis int64 `json:"ttl_ms"`
 }
 
-// Instances is the instance list's answer.
+// Instances is the response of the instance list.
 type Instances struct {
 	Instances []platform.ListedInstance `json:"instances"`
 }
 
-// ReservationRequest asks to read a version's weights.
+// ReservationRequest requests permission to read a version's weights.
 type ReservationRequest struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 }
 
-// ReservationAnswer says how long to wait before asking again; zero means that
-// the weights may be read now.
+// ReservationAnswer returns the time to wait before a retry. Zero means that the
+// weights may be read now.
 type ReservationAnswer struct {
 	WaitMillis int64 `json:"wait_ms"`
 }
@@ -75,17 +74,17 @@
 	Error string `json:"error"`
 }
 
-// Access is how a service is spoken to. The zero value is plain text without a token.
+// Access configures TLS and authentication. The zero value is plain text without a token.
 type Access struct {
-	// TLS makes the connections secure; nil means plain text.
+	// TLS secures the connections; nil means plain text.
 	TLS *credential.Client
-	// Token returns the present bearer token; nil means none.
+	// Token returns the current bearer token; nil means none.
 	Token func() string
 }
 
-// StatusError is an answer with an unexpected status.
+// StatusError reports a response with an unexpected status.
 type StatusError struct {
-	// Status is the HTTP status, Message the service's words.
+	// Status is the HTTP status, Message the service's error message.
 	Status  int
 	Message string
 }
@@ -93,7 +92,7 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Message) }
 
-// client calls one service.
+// client is an HTTP client of one service.
 type client struct {
 	service, base string
 	token         func() string
@@ -110,7 +109,8 @@
 	return client{service: service, base: base, token: access.Token, http: &http.Client{Transport: transport}}
 }
 
-// call sends ask, unless nil, and decodes into answer, unless nil.
+// call sends ask and decodes the response into answer, unless answer is nil. All errors wrap
+// platform.ErrUnavailable.
 func (c client) call(ctx context.Context, method, path string, ask, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/pkg/platform/rest/rest_test.go
+++ b/pkg/platform/rest/rest_test.go
@@ -62,7 +62,7 @@
 	now = now.Add(2 * time.Second)
 	listed, err := client.List(t.Context(), "larisa-hall")
 	is.NoErr(err)
-	is.Equal(listed, begin[1:]) // not known there yet
+	is.Equal(listed, begin[1:]) // the change is not listed yet
 	now = now.Add(time.Second)
 	listed, err = client.List(t.Context(), "larisa-hall")
 	is.NoErr(err)
@@ -78,7 +78,7 @@
 	wait, err := client.Reserve(t.Context(), "lilac-nurse", "v2")
 	is.NoErr(err)
 	is.Equal(wait, time.Duration(0))
-	for range 2 { // asking in vain reserves nothing
+	for range 2 { // a refused reservation reserves nothing
 		wait, err = client.Reserve(t.Context(), "lilac-nurse", "v2")
 		is.NoErr(err)
 		is.Equal(wait, 2*time.Second)
