--- a/pkg/platform/access/access.go
+++ b/pkg/platform/access/access.go
@@ -28,32 +28,32 @@
 
 // Open creates all adapters. They connect at the first call. The error is a
 // *credential.FileError.
-func Open(store *credential.Store, named settings.Platform, dial credential.Dial) (Services, error) {
+func Open(store *credential.Store, configured settings.Platform, dial credential.Dial) (Services, error) {
 	o := &opener{store: store, dial: dial}
-	services := Services{KeyValue: o.keyValue(named)}
-	if named.Directory != "" {
-		services.Directory = rest.NewDirectory(named.Directory, dial, o.access(named.Access.Directory))
+	services := Services{KeyValue: o.keyValue(configured)}
+	if configured.Directory != "" {
+		services.Directory = rest.NewDirectory(configured.Directory, dial, o.access(configured.Access.Directory))
 	}
-	if named.InstanceList != "" {
-		services.List = rest.NewInstanceList(named.InstanceList, dial, o.access(named.Access.InstanceList))
+	if configured.InstanceList != "" {
+		services.List = rest.NewInstanceList(configured.InstanceList, dial, o.access(configured.Access.InstanceList))
 	}
-	if named.WeightStore != "" {
-		services.Weights = rest.NewWeightStore(named.WeightStore, dial, o.access(named.Access.WeightStore))
+	if configured.WeightStore != "" {
+		services.Weights = rest.NewWeightStore(configured.WeightStore, dial, o.access(configured.Access.WeightStore))
 	}
 	return services, o.err
 }
 
 // KeyValue creates only the adapter of the key-value service.
-func KeyValue(store *credential.Store, named settings.Platform, dial credential.Dial) (*etcd.Client, error) {
+func KeyValue(store *credential.Store, configured settings.Platform, dial credential.Dial) (*etcd.Client, error) {
 	o := &opener{store: store, dial: dial}
-	return o.keyValue(named), o.err
+	return o.keyValue(configured), o.err
 }
 
-func (o *opener) keyValue(named settings.Platform) *etcd.Client {
-	access := named.Access.KeyValue
+func (o *opener) keyValue(configured settings.Platform) *etcd.Client {
+	access := configured.Access.KeyValue
 	return etcd.New(etcd.Options{
-		Endpoints: named.KeyValue,
-		Prefix:    named.Prefix,
+		Endpoints: configured.KeyValue,
+		Prefix:    configured.Prefix,
 		Dial:      o.dial,
 		TLS:       o.client(access.TLS),
 		User:      access.User,
@@ -61,22 +61,22 @@
 	})
 }
 
-func (o *opener) access(named settings.TokenAccess) rest.Access {
-	return rest.Access{TLS: o.client(named.TLS), Token: o.secret(named.TokenFile)}
+func (o *opener) access(configured settings.TokenAccess) rest.Access {
+	return rest.Access{TLS: o.client(configured.TLS), Token: o.secret(configured.TokenFile)}
 }
 
 // client returns the TLS client, or nil for plain text.
-func (o *opener) client(named settings.ClientTLS) *credential.Client {
-	if named.Authority == "" {
+func (o *opener) client(configured settings.ClientTLS) *credential.Client {
+	if configured.Authority == "" {
 		return nil
 	}
-	client := &credential.Client{ServerName: named.ServerName}
+	client := &credential.Client{ServerName: configured.ServerName}
 	var err error
-	if client.Authority, err = o.store.Authority(named.Authority); err != nil {
+	if client.Authority, err = o.store.Authority(configured.Authority); err != nil {
 		o.fail(err)
 	}
-	if named.Certificate != "" {
-		if client.Pair, err = o.store.Pair(named.Certificate, named.Key); err != nil {
+	if configured.Certificate != "" {
+		if client.Pair, err = o.store.Pair(configured.Certificate, configured.Key); err != nil {
 			o.fail(err)
 		}
 	}
--- a/pkg/platform/etcd/auth.go
+++ b/pkg/platform/etcd/auth.go
@@ -29,13 +29,13 @@
 
 // session caches the user's token.
 type session struct {
-	// asking guards token, also while a new one is requested. It is a semaphore so that
+	// lock guards token, also while a new one is requested. It is a semaphore so that
 	// waiting for it ends with the call's context.
-	asking *semaphore.Weighted
-	token  string
+	lock  *semaphore.Weighted
+	token string
 }
 
-func newSession() session { return session{asking: semaphore.NewWeighted(1)} }
+func newSession() session { return session{lock: semaphore.NewWeighted(1)} }
 
 // authorized runs one exchange with the endpoint. If the service rejects the token, so
 // that nothing was run, it retries once with a new token.
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	if err = exchange(token); !refusesToken(err) {
+	if err = exchange(token); !rejectsToken(err) {
 		return err
 	}
 	token, err = c.token(ctx, index, token)
@@ -58,46 +58,46 @@
 }
 
 // token returns the cached token. It requests a new one if there is none or the cached
-// one is the refused one.
-func (c *Client) token(ctx context.Context, index int, refused string) (string, error) {
-	if err := c.session.asking.Acquire(ctx, 1); err != nil {
+// one is the rejected one.
+func (c *Client) token(ctx context.Context, index int, rejected string) (string, error) {
+	if err := c.session.lock.Acquire(ctx, 1); err != nil {
 		return "", &AuthenticationError{User: c.options.User, Err: err}
 	}
-	defer c.session.asking.Release(1)
-	if c.session.token != refused {
+	defer c.session.lock.Release(1)
+	if c.session.token != rejected {
 		return c.session.token, nil
 	}
 	c.session.token = ""
-	fresh, err := c.authenticate(ctx, index)
+	renewed, err := c.authenticate(ctx, index)
 	if err != nil {
 		return "", &AuthenticationError{User: c.options.User, Err: err}
 	}
-	c.session.token = fresh
-	return fresh, nil
+	c.session.token = renewed
+	return renewed, nil
 }
 
 func (c *Client) authenticate(ctx context.Context, index int) (string, error) {
-	ask := wire.AuthenticateRequest{Name: c.options.User, Password: c.options.Password()}
-	body, err := json.Marshal(ask)
+	request := wire.AuthenticateRequest{Name: c.options.User, Password: c.options.Password()}
+	body, err := json.Marshal(request)
 	if err != nil {
 		return "", fmt.Errorf("request: %w", err)
 	}
-	var answer wire.AuthenticateResponse
-	if err := c.once(ctx, index, wire.PathAuthenticate, "", body, &answer); err != nil {
+	var response wire.AuthenticateResponse
+	if err := c.exchange(ctx, index, wire.PathAuthenticate, "", body, &response); err != nil {
 		return "", err
 	}
-	if answer.Token == "" {
+	if response.Token == "" {
 		return "", ErrNoToken
 	}
-	return answer.Token, nil
+	return response.Token, nil
 }
 
 // ErrNoToken means that the service accepted the password but returned no token.
 var ErrNoToken = errors.New("no token in the answer")
 
-// refusesToken reports whether the service rejected the token because it is unknown or was
+// rejectsToken reports whether the service rejected the token because it is unknown or was
 // issued for an older revision of the permissions. Nothing was run then.
-func refusesToken(err error) bool {
+func rejectsToken(err error) bool {
 	var status *StatusError
 	if !errors.As(err, &status) {
 		return false
--- a/pkg/platform/etcd/auth_test.go
+++ b/pkg/platform/etcd/auth_test.go
@@ -30,8 +30,8 @@
 
 // securePlatform is a key-value service with TLS and one user.
 type securePlatform struct {
-	service *kv.Service
-	named   settings.Platform
+	service    *kv.Service
+	configured settings.Platform
 }
 
 func issue(t *testing.T) settings.Security {
@@ -75,7 +75,7 @@
 func (p securePlatform) connect(t *testing.T) *etcd.Client {
 	t.Helper()
 	store := credential.NewStore(clock.System{})
-	client, err := access.KeyValue(store, p.named, (&net.Dialer{}).DialContext)
+	client, err := access.KeyValue(store, p.configured, (&net.Dialer{}).DialContext)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	return client
 }
 
-func TestRefusedTokenIsRenewed(t *testing.T) {
+func TestRejectedTokenIsRenewed(t *testing.T) {
 	is := is.New(t)
 	p := startSecure(t)
 	client := p.connect(t)
@@ -101,7 +101,7 @@
 	is.Equal(p.service.Counts().Txn, int64(2)) // the rejected calls did not run
 }
 
-func TestCallsThatThePlatformOrWeRefuse(t *testing.T) {
+func TestRefusedCredentialsAndServers(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(p *securePlatform)
@@ -111,15 +111,15 @@
 			var refused *etcd.AuthenticationError
 			return errors.As(err, &refused) && refused.User == user
 		}},
-		{"no user", func(p *securePlatform) { p.named.Access.KeyValue.User = "" }, func(err error) bool {
+		{"no user", func(p *securePlatform) { p.configured.Access.KeyValue.User = "" }, func(err error) bool {
 			var refused *etcd.StatusError
 			return errors.As(err, &refused) && refused.Status == 401
 		}},
-		{"foreign authority", func(p *securePlatform) { p.named.Access.KeyValue.TLS.Authority = issue(t).Authority }, func(err error) bool {
+		{"foreign authority", func(p *securePlatform) { p.configured.Access.KeyValue.TLS.Authority = issue(t).Authority }, func(err error) bool {
 			var foreign *tls.CertificateVerificationError
 			return errors.As(err, &foreign)
 		}},
-		{"another server's name", func(p *securePlatform) { p.named.Access.KeyValue.TLS.ServerName = "elsewhere" }, func(err error) bool {
+		{"another server's name", func(p *securePlatform) { p.configured.Access.KeyValue.TLS.ServerName = "elsewhere" }, func(err error) bool {
 			var foreign *tls.CertificateVerificationError
 			return errors.As(err, &foreign)
 		}},
--- a/pkg/platform/etcd/client.go
+++ b/pkg/platform/etcd/client.go
@@ -30,9 +30,9 @@
 	// DefaultWatchIdle is the time without a message after which a watch is reopened,
 	// since an idle watch cannot be told from a connection that was lost silently.
 	DefaultWatchIdle = 4 * time.Second
-	// maxAnswer bounds the size of an answer in bytes. It fits a value of a megabyte in
+	// maxResponseBytes bounds the size of an answer in bytes. It fits a value of a megabyte in
 	// base64 and leaves space for a transaction.
-	maxAnswer = 8 << 20
+	maxResponseBytes = 8 << 20
 	// idleConnections bounds the connections kept for each endpoint.
 	idleConnections = 8
 )
@@ -110,8 +110,8 @@
 
 // call posts one message and decodes the answer. A read that an endpoint did not answer
 // is retried at the next one, a write only if the connection could not be opened.
-func (c *Client) call(ctx context.Context, name, path string, write bool, ask, answer any) error {
-	body, err := json.Marshal(ask)
+func (c *Client) call(ctx context.Context, name, path string, write bool, input, output any) error {
+	body, err := json.Marshal(input)
 	if err != nil {
 		return &platform.Error{Service: service, Call: name, Err: err}
 	}
@@ -120,7 +120,7 @@
 	first := int(c.preferred.Load())
 	for i := range c.options.Endpoints {
 		index := (first + i) % len(c.options.Endpoints)
-		err = c.authorized(ctx, index, func(token string) error { return c.once(ctx, index, path, token, body, answer) })
+		err = c.authorized(ctx, index, func(token string) error { return c.exchange(ctx, index, path, token, body, output) })
 		if err == nil {
 			return nil
 		}
@@ -145,14 +145,14 @@
 	return notSent || !write
 }
 
-func (c *Client) once(ctx context.Context, index int, path, token string, body []byte, answer any) error {
+func (c *Client) exchange(ctx context.Context, index int, path, token string, body []byte, output any) error {
 	response, err := c.post(ctx, index, path, token, body)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	limited := io.LimitReader(response.Body, maxAnswer)
-	if err := json.NewDecoder(limited).Decode(answer); err != nil {
+	limited := io.LimitReader(response.Body, maxResponseBytes)
+	if err := json.NewDecoder(limited).Decode(output); err != nil {
 		return fmt.Errorf("answer: %w", err)
 	}
 	return nil
@@ -182,7 +182,7 @@
 
 func statusError(response *http.Response) error {
 	var message wire.ErrorResponse
-	limited := io.LimitReader(response.Body, maxAnswer)
+	limited := io.LimitReader(response.Body, maxResponseBytes)
 	if err := json.NewDecoder(limited).Decode(&message); err != nil {
 		message.Message = "body not readable"
 	}
--- a/pkg/platform/etcd/client_test.go
+++ b/pkg/platform/etcd/client_test.go
@@ -153,62 +153,62 @@
 	is.NoErr(err)
 }
 
-// deadlyDialer opens connections that can be made to deliver no more data.
-type deadlyDialer struct {
+// stallingDialer opens connections that can be made to deliver no more data.
+type stallingDialer struct {
 	mu    sync.Mutex
-	conns []*deadlyConn
-	// all reports whether new connections deliver no data either.
-	all bool
+	conns []*stallingConn
+	// stallNew reports whether new connections deliver no data either.
+	stallNew bool
 }
 
-type deadlyConn struct {
+type stallingConn struct {
 	net.Conn
-	dead atomic.Bool
-	done chan struct{}
-	once sync.Once
+	stalled atomic.Bool
+	done    chan struct{}
+	once    sync.Once
 }
 
-func (d *deadlyDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (d *stallingDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	deadly := &deadlyConn{Conn: conn, done: make(chan struct{})}
-	deadly.dead.Store(d.all)
-	d.conns = append(d.conns, deadly)
-	return deadly, nil
+	stalling := &stallingConn{Conn: conn, done: make(chan struct{})}
+	stalling.stalled.Store(d.stallNew)
+	d.conns = append(d.conns, stalling)
+	return stalling, nil
 }
 
-// kill stops all open connections from delivering data, and new ones too if all is set.
-func (d *deadlyDialer) kill(all bool) {
+// stall stops all open connections from delivering data, and new ones too if stallNew is set.
+func (d *stallingDialer) stall(stallNew bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.all = all
+	d.stallNew = stallNew
 	for _, conn := range d.conns {
-		conn.dead.Store(true)
+		conn.stalled.Store(true)
 	}
 }
 
-func (c *deadlyConn) Read(into []byte) (int, error) {
+func (c *stallingConn) Read(into []byte) (int, error) {
 	count, err := c.Conn.Read(into)
-	if c.dead.Load() {
+	if c.stalled.Load() {
 		<-c.done
 		return 0, net.ErrClosed
 	}
 	return count, err
 }
 
-func (c *deadlyConn) Close() error {
+func (c *stallingConn) Close() error {
 	c.once.Do(func() { close(c.done) })
 	return c.Conn.Close()
 }
 
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+func TestIdleWatchIsReopened(t *testing.T) {
 	is := is.New(t)
 	_, address := start(t, clock.System{}, 1000)
-	dialer := &deadlyDialer{}
+	dialer := &stallingDialer{}
 	client := connect(t, etcd.Options{
 		Endpoints: []string{address}, Dial: dialer.dial, WatchIdle: shortTimeout,
 	})
@@ -216,12 +216,12 @@
 	changes, err := client.Watch(t.Context(), "head", 0)
 	is.NoErr(err)
 	for _, value := range []string{"one", "two"} {
-		dialer.kill(false)
+		dialer.stall(false)
 		_, err = other.Swap(t.Context(), nil, put("head", value))
 		is.NoErr(err)
 		is.Equal(string((<-changes).Value), value) // delivered once, although its connection is dead
 	}
-	dialer.kill(true)
+	dialer.stall(true)
 	_, open := <-changes
 	is.True(!open) // the service is unreachable, so the watch ends
 }
@@ -251,7 +251,7 @@
 	is.Equal(string((<-absent).Value), "here")
 }
 
-func TestLeaseTakesItsKeysAlong(t *testing.T) {
+func TestKeysAreDeletedWithTheirLease(t *testing.T) {
 	is := is.New(t)
 	now := &manualClock{}
 	_, address := start(t, now, 1000)
@@ -331,8 +331,8 @@
 	is.True(refused > 0) // one write a second can't serve eight within their queueing time
 	is.Equal(service.Counts().Limited, int64(refused))
 
-	_, roomy := start(t, clock.System{}, 1000)
-	client = connect(t, etcd.Options{Endpoints: []string{roomy}, CallTimeout: time.Minute})
+	_, unlimited := start(t, clock.System{}, 1000)
+	client = connect(t, etcd.Options{Endpoints: []string{unlimited}, CallTimeout: time.Minute})
 	_, err = client.Swap(t.Context(), nil, []platform.Put{{Key: "head", Value: append(largest, 'x')}})
 	is.True(err != nil)
 }
--- a/pkg/platform/etcd/watch.go
+++ b/pkg/platform/etcd/watch.go
@@ -22,7 +22,7 @@
 // key that did not change since the revision can be watched even if the service has
 // compacted its history since then.
 func (c *Client) Watch(ctx context.Context, key string, after int64) (<-chan platform.Entry, error) {
-	w := &watch{client: c, key: c.full(key), next: after + 1, entries: make(chan platform.Entry)}
+	w := &watch{client: c, key: c.fullKey(key), next: after + 1, entries: make(chan platform.Entry)}
 	first, err := w.open(ctx)
 	if err != nil {
 		return nil, &platform.Error{Service: service, Call: "watch", Err: classify(err)}
@@ -73,27 +73,27 @@
 
 // probe returns the service's revision and whether the key is unchanged.
 func (w *watch) probe(ctx context.Context) (revision int64, unchanged bool, err error) {
-	ask := wire.RangeRequest{Key: w.key, KeysOnly: true}
-	var answer wire.RangeResponse
-	if err := w.client.call(ctx, "watch", wire.PathRange, false, ask, &answer); err != nil {
+	request := wire.RangeRequest{Key: w.key, KeysOnly: true}
+	var response wire.RangeResponse
+	if err := w.client.call(ctx, "watch", wire.PathRange, false, request, &response); err != nil {
 		return 0, false, err
 	}
-	if len(answer.KVs) == 0 {
-		return answer.Header.Revision, w.next == 1, nil
+	if len(response.KVs) == 0 {
+		return response.Header.Revision, w.next == 1, nil
 	}
-	return answer.Header.Revision, answer.KVs[0].ModRevision < w.next, nil
+	return response.Header.Revision, response.KVs[0].ModRevision < w.next, nil
 }
 
 // openAt opens a stream and waits until the service confirms the watch.
 func (w *watch) openAt(ctx context.Context) (*stream, error) {
-	ask := wire.WatchRequest{Create: wire.WatchCreate{Key: w.key, StartRevision: w.next}}
-	body, err := json.Marshal(ask)
+	request := wire.WatchRequest{Create: wire.WatchCreate{Key: w.key, StartRevision: w.next}}
+	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, fmt.Errorf("request: %w", err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	opening := time.AfterFunc(w.client.options.CallTimeout, cancel)
-	opened, err := w.client.begin(ctx, body)
+	opened, err := w.client.openStream(ctx, body)
 	if err != nil {
 		cancel()
 		return nil, err
@@ -106,28 +106,28 @@
 	return opened, nil
 }
 
-// begin posts a watch and reads its first message. If the request fails, the next endpoint
+// openStream posts a watch and reads its first message. If the request fails, the next endpoint
 // becomes the preferred one.
-func (c *Client) begin(ctx context.Context, body []byte) (*stream, error) {
+func (c *Client) openStream(ctx context.Context, body []byte) (*stream, error) {
 	index := int(c.preferred.Load())
-	var begun *stream
+	var opened *stream
 	err := c.authorized(ctx, index, func(token string) error {
 		response, err := c.post(ctx, index, wire.PathWatch, token, body)
 		if err != nil {
 			c.preferred.CompareAndSwap(int64(index), int64((index+1)%len(c.options.Endpoints)))
 			return err
 		}
-		begun, err = beginStream(response)
+		opened, err = readFirstMessage(response)
 		return err
 	})
-	return begun, err
+	return opened, err
 }
 
-// beginStream reads the first message of a stream.
-func beginStream(response *http.Response) (*stream, error) {
-	begun := &stream{response: response, decoder: json.NewDecoder(response.Body)}
+// readFirstMessage reads the first message of a stream.
+func readFirstMessage(response *http.Response) (*stream, error) {
+	opened := &stream{response: response, decoder: json.NewDecoder(response.Body)}
 	var first wire.WatchMessage
-	if err := begun.decoder.Decode(&first); err != nil {
+	if err := opened.decoder.Decode(&first); err != nil {
 		_ = response.Body.Close()
 		return nil, fmt.Errorf("answer: %w", err)
 	}
@@ -135,7 +135,7 @@
 		_ = response.Body.Close()
 		return nil, err
 	}
-	return begun, nil
+	return opened, nil
 }
 
 func messageError(message wire.WatchMessage) error {
@@ -158,7 +158,7 @@
 // follow passes on the events of successive streams.
 func (w *watch) follow(ctx context.Context, current *stream) {
 	defer close(w.entries)
-	for w.drain(ctx, current) {
+	for w.forward(ctx, current) {
 		var err error
 		if current, err = w.open(ctx); err != nil {
 			return
@@ -166,9 +166,9 @@
 	}
 }
 
-// drain passes on a stream's events until it ends. silent reports whether it was closed
+// forward passes on a stream's events until it ends. silent reports whether it was closed
 // because it was idle.
-func (w *watch) drain(ctx context.Context, current *stream) (silent bool) {
+func (w *watch) forward(ctx context.Context, current *stream) (silent bool) {
 	defer current.close()
 	var idle atomic.Bool
 	timer := time.AfterFunc(w.client.options.WatchIdle, func() {
--- a/pkg/platform/platformtest/link.go
+++ b/pkg/platform/platformtest/link.go
@@ -13,7 +13,7 @@
 type Link struct {
 	service *Service
 	name    string
-	hold    func()
+	pause   func()
 }
 
 var _ platform.KeyValue = (*Link)(nil)
@@ -25,11 +25,11 @@
 // enter begins a call. It locks the service until leave and expires leases. The error
 // means that the service is unreachable.
 func (l *Link) enter(call string, count *int) error {
-	l.hold()
+	l.pause()
 	l.service.mu.Lock()
 	l.service.expire()
 	*count++
-	if l.service.down || l.service.cut[l.name] {
+	if l.service.down || l.service.partitioned[l.name] {
 		return failed(call, platform.ErrUnavailable)
 	}
 	return nil
@@ -37,7 +37,7 @@
 
 func (l *Link) leave() {
 	l.service.mu.Unlock()
-	l.hold()
+	l.pause()
 }
 
 // Get implements platform.KeyValue.
@@ -48,8 +48,8 @@
 	if err != nil {
 		return platform.Entry{}, false, err
 	}
-	if s.failing > 0 {
-		s.failing--
+	if s.failingReads > 0 {
+		s.failingReads--
 		return platform.Entry{}, false, failed("get", platform.ErrUnavailable)
 	}
 	if ctx.Err() != nil {
@@ -86,7 +86,7 @@
 // Swap implements platform.KeyValue. A write takes effect even after ctx has ended,
 // since it may already have been sent.
 func (l *Link) Swap(_ context.Context, expect map[string]int64, puts []platform.Put) (int64, error) {
-	l.service.arrive()
+	l.service.runBeforeNextWrite()
 	s := l.service
 	err := l.enter("txn", &s.counts.Writes)
 	defer l.leave()
@@ -106,7 +106,7 @@
 		s.down = true
 		s.breakWatches(func(*watch) bool { return true })
 	case DelayWrite:
-		s.late = append(s.late, func() { _, _ = s.swap(expect, puts) })
+		s.delayed = append(s.delayed, func() { _, _ = s.swap(expect, puts) })
 	default:
 		return s.swap(expect, puts)
 	}
@@ -122,7 +122,7 @@
 		return 0, err
 	}
 	s.lastID++
-	s.leases[s.lastID] = lease{ttl: ttl, end: s.clock.Now().Add(ttl)}
+	s.leases[s.lastID] = lease{ttl: ttl, expiry: s.clock.Now().Add(ttl)}
 	return s.lastID, nil
 }
 
@@ -134,13 +134,13 @@
 	if err != nil {
 		return 0, err
 	}
-	held, ok := s.leases[id]
+	granted, ok := s.leases[id]
 	if !ok {
 		return 0, failed("keepalive", platform.ErrLeaseLost)
 	}
-	held.end = s.clock.Now().Add(held.ttl)
-	s.leases[id] = held
-	return held.ttl, nil
+	granted.expiry = s.clock.Now().Add(granted.ttl)
+	s.leases[id] = granted
+	return granted.ttl, nil
 }
 
 // Revoke implements platform.KeyValue.
@@ -152,6 +152,6 @@
 		return err
 	}
 	delete(s.leases, id)
-	s.sweep()
+	s.deleteOrphanedKeys()
 	return nil
 }
--- a/pkg/platform/platformtest/service.go
+++ b/pkg/platform/platformtest/service.go
@@ -49,13 +49,13 @@
 	watches  map[*watch]struct{}
 	counts   Counts
 
-	down bool
-	cut  map[string]bool
-	// faults are consumed by writes, one each. failing is the number of reads that fail.
-	faults  []Fault
-	failing int
-	late    []func()
-	before  func()
+	down        bool
+	partitioned map[string]bool
+	// faults are consumed by writes, one each. failingReads is the number of reads that fail.
+	faults          []Fault
+	failingReads    int
+	delayed         []func()
+	beforeNextWrite func()
 }
 
 // record is an entry and its lease, which is 0 if there is none.
@@ -65,30 +65,30 @@
 }
 
 type lease struct {
-	ttl time.Duration
-	end time.Time
+	ttl    time.Duration
+	expiry time.Time
 }
 
 // New returns an empty service whose leases expire by the clock.
 func New(now clock.Clock) *Service {
 	s := &Service{
-		clock:   now,
-		records: make(map[string]record),
-		leases:  make(map[platform.LeaseID]lease),
-		watches: make(map[*watch]struct{}),
-		cut:     make(map[string]bool),
+		clock:       now,
+		records:     make(map[string]record),
+		leases:      make(map[platform.LeaseID]lease),
+		watches:     make(map[*watch]struct{}),
+		partitioned: make(map[string]bool),
 	}
 	s.Link = s.Connect("", nil)
 	return s
 }
 
-// Connect returns a link to the service. SetPartitioned partitions links by name. Hold,
+// Connect returns a link to the service. SetPartitioned partitions links by name. Pause,
 // unless nil, runs before and after each call and can block the caller.
-func (s *Service) Connect(name string, hold func()) *Link {
-	if hold == nil {
-		hold = func() {}
+func (s *Service) Connect(name string, pause func()) *Link {
+	if pause == nil {
+		pause = func() {}
 	}
-	return &Link{service: s, name: name, hold: hold}
+	return &Link{service: s, name: name, pause: pause}
 }
 
 // SetDown sets whether every call fails. Going down breaks all watches.
@@ -102,11 +102,11 @@
 }
 
 // SetPartitioned partitions or heals all links of a name. A partition breaks their watches.
-func (s *Service) SetPartitioned(link string, cut bool) {
+func (s *Service) SetPartitioned(link string, partitioned bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut[link] = cut
-	if cut {
+	s.partitioned[link] = partitioned
+	if partitioned {
 		s.breakWatches(func(w *watch) bool { return w.link == link })
 	}
 }
@@ -130,24 +130,24 @@
 func (s *Service) FailReads(count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failing = count
+	s.failingReads = count
 }
 
 // ClearFaults cancels FailWrites and FailReads. Delayed writes stay pending.
 func (s *Service) ClearFaults() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults, s.failing = nil, 0
+	s.faults, s.failingReads = nil, 0
 }
 
 // Release applies the delayed writes in order.
 func (s *Service) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, write := range s.late {
+	for _, write := range s.delayed {
 		write()
 	}
-	s.late = nil
+	s.delayed = nil
 }
 
 // BeforeNextWrite runs a function once, when the next write arrives and before it is
@@ -155,7 +155,7 @@
 func (s *Service) BeforeNextWrite(run func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.before = run
+	s.beforeNextWrite = run
 }
 
 // Set writes a key regardless of faults and notifies its watches.
--- a/pkg/platform/platformtest/service_test.go
+++ b/pkg/platform/platformtest/service_test.go
@@ -16,7 +16,7 @@
 
 // A key with a lease is deleted when the lease expires by the clock, and a watch reports
 // the write and the deletion.
-func TestKeysEndWithTheirLease(t *testing.T) {
+func TestKeysAreDeletedWithTheirLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := platformtest.New(clock.System{})
@@ -53,9 +53,9 @@
 // write takes effect.
 func TestWriteFaults(t *testing.T) {
 	for name, test := range map[string]struct {
-		fault       platformtest.Fault
-		made, after string
-		down        bool
+		fault             platformtest.Fault
+		applied, released string
+		down              bool
 	}{
 		"lost write":   {platformtest.LoseWrite, "", "", false},
 		"lost answer":  {platformtest.LoseAnswer, "v", "v", false},
@@ -68,9 +68,9 @@
 			s.FailWrites(test.fault)
 			_, err := s.Swap(t.Context(), nil, []platform.Put{{Key: "k", Value: []byte("v")}})
 			is.True(errors.Is(err, platform.ErrUnavailable))
-			is.Equal(string(s.Value("k")), test.made)
+			is.Equal(string(s.Value("k")), test.applied)
 			s.Release()
-			is.Equal(string(s.Value("k")), test.after)
+			is.Equal(string(s.Value("k")), test.released)
 			_, _, err = s.Get(t.Context(), "k")
 			is.Equal(err != nil, test.down)
 		})
--- a/pkg/platform/platformtest/state.go
+++ b/pkg/platform/platformtest/state.go
@@ -17,11 +17,11 @@
 	changes   chan platform.Entry
 }
 
-// arrive runs the function set by BeforeNextWrite.
-func (s *Service) arrive() {
+// runBeforeNextWrite runs the function set by BeforeNextWrite.
+func (s *Service) runBeforeNextWrite() {
 	s.mu.Lock()
-	run := s.before
-	s.before = nil
+	run := s.beforeNextWrite
+	s.beforeNextWrite = nil
 	s.mu.Unlock()
 	if run != nil {
 		run()
@@ -30,22 +30,22 @@
 
 // expire removes the expired leases.
 func (s *Service) expire() {
-	now, ended := s.clock.Now(), false
-	for id, held := range s.leases {
-		if !now.Before(held.end) {
+	now, expired := s.clock.Now(), false
+	for id, granted := range s.leases {
+		if !now.Before(granted.expiry) {
 			delete(s.leases, id)
-			ended = true
+			expired = true
 		}
 	}
-	if ended {
-		s.sweep()
+	if expired {
+		s.deleteOrphanedKeys()
 	}
 }
 
-// sweep deletes the keys of ended leases.
-func (s *Service) sweep() {
+// deleteOrphanedKeys deletes the keys of ended leases.
+func (s *Service) deleteOrphanedKeys() {
 	for key, record := range s.records {
-		if _, held := s.leases[record.lease]; record.lease != 0 && !held {
+		if _, valid := s.leases[record.lease]; record.lease != 0 && !valid {
 			s.revision++
 			s.apply(platform.Put{Key: key, Delete: true})
 		}
@@ -61,7 +61,7 @@
 		}
 	}
 	for _, put := range puts {
-		if _, held := s.leases[put.Lease]; put.Lease != 0 && !held {
+		if _, valid := s.leases[put.Lease]; put.Lease != 0 && !valid {
 			return 0, failed("txn", platform.ErrLeaseLost)
 		}
 	}
@@ -87,22 +87,22 @@
 	}
 	for w := range s.watches {
 		if w.key == put.Key {
-			s.tell(w, entry)
+			s.notify(w, entry)
 		}
 	}
 }
 
-func (s *Service) tell(w *watch, entry platform.Entry) {
+func (s *Service) notify(w *watch, entry platform.Entry) {
 	select {
 	case w.changes <- entry:
 	default:
-		s.end(w)
+		s.closeWatch(w)
 	}
 }
 
-// end closes a watch's channel, once.
-func (s *Service) end(w *watch) {
-	if _, stands := s.watches[w]; stands {
+// closeWatch closes a watch's channel, once.
+func (s *Service) closeWatch(w *watch) {
+	if _, open := s.watches[w]; open {
 		delete(s.watches, w)
 		close(w.changes)
 	}
@@ -111,7 +111,7 @@
 func (s *Service) breakWatches(broken func(*watch) bool) {
 	for w := range s.watches {
 		if broken(w) {
-			s.end(w)
+			s.closeWatch(w)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	context.AfterFunc(ctx, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.end(w)
+		s.closeWatch(w)
 	})
 	return w.changes, nil
 }
--- a/pkg/platform/rest/client.go
+++ b/pkg/platform/rest/client.go
@@ -36,8 +36,8 @@
 const (
 	// callTimeout bounds each call.
 	callTimeout = 2 * time.Second
-	// maxAnswer bounds the size of an answer in bytes.
-	maxAnswer = 4 << 20
+	// maxResponseBytes bounds the size of an answer in bytes.
+	maxResponseBytes = 4 << 20
 )
 
 // Entries is the directory's response.
@@ -109,20 +109,20 @@
 	return client{service: service, base: base, token: access.Token, http: &http.Client{Transport: transport}}
 }
 
-// call sends ask and decodes the response into answer, unless answer is nil. All errors wrap
+// call sends input and decodes the response into output, unless output is nil. All errors wrap
 // platform.ErrUnavailable.
-func (c client) call(ctx context.Context, method, path string, ask, answer any) error {
+func (c client) call(ctx context.Context, method, path string, input, output any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := c.exchange(ctx, method, path, ask, answer); err != nil {
+	if err := c.exchange(ctx, method, path, input, output); err != nil {
 		wrapped := fmt.Errorf("%w: %w", platform.ErrUnavailable, err)
 		return &platform.Error{Service: c.service, Call: method + " " + path, Err: wrapped}
 	}
 	return nil
 }
 
-func (c client) exchange(ctx context.Context, method, path string, ask, answer any) error {
-	body, err := json.Marshal(ask)
+func (c client) exchange(ctx context.Context, method, path string, input, output any) error {
+	body, err := json.Marshal(input)
 	if err != nil {
 		return fmt.Errorf("request: %w", err)
 	}
@@ -139,22 +139,22 @@
 		return fmt.Errorf("exchange: %w", err)
 	}
 	defer response.Body.Close()
-	return read(response, answer)
+	return read(response, output)
 }
 
-func read(response *http.Response, answer any) error {
-	decoder := json.NewDecoder(io.LimitReader(response.Body, maxAnswer))
+func read(response *http.Response, output any) error {
+	decoder := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes))
 	if response.StatusCode >= http.StatusMultipleChoices {
-		var refused ErrorAnswer
-		if err := decoder.Decode(&refused); err != nil {
-			refused.Error = "body not readable"
+		var failure ErrorAnswer
+		if err := decoder.Decode(&failure); err != nil {
+			failure.Error = "body not readable"
 		}
-		return &StatusError{Status: response.StatusCode, Message: refused.Error}
+		return &StatusError{Status: response.StatusCode, Message: failure.Error}
 	}
-	if answer == nil {
+	if output == nil {
 		return nil
 	}
-	if err := decoder.Decode(answer); err != nil {
+	if err := decoder.Decode(output); err != nil {
 		return fmt.Errorf("answer: %w", err)
 	}
 	return nil
--- a/pkg/platform/rest/rest_test.go
+++ b/pkg/platform/rest/rest_test.go
@@ -54,15 +54,15 @@
 func TestListLags(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	begin := []platform.ListedInstance{{Name: "kal-1", Domain: "kalamaria-hall"}, {Name: "lar-1", Domain: "larisa-hall"}}
-	list := fleet.NewList(clock.Func(func() time.Time { return now }), 3*time.Second, begin)
+	initial := []platform.ListedInstance{{Name: "kal-1", Domain: "kalamaria-hall"}, {Name: "lar-1", Domain: "larisa-hall"}}
+	list := fleet.NewList(clock.Func(func() time.Time { return now }), 3*time.Second, initial)
 	client := rest.NewInstanceList(serve(t, list.Handler()), dial, rest.Access{})
 	is.True(list.MarkLeaving("lar-1", true))
 	is.True(!list.MarkLeaving("per-1", true))
 	now = now.Add(2 * time.Second)
 	listed, err := client.List(t.Context(), "larisa-hall")
 	is.NoErr(err)
-	is.Equal(listed, begin[1:]) // the change is not listed yet
+	is.Equal(listed, initial[1:]) // the change is not listed yet
 	now = now.Add(time.Second)
 	listed, err = client.List(t.Context(), "larisa-hall")
 	is.NoErr(err)
--- a/pkg/platform/rest/services.go
+++ b/pkg/platform/rest/services.go
@@ -22,8 +22,8 @@
 
 // Register implements platform.Directory.
 func (d *Directory) Register(ctx context.Context, entry platform.DirectoryEntry, ttl time.Duration) error {
-	ask := Registration{Entry: entry, TTLMillis: ttl.Milliseconds()}
-	return d.client.call(ctx, http.MethodPut, entryPath(entry.Instance), ask, nil)
+	request := Registration{Entry: entry, TTLMillis: ttl.Milliseconds()}
+	return d.client.call(ctx, http.MethodPut, entryPath(entry.Instance), request, nil)
 }
 
 // Deregister implements platform.Directory.
@@ -33,11 +33,11 @@
 
 // Lookup implements platform.Directory.
 func (d *Directory) Lookup(ctx context.Context) ([]platform.DirectoryEntry, error) {
-	var answer Entries
-	if err := d.client.call(ctx, http.MethodGet, PathEntries, nil, &answer); err != nil {
+	var response Entries
+	if err := d.client.call(ctx, http.MethodGet, PathEntries, nil, &response); err != nil {
 		return nil, err
 	}
-	return answer.Entries, nil
+	return response.Entries, nil
 }
 
 func entryPath(instance string) string { return PathEntries + "/" + url.PathEscape(instance) }
@@ -54,12 +54,12 @@
 
 // List implements platform.InstanceList.
 func (l *InstanceList) List(ctx context.Context, domain string) ([]platform.ListedInstance, error) {
-	var answer Instances
+	var response Instances
 	path := PathInstances + "?domain=" + url.QueryEscape(domain)
-	if err := l.client.call(ctx, http.MethodGet, path, nil, &answer); err != nil {
+	if err := l.client.call(ctx, http.MethodGet, path, nil, &response); err != nil {
 		return nil, err
 	}
-	return answer.Instances, nil
+	return response.Instances, nil
 }
 
 // WeightStore is a platform.WeightStore.
@@ -74,10 +74,10 @@
 
 // Reserve implements platform.WeightStore.
 func (w *WeightStore) Reserve(ctx context.Context, model, version string) (time.Duration, error) {
-	var answer ReservationAnswer
-	ask := ReservationRequest{Model: model, Version: version}
-	if err := w.client.call(ctx, http.MethodPost, PathReservations, ask, &answer); err != nil {
+	var response ReservationAnswer
+	request := ReservationRequest{Model: model, Version: version}
+	if err := w.client.call(ctx, http.MethodPost, PathReservations, request, &response); err != nil {
 		return 0, err
 	}
-	return time.Duration(answer.WaitMillis) * time.Millisecond, nil
+	return time.Duration(response.WaitMillis) * time.Millisecond, nil
 }
