--- a/pkg/event/event.go
+++ b/pkg/event/event.go
@@ -1,5 +1,5 @@
-// Package event defines the names of the events that lilacweir-edge logs and the keys of their
-// fields. Code that writes lines and code that parses them share these constants.
+// Package event defines the names of lilacweir-edge's log events and the keys of their fields,
+// for code that writes log lines and code that parses them.
 //
 // docs/OPERATIONS.md lists them for operators.
 package event
@@ -9,38 +9,36 @@
 
 // Events of the process.
 const (
-	// Start is logged when the instance begins to serve.
+	// Start means that the instance begins to serve.
 	Start Name = "start"
-	// SettingsReloaded is logged when the settings file was reloaded. Only the log level is
-	// applied; all other settings stay as they were at the start.
+	// SettingsReloaded means that the settings file was read again. Only the log level is
+	// applied; all else stays as it was at the start.
 	SettingsReloaded Name = "settings-reloaded"
-	// SettingsRejected is logged when the settings cannot be read; nothing changes.
+	// SettingsRejected means that the settings cannot be read; nothing changes.
 	SettingsRejected Name = "settings-rejected"
-	// Leaving is logged when the instance received the signal to shut down.
+	// Leaving means that the instance was signalled to shut down.
 	Leaving Name = "leaving"
-	// RequestsCutOff is logged when requests were still running at the end of the grace period.
+	// RequestsCutOff means that requests still ran at the end of the grace period.
 	RequestsCutOff Name = "requests-cut-off"
-	// Stop is logged when the instance has shut down.
+	// Stop means that the instance has shut down.
 	Stop Name = "stop"
-	// LinesLeftOut is logged when lines were dropped, over budget or for a stalled reader.
+	// LinesLeftOut counts lines dropped over budget or for a stalled reader.
 	LinesLeftOut Name = "lines-left-out"
 )
 
-// Events of entries and configurations that the instance reads from the store.
+// Events of what the instance reads from the store.
 const (
 	ConfigurationInForce  Name = "configuration-in-force"
 	ConfigurationRejected Name = "configuration-rejected"
-	// ConfigurationOlder is logged when the store holds a configuration older than the one in
-	// force, which stays in force.
+	// ConfigurationOlder means that the store holds an older one than that in force, which stays.
 	ConfigurationOlder Name = "configuration-older"
 	UpstreamChanged    Name = "upstream-changed"
 	UpstreamGone       Name = "upstream-gone"
-	// EntryRejected is logged when an entry of the store cannot be decoded.
+	// EntryRejected means that an entry of the store cannot be decoded.
 	EntryRejected Name = "entry-rejected"
-	// EntryLapsed is logged when an entry is missing after an outage of the store. The
-	// instance retains it for a time.
+	// EntryLapsed means that an entry is missing after a store outage and is retained.
 	EntryLapsed Name = "entry-lapsed"
-	// EntryGone is logged when the retention of such an entry ends.
+	// EntryGone means that the retention of a lapsed entry is over.
 	EntryGone Name = "entry-gone"
 )
 
@@ -49,16 +47,16 @@
 	StoreReached  Name = "store-reached"
 	StoreLost     Name = "store-lost"
 	StoreRegained Name = "store-regained"
-	// StoreFollowed is logged when the local replica begins to follow a restored store.
+	// StoreFollowed means that the local replica begins to follow a restored store.
 	StoreFollowed Name = "store-followed"
-	// StoreRestored is logged when the store was restored from a backup, with a lower revision.
-	// EntriesLeftOut counts changes from it that were ignored as no newer than the replica.
+	// StoreRestored means that the store was restored from a backup, with a lower revision.
+	// EntriesLeftOut counts its changes that were ignored as no newer than the replica.
 	StoreRestored  Name = "store-restored"
 	EntriesLeftOut Name = "entries-left-out"
-	// StoreHistoryGone is logged when changes were missed and all entries are read again.
+	// StoreHistoryGone means that changes were missed; all entries are read again.
 	StoreHistoryGone Name = "store-history-gone"
-	// StoreHistoryMissed is logged when deletions before a revision are unknown. Upstreams are
-	// probed whether they are cold.
+	// StoreHistoryMissed means that entries created and deleted before a revision are unknown;
+	// upstreams are probed whether they are cold.
 	StoreHistoryMissed   Name = "store-history-missed"
 	Registered           Name = "registered"
 	RegistrationLost     Name = "registration-lost"
@@ -69,47 +67,41 @@
 	PeerLeaving          Name = "peer-leaving"
 	PeerLost             Name = "peer-lost"
 	DomainHeard          Name = "domain-heard"
-	// CopyAdopted is logged when changes of the store were accepted from another instance.
+	// CopyAdopted means that changes of the store came from another instance.
 	CopyAdopted Name = "copy-adopted"
 	CopyFailed  Name = "copy-failed"
-	// SumsRejected is logged when a hub reported the load of the others in a form that was not
-	// requested.
+	// SumsRejected means that a hub reported load in a form that was not requested.
 	SumsRejected Name = "sums-rejected"
-	// UpstreamEjected is logged when an upstream failed too often and gets no requests for a while.
+	// UpstreamEjected means that an upstream failed too often and gets no requests for a while.
 	UpstreamEjected Name = "upstream-ejected"
-	// UpstreamReborn is logged when an upstream reports a restart that its entry does not show yet.
+	// UpstreamReborn means that an upstream reports a restart that its entry does not show yet.
 	UpstreamReborn Name = "upstream-reborn"
-	// UpstreamCold is logged when an upstream replies to a probe that it is cold and its entry
-	// does not show it.
+	// UpstreamCold means that a probed upstream is cold and its entry does not show it.
 	UpstreamCold Name = "upstream-cold"
-	// UpstreamSilent is logged when a status query for an upstream's start time and cold state
-	// failed.
+	// UpstreamSilent means that a query for an upstream's start time and cold state failed.
 	UpstreamSilent Name = "upstream-silent"
-	// UpstreamDark is logged when an engine is unresponsive: no instance receives data on any of
-	// its streams. It gets no requests for a while, and resumable streams move to other engines.
+	// UpstreamDark means that no instance receives data on any stream of an engine. It gets no
+	// requests for a while, and resumable streams move elsewhere.
 	UpstreamDark Name = "upstream-dark"
-	// UpstreamEnded is logged when answers of an upstream broke off and its address refuses
-	// connections.
+	// UpstreamEnded means that answers broke off and the upstream's address refuses connections.
 	UpstreamEnded Name = "upstream-ended"
-	// RequestQuarantined is logged when upstreams crashed one after the other while running a
-	// request, which is refused from then on. RequestCleared is logged when a suspected request
-	// completed.
+	// RequestQuarantined means that upstreams crashed one after the other while running a
+	// request, which is refused from then on. RequestCleared means that a suspected one completed.
 	RequestQuarantined Name = "request-quarantined"
 	RequestCleared     Name = "request-cleared"
-	// QuarantineNotKept is logged when a quarantine or its end could not be written to the store.
+	// QuarantineNotKept means that a quarantine or its end could not be stored.
 	QuarantineNotKept Name = "quarantine-not-kept"
-	// UpstreamLimited is logged when an upstream advertises a new limit in requests a second,
-	// UpstreamUnlimited when it no longer advertises one, and UpstreamLimitOdd when the limit is
+	// UpstreamLimited means that an upstream advertises a new limit in requests a second,
+	// UpstreamUnlimited that it no longer advertises one, and UpstreamLimitOdd that the limit is
 	// not a number and the previous one stays in force.
 	UpstreamLimited   Name = "upstream-limited"
 	UpstreamUnlimited Name = "upstream-unlimited"
 	UpstreamLimitOdd  Name = "upstream-limit-odd"
-	// UpstreamLeaving is logged when an upstream reported in an answer that it is leaving.
+	// UpstreamLeaving means that an upstream reported in an answer that it is leaving.
 	UpstreamLeaving Name = "upstream-leaving"
-	// UpstreamResting is logged when an upstream rejected a request and requested a backoff of
-	// this instance.
+	// UpstreamResting means that an upstream rejected a request and requested a backoff.
 	UpstreamResting Name = "upstream-resting"
-	// UpstreamRestored is logged when an ejected upstream answered its probe.
+	// UpstreamRestored means that an ejected upstream answered its probe.
 	UpstreamRestored Name = "upstream-restored"
 )
 
@@ -117,16 +109,16 @@
 const (
 	// RequestRouted records the next target of a request and the inputs of the choice.
 	RequestRouted Name = "request-routed"
-	// AttemptRejected is logged when the upstream states that it did not run the request.
+	// AttemptRejected means that the upstream states that it did not run the request.
 	AttemptRejected Name = "attempt-rejected"
-	// AttemptFailed is logged when a send got no complete answer.
+	// AttemptFailed is a send without a complete answer.
 	AttemptFailed Name = "attempt-failed"
-	// AnswerOdd is logged when an answer cannot be passed on.
+	// AnswerOdd is an answer that cannot be passed on.
 	AnswerOdd Name = "answer-odd"
-	// RefusalTooLong is logged when the body of a refusal was not read to its end.
+	// RefusalTooLong means that a refusal's body was not read to its end.
 	RefusalTooLong Name = "refusal-too-long"
-	// RequestFailed is logged when a request ended with an outcome other than complete.
+	// RequestFailed is the end of a request with an outcome other than complete.
 	RequestFailed Name = "request-failed"
-	// RequestEnded is logged when a request ended with the outcome complete.
+	// RequestEnded is the end of a request with the outcome complete.
 	RequestEnded Name = "request-ended"
 )
--- a/pkg/explain/cause.go
+++ b/pkg/explain/cause.go
@@ -13,22 +13,21 @@
 
 // Time windows in which other events are related to a failure.
 const (
-	// causeLookback is the time before a failure in which an event may be its cause. It exceeds the
-	// first ejection period and the time after which a silent instance is removed.
+	// causeLookback bounds the age of a cause. It exceeds the first ejection period and the
+	// time after which a silent instance is removed.
 	causeLookback = 5 * time.Second
-	// causeLookahead is the time after a failure in which its cause may be logged, because an
-	// upstream's entry expires some seconds after the upstream has gone.
+	// causeLookahead bounds the delay of a cause's log line: an upstream's entry expires some
+	// seconds after the upstream has gone.
 	causeLookahead = 8 * time.Second
-	// relatedWindow is the distance in time within which failures of other requests count as related.
+	// relatedWindow is the distance within which failures of other requests are related.
 	relatedWindow = time.Second
-	// contentWindow is the time before and after a failure in which tries of the same request
-	// are counted together.
+	// contentWindow is the distance within which tries of the same request count together.
 	contentWindow = 10 * time.Minute
-	// quarantineLookback is the time before a refusal in which the causes of a quarantine are sought.
+	// quarantineLookback bounds the age of a quarantine's causes.
 	quarantineLookback = time.Hour
 )
 
-// slowAnswer is the time to the first part of an answer from which the delay is explained.
+// slowAnswer is the time to the first part of an answer that is explained as late.
 const slowAnswer = time.Second
 
 // causes returns the reasons for the outcome of a span.
@@ -66,8 +65,7 @@
 	return append(all, l.eventsOfTarget(target, attempt.Time)...)
 }
 
-// sameContentFailures counts the other tries of the same request, by content, that broke off, and
-// their targets.
+// sameContentFailures counts other tries of the same content that broke off, and their targets.
 func (l *Log) sameContentFailures(attempt *Line) []string {
 	content := attempt.Get(event.KeyContent)
 	if content == "" {
@@ -112,7 +110,7 @@
 	return count
 }
 
-// targetEvents are the events that explain a failure at a target, with the key that names the target.
+// targetEvents are the events that explain failures at a target, with the key that names it.
 var targetEvents = []struct {
 	name event.Name
 	key  string
@@ -197,8 +195,7 @@
 	}
 }
 
-// quarantineCauses lists the upstreams that crashed while running a request that is now
-// refused as quarantined.
+// quarantineCauses lists the upstreams that crashed while running a quarantined request.
 func (l *Log) quarantineCauses(span *Span) []string {
 	content := span.End.Get(event.KeyContent)
 	until := span.End.Time
@@ -259,7 +256,7 @@
 	return append(all, l.upstreamFailures(span)...)
 }
 
-// upstreamFailures counts the upstream failures that the instance logged shortly before the end.
+// upstreamFailures counts the failures of upstreams at the instance shortly before the end.
 func (l *Log) upstreamFailures(span *Span) []string {
 	var all []string
 	until := span.End.Time
@@ -311,8 +308,8 @@
 	}
 }
 
-// restoreWindow is the time after a restore of the store from a backup in which the restore may
-// explain a failure: the operator and the upstreams have to write their entries again.
+// restoreWindow is the time after a restore of the store in which it may explain a failure,
+// until the operator and the upstreams have written their entries again.
 const restoreWindow = 30 * time.Second
 
 // storeCauses reports whether the store was unreachable for the instance, or restored from a backup.
--- a/pkg/explain/log.go
+++ b/pkg/explain/log.go
@@ -14,7 +14,7 @@
 	"github.com/lilacweir/lilacweir/pkg/event"
 )
 
-// Log holds the lines from the logs of several instances that concern one request.
+// Log holds the lines of several logs that concern one request.
 type Log struct {
 	// Request is the request's ID.
 	Request string
@@ -126,8 +126,8 @@
 	}
 }
 
-// phase orders the lines of one attempt that have the same time: the routing step comes first,
-// although a deferred line is written after the lines that follow from it.
+// phase orders the lines of one attempt at the same time. The routing step comes first, even if
+// it was deferred and written later.
 func phase(line *Line) int {
 	if line.Event == event.RequestRouted {
 		return 0
--- a/pkg/explain/missing.go
+++ b/pkg/explain/missing.go
@@ -45,7 +45,7 @@
 	return all
 }
 
-// missingTargetLines lists the instances that the request was sent to and that logged nothing about it.
+// missingTargetLines lists the target instances without lines about the request.
 func (l *Log) missingTargetLines(trace *Trace, span *Span) []string {
 	var all []string
 	for _, line := range span.steps(event.RequestRouted) {
--- a/pkg/explain/trace.go
+++ b/pkg/explain/trace.go
@@ -32,11 +32,11 @@
 // UnknownRequestError reports that no line is about the request.
 type UnknownRequestError struct {
 	Request string
-	// Read is the number of lines read, Instances that of their instances, and Cut that of
-	// the lines that cannot be parsed.
+	// Read counts the lines read, Instances their instances, and Incomplete the lines that
+	// cannot be parsed.
 	Read, Instances, Incomplete int
-	// Starts is the number of instance starts; a killed instance logs nothing about its
-	// requests in flight. LeftOut is the number of request lines that the loggers dropped.
+	// Starts counts instance starts, since a killed instance loses its requests in flight.
+	// LeftOut counts the request lines that were dropped.
 	Starts, LeftOut int
 }
 
--- a/pkg/platform/etcd/auth.go
+++ b/pkg/platform/etcd/auth.go
@@ -95,8 +95,8 @@
 // ErrNoToken means that the service accepted the password but returned no token.
 var ErrNoToken = errors.New("no token in the answer")
 
-// rejectsToken reports whether the service rejected the token because it is unknown or was
-// issued for an older revision of the permissions. Nothing was run then.
+// rejectsToken reports whether the token was rejected as unknown or as issued under older
+// permissions. Nothing was run then.
 func rejectsToken(err error) bool {
 	var status *StatusError
 	if !errors.As(err, &status) {
--- a/pkg/platform/etcd/client.go
+++ b/pkg/platform/etcd/client.go
@@ -30,8 +30,8 @@
 	// DefaultWatchIdle is the time without a message after which a watch is reopened,
 	// since an idle watch cannot be told from a connection that was lost silently.
 	DefaultWatchIdle = 4 * time.Second
-	// maxResponseBytes bounds the size of an answer in bytes. It fits a value of a megabyte in
-	// base64 and leaves space for a transaction.
+	// maxResponseBytes bounds an answer. It fits a value of a megabyte in base64 and
+	// leaves space for a transaction.
 	maxResponseBytes = 8 << 20
 	// idleConnections bounds the connections kept for each endpoint.
 	idleConnections = 8
@@ -95,7 +95,7 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// StatusError reports a response with a status other than 200, or an error in a stream.
+// StatusError reports a status other than 200, or an error in a stream.
 type StatusError struct {
 	// Status is the HTTP status, Code the gRPC code.
 	Status, Code int
--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -1,6 +1,5 @@
-// Package platform defines the services that lilacweir requires of the platform it
-// runs on, as small interfaces. Adapters are in sub-packages; supporting another
-// platform takes one adapter.
+// Package platform defines the services that lilacweir requires of its platform, as
+// small interfaces. Adapters are in sub-packages; a second platform takes one adapter.
 package platform
 
 import (
@@ -70,9 +69,8 @@
 // of Changes counts as one call.
 type PrefixReader interface {
 	// List returns a page of the entries of a prefix whose keys come after the key
-	// after, in key order. The service chooses the size of the page. The pages of a
-	// listing are not one snapshot, so follow the changes after the first page's
-	// revision.
+	// after, in key order. The service chooses the page size. Pages are not one
+	// snapshot, so follow the changes after the first page's revision.
 	List(ctx context.Context, prefix, after string) (Page, error)
 	// Changes waits at most wait for changes of a prefix's keys after a revision and
 	// returns them, or ErrCompacted if that history is no longer available.
@@ -117,10 +115,10 @@
 	ModRevision int64
 	// CreateRevision is the service's revision of the key's creation.
 	CreateRevision int64
-	// Era is the service's epoch in which the entry was read. An epoch ends when the service is
-	// restored from a backup: acknowledged writes and leases since then are lost and revisions
-	// are assigned again, so revisions of different epochs cannot be compared. It increases with
-	// each restore and is 0 if the service does not report it.
+	// Era is the service's epoch when the entry was read. A restore from a backup begins a new
+	// epoch: writes and leases acknowledged since the backup are lost and revisions are assigned
+	// again, so those of two epochs cannot be compared. It increases with each restore and is 0
+	// if the service does not report it.
 	Era uint64
 }
 
