--- a/pkg/api/accept.go
+++ b/pkg/api/accept.go
@@ -29,14 +29,14 @@
 // identifyRequest takes the given request ID, or makes one, and echoes it.
 func (s *Server) identifyRequest(c echo.Context, request *dispatch.Request, pattern *regexp.Regexp) *outcome.Refusal {
 	given := c.Request().Header.Get(header.RequestID)
-	fits := pattern.MatchString(given)
+	valid := pattern.MatchString(given)
 	request.ID = given
-	if !fits {
+	if !valid {
 		request.ID = s.source.NewRequestID()
 	}
 	request.CallerID = request.ID
 	c.Response().Header().Set(header.RequestID, request.ID)
-	if given != "" && !fits {
+	if given != "" && !valid {
 		return badRequest("the request ID must be 1 to 100 letters, digits or . _ : -")
 	}
 	return nil
@@ -46,8 +46,8 @@
 	return outcome.Refuse(http.StatusBadRequest, outcome.ReasonBadRequest, 0, detail)
 }
 
-// fromCaller authenticates a caller by its key.
-func (s *Server) fromCaller(c echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal {
+// identifyCaller authenticates a caller by its key.
+func (s *Server) identifyCaller(c echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal {
 	caller, refusal := authenticate(c, index)
 	if refusal != nil {
 		return refusal
@@ -69,9 +69,9 @@
 	return nil, outcome.Refuse(http.StatusUnauthorized, outcome.ReasonUnauthenticated, 0, "the key is missing or not known")
 }
 
-// fromPeer takes what another domain's gateway says of the request, and refuses
+// identifyPeer takes what another domain's gateway says of the request, and refuses
 // to decide by an older configuration than the sender's.
-func (s *Server) fromPeer(c echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal {
+func (s *Server) identifyPeer(c echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal {
 	fields := c.Request().Header
 	request.Origin = fields.Get(header.Origin)
 	if fields.Get(header.Class) != header.ClassDomain || request.Origin == "" || request.Origin == s.domain {
@@ -129,12 +129,12 @@
 	if text == "" {
 		return nil
 	}
-	left, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || left < 0 {
+	milliseconds, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || milliseconds < 0 {
 		return badRequest("the deadline must be milliseconds from now")
 	}
-	wait := min(time.Duration(min(left, maxDeadline.Milliseconds()))*time.Millisecond, maxDeadline)
-	request.Deadline = s.now().Add(wait)
+	remaining := min(time.Duration(min(milliseconds, maxDeadline.Milliseconds()))*time.Millisecond, maxDeadline)
+	request.Deadline = s.now().Add(remaining)
 	return nil
 }
 
@@ -174,11 +174,11 @@
 	_ = controller.SetReadDeadline(s.now().Add(bodyTimeout))
 	defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, s.maxBody))
-	var over *http.MaxBytesError
+	var sizeError *http.MaxBytesError
 	switch {
 	case err == nil:
 		return body, nil
-	case errors.As(err, &over):
+	case errors.As(err, &sizeError):
 		return nil, tooLarge()
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, outcome.Refuse(http.StatusRequestTimeout, outcome.ReasonSlowCaller, 0, "the request's body came too slowly")
@@ -187,8 +187,8 @@
 	}
 }
 
-// boundHeader refuses requests whose header is too large.
-func (s *Server) boundHeader(next echo.HandlerFunc) echo.HandlerFunc {
+// limitHeader refuses requests whose header is too large.
+func (s *Server) limitHeader(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if len(c.Request().RequestURI)+header.Size(c.Request().Header) <= maxHeader {
 			return next(c)
--- a/pkg/api/api_test.go
+++ b/pkg/api/api_test.go
@@ -71,7 +71,7 @@
 
 const goodChat = `{"model":"nurse","messages":[{"role":"user","content":"hi"}],"max_tokens":5}`
 
-func with(pairs ...string) http.Header {
+func callerHeader(pairs ...string) http.Header {
 	fields := http.Header{header.Authorization: {"Bearer secret"}}
 	for i := 0; i < len(pairs); i += 2 {
 		fields.Set(pairs[i], pairs[i+1])
@@ -79,8 +79,8 @@
 	return fields
 }
 
-func fromPeerWith(pairs ...string) http.Header {
-	fields := with(header.Origin, "there", header.Class, "domain", header.Caller, "app", header.Revision, "5")
+func peerHeader(pairs ...string) http.Header {
+	fields := callerHeader(header.Origin, "there", header.Class, "domain", header.Caller, "app", header.Revision, "5")
 	fields.Del(header.Authorization)
 	for i := 0; i < len(pairs); i += 2 {
 		fields.Set(pairs[i], pairs[i+1])
@@ -101,33 +101,33 @@
 		outcome                  outcome.Outcome
 	}{
 		{name: "no key", method: post, path: chat, body: goodChat, fields: http.Header{}, status: 401, reason: outcome.ReasonUnauthenticated},
-		{name: "wrong key", method: post, path: chat, body: goodChat, fields: with(header.Authorization, "Bearer secre"), status: 401, reason: outcome.ReasonUnauthenticated},
-		{name: "other scheme", method: post, path: chat, body: goodChat, fields: with(header.Authorization, "Basic secret"), status: 401, reason: outcome.ReasonUnauthenticated},
-		{name: "no configuration", method: post, path: chat, body: goodChat, fields: with(), change: func(f *fakeGateway) { f.configuration = nil }, status: 503, reason: outcome.ReasonNoConfiguration},
-		{name: "leaving", method: post, path: chat, body: goodChat, fields: with(), change: leaving, status: 503, reason: outcome.ReasonDraining},
-		{name: "leaving, perhaps a repeat", method: post, path: "/log/uploads", fields: with(header.IdempotencyKey, "k"), change: leaving, status: 503, reason: outcome.ReasonDraining, outcome: outcome.Unknown},
-		{name: "unknown model", method: post, path: chat, body: strings.Replace(goodChat, "nurse", "nobody", 1), fields: with(), status: 404, reason: outcome.ReasonUnknownModel},
-		{name: "forbidden model", method: post, path: chat, body: strings.Replace(goodChat, "nurse", "other", 1), fields: with(), status: 403, reason: outcome.ReasonForbiddenModel},
-		{name: "not JSON", method: post, path: chat, body: "{", fields: with(), status: 400, reason: outcome.ReasonBadRequest},
-		{name: "no messages", method: post, path: chat, body: `{"model":"nurse"}`, fields: with(), status: 400, reason: outcome.ReasonBadRequest},
-		{name: "too many tokens", method: post, path: chat, body: strings.Replace(goodChat, `:5}`, `:101}`, 1), fields: with(), status: 400, reason: outcome.ReasonBadRequest},
-		{name: "bad priority", method: post, path: chat, body: goodChat, fields: with(header.Priority, "urgent"), status: 400, reason: outcome.ReasonBadRequest},
-		{name: "bad deadline", method: post, path: chat, body: goodChat, fields: with(header.Deadline, "soon"), status: 400, reason: outcome.ReasonBadRequest},
-		{name: "bad request ID", method: post, path: chat, body: goodChat, fields: with(header.RequestID, "a b"), status: 400, reason: outcome.ReasonBadRequest},
-		{name: "scoped request ID from a caller", method: post, path: chat, body: goodChat, fields: with(header.RequestID, "app~1"), status: 400, reason: outcome.ReasonBadRequest},
-		{name: "too large", method: post, path: "/log/uploads", body: strings.Repeat("x", testMaxBody+1), fields: with(), status: 413, reason: outcome.ReasonTooLarge},
-		{name: "large header", method: post, path: "/log/uploads", fields: with("X-Large", strings.Repeat("x", maxHeader)), status: 431, reason: outcome.ReasonTooLarge},
-		{name: "long query", method: get, path: "/log/e/1?" + strings.Repeat("x", maxHeader), fields: with(), status: 431, reason: outcome.ReasonTooLarge},
-		{name: "undeclared prefix", method: get, path: "/elsewhere", fields: with(), status: 404, reason: outcome.ReasonUnknownRoute},
-		{name: "undeclared method", method: http.MethodDelete, path: "/log/uploads", fields: with(), status: 404, reason: outcome.ReasonUnknownRoute},
-		{name: "path out of its route", method: get, path: "/log/e/../uploads", fields: with(), status: 404, reason: outcome.ReasonUnknownRoute},
-		{name: "encoded path out of its route", method: get, path: "/log/e/%2e%2e/uploads", fields: with(), status: 404, reason: outcome.ReasonUnknownRoute},
-		{name: "peer without class", method: post, path: chat, body: goodChat, fields: fromPeerWith(header.Class, "entry"), peers: true, status: 508, reason: outcome.ReasonLoop},
-		{name: "peer of this domain", method: post, path: chat, body: goodChat, fields: fromPeerWith(header.Origin, "here"), peers: true, status: 508, reason: outcome.ReasonLoop},
-		{name: "peer with a newer configuration", method: post, path: chat, body: goodChat, fields: fromPeerWith(header.Revision, "6"), peers: true, status: 409, reason: outcome.ReasonStaleRevision},
-		{name: "peer for an unknown caller", method: post, path: chat, body: goodChat, fields: fromPeerWith(header.Caller, "nobody"), peers: true, status: 403, reason: outcome.ReasonUnauthenticated},
-		{name: "peer with a bad request ID", method: post, path: chat, body: goodChat, fields: fromPeerWith(header.RequestID, "a~b~c~d"), peers: true, status: 400, reason: outcome.ReasonBadRequest},
-		{name: "peer with a bad offset", method: post, path: chat, body: goodChat, fields: fromPeerWith(header.ResumeOffset, "-1"), peers: true, status: 400, reason: outcome.ReasonBadRequest},
+		{name: "wrong key", method: post, path: chat, body: goodChat, fields: callerHeader(header.Authorization, "Bearer secre"), status: 401, reason: outcome.ReasonUnauthenticated},
+		{name: "other scheme", method: post, path: chat, body: goodChat, fields: callerHeader(header.Authorization, "Basic secret"), status: 401, reason: outcome.ReasonUnauthenticated},
+		{name: "no configuration", method: post, path: chat, body: goodChat, fields: callerHeader(), change: func(f *fakeGateway) { f.configuration = nil }, status: 503, reason: outcome.ReasonNoConfiguration},
+		{name: "leaving", method: post, path: chat, body: goodChat, fields: callerHeader(), change: leaving, status: 503, reason: outcome.ReasonDraining},
+		{name: "leaving, perhaps a repeat", method: post, path: "/log/uploads", fields: callerHeader(header.IdempotencyKey, "k"), change: leaving, status: 503, reason: outcome.ReasonDraining, outcome: outcome.Unknown},
+		{name: "unknown model", method: post, path: chat, body: strings.Replace(goodChat, "nurse", "nobody", 1), fields: callerHeader(), status: 404, reason: outcome.ReasonUnknownModel},
+		{name: "forbidden model", method: post, path: chat, body: strings.Replace(goodChat, "nurse", "other", 1), fields: callerHeader(), status: 403, reason: outcome.ReasonForbiddenModel},
+		{name: "not JSON", method: post, path: chat, body: "{", fields: callerHeader(), status: 400, reason: outcome.ReasonBadRequest},
+		{name: "no messages", method: post, path: chat, body: `{"model":"nurse"}`, fields: callerHeader(), status: 400, reason: outcome.ReasonBadRequest},
+		{name: "too many tokens", method: post, path: chat, body: strings.Replace(goodChat, `:5}`, `:101}`, 1), fields: callerHeader(), status: 400, reason: outcome.ReasonBadRequest},
+		{name: "bad priority", method: post, path: chat, body: goodChat, fields: callerHeader(header.Priority, "urgent"), status: 400, reason: outcome.ReasonBadRequest},
+		{name: "bad deadline", method: post, path: chat, body: goodChat, fields: callerHeader(header.Deadline, "soon"), status: 400, reason: outcome.ReasonBadRequest},
+		{name: "bad request ID", method: post, path: chat, body: goodChat, fields: callerHeader(header.RequestID, "a b"), status: 400, reason: outcome.ReasonBadRequest},
+		{name: "scoped request ID from a caller", method: post, path: chat, body: goodChat, fields: callerHeader(header.RequestID, "app~1"), status: 400, reason: outcome.ReasonBadRequest},
+		{name: "too large", method: post, path: "/log/uploads", body: strings.Repeat("x", testMaxBody+1), fields: callerHeader(), status: 413, reason: outcome.ReasonTooLarge},
+		{name: "large header", method: post, path: "/log/uploads", fields: callerHeader("X-Large", strings.Repeat("x", maxHeader)), status: 431, reason: outcome.ReasonTooLarge},
+		{name: "long query", method: get, path: "/log/e/1?" + strings.Repeat("x", maxHeader), fields: callerHeader(), status: 431, reason: outcome.ReasonTooLarge},
+		{name: "undeclared prefix", method: get, path: "/elsewhere", fields: callerHeader(), status: 404, reason: outcome.ReasonUnknownRoute},
+		{name: "undeclared method", method: http.MethodDelete, path: "/log/uploads", fields: callerHeader(), status: 404, reason: outcome.ReasonUnknownRoute},
+		{name: "path out of its route", method: get, path: "/log/e/../uploads", fields: callerHeader(), status: 404, reason: outcome.ReasonUnknownRoute},
+		{name: "encoded path out of its route", method: get, path: "/log/e/%2e%2e/uploads", fields: callerHeader(), status: 404, reason: outcome.ReasonUnknownRoute},
+		{name: "peer without class", method: post, path: chat, body: goodChat, fields: peerHeader(header.Class, "entry"), peers: true, status: 508, reason: outcome.ReasonLoop},
+		{name: "peer of this domain", method: post, path: chat, body: goodChat, fields: peerHeader(header.Origin, "here"), peers: true, status: 508, reason: outcome.ReasonLoop},
+		{name: "peer with a newer configuration", method: post, path: chat, body: goodChat, fields: peerHeader(header.Revision, "6"), peers: true, status: 409, reason: outcome.ReasonStaleRevision},
+		{name: "peer for an unknown caller", method: post, path: chat, body: goodChat, fields: peerHeader(header.Caller, "nobody"), peers: true, status: 403, reason: outcome.ReasonUnauthenticated},
+		{name: "peer with a bad request ID", method: post, path: chat, body: goodChat, fields: peerHeader(header.RequestID, "a~b~c~d"), peers: true, status: 400, reason: outcome.ReasonBadRequest},
+		{name: "peer with a bad offset", method: post, path: chat, body: goodChat, fields: peerHeader(header.ResumeOffset, "-1"), peers: true, status: 400, reason: outcome.ReasonBadRequest},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -165,7 +165,7 @@
 	is := is.New(t)
 	server, fake := newTestServer()
 	request := httptest.NewRequest(http.MethodPost, "/v1/chat/completions?trace=1", strings.NewReader(goodChat))
-	request.Header = with(header.RequestID, "mine", header.Priority, "high", header.Deadline, "60000", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "2")
+	request.Header = callerHeader(header.RequestID, "mine", header.Priority, "high", header.Deadline, "60000", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "2")
 	recorder := httptest.NewRecorder()
 	server.Callers().Handler.ServeHTTP(recorder, request)
 	is.Equal(recorder.Body.String(), "served")
@@ -202,8 +202,8 @@
 func (l *pipeListener) Close() error   { close(l.done); return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// overPipe serves one connection in the test's own time and returns its far end.
-func overPipe(t *testing.T, server *http.Server) net.Conn {
+// servePipe serves one connection in the test's own time and returns its far end.
+func servePipe(t *testing.T, server *http.Server) net.Conn {
 	near, far := net.Pipe()
 	listener := &pipeListener{conn: make(chan net.Conn, 1), done: make(chan struct{})}
 	listener.conn <- near
@@ -219,7 +219,7 @@
 	server, fake := newTestServer()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		conn := overPipe(t, server.Callers())
+		conn := servePipe(t, server.Callers())
 		start := time.Now()
 		_, err := io.WriteString(conn, "POST /log/uploads HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\nContent-Length: 100\r\n\r\nslow")
 		is.NoErr(err)
@@ -232,11 +232,11 @@
 	})
 }
 
-func TestSlowHeaderIsCutOff(t *testing.T) {
+func TestSlowHeaderClosesTheConnection(t *testing.T) {
 	server, _ := newTestServer()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		conn := overPipe(t, server.Callers())
+		conn := servePipe(t, server.Callers())
 		start := time.Now()
 		_, err := io.WriteString(conn, "POST /log/uploads HTTP/1.1\r\nHost:")
 		is.NoErr(err)
@@ -245,13 +245,13 @@
 	})
 }
 
-func TestCallerThatDoesNotReadIsGivenUp(t *testing.T) {
+func TestCallerThatDoesNotReadIsDisconnected(t *testing.T) {
 	server, fake := newTestServer()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ended := make(chan error, 1)
 		fake.serve = func(sink *relay.Sink) { ended <- sink.Answer(http.StatusOK, make([]byte, 1<<20)) }
-		conn := overPipe(t, server.Callers())
+		conn := servePipe(t, server.Callers())
 		start := time.Now()
 		_, err := io.WriteString(conn, "GET /log/e/1 HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\n\r\n")
 		is.NoErr(err)
@@ -266,7 +266,7 @@
 	is := is.New(t)
 	server, fake := newTestServer()
 	request := httptest.NewRequest(http.MethodGet, "http://elsewhere:1/log/e/a%2Fb?x=%20y", nil)
-	request.Header = with()
+	request.Header = callerHeader()
 	server.Callers().Handler.ServeHTTP(httptest.NewRecorder(), request)
 	is.Equal(fake.got.URI, "/log/e/a%2Fb?x=%20y")
 }
--- a/pkg/api/quota_test.go
+++ b/pkg/api/quota_test.go
@@ -30,14 +30,14 @@
 	fake.serve = func(sink *relay.Sink) {
 		sink.Refuse(outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonOverloaded, 0, "full"))
 	}
-	is.Equal(send(callers, with()).Code, http.StatusServiceUnavailable)
+	is.Equal(send(callers, callerHeader()).Code, http.StatusServiceUnavailable)
 	fake.serve = func(sink *relay.Sink) { _ = sink.Answer(http.StatusOK, []byte("served")) }
-	is.Equal(send(callers, with()).Code, http.StatusOK) // what did not run took no tokens
-	refused := send(callers, with())
+	is.Equal(send(callers, callerHeader()).Code, http.StatusOK) // what did not run took no tokens
+	refused := send(callers, callerHeader())
 	is.Equal(refused.Code, http.StatusTooManyRequests)
 	is.Equal(refused.Header().Get(header.Outcome), string(outcome.NotRun))
 	is.Equal(refused.Header().Get("Retry-After"), "6") // six tokens, five of them of the answer: back to one
 	is.True(strings.Contains(refused.Body.String(), string(outcome.ReasonCallerLimit)))
-	is.Equal(send(peers, fromPeerWith()).Code, http.StatusOK) // it was counted where it came in
+	is.Equal(send(peers, peerHeader()).Code, http.StatusOK) // it was counted where it came in
 	is.Equal(server.registry.Get("refusals.caller-limit").(interface{ Count() int64 }).Count(), int64(1))
 }
--- a/pkg/api/server.go
+++ b/pkg/api/server.go
@@ -36,8 +36,8 @@
 	idleTimeout = 2 * time.Minute
 	// maxHeader bounds the header of a request in bytes. Up to maxRead it is read
 	// and refused; of more, the connection is closed with a plain status 431.
-	maxHeader = 32 << 10
-	maxRead   = 128 << 10
+	maxHeader     = 32 << 10
+	maxReadHeader = 128 << 10
 	// bodyMemory bounds the bodies of all requests in hand, in bytes.
 	bodyMemory = 256 << 20
 )
@@ -126,18 +126,18 @@
 	router.GET("/readyz", s.ready)
 	router.GET("/metrics", echo.WrapHandler(telemetry.Handler(s.registry)))
 	router.GET("/v1/instances", s.instances)
-	router.POST(engineapi.PathChat, s.accept(s.callersDoor(), s.chat))
-	router.Any("/*", s.accept(s.callersDoor(), s.service))
-	return bounded(router)
+	router.POST(engineapi.PathChat, s.accept(s.callerEntry(), s.chat))
+	router.Any("/*", s.accept(s.callerEntry(), s.service))
+	return newHTTPServer(router)
 }
 
 // Peers returns the HTTP server for the gateways of other failure domains.
 func (s *Server) Peers() *http.Server {
 	router := s.router()
 	router.GET(relay.HealthPath, healthy)
-	router.POST(engineapi.PathChat, s.accept(s.peersDoor(), s.chat))
-	router.Any("/*", s.accept(s.peersDoor(), s.service))
-	return bounded(router)
+	router.POST(engineapi.PathChat, s.accept(s.peerEntry(), s.chat))
+	router.Any("/*", s.accept(s.peerEntry(), s.service))
+	return newHTTPServer(router)
 }
 
 func healthy(c echo.Context) error { return c.String(http.StatusOK, "ok\n") }
@@ -145,40 +145,44 @@
 func (s *Server) router() *echo.Echo {
 	router := echo.New()
 	router.HTTPErrorHandler = s.handleError
-	router.Use(s.boundHeader)
+	router.Use(s.limitHeader)
 	return router
 }
 
-func bounded(handler http.Handler) *http.Server {
+func newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: headerTimeout,
 		WriteTimeout:      relay.WriteTimeout, // moved on while an answer is passed on
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxRead,
+		MaxHeaderBytes:    maxReadHeader,
 	}
 }
 
-// step adds to a request what one part of the HTTP request says.
-type step func(c echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal
+// decodeStep adds to a request what one part of the HTTP request says.
+type decodeStep func(c echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal
 
-// door is what tells callers' requests from those of other gateways.
-type door struct {
-	ids      *regexp.Regexp
-	identify step
+// entryPoint is what tells callers' requests from those of other gateways.
+type entryPoint struct {
+	idPattern *regexp.Regexp
+	identify  decodeStep
 }
 
-func (s *Server) callersDoor() door { return door{ids: callerIDPattern, identify: s.fromCaller} }
+func (s *Server) callerEntry() entryPoint {
+	return entryPoint{idPattern: callerIDPattern, identify: s.identifyCaller}
+}
 
-func (s *Server) peersDoor() door { return door{ids: peerIDPattern, identify: s.fromPeer} }
+func (s *Server) peerEntry() entryPoint {
+	return entryPoint{idPattern: peerIDPattern, identify: s.identifyPeer}
+}
 
 // accept reads a request and dispatches it.
-func (s *Server) accept(from door, describe step) echo.HandlerFunc {
+func (s *Server) accept(entry entryPoint, decode decodeStep) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		s.metrics.Active.Inc(1)
 		defer s.metrics.Active.Dec(1)
 		request := &dispatch.Request{Method: c.Request().Method, URI: c.Request().URL.RequestURI(), Roll: s.source.Roll()}
-		index, refusal := s.open(c, request, from)
+		index, refusal := s.checkHeader(c, request, entry)
 		if refusal != nil {
 			return s.refuse(c, request, refusal)
 		}
@@ -187,7 +191,7 @@
 			return s.refuse(c, request, refusal)
 		}
 		defer release()
-		if refusal := describe(c, index, request); refusal != nil {
+		if refusal := decode(c, index, request); refusal != nil {
 			return s.refuse(c, request, refusal)
 		}
 		pass, refusal := s.admit(request)
@@ -204,9 +208,9 @@
 	}
 }
 
-// open checks all that can be checked before the body is read.
-func (s *Server) open(c echo.Context, request *dispatch.Request, from door) (*Configuration, *outcome.Refusal) {
-	if refusal := s.identifyRequest(c, request, from.ids); refusal != nil {
+// checkHeader checks all that can be checked before the body is read.
+func (s *Server) checkHeader(c echo.Context, request *dispatch.Request, entry entryPoint) (*Configuration, *outcome.Refusal) {
+	if refusal := s.identifyRequest(c, request, entry.idPattern); refusal != nil {
 		return nil, refusal
 	}
 	if s.source.Leaving() {
@@ -216,7 +220,7 @@
 	if index == nil {
 		return nil, outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonNoConfiguration, configurationRetry, "this instance has no configuration yet")
 	}
-	if refusal := from.identify(c, index, request); refusal != nil {
+	if refusal := entry.identify(c, index, request); refusal != nil {
 		return nil, refusal
 	}
 	if refusal := s.readHeader(c, request); refusal != nil {
@@ -235,7 +239,7 @@
 // refuse answers with a refusal before the request was dispatched.
 func (s *Server) refuse(c echo.Context, request *dispatch.Request, refusal *outcome.Refusal) error {
 	refusal.RequestID = request.CallerID
-	if repeats(c, request) && refusal.RetryAfter > 0 {
+	if mayBeRetry(c, request) && refusal.RetryAfter > 0 {
 		refusal.Outcome = outcome.Unknown
 	}
 	s.metrics.Refuse(refusal.Reason)
@@ -248,18 +252,18 @@
 	return nil
 }
 
-// repeats says whether the request may be the repeat of one that ran: then a
+// mayBeRetry says whether the request may be the repeat of one that ran: then a
 // passing cause, met before its key was asked for, does not mean that it did not.
-func repeats(c echo.Context, request *dispatch.Request) bool {
+func mayBeRetry(c echo.Context, request *dispatch.Request) bool {
 	return request.Origin == "" && c.Request().Header.Get(header.IdempotencyKey) != ""
 }
 
 // handleError gives the errors of the HTTP router the form of refusals.
 func (s *Server) handleError(err error, c echo.Context) {
 	refusal := outcome.Refuse(http.StatusInternalServerError, outcome.ReasonInternal, 0, "the request could not be handled")
-	var known *echo.HTTPError
-	if errors.As(err, &known) {
-		refusal = outcome.Refuse(known.Code, outcome.ReasonUnknownRoute, 0, http.StatusText(known.Code))
+	var httpError *echo.HTTPError
+	if errors.As(err, &httpError) {
+		refusal = outcome.Refuse(httpError.Code, outcome.ReasonUnknownRoute, 0, http.StatusText(httpError.Code))
 	}
 	if !c.Response().Committed {
 		_ = s.refuse(c, &dispatch.Request{CallerID: s.source.NewRequestID()}, refusal)
