--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -176,12 +176,12 @@
 		answer.Err = fmt.Errorf("read answer: %w", err)
 		return answer
 	}
-	answer.judge()
+	answer.classify()
 	return answer
 }
 
-// judge settles the outcome of an answer that was read whole.
-func (a *Answer) judge() {
+// classify settles the outcome of an answer that was read whole.
+func (a *Answer) classify() {
 	if a.Outcome == "" && a.Status < http.StatusBadRequest {
 		a.Outcome = outcome.Complete
 	}
--- a/pkg/client/follower.go
+++ b/pkg/client/follower.go
@@ -66,8 +66,8 @@
 	}
 	var answer *Answer
 	for _, gateway := range gateways {
-		answer = afterDoubt(answer, send(gateway))
-		if !elsewhere(answer, options) || ctx.Err() != nil {
+		answer = mergeAnswers(answer, send(gateway))
+		if !shouldTryNext(answer, options) || ctx.Err() != nil {
 			return answer
 		}
 		f.expire()
@@ -75,19 +75,19 @@
 	return answer
 }
 
-// afterDoubt returns what a new try leaves known: when nobody answered it, an
+// mergeAnswers returns what a new try leaves known: when nobody answered it, an
 // earlier try that may have run still may have.
-func afterDoubt(earlier, latest *Answer) *Answer {
+func mergeAnswers(earlier, latest *Answer) *Answer {
 	if earlier != nil && earlier.Outcome == outcome.Unknown && latest.Status == 0 && latest.Outcome == outcome.NotRun {
 		return earlier
 	}
 	return latest
 }
 
-// elsewhere tells whether to send the request to another instance: it was not
+// shouldTryNext tells whether to send the request to another instance: it was not
 // run, or its key lets it be repeated, and the cause is one that another instance
 // may not share.
-func elsewhere(answer *Answer, options Options) bool {
+func shouldTryNext(answer *Answer, options Options) bool {
 	repeatable := answer.Outcome == outcome.Unknown && options.IdempotencyKey != ""
 	if answer.Outcome != outcome.NotRun && !repeatable {
 		return false
@@ -124,7 +124,7 @@
 func (f *Follower) refresh(ctx context.Context) error {
 	var failure error
 	for _, gateway := range append(rotate(f.list.Instances, f.next), f.seeds...) {
-		list, err := f.ask(ctx, gateway)
+		list, err := f.fetchInstances(ctx, gateway)
 		if err == nil && len(list.Instances) > 0 {
 			f.list, f.readAt, f.started = list, time.Now(), true
 			return nil
@@ -137,7 +137,7 @@
 	return fmt.Errorf("no gateway gave the instance list: %w", failure)
 }
 
-func (f *Follower) ask(ctx context.Context, gateway string) (Instances, error) {
+func (f *Follower) fetchInstances(ctx context.Context, gateway string) (Instances, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	return f.client.Instances(ctx, gateway)
@@ -146,19 +146,19 @@
 // rotate takes turns among the first instance's failure domain and puts the
 // other failure domains after it.
 func rotate(list []Instance, turn int) []string {
-	var near, far []string
+	var local, remote []string
 	for _, instance := range list {
 		if instance.Domain == list[0].Domain {
-			near = append(near, instance.Address)
+			local = append(local, instance.Address)
 		} else {
-			far = append(far, instance.Address)
+			remote = append(remote, instance.Address)
 		}
 	}
-	if len(near) == 0 {
+	if len(local) == 0 {
 		return nil
 	}
-	first := turn % len(near)
-	ordered := append([]string{}, near[first:]...)
-	ordered = append(ordered, near[:first]...)
-	return append(ordered, far...)
+	first := turn % len(local)
+	ordered := append([]string{}, local[first:]...)
+	ordered = append(ordered, local[:first]...)
+	return append(ordered, remote...)
 }
--- a/pkg/client/follower_test.go
+++ b/pkg/client/follower_test.go
@@ -14,15 +14,15 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// gatewayFake answers requests as a gateway that may be leaving.
-type gatewayFake struct {
-	list    Instances
-	leaving bool
-	fresh   bool
-	served  int
+// fakeGateway answers requests as a gateway that may be leaving.
+type fakeGateway struct {
+	list         Instances
+	leaving      bool
+	unconfigured bool
+	served       int
 }
 
-func (g *gatewayFake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *fakeGateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/instances" {
 		_ = json.NewEncoder(w).Encode(g.list)
 		return
@@ -32,7 +32,7 @@
 		_, _ = w.Write([]byte(`{"error":{"type":"instance-leaving","outcome":"not-run"}}`))
 		return
 	}
-	if g.fresh {
+	if g.unconfigured {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = w.Write([]byte(`{"error":{"type":"no-configuration","outcome":"unknown"}}`))
 		return
@@ -41,9 +41,9 @@
 	w.Header().Set(header.Outcome, string(outcome.Complete))
 }
 
-func TestFollowerLeavesLeavingInstances(t *testing.T) {
+func TestFollowerSkipsLeavingInstances(t *testing.T) {
 	is := is.New(t)
-	fakes := []*gatewayFake{{}, {}, {}}
+	fakes := []*fakeGateway{{}, {}, {}}
 	var list Instances
 	for index, fake := range fakes {
 		server := httptest.NewServer(fake)
@@ -69,9 +69,9 @@
 	is.Equal(fakes[2].served, 1) // another domain only when its own has none
 }
 
-func TestFollowerRepeatsUnderItsKeyOnly(t *testing.T) {
+func TestFollowerRetriesOnlyWithAnIdempotencyKey(t *testing.T) {
 	is := is.New(t)
-	fakes := []*gatewayFake{{fresh: true}, {}}
+	fakes := []*fakeGateway{{unconfigured: true}, {}}
 	var list Instances
 	for _, fake := range fakes {
 		server := httptest.NewServer(fake)
@@ -89,17 +89,17 @@
 	is.Equal(fakes[1].served, 1)
 }
 
-// TestFollowerKeepsDoubt: once a try under a key may have run, an instance that
+// TestFollowerKeepsAnUnknownOutcome: once a try under a key may have run, an instance that
 // cannot be reached does not turn that into "not run".
-func TestFollowerKeepsDoubt(t *testing.T) {
+func TestFollowerKeepsAnUnknownOutcome(t *testing.T) {
 	is := is.New(t)
-	fresh := &gatewayFake{fresh: true}
-	server := httptest.NewServer(fresh)
+	unconfigured := &fakeGateway{unconfigured: true}
+	server := httptest.NewServer(unconfigured)
 	defer server.Close()
-	gone := httptest.NewServer(nil)
-	gone.Close()
+	closed := httptest.NewServer(nil)
+	closed.Close()
 	first := strings.TrimPrefix(server.URL, "http://")
-	fresh.list = Instances{ValidMS: 60_000, Instances: []Instance{{Address: first}, {Address: strings.TrimPrefix(gone.URL, "http://")}}}
+	unconfigured.list = Instances{ValidMS: 60_000, Instances: []Instance{{Address: first}, {Address: strings.TrimPrefix(closed.URL, "http://")}}}
 	follower := NewFollower(New("k", nil), []string{first})
 	follower.next = 1 // the fresh instance comes first
 	answer := follower.Call(context.Background(), http.MethodPost, "/sleeplog/uploads", nil, Options{IdempotencyKey: "key-1"})
--- a/pkg/client/stream.go
+++ b/pkg/client/stream.go
@@ -62,7 +62,7 @@
 	defer func() { _ = response.Body.Close() }()
 	if answer.Status != http.StatusOK {
 		answer.Body, _ = io.ReadAll(io.LimitReader(response.Body, maxEvent))
-		answer.judge()
+		answer.classify()
 		return answer
 	}
 	answer.readStream(response.Body, onText)
@@ -87,7 +87,7 @@
 			continue
 		}
 		if broken {
-			a.breakOff(data)
+			a.failStream(data)
 			return
 		}
 		if bytes.Equal(data, []byte("[DONE]")) {
@@ -102,7 +102,7 @@
 	}
 }
 
-func (a *Answer) breakOff(data []byte) {
+func (a *Answer) failStream(data []byte) {
 	var envelope refusalEnvelope
 	_ = json.Unmarshal(data, &envelope)
 	a.Refusal = envelope.Error
