--- a/pkg/api/accept.go
+++ b/pkg/api/accept.go
@@ -19,14 +19,15 @@
 	"github.com/lilacweir/lilacweir/pkg/trace"
 )
 
-// What may be given as a request ID. Gateways pass on the scoped form of the IDs
-// that callers chose.
+// Accepted request IDs. Other gateways forward the scoped form of IDs that callers
+// chose.
 var (
 	callerIDPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,100}$`)
 	peerIDPattern   = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,100}(` + trace.ScopeSeparator + `[A-Za-z0-9._:-]{1,100}){0,2}$`)
 )
 
-// identifyRequest takes the given request ID, or makes one, and echoes it.
+// identifyRequest uses the request ID of the header, or generates one, and sets it on
+// the response.
 func (s *Server) identifyRequest(c echo.Context, request *dispatch.Request, pattern *regexp.Regexp) *outcome.Refusal {
 	given := c.Request().Header.Get(header.RequestID)
 	valid := pattern.MatchString(given)
@@ -69,8 +70,8 @@
 	return nil, outcome.Refuse(http.StatusUnauthorized, outcome.ReasonUnauthenticated, 0, "the key is missing or not known")
 }
 
-// identifyPeer takes what another domain's gateway says of the request, and refuses
-// to decide by an older configuration than the sender's.
+// identifyPeer reads the headers that another domain's gateway sets, and refuses a
+// request that was routed by a newer configuration than this gateway has.
 func (s *Server) identifyPeer(c echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal {
 	fields := c.Request().Header
 	request.Origin = fields.Get(header.Origin)
@@ -94,7 +95,7 @@
 	return readOffset(fields, request)
 }
 
-// readOffset takes the number of chunks that the sender already has.
+// readOffset reads the number of chunks that the sender already has.
 func readOffset(fields http.Header, request *dispatch.Request) *outcome.Refusal {
 	text := fields.Get(header.ResumeOffset)
 	if text == "" {
@@ -110,10 +111,10 @@
 
 const priorityExpected = "the priority must be low, normal or high"
 
-// maxDeadline bounds what a caller may ask for, so that adding it cannot overflow.
+// maxDeadline bounds the deadline of a caller, so that adding it cannot overflow.
 const maxDeadline = 24 * time.Hour
 
-// readHeader takes the headers that callers and gateways may both set.
+// readHeader reads the headers that both callers and gateways may set.
 func (s *Server) readHeader(c echo.Context, request *dispatch.Request) *outcome.Refusal {
 	fields := c.Request().Header
 	request.Header = make(http.Header, len(fields))
@@ -138,8 +139,8 @@
 	return nil
 }
 
-// readBody reads the whole body within the bounds. Until release is called, the
-// body counts against the memory for all bodies.
+// readBody reads the whole body within the limits. The body counts against the memory
+// for all bodies until release is called.
 func (s *Server) readBody(c echo.Context, request *dispatch.Request) (release func(), refusal *outcome.Refusal) {
 	incoming := c.Request()
 	size := incoming.ContentLength
@@ -163,14 +164,14 @@
 	return func() { s.memory.Release(used) }, nil
 }
 
-// read reads the body against the clock. The read deadline is lifted afterwards:
-// the connection is then watched for the caller's going away.
+// read reads the body before a deadline. It clears the read deadline afterwards, since
+// the connection is then watched for a disconnect of the caller.
 func (s *Server) read(c echo.Context, size int64) ([]byte, *outcome.Refusal) {
 	if size == 0 {
 		return nil, nil
 	}
 	controller := http.NewResponseController(c.Response())
-	// A connection without deadlines (a test's recorder) has no slow client.
+	// Only test recorders lack deadlines, and they have no slow client.
 	_ = controller.SetReadDeadline(s.now().Add(bodyTimeout))
 	defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, s.maxBody))
@@ -187,7 +188,7 @@
 	}
 }
 
-// limitHeader refuses requests whose header is too large.
+// limitHeader refuses requests with too large a header.
 func (s *Server) limitHeader(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if len(c.Request().RequestURI)+header.Size(c.Request().Header) <= maxHeader {
--- a/pkg/api/api_test.go
+++ b/pkg/api/api_test.go
@@ -26,7 +26,7 @@
 	"github.com/lilacweir/lilacweir/pkg/relay"
 )
 
-// fakeGateway is a Source and a Dispatcher that records what it is given.
+// fakeGateway is a Source and a Dispatcher that records the last dispatched request.
 type fakeGateway struct {
 	configuration *Configuration
 	leaving       bool
@@ -48,8 +48,8 @@
 
 const testMaxBody = 1000
 
-// newTestServer must not be called in a synctest bubble: a process's first meter
-// starts a goroutine that never ends, and a bubble's clock would wait for it.
+// newTestServer must not be called in a synctest bubble: the first meter of a process
+// starts a goroutine that never ends, and the bubble's clock would wait for it.
 func newTestServer() (*Server, *fakeGateway) {
 	fake := &fakeGateway{
 		serve: func(sink *relay.Sink) { _ = sink.Answer(http.StatusOK, []byte("served")) },
@@ -171,7 +171,7 @@
 	is.Equal(recorder.Body.String(), "served")
 	is.Equal(recorder.Header().Get(header.RequestID), "mine") // as the caller gave it
 	got := fake.got
-	is.Equal(got.ID, "app~mine~1") // another caller's or another try's "mine" is another ID
+	is.Equal(got.ID, "app~mine~1") // scoped by caller and attempt
 	is.Equal(got.CallerID, "mine")
 	is.Equal(got.PrefixTokens, []int{1})
 	is.Equal(got.PromptTokens, 1)
@@ -182,10 +182,10 @@
 	is.True(time.Until(got.Deadline) > 50*time.Second)
 	is.Equal(got.Header.Get("X-Kept"), "2")
 	is.Equal(got.Header.Get("X-Hop"), "")
-	is.Equal(got.Header.Get(header.Authorization), "") // the key stays here
+	is.Equal(got.Header.Get(header.Authorization), "") // the key is not forwarded
 }
 
-// pipeListener hands out one connection.
+// pipeListener accepts one connection.
 type pipeListener struct {
 	conn chan net.Conn
 	done chan struct{}
@@ -202,7 +202,8 @@
 func (l *pipeListener) Close() error   { close(l.done); return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// servePipe serves one connection in the test's own time and returns its far end.
+// servePipe serves one in-memory connection, which works with a synctest clock, and
+// returns its client end.
 func servePipe(t *testing.T, server *http.Server) net.Conn {
 	near, far := net.Pipe()
 	listener := &pipeListener{conn: make(chan net.Conn, 1), done: make(chan struct{})}
@@ -261,7 +262,8 @@
 	})
 }
 
-// A request line may name a whole URL; only its path and query are passed on.
+// A request line may hold an absolute URL, of which only the path and query are
+// forwarded.
 func TestOnlyPathAndQueryArePassedOn(t *testing.T) {
 	is := is.New(t)
 	server, fake := newTestServer()
--- a/pkg/api/chat.go
+++ b/pkg/api/chat.go
@@ -26,7 +26,7 @@
 	Priority            string           `json:"priority"`
 }
 
-// chat describes a chat completion. It may be repeated: an engine keeps nothing.
+// chat decodes a chat completion. It is repeatable, since engines keep no state of it.
 func (s *Server) chat(_ echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal {
 	var body chatRequest
 	if err := json.Unmarshal(request.Body, &body); err != nil {
@@ -50,7 +50,7 @@
 		return refusal
 	}
 	request.Header.Set(header.ContentType, "application/json")
-	request.Header.Del("Accept-Encoding") // a compressed answer could not be checked
+	request.Header.Del("Accept-Encoding") // a compressed response could not be checked
 	request.Serves = body.Model
 	request.Kind = config.KindEngine
 	request.Repeatable = true
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// prioritize settles the priority: the body's where it has one, which engines
-// read, else the header's, which is then written into the body.
+// prioritize sets the priority. The body's takes precedence; otherwise the header's is
+// written into the body, where engines read it.
 func prioritize(request *dispatch.Request, inBody string) *outcome.Refusal {
 	if inBody != "" {
 		priority, ok := parsePriority(inBody)
--- a/pkg/api/fuzz_test.go
+++ b/pkg/api/fuzz_test.go
@@ -12,9 +12,9 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// FuzzRequest: whatever headers and body a caller or another gateway sends, the
-// request is passed on with bounded values, or refused in the form of refusals,
-// and then nothing was passed on.
+// FuzzRequest checks that any headers and body from a caller or another gateway are
+// either dispatched with bounded values, or refused in the form of refusals without
+// being dispatched.
 func FuzzRequest(f *testing.F) {
 	f.Add(true, "Bearer secret", "a-1", "1500", "high", "lw1.a.b.0.0.ffffffffffffffff", "there", "domain", "app", "5", "3", goodChat)
 	f.Add(false, "bearer  secret", "a~1", "-1", "", "k", "here", "entry", "nobody", "18446744073709551616", "-1", "{")
@@ -50,7 +50,7 @@
 	})
 }
 
-// checkRefused wants one refusal, which says that nothing ran.
+// checkRefused checks that the response is one refusal with the outcome not run.
 func checkRefused(t *testing.T, recorder *httptest.ResponseRecorder) {
 	t.Helper()
 	var body struct {
--- a/pkg/api/quota.go
+++ b/pkg/api/quota.go
@@ -12,7 +12,7 @@
 	"github.com/lilacweir/lilacweir/pkg/route"
 )
 
-// admit holds a caller to its limits. A request that another gateway passed on was
+// admit enforces the limits of the caller. A request that another gateway forwarded was
 // counted there.
 func (s *Server) admit(request *dispatch.Request) (*quota.Pass, *outcome.Refusal) {
 	if request.Origin != "" {
@@ -21,7 +21,7 @@
 	return s.quota.Admit(request.Caller, estimate(request))
 }
 
-// estimate is how many tokens a request may take; a plain service's takes none.
+// estimate returns the number of tokens that a request may use; zero for a plain service.
 func estimate(request *dispatch.Request) int {
 	if request.Kind != config.KindEngine {
 		return 0
@@ -33,8 +33,9 @@
 	return request.PromptTokens + answer
 }
 
-// settle replaces the estimate by what was used: nothing when nothing ran, and a
-// stream's chunks, each of which is a token. Of other answers the estimate stays.
+// settle replaces the estimate with the tokens used: none if the request did not run, and
+// the prompt and chunks of a stream, each chunk being a token. For other responses the
+// estimate stays.
 func settle(pass *quota.Pass, request *dispatch.Request, sink *relay.Sink) {
 	used := pass.Tokens()
 	sink.Head(func(fields http.Header) {
--- a/pkg/api/quota_test.go
+++ b/pkg/api/quota_test.go
@@ -32,12 +32,12 @@
 	}
 	is.Equal(send(callers, callerHeader()).Code, http.StatusServiceUnavailable)
 	fake.serve = func(sink *relay.Sink) { _ = sink.Answer(http.StatusOK, []byte("served")) }
-	is.Equal(send(callers, callerHeader()).Code, http.StatusOK) // what did not run took no tokens
+	is.Equal(send(callers, callerHeader()).Code, http.StatusOK) // the request that did not run used no tokens
 	refused := send(callers, callerHeader())
 	is.Equal(refused.Code, http.StatusTooManyRequests)
 	is.Equal(refused.Header().Get(header.Outcome), string(outcome.NotRun))
-	is.Equal(refused.Header().Get("Retry-After"), "6") // six tokens, five of them of the answer: back to one
+	is.Equal(refused.Header().Get("Retry-After"), "6") // 6 tokens used, 5 of them for the answer; refilled at 1 a second
 	is.True(strings.Contains(refused.Body.String(), string(outcome.ReasonCallerLimit)))
-	is.Equal(send(peers, peerHeader()).Code, http.StatusOK) // it was counted where it came in
+	is.Equal(send(peers, peerHeader()).Code, http.StatusOK) // it was counted at the entry gateway
 	is.Equal(server.registry.Get("refusals.caller-limit").(interface{ Count() int64 }).Count(), int64(1))
 }
--- a/pkg/api/server.go
+++ b/pkg/api/server.go
@@ -1,8 +1,8 @@
-// Package api is the HTTP face of a gateway: what callers, and the gateways of
-// other failure domains, may ask, and the bounds that hold for them.
+// Package api is the HTTP API of a gateway, for callers and for the gateways of other
+// failure domains, with the limits that apply to them.
 //
-// Guarantees: a request is passed on only when it was read as a whole, its caller
-// is known and its resource is declared; every refusal has the same JSON form.
+// Guarantees: a request is dispatched only after it was read completely, its caller is
+// known and its resource is declared; every refusal has the same JSON form.
 package api
 
 import (
@@ -26,19 +26,19 @@
 	"github.com/lilacweir/lilacweir/pkg/telemetry"
 )
 
-// Bounds of what a client of the API may use.
+// Limits of API clients.
 const (
-	// headerTimeout bounds the reading of a request's head.
+	// headerTimeout bounds the reading of a request's header.
 	headerTimeout = 5 * time.Second
 	// bodyTimeout bounds the reading of a request's body.
 	bodyTimeout = 30 * time.Second
-	// idleTimeout ends connections without requests.
+	// idleTimeout closes connections without requests.
 	idleTimeout = 2 * time.Minute
 	// maxHeader bounds the header of a request in bytes. Up to maxRead it is read
 	// and refused; of more, the connection is closed with a plain status 431.
 	maxHeader     = 32 << 10
 	maxReadHeader = 128 << 10
-	// bodyMemory bounds the bodies of all requests in hand, in bytes.
+	// bodyMemory bounds the bodies of all active requests, in bytes.
 	bodyMemory = 256 << 20
 )
 
@@ -47,27 +47,27 @@
 	Serve(ctx context.Context, request *dispatch.Request, sink *relay.Sink)
 }
 
-// Quota bounds callers. *quota.Gate implements it.
+// Quota enforces the limits of callers. *quota.Gate implements it.
 type Quota interface {
-	// Admit lets in a request of about the given tokens; Done must be called on
-	// the pass, which may be nil.
+	// Admit admits a request of about the given tokens. Done must be called on the
+	// pass, which may be nil.
 	Admit(caller *config.Caller, tokens int) (*quota.Pass, *outcome.Refusal)
 }
 
-// Source is what the API knows of the gateway that it belongs to.
+// Source is the state of the gateway that the API belongs to.
 type Source interface {
-	// Configuration is what is in force; nil when there is none.
+	// Configuration returns the configuration in force; nil if there is none.
 	Configuration() *Configuration
-	// Instances lists where the caller may send requests, best first, and the
-	// beginning of idempotency keys.
+	// Instances returns the instances that the caller may use, best first, and the
+	// prefix of idempotency keys.
 	Instances(caller *config.Caller) Instances
-	// Ready says whether and how the gateway serves.
+	// Ready returns whether and in which state the gateway serves.
 	Ready() Readiness
-	// NewRequestID returns a fresh ID.
+	// NewRequestID returns a new request ID.
 	NewRequestID() string
 	// Roll returns a random number.
 	Roll() uint64
-	// Leaving is true when no new requests are taken.
+	// Leaving returns whether new requests are refused because the instance is leaving.
 	Leaving() bool
 }
 
@@ -81,17 +81,17 @@
 	maxBody    int64
 	memory     *semaphore.Weighted
 	now        func() time.Time
-	// Domain is told to callers as the place where a refusal was made.
+	// domain is sent to callers as the failure domain that made a refusal.
 	domain string
 }
 
-// Configuration is one accepted configuration, compiled for lookups.
+// Configuration is an accepted configuration, compiled for lookups.
 type Configuration struct {
 	*config.Index
 	Revision config.Revision
 }
 
-// Options are the parts of a Server.
+// Options are the dependencies and settings of a Server.
 type Options struct {
 	Source     Source
 	Dispatcher Dispatcher
@@ -104,7 +104,7 @@
 	Domain  string
 }
 
-// NewServer returns a server with the given parts.
+// NewServer returns a server with the given options.
 func NewServer(options Options) *Server {
 	return &Server{
 		source:     options.Source,
@@ -153,16 +153,16 @@
 	return &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: headerTimeout,
-		WriteTimeout:      relay.WriteTimeout, // moved on while an answer is passed on
+		WriteTimeout:      relay.WriteTimeout, // extended while a response is relayed
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxReadHeader,
 	}
 }
 
-// decodeStep adds to a request what one part of the HTTP request says.
+// decodeStep fills in a request from one part of the HTTP request.
 type decodeStep func(c echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal
 
-// entryPoint is what tells callers' requests from those of other gateways.
+// entryPoint holds what differs between requests of callers and those of other gateways.
 type entryPoint struct {
 	idPattern *regexp.Regexp
 	identify  decodeStep
@@ -198,7 +198,7 @@
 		if refusal != nil {
 			return s.refuse(c, request, refusal)
 		}
-		sink := relay.NewSink(c.Response().Writer, s.now) // echo takes an interim response for the final one
+		sink := relay.NewSink(c.Response().Writer, s.now) // echo's writer mistakes an interim response for the final one
 		defer settle(pass, request, sink)
 		if request.Origin != "" {
 			defer sink.KeepAlive()()
@@ -208,7 +208,7 @@
 	}
 }
 
-// checkHeader checks all that can be checked before the body is read.
+// checkHeader performs all checks that need no body.
 func (s *Server) checkHeader(c echo.Context, request *dispatch.Request, entry entryPoint) (*Configuration, *outcome.Refusal) {
 	if refusal := s.identifyRequest(c, request, entry.idPattern); refusal != nil {
 		return nil, refusal
@@ -229,14 +229,14 @@
 	return index, nil
 }
 
-// Waiting times that refusals suggest.
+// Retry delays that refusals suggest.
 const (
 	leavingRetry       = 100 * time.Millisecond
 	configurationRetry = time.Second
 	memoryRetry        = time.Second
 )
 
-// refuse answers with a refusal before the request was dispatched.
+// refuse sends a refusal of a request that was not dispatched.
 func (s *Server) refuse(c echo.Context, request *dispatch.Request, refusal *outcome.Refusal) error {
 	refusal.RequestID = request.CallerID
 	if mayBeRetry(c, request) && refusal.RetryAfter > 0 {
@@ -244,7 +244,7 @@
 	}
 	s.metrics.Refuse(refusal.Reason)
 	if c.Request().ContentLength != 0 && request.Body == nil {
-		// The rest of the body is not waited for.
+		// The rest of the body is not read.
 		c.Response().Header().Set("Connection", "close")
 	}
 	c.Response().Header().Set(header.Domain, s.domain)
@@ -252,13 +252,13 @@
 	return nil
 }
 
-// mayBeRetry says whether the request may be the repeat of one that ran: then a
-// passing cause, met before its key was asked for, does not mean that it did not.
+// mayBeRetry returns whether the request may be a retry of one that ran. A temporary
+// refusal before the lookup of its idempotency key then does not prove that it did not.
 func mayBeRetry(c echo.Context, request *dispatch.Request) bool {
 	return request.Origin == "" && c.Request().Header.Get(header.IdempotencyKey) != ""
 }
 
-// handleError gives the errors of the HTTP router the form of refusals.
+// handleError turns errors of the HTTP router into refusals.
 func (s *Server) handleError(err error, c echo.Context) {
 	refusal := outcome.Refuse(http.StatusInternalServerError, outcome.ReasonInternal, 0, "the request could not be handled")
 	var httpError *echo.HTTPError
--- a/pkg/api/service.go
+++ b/pkg/api/service.go
@@ -10,7 +10,7 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// service describes a call of a plain service.
+// service decodes a call of a plain service.
 func (s *Server) service(c echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal {
 	service, route := index.Match(request.Method, c.Request().URL.Path)
 	if route == nil {
--- a/pkg/api/status.go
+++ b/pkg/api/status.go
@@ -11,18 +11,18 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// Instances is what a caller learns of where to send requests.
+// Instances lists the instances that a caller may send requests to.
 type Instances struct {
 	// Instances is in the order in which a caller should try them.
 	Instances []platform.DirectoryEntry `json:"instances"`
-	// ValidMS is how long the answer holds, in milliseconds.
+	// ValidMS is the validity of the list, in milliseconds.
 	ValidMS int64 `json:"valid_ms"`
-	// KeyPrefix begins idempotency keys: append "." and at least 16 random
-	// hexadecimal characters. Empty when this instance gives out none.
+	// KeyPrefix is the prefix of idempotency keys, to which "." and at least 16 random
+	// hexadecimal characters are appended. It is empty if this instance issues none.
 	KeyPrefix string `json:"key_prefix,omitempty"`
 }
 
-// State says in one word how a gateway serves.
+// State is the serving state of a gateway.
 type State string
 
 // States of a gateway.
@@ -33,17 +33,17 @@
 	StateLeaving         State = "leaving"
 )
 
-// Readiness is the answer of the readiness page.
+// Readiness is the response of the readiness endpoint.
 type Readiness struct {
 	State    State           `json:"state"`
 	Revision config.Revision `json:"revision"`
-	// Platform is whether the domain sees the platform's key-value service.
+	// Platform is whether the domain reaches the platform's key-value service.
 	Platform bool `json:"platform"`
-	// Silent names the failure domains that have not been heard of lately.
+	// Silent names the failure domains without a recent report.
 	Silent []string `json:"silent"`
 }
 
-// ready answers 200 while requests are served, isolated or not.
+// ready responds with status 200 while requests are served, isolated or not.
 func (s *Server) ready(c echo.Context) error {
 	readiness := s.source.Ready()
 	status := http.StatusOK
@@ -53,7 +53,7 @@
 	return c.JSON(status, readiness)
 }
 
-// instances tells a caller which instances to use.
+// instances sends a caller the list of instances to use.
 func (s *Server) instances(c echo.Context) error {
 	request := &dispatch.Request{CallerID: s.source.NewRequestID()}
 	index := s.source.Configuration()
