--- a/pkg/api/server.go
+++ b/pkg/api/server.go
@@ -34,8 +34,8 @@
 	bodyTimeout = 30 * time.Second
 	// idleTimeout closes connections without requests.
 	idleTimeout = 2 * time.Minute
-	// maxHeader bounds the header of a request in bytes. Up to maxRead it is read
-	// and refused; of more, the connection is closed with a plain status 431.
+	// maxHeader bounds the header of a request in bytes. A larger one gets a refusal
+	// up to maxReadHeader; beyond, a plain status 431 and the connection is closed.
 	maxHeader     = 32 << 10
 	maxReadHeader = 128 << 10
 	// bodyMemory bounds the bodies of all active requests, in bytes.
