--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -1,9 +1,9 @@
-// Package client is a caller of lilacweir: it learns which entry instances to
-// use, sends chat requests and calls of plain services, and tells for each what
-// became of it.
+// Package client is a client of lilacweir for callers. It fetches the list of entry
+// instances, sends chat requests and calls of plain services, and returns the outcome
+// of each.
 //
-// Guarantee: NotRun is reported only when the gateway said so, or when no
-// connection was made.
+// Guarantee: NotRun is returned only if the gateway reported it, or if no connection
+// was made.
 package client
 
 import (
@@ -26,31 +26,30 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// maxAnswer bounds how much of a plain answer is read, in bytes.
+// maxAnswer bounds the bytes that are read of a plain answer.
 const maxAnswer = 64 << 20
 
-// keyRandomBytes is the random part of an idempotency key.
+// keyRandomBytes is the length of the random part of an idempotency key.
 const keyRandomBytes = 12
 
 // Client sends requests as one caller. It is safe for concurrent use.
 type Client struct {
 	// Key is the caller's secret key.
 	Key string
-	// HTTP carries the requests; it should have no overall timeout.
+	// HTTP sends the requests. It should have no overall timeout.
 	HTTP *http.Client
-	// Scheme is https, or http for gateways that callers reach in plain text; empty
-	// means http.
+	// Scheme is https, or http for gateways without TLS. Empty means http.
 	Scheme string
 }
 
-// New returns a client for plain HTTP with its own connections, dialing with dial;
-// nil dials plainly.
+// New returns a client for plain HTTP with its own connections, made by dial, or by a
+// net.Dialer if dial is nil.
 func New(key string, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 64, DisableCompression: true}
 	return &Client{Key: key, HTTP: &http.Client{Transport: transport}}
 }
 
-// NewTLS is New for HTTPS: the gateways' certificates are checked against the
+// NewTLS is New for HTTPS. The certificates of gateways are verified against the
 // authority.
 func NewTLS(key string, dial credential.Dial, authority *credential.Authority) *Client {
 	if dial == nil {
@@ -73,21 +72,21 @@
 	Priority       string
 }
 
-// Answer says what became of one request.
+// Answer is the result of one request.
 type Answer struct {
 	// Outcome is what the caller may rely on.
 	Outcome outcome.Outcome
-	// Status is the HTTP status; zero when there was no answer.
+	// Status is the HTTP status; zero if there was no response.
 	Status int
-	// Refusal holds the gateway's typed error, if it gave one.
+	// Refusal is the gateway's typed error, if it sent one.
 	Refusal RefusalBody
-	// RequestID, Domain and Upstream are as the gateway said.
+	// RequestID, Domain and Upstream are from the response headers.
 	RequestID, Domain, Upstream string
-	// Body is the plain answer, or a stream's whole text.
+	// Body is the plain answer, or the whole text of a stream.
 	Body []byte
-	// Chunks counts a stream's chunks.
+	// Chunks is the number of chunks of a stream.
 	Chunks int
-	// Err is what went wrong on the way, if anything did.
+	// Err is the error of sending or reading, if any.
 	Err error
 }
 
@@ -100,7 +99,7 @@
 	RetryAfterMS int64           `json:"retry_after_ms"`
 }
 
-// RetryAfter returns when to come back; zero when the gateway did not say.
+// RetryAfter returns the delay before a retry; zero if the gateway gave none.
 func (r RefusalBody) RetryAfter() time.Duration {
 	return time.Duration(r.RetryAfterMS) * time.Millisecond
 }
@@ -117,24 +116,24 @@
 	Address  string `json:"address"`
 }
 
-// Instances is the answer to which entry instances a caller may use.
+// Instances lists the entry instances that a caller may use.
 type Instances struct {
-	// Instances lists the own failure domain's first.
+	// Instances has those of the gateway's own failure domain first.
 	Instances []Instance `json:"instances"`
-	// ValidMS is how long the answer holds, in milliseconds.
+	// ValidMS is the validity of the list, in milliseconds.
 	ValidMS int64 `json:"valid_ms"`
-	// KeyPrefix begins an idempotency key; see NewKey.
+	// KeyPrefix is the prefix of idempotency keys; see NewKey.
 	KeyPrefix string `json:"key_prefix"`
 }
 
-// NewKey returns a new idempotency key under the prefix that a gateway gave out.
+// NewKey returns a new idempotency key with the prefix that a gateway issued.
 func (i Instances) NewKey() string {
 	random := make([]byte, keyRandomBytes)
 	_, _ = rand.Read(random)
 	return i.KeyPrefix + "." + hex.EncodeToString(random)
 }
 
-// StatusError is an answer with an unexpected HTTP status.
+// StatusError is a response with an unexpected HTTP status.
 type StatusError struct {
 	URL    string
 	Status int
@@ -146,7 +145,7 @@
 	return fmt.Sprintf("%s answered %d: %s", e.URL, e.Status, e.Body)
 }
 
-// Instances asks a gateway which instances to use.
+// Instances fetches the list of instances from a gateway.
 func (c *Client) Instances(ctx context.Context, gateway string) (Instances, error) {
 	var list Instances
 	answer := c.Call(ctx, gateway, http.MethodGet, "/v1/instances", nil, Options{})
@@ -180,7 +179,7 @@
 	return answer
 }
 
-// classify settles the outcome of an answer that was read whole.
+// classify sets the outcome of an answer that was read completely.
 func (a *Answer) classify() {
 	if a.Outcome == "" && a.Status < http.StatusBadRequest {
 		a.Outcome = outcome.Complete
@@ -197,7 +196,7 @@
 	}
 }
 
-// send sends a request and reads the answer's header.
+// send sends a request and reads the response header.
 func (c *Client) send(ctx context.Context, gateway, method, path string, body []byte, options Options) (*http.Response, *Answer) {
 	request, err := http.NewRequestWithContext(ctx, method, c.url(gateway, path), strings.NewReader(string(body)))
 	if err != nil {
@@ -237,7 +236,7 @@
 	}
 }
 
-// outcomeOfSend tells a connection that was never made from a request that may
+// outcomeOfSend returns NotRun if no connection was made, and Unknown if the request may
 // have been sent.
 func outcomeOfSend(err error) outcome.Outcome {
 	var operation *net.OpError
--- a/pkg/client/follower.go
+++ b/pkg/client/follower.go
@@ -9,16 +9,16 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// minValidity bounds how often the instance list is read.
+// minValidity is the least time between two fetches of the instance list.
 const minValidity = 100 * time.Millisecond
 
-// listTimeout bounds one question for the instance list.
+// listTimeout bounds one fetch of the instance list.
 const listTimeout = time.Second
 
-// Follower is a caller that keeps to the instance list: it uses the instances
-// of its own failure domain in turn, and goes to the next when one is leaving,
-// has no configuration or cannot be reached, provided that the request was not
-// run or has an idempotency key.
+// Follower sends requests according to the instance list. It uses the instances of its
+// own failure domain round-robin, and retries with the next one if an instance is
+// leaving, has no configuration or is unreachable, provided that the request was not run
+// or has an idempotency key.
 type Follower struct {
 	client *Client
 	seeds  []string
@@ -30,19 +30,19 @@
 	started bool
 }
 
-// NewFollower returns a follower that asks the seeds for the first list.
+// NewFollower returns a follower that fetches the first list from the seeds.
 func NewFollower(client *Client, seeds []string) *Follower {
 	return &Follower{client: client, seeds: seeds}
 }
 
-// Chat sends a chat request to the instances in order.
+// Chat sends a chat request, trying the instances in order.
 func (f *Follower) Chat(ctx context.Context, chat ChatRequest, options Options, onText func(string)) *Answer {
 	return f.try(ctx, options, func(gateway string) *Answer {
 		return f.client.Chat(ctx, gateway, chat, options, onText)
 	})
 }
 
-// Call calls a plain service through the instances in order.
+// Call calls a plain service, trying the instances in order.
 func (f *Follower) Call(ctx context.Context, method, path string, body []byte, options Options) *Answer {
 	return f.try(ctx, options, func(gateway string) *Answer {
 		return f.client.Call(ctx, gateway, method, path, body, options)
@@ -75,8 +75,8 @@
 	return answer
 }
 
-// mergeAnswers returns what a new try leaves known: when nobody answered it, an
-// earlier try that may have run still may have.
+// mergeAnswers returns the answer that holds after a retry: an unknown outcome of an
+// earlier attempt remains if the latest one reached no instance.
 func mergeAnswers(earlier, latest *Answer) *Answer {
 	if earlier != nil && earlier.Outcome == outcome.Unknown && latest.Status == 0 && latest.Outcome == outcome.NotRun {
 		return earlier
@@ -84,9 +84,8 @@
 	return latest
 }
 
-// shouldTryNext tells whether to send the request to another instance: it was not
-// run, or its key lets it be repeated, and the cause is one that another instance
-// may not share.
+// shouldTryNext returns whether to send the request to another instance: it was not
+// run or has an idempotency key, and the cause may be limited to this instance.
 func shouldTryNext(answer *Answer, options Options) bool {
 	repeatable := answer.Outcome == outcome.Unknown && options.IdempotencyKey != ""
 	if answer.Outcome != outcome.NotRun && !repeatable {
@@ -99,7 +98,7 @@
 	return answer.Status == 0
 }
 
-// expire makes the next request read the list anew.
+// expire makes the next request fetch the list.
 func (f *Follower) expire() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -120,7 +119,7 @@
 	return rotate(f.list.Instances, f.next), nil
 }
 
-// refresh asks the known instances, then the seeds, for the list.
+// refresh fetches the list from the known instances, then from the seeds.
 func (f *Follower) refresh(ctx context.Context) error {
 	var failure error
 	for _, gateway := range append(rotate(f.list.Instances, f.next), f.seeds...) {
@@ -143,8 +142,8 @@
 	return f.client.Instances(ctx, gateway)
 }
 
-// rotate takes turns among the first instance's failure domain and puts the
-// other failure domains after it.
+// rotate returns the addresses of the first instance's failure domain, rotated by turn,
+// followed by those of other failure domains.
 func rotate(list []Instance, turn int) []string {
 	var local, remote []string
 	for _, instance := range list {
--- a/pkg/client/follower_test.go
+++ b/pkg/client/follower_test.go
@@ -14,7 +14,7 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// fakeGateway answers requests as a gateway that may be leaving.
+// fakeGateway is a gateway that may be leaving or without a configuration.
 type fakeGateway struct {
 	list         Instances
 	leaving      bool
@@ -62,11 +62,11 @@
 	for range 4 {
 		is.Equal(post(), outcome.Complete)
 	}
-	is.Equal([]int{fakes[0].served, fakes[1].served, fakes[2].served}, []int{2, 2, 0}) // turns within the domain
+	is.Equal([]int{fakes[0].served, fakes[1].served, fakes[2].served}, []int{2, 2, 0}) // round-robin within the domain
 
 	fakes[0].leaving, fakes[1].leaving = true, true
 	is.Equal(post(), outcome.Complete)
-	is.Equal(fakes[2].served, 1) // another domain only when its own has none
+	is.Equal(fakes[2].served, 1) // another domain only if its own has no usable instance
 }
 
 func TestFollowerRetriesOnlyWithAnIdempotencyKey(t *testing.T) {
@@ -84,13 +84,13 @@
 		follower := NewFollower(New("k", nil), []string{list.Instances[0].Address})
 		follower.next = 1 // the fresh instance comes first
 		answer := follower.Call(context.Background(), http.MethodPost, "/sleeplog/uploads", nil, Options{IdempotencyKey: key})
-		is.Equal(answer.Outcome == outcome.Complete, key != "") // an unknown end is repeated under a key alone
+		is.Equal(answer.Outcome == outcome.Complete, key != "") // an unknown outcome is retried only with a key
 	}
 	is.Equal(fakes[1].served, 1)
 }
 
-// TestFollowerKeepsAnUnknownOutcome: once a try under a key may have run, an instance that
-// cannot be reached does not turn that into "not run".
+// TestFollowerKeepsAnUnknownOutcome checks that once an attempt with a key may have run, an
+// unreachable instance does not change the outcome to not run.
 func TestFollowerKeepsAnUnknownOutcome(t *testing.T) {
 	is := is.New(t)
 	unconfigured := &fakeGateway{unconfigured: true}
--- a/pkg/client/stream.go
+++ b/pkg/client/stream.go
@@ -13,16 +13,16 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// ChatPath is where chat requests are sent.
+// ChatPath is the path of chat requests.
 const ChatPath = "/v1/chat/completions"
 
 // maxEvent bounds one line of a stream, in bytes.
 const maxEvent = 1 << 20
 
-// ErrIncomplete: the stream ended without its end marker.
+// ErrIncomplete is returned if a stream ended without its end marker.
 var ErrIncomplete = errors.New("the stream ended without its end marker")
 
-// ErrBrokenStream: the gateway said that the answer broke off.
+// ErrBrokenStream is returned if the gateway reported that the answer was interrupted.
 var ErrBrokenStream = errors.New("the answer broke off")
 
 // Message is one message of a chat.
@@ -47,8 +47,8 @@
 	} `json:"choices"`
 }
 
-// Chat sends a chat request as a stream. onText, if given, receives each
-// chunk's text as it arrives.
+// Chat sends a streaming chat request. onText, unless nil, receives the text of each
+// chunk as it arrives.
 func (c *Client) Chat(ctx context.Context, gateway string, chat ChatRequest, options Options, onText func(text string)) *Answer {
 	chat.Stream = true
 	body, err := json.Marshal(chat)
@@ -69,8 +69,8 @@
 	return answer
 }
 
-// readStream reads server-sent events until the end marker, which alone makes
-// the answer complete.
+// readStream reads server-sent events until the end marker. Without it the answer is not
+// complete.
 func (a *Answer) readStream(body io.Reader, onText func(string)) {
 	a.Outcome = outcome.Unknown
 	lines := bufio.NewScanner(body)
