--- a/pkg/client/follower_test.go
+++ b/pkg/client/follower_test.go
@@ -82,7 +82,7 @@
 	fakes[0].list, fakes[1].list = list, list
 	for _, key := range []string{"", "key-1"} {
 		follower := NewFollower(New("k", nil), []string{list.Instances[0].Address})
-		follower.next = 1 // the fresh instance comes first
+		follower.next = 1 // the unconfigured instance comes first
 		answer := follower.Call(context.Background(), http.MethodPost, "/sleeplog/uploads", nil, Options{IdempotencyKey: key})
 		is.Equal(answer.Outcome == outcome.Complete, key != "") // an unknown outcome is retried only with a key
 	}
@@ -101,7 +101,7 @@
 	first := strings.TrimPrefix(server.URL, "http://")
 	unconfigured.list = Instances{ValidMS: 60_000, Instances: []Instance{{Address: first}, {Address: strings.TrimPrefix(closed.URL, "http://")}}}
 	follower := NewFollower(New("k", nil), []string{first})
-	follower.next = 1 // the fresh instance comes first
+	follower.next = 1 // the unconfigured instance comes first
 	answer := follower.Call(context.Background(), http.MethodPost, "/sleeplog/uploads", nil, Options{IdempotencyKey: "key-1"})
 	is.Equal(answer.Outcome, outcome.Unknown)
 	is.Equal(answer.Refusal.Type, outcome.ReasonNoConfiguration)
