--- a/internal/ci/verdict_test.go
+++ b/internal/ci/evaluate_test.go
@@ -12,7 +12,7 @@
 {"Action":"pass","Package":"m/p","Test":"TestA"}
 `
 
-func TestVerdict(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	const failingSub = `{"Action":"run","Package":"m/p","Test":"TestB"}
 {"Action":"run","Package":"m/p","Test":"TestB/one"}
 {"Action":"output","Package":"m/p","Test":"TestB/one","Output":"expected 1\n"}
@@ -22,8 +22,8 @@
 `
 	cases := []struct {
 		name, events, known string
-		green               bool
-		says                string
+		passed              bool
+		want                string
 	}{
 		{"all pass", "", "", true, "GREEN: 1 passed, 0 failed\n"},
 		{"failure", failingSub, "", false, "RED failed: p:TestB/one\nexpected 1"},
@@ -44,20 +44,20 @@
 			all, err := readEvents(strings.NewReader(passing+test.events), "m")
 			is.NoErr(err)
 			var out bytes.Buffer
-			is.Equal(judge(all, known, 0).print(&out), test.green)
-			is.True(strings.Contains(out.String(), test.says)) // the verdict names what it found
+			is.Equal(evaluate(all, known, 0).print(&out), test.passed)
+			is.True(strings.Contains(out.String(), test.want)) // the verdict names what it found
 		})
 	}
 }
 
-func TestUnexplainedStatusIsRed(t *testing.T) {
+func TestUnexplainedStatusFails(t *testing.T) {
 	is := is.New(t)
 	all, err := readEvents(strings.NewReader(passing), "m")
 	is.NoErr(err)
-	is.Equal(judge(all, nil, 2).print(&bytes.Buffer{}), false)
+	is.Equal(evaluate(all, nil, 2).print(&bytes.Buffer{}), false)
 }
 
-func TestKnownIsBounded(t *testing.T) {
+func TestKnownFailuresAreLimited(t *testing.T) {
 	is := is.New(t)
 	_, err := parseKnown("f", strings.Repeat("p:T | c | i\n", maxKnown+1))
 	is.True(err != nil)
--- a/internal/ci/events.go
+++ b/internal/ci/events.go
@@ -48,10 +48,10 @@
 	if found, ok := r.byName[name]; ok {
 		return found
 	}
-	fresh := &result{name: name}
-	r.byName[name] = fresh
-	r.order = append(r.order, fresh)
-	return fresh
+	added := &result{name: name}
+	r.byName[name] = added
+	r.order = append(r.order, added)
+	return added
 }
 
 // readEvents collects the ends of all tests and packages.
--- a/internal/ci/main.go
+++ b/internal/ci/main.go
@@ -30,7 +30,7 @@
 		fmt.Fprintln(os.Stderr, "ci:", err)
 		return 1
 	}
-	if !judge(results, known, *status).print(os.Stdout) {
+	if !evaluate(results, known, *status).print(os.Stdout) {
 		return 1
 	}
 	return 0
