--- a/internal/ci/evaluate.go
+++ b/internal/ci/evaluate.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// verdict is what continuous integration says of one run.
+// report is the evaluation of one run.
 type report struct {
 	passed, failed int
-	// red holds what makes the run fail, each with its output.
+	// failures holds the causes that fail the run, each with its output.
 	failures []finding
-	// notes holds what is told without failing the run.
+	// notes are printed without failing the run.
 	notes []string
 }
 
@@ -19,8 +19,8 @@
 	what, output string
 }
 
-// judge compares the ends with the list of tests known to fail. status is the
-// exit status of go test, which no event may leave unexplained.
+// evaluate compares the results with the list of tests known to fail. status is the exit
+// status of go test; a failure status without a failed test fails the run.
 func evaluate(all *results, known []knownTest, status int) *report {
 	r := &report{}
 	listed := make(map[string]knownTest)
@@ -84,7 +84,8 @@
 	r.failures = append(r.failures, finding{what, res.output.String()})
 }
 
-// hasFailedTest tells whether a test failed whose name begins with prefix.
+// hasFailedTest returns whether a test failed that has a name longer than prefix and
+// beginning with it.
 func (r *results) hasFailedTest(prefix string) bool {
 	for _, res := range r.order {
 		longer := len(res.name) > len(prefix)
@@ -95,7 +96,7 @@
 	return false
 }
 
-// print shows the verdict and tells whether the run is green.
+// print writes the report and returns whether the run passed.
 func (r *report) print(out io.Writer) bool {
 	for _, failure := range r.failures {
 		_, _ = fmt.Fprintf(out, "RED %s\n%s", failure.what, failure.output)
@@ -103,8 +104,8 @@
 	for _, note := range r.notes {
 		_, _ = fmt.Fprintln(out, note)
 	}
-	passed := len(r.failures) == 0
-	word := map[bool]string{true: "GREEN", false: "RED"}[passed]
+	ok := len(r.failures) == 0
+	word := map[bool]string{true: "GREEN", false: "RED"}[ok]
 	_, _ = fmt.Fprintf(out, "%d findings\n%s: %d passed, %d failed\n", len(r.failures), word, r.passed, r.failed)
-	return passed
+	return ok
 }
--- a/internal/ci/evaluate_test.go
+++ b/internal/ci/evaluate_test.go
@@ -45,7 +45,7 @@
 			is.NoErr(err)
 			var out bytes.Buffer
 			is.Equal(evaluate(all, known, 0).print(&out), test.passed)
-			is.True(strings.Contains(out.String(), test.want)) // the verdict names what it found
+			is.True(strings.Contains(out.String(), test.want)) // the report names the finding
 		})
 	}
 }
--- a/internal/ci/events.go
+++ b/internal/ci/events.go
@@ -17,7 +17,7 @@
 	Output     string
 }
 
-// Actions of events that matter here.
+// Actions of events that are evaluated.
 const (
 	actionRun         = "run"
 	actionPass        = "pass"
@@ -27,7 +27,7 @@
 	actionBuildOutput = "build-output"
 )
 
-// result is the end of one test, or of a package when the name ends in ":".
+// result is the result of one test, or of a package if the name ends in ":".
 type result struct {
 	name   string
 	action string
@@ -36,7 +36,7 @@
 	panicked bool
 }
 
-// results holds all ends, in order of appearance.
+// results holds all results, in order of appearance.
 type results struct {
 	byName map[string]*result
 	order  []*result
@@ -54,7 +54,7 @@
 	return added
 }
 
-// readEvents collects the ends of all tests and packages.
+// readEvents collects the results of all tests and packages.
 func readEvents(in io.Reader, module string) (*results, error) {
 	all := &results{byName: make(map[string]*result)}
 	decoder := json.NewDecoder(in)
--- a/internal/ci/known.go
+++ b/internal/ci/known.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// maxKnown is how many tests may be known to fail.
+// maxKnown is the largest number of tests that may be known to fail.
 const maxKnown = 3
 
-// knownFields is how many fields a line has: test, cause, issue.
+// knownFields is the number of fields of a line: test, cause, issue.
 const knownFields = 3
 
 // knownTest is a line of KNOWN-RED.txt: PACKAGE:TEST | CAUSE | ISSUE.
@@ -17,7 +17,7 @@
 	test, cause, issue string
 }
 
-// KnownError is a fault of KNOWN-RED.txt.
+// KnownError is a syntax error or an excess entry in KNOWN-RED.txt.
 type KnownError struct {
 	File   string
 	Line   int
--- a/internal/ci/main.go
+++ b/internal/ci/main.go
@@ -1,10 +1,10 @@
-// Command ci reads the output of `go test -json` on standard input and gives
-// the verdict of continuous integration.
+// Command ci reads the output of `go test -json` on standard input and decides whether
+// continuous integration passes.
 //
-// Every failure is red, but for the tests that KNOWN-RED.txt lists, which are
-// printed. Red as well: a package that fails without a failed test, a panic, a
-// test that did not finish or was skipped, and a line of KNOWN-RED.txt that
-// names no test that ran.
+// Every failure fails the run, except for the tests that KNOWN-RED.txt lists, which are
+// printed. The run also fails for a package that fails without a failed test, a panic, a
+// test that did not finish or was skipped, and a line of KNOWN-RED.txt that names no test
+// that ran.
 package main
 
 import (
