--- a/pkg/capacity/docs_test.go
+++ b/pkg/capacity/docs_test.go
@@ -11,7 +11,7 @@
 )
 
 // The page's tables are what the command prints from the recorded run.
-func TestPageHoldsTheTables(t *testing.T) {
+func TestCapacityPageMatchesTheRecordedRun(t *testing.T) {
 	is := is.New(t)
 	record, err := os.Open("../../docs/capacity/measured.txt")
 	is.NoErr(err)
--- a/pkg/capacity/fit_test.go
+++ b/pkg/capacity/fit_test.go
@@ -22,7 +22,7 @@
 PASS
 `
 
-func TestReadTakesMediansOfSizedBenchmarks(t *testing.T) {
+func TestReadUsesMediansOfSizedBenchmarks(t *testing.T) {
 	is := is.New(t)
 	all, err := capacity.Read(strings.NewReader(output))
 	is.NoErr(err)
@@ -39,7 +39,7 @@
 	is.True(line.R2 > 0.999)
 }
 
-func TestFitRefusesASinglePoint(t *testing.T) {
+func TestFitRejectsASinglePoint(t *testing.T) {
 	is := is.New(t)
 	all, err := capacity.Read(strings.NewReader(output))
 	is.NoErr(err)
--- a/pkg/capacity/model.go
+++ b/pkg/capacity/model.go
@@ -41,9 +41,9 @@
 func Links(t Target, m *Measured, shares Shares) ([]Term, error) {
 	s := &solver{measured: m}
 	terms := []Term{
-		s.heartbeats(t), s.reportsHeard(t, shares), s.prefixesHeard(t, shares), s.digestsHeard(t, shares), s.deltas(t),
-		s.digestsFetched(t, shares), s.digestsAnswered(t), s.digestsTold(t, shares),
-		s.polls(t, shares), s.reportsTold(t, shares), s.prefixesTold(t, shares), s.watches(t, shares),
+		s.heartbeats(t), s.reportsReceived(t, shares), s.prefixesReceived(t, shares), s.digestsReceived(t, shares), s.deltas(t),
+		s.digestsFetched(t, shares), s.digestsServed(t), s.digestsSent(t, shares),
+		s.polls(t, shares), s.reportsSent(t, shares), s.prefixesSent(t, shares), s.watches(t, shares),
 	}
 	return terms, s.err
 }
@@ -59,8 +59,8 @@
 	}
 }
 
-// reportsHeard are the reports of the upstreams that other nodes poll.
-func (s *solver) reportsHeard(t Target, shares Shares) Term {
+// reportsReceived are the reports of the upstreams that other nodes poll.
+func (s *solver) reportsReceived(t Target, shares Shares) Term {
 	rate := t.ServersPerDomain() * (1 - shares.Polls) / agent.PollInterval.Seconds()
 	return Term{
 		Role: RoleMember, What: "reports of upstreams, from their poll owners", Events: rate,
@@ -74,7 +74,7 @@
 	return s.slope("PrefixShare", "upstreams", "sent-B/op") - s.slope("UpstreamShare", "upstreams", "sent-B/op")
 }
 
-func (s *solver) prefixesHeard(t Target, shares Shares) Term {
+func (s *solver) prefixesReceived(t Target, shares Shares) Term {
 	rate := t.ServersPerDomain() * (1 - shares.Polls) / agent.PrefixInterval.Seconds()
 	return Term{
 		Role: RoleMember, What: "cached prefixes of engines, from their poll owners", Events: rate,
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *solver) prefixesTold(t Target, shares Shares) Term {
+func (s *solver) prefixesSent(t Target, shares Shares) Term {
 	rate := t.ServersPerDomain() * shares.Polls / agent.PrefixInterval.Seconds()
 	return Term{
 		Role: RolePolls, What: "cached prefixes of polled engines, to each node of the domain", Events: rate,
@@ -92,7 +92,7 @@
 	}
 }
 
-func (s *solver) digestsHeard(t Target, shares Shares) Term {
+func (s *solver) digestsReceived(t Target, shares Shares) Term {
 	rate := (t.Domains - 1) * (1 - shares.Digests) / digestInterval(t)
 	return Term{
 		Role: RoleMember, What: "digests of other domains, from their owners", Events: rate,
@@ -126,8 +126,8 @@
 	}
 }
 
-// digestsAnswered are the fetches of the other domains, spread over the nodes.
-func (s *solver) digestsAnswered(t Target) Term {
+// digestsServed are the fetches of the other domains, spread over the nodes.
+func (s *solver) digestsServed(t Target) Term {
 	rate := (t.Domains - 1) / digestInterval(t) / t.NodesPerDomain()
 	return Term{
 		Role: RoleMember, What: "answers to other domains' fetches", Events: rate,
@@ -137,7 +137,7 @@
 	}
 }
 
-func (s *solver) digestsTold(t Target, shares Shares) Term {
+func (s *solver) digestsSent(t Target, shares Shares) Term {
 	rate := (t.Domains - 1) * shares.Digests / digestInterval(t)
 	return Term{
 		Role: RoleDigests, What: "fetched digests, to each node of the domain", Events: rate,
@@ -156,7 +156,7 @@
 	}
 }
 
-func (s *solver) reportsTold(t Target, shares Shares) Term {
+func (s *solver) reportsSent(t Target, shares Shares) Term {
 	rate := t.ServersPerDomain() * shares.Polls / agent.PollInterval.Seconds()
 	return Term{
 		Role: RolePolls, What: "reports of polled upstreams, to each node of the domain", Events: rate,
@@ -272,16 +272,16 @@
 	for _, state := range []string{"idle", "changes", "traffic"} {
 		processes = append(processes, Process{
 			State:  state,
-			CPU:    s.whole(t, state, "agent-cpu-%"),
-			Memory: s.whole(t, state, "agent-MB") * megabyte,
+			CPU:    s.agentUsage(t, state, "agent-cpu-%"),
+			Memory: s.agentUsage(t, state, "agent-MB") * megabyte,
 		})
 	}
 	peak := processes[len(processes)-1]
-	further := t.Requests/t.Nodes - measuredRequests
+	addedRequests := t.Requests/t.Nodes - measuredRequests
 	peak.State = "peak, worked out from traffic"
-	peak.CPU += further * s.slope("Requests", "requests", "agent-cpu-%")
-	peak.Memory += further * s.slope("Requests", "requests", "agent-MB") * megabyte
-	start := Process{State: "start", Memory: s.whole(t, "start", "agent-peak-MB") * megabyte}
+	peak.CPU += addedRequests * s.slope("Requests", "requests", "agent-cpu-%")
+	peak.Memory += addedRequests * s.slope("Requests", "requests", "agent-MB") * megabyte
+	start := Process{State: "start", Memory: s.agentUsage(t, "start", "agent-peak-MB") * megabyte}
 	return append(processes, peak, start), s.err
 }
 
@@ -291,9 +291,9 @@
 	measuredRequests = 2
 )
 
-// whole reads a value off the line of the domain that sees 40 others. What traffic
+// agentUsage reads a value off the line of the domain that sees 40 others. What traffic
 // adds was measured in a domain that sees none.
-func (s *solver) whole(t Target, state, unit string) float64 {
+func (s *solver) agentUsage(t Target, state, unit string) float64 {
 	nodes := t.NodesPerDomain()
 	if state != "traffic" {
 		return s.at("OneOf41/"+state, "nodes", unit, nodes)
--- a/pkg/capacity/model_test.go
+++ b/pkg/capacity/model_test.go
@@ -50,12 +50,12 @@
 	is.New(t).NoErr(err)
 	beats := 4 / agent.BeatInterval.Seconds()
 	polls := 10 / agent.PollInterval.Seconds()
-	hints := 5 / agent.PrefixInterval.Seconds()
+	prefixes := 5 / agent.PrefixInterval.Seconds()
 	fetches := 1 / agent.DigestInterval.Seconds()
 	want := []struct{ events, sent, received float64 }{
 		{beats, beats * 100, beats * 50},
 		{polls / 2, 0, polls / 2 * 10},
-		{hints, 0, hints * 30},
+		{prefixes, 0, prefixes * 30},
 		{0, 0, 0}, // this node fetches all digests itself
 		{1, 600, 600},
 		{fetches, fetches * 5, fetches * 50},
@@ -63,21 +63,21 @@
 		{fetches, fetches * 4 * 20, 0},
 		{polls / 2, polls / 2 * 3, polls / 2 * 7},
 		{polls / 2, polls / 2 * 4 * 10, 0},
-		{hints, hints * 4 * 30, 0},
+		{prefixes, prefixes * 4 * 30, 0},
 		{0.4, 0, 0.4 * 4 / 3 * 1020},
 	}
 	is.New(t).Equal(len(terms), len(want))
 	for i, term := range terms {
 		t.Run(term.What, func(t *testing.T) {
 			is := is.New(t)
-			is.True(near(term.Events, want[i].events))
-			is.True(near(term.Sent, want[i].sent))
-			is.True(near(term.Received, want[i].received))
+			is.True(almostEqual(term.Events, want[i].events))
+			is.True(almostEqual(term.Sent, want[i].sent))
+			is.True(almostEqual(term.Received, want[i].received))
 		})
 	}
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
 
 func TestLinksNamesTheMissingSeries(t *testing.T) {
 	is := is.New(t)
--- a/pkg/capacity/report.go
+++ b/pkg/capacity/report.go
@@ -11,7 +11,7 @@
 func WriteModel(w io.Writer, t Target, m *Measured) error {
 	var text strings.Builder
 	for _, write := range []func(*strings.Builder, Target, *Measured) error{
-		writeSummary, writeLinks, writeAgents, writeKeyValue, writeGrowth, writeState, writeGateway, writeInForce, writeBadDays,
+		writeSummary, writeLinks, writeAgents, writeKeyValue, writeGrowth, writeState, writeGateway, writeInForce, writeFailures,
 	} {
 		if err := write(&text, t, m); err != nil {
 			return err
@@ -113,7 +113,7 @@
 }
 
 func writeState(text *strings.Builder, t Target, m *Measured) error {
-	state, err := Held(t, m)
+	state, err := StateSizes(t, m)
 	if err != nil {
 		return err
 	}
@@ -170,14 +170,14 @@
 
 const millis = float64(time.Second / time.Millisecond)
 
-func writeBadDays(text *strings.Builder, t Target, m *Measured) error {
-	days, err := BadDays(t, m)
+func writeFailures(text *strings.Builder, t Target, m *Measured) error {
+	figures, err := FailureFigures(t, m)
 	if err != nil {
 		return err
 	}
 	text.WriteString("### Bad days\n\n| day | what | figure | worked out from |\n|---|---|---|---|\n")
-	for _, one := range days {
-		fmt.Fprintf(text, "| %s | %s | %s | %s |\n", one.Day, one.What, one.Figure, one.Source)
+	for _, one := range figures {
+		fmt.Fprintf(text, "| %s | %s | %s | %s |\n", one.Failure, one.What, one.Figure, one.Source)
 	}
 	return nil
 }
--- a/pkg/capacity/roles.go
+++ b/pkg/capacity/roles.go
@@ -20,11 +20,11 @@
 // as the users gave none; a fifth.
 const keyedShare = 0.2
 
-// Held works out what each role holds.
-func Held(t Target, m *Measured) ([]State, error) {
+// StateSizes works out what each role holds.
+func StateSizes(t Target, m *Measured) ([]State, error) {
 	s := &solver{measured: m}
-	stored := s.headBytes(t)
-	plain := s.at("EncodeHead", "upstreams", "json-bytes", t.Servers) +
+	compressed := s.headBytes(t)
+	uncompressed := s.at("EncodeHead", "upstreams", "json-bytes", t.Servers) +
 		s.slope("EncodeHead", "callers", "json-bytes")*(t.Organisations-benchCallers)
 	change := s.at("Apply", "upstreams", "change-bytes", t.Servers)
 	record := s.at("RecordMemory", "records", "B/record", recordsMeasured)
@@ -32,9 +32,9 @@
 	digests := (t.Domains - 1) * s.slope("DigestShare", "domains", "sent-B/op")
 	reports := t.ServersPerDomain() * s.slope("UpstreamShare", "upstreams", "sent-B/op")
 	state := []State{
-		{"key-value service", "head, compressed", stored, "EncodeHead head-bytes"},
+		{"key-value service", "head, compressed", compressed, "EncodeHead head-bytes"},
 		{"key-value service", "audit trail, a year, not compressed", change * t.ChangesPerDay * daysPerYear, "Apply change-bytes, changes a day"},
-		{"agent and gateway", "head, as JSON", plain, "EncodeHead json-bytes"},
+		{"agent and gateway", "head, as JSON", uncompressed, "EncodeHead json-bytes"},
 		{"agent and gateway", "digests of the other domains, as sent", digests, "DigestShare"},
 		{"agent and gateway", "reports of the domain's upstreams, as sent", reports, "UpstreamShare"},
 		{"gateway", fmt.Sprintf("records of idempotency keys, %.0f of them, short answers", keyed), keyed * record, "RecordMemory, a fifth of requests with a key"},
@@ -79,20 +79,20 @@
 	betweenTokens = 0.063
 )
 
-// Spread is a time from accepted to in force.
-type Spread struct {
+// InForceTime is a time from accepted to in force.
+type InForceTime struct {
 	Along string
 	Size  float64
 	Took  time.Duration
 }
 
 // InForce works out the time along nodes and along domains.
-func InForce(t Target, m *Measured) ([]Spread, error) {
+func InForce(t Target, m *Measured) ([]InForceTime, error) {
 	s := &solver{measured: m}
 	took := func(benchmark, dimension string, size float64) time.Duration {
 		return time.Duration(s.at(benchmark, dimension, "in-force-max-ms", size) * float64(time.Millisecond))
 	}
-	times := []Spread{
+	times := []InForceTime{
 		{"nodes of a domain", t.NodesPerDomain(), took("Nodes/changes", "nodes", t.NodesPerDomain())},
 		{"domains", t.Domains, took("Domains/changes", "domains", t.Domains)},
 		{"nodes of a domain that sees 40 others", t.NodesPerDomain(), took("OneOf41/changes", "nodes", t.NodesPerDomain())},
@@ -100,50 +100,50 @@
 	return times, s.err
 }
 
-// BadDay is one figure of one bad day.
-type BadDay struct{ Day, What, Figure, Source string }
+// FailureFigure is one figure of one bad day.
+type FailureFigure struct{ Failure, What, Figure, Source string }
 
-// outage is how long the key-value service is down on its bad day.
-const outage = time.Hour
+// outageTime is how long the key-value service is down on its bad day.
+const outageTime = time.Hour
 
-// BadDays works out what the stated failures bring.
-func BadDays(t Target, m *Measured) ([]BadDay, error) {
+// FailureFigures works out what the stated failures bring.
+func FailureFigures(t Target, m *Measured) ([]FailureFigure, error) {
 	s := &solver{measured: m}
-	tries := s.fleet(t, "outage", "kv-tries/s")
-	first := s.fleet(t, "outage", "kv-first-second")
-	five := s.fleet(t, "outage", "kv-first-5s")
+	attempts := s.fleet(t, "outage", "kv-tries/s")
+	firstSecond := s.fleet(t, "outage", "kv-first-second")
+	firstSeconds := s.fleet(t, "outage", "kv-first-5s")
 	watchers := spread.Watchers * t.Domains
 	change := s.at("Apply", "upstreams", "change-bytes", t.Servers)
 	head := jsonInflation * s.headBytes(t)
 	const burst, burstSeconds = 100.0, 60.0
 	rate := burst / burstSeconds
 	changeCPU := s.perChangeCPU(t)
-	days := []BadDay{
-		{"service down an hour", "calls a second while it is down", fmt.Sprintf("%.0f", tries), "FixedDomains/outage kv-tries/s"},
-		{"service down an hour", "calls in the first second after", fmt.Sprintf("%.0f", first), "FixedDomains/outage kv-first-second"},
-		{"service down an hour", "calls in the first 5 s after", fmt.Sprintf("%.0f", five), "FixedDomains/outage kv-first-5s"},
-		{"service down an hour", "changes that could not be made", fmt.Sprintf("%.0f", t.Changes()*outage.Seconds()), "changes a day"},
+	figures := []FailureFigure{
+		{"service down an hour", "calls a second while it is down", fmt.Sprintf("%.0f", attempts), "FixedDomains/outage kv-tries/s"},
+		{"service down an hour", "calls in the first second after", fmt.Sprintf("%.0f", firstSecond), "FixedDomains/outage kv-first-second"},
+		{"service down an hour", "calls in the first 5 s after", fmt.Sprintf("%.0f", firstSeconds), "FixedDomains/outage kv-first-5s"},
+		{"service down an hour", "changes that could not be made", fmt.Sprintf("%.0f", t.Changes()*outageTime.Seconds()), "changes a day"},
 		{"100 changes in a minute", "calls of the service a second", fmt.Sprintf("%.1f reads, %.1f writes", rate, rate), "a read and a compare-and-swap each"},
 		{"100 changes in a minute", "B/s to a plain member", fmt.Sprintf("%.0f", rate*change), "Apply change-bytes"},
 		{"100 changes in a minute", "B/s to a watcher", fmt.Sprintf("%.0f", rate*(change+head)), "EncodeHead head-bytes"},
 		{"100 changes in a minute", "B/s out of the service, all watchers", size(rate * head * watchers), "EncodeHead head-bytes, two watchers a domain"},
 		{"100 changes in a minute", "CPU of an agent, % of a core", fmt.Sprintf("%.1f", rate*changeCPU*percent), "OneOf41/changes less OneOf41/idle"},
 		{"280 restarts in a day", "restarts a second, mean", fmt.Sprintf("%.4f", t.Restarts/secondsPerDay), "restarts a day"},
-		{"40 restarts at once", "time until all have the configuration, s", fmt.Sprintf("%.1f", s.at("Restarts", "restarts", "ready-ms", atOnce)/millis), "Restarts ready-ms"},
-		{"40 restarts at once", "further calls of the service in 10 s", fmt.Sprintf("%.0f", s.at("Restarts", "restarts", "kv-extra-calls", atOnce)), "Restarts kv-extra-calls"},
-		{"40 restarts at once", "heads that peers send whole", size(atOnce * s.headBytes(t)), "EncodeHead head-bytes"},
+		{"40 restarts at once", "time until all have the configuration, s", fmt.Sprintf("%.1f", s.at("Restarts", "restarts", "ready-ms", simultaneousRestarts)/millis), "Restarts ready-ms"},
+		{"40 restarts at once", "further calls of the service in 10 s", fmt.Sprintf("%.0f", s.at("Restarts", "restarts", "kv-extra-calls", simultaneousRestarts)), "Restarts kv-extra-calls"},
+		{"40 restarts at once", "heads that peers send whole", size(simultaneousRestarts * s.headBytes(t)), "EncodeHead head-bytes"},
 		{"a failure domain lost", "fetches that fail, a second, whole fleet", fmt.Sprintf("%.0f", (t.Domains-1)/(agent.DigestRetryMax.Seconds()*jitterMean)), "DigestRetryMax with jitter, one owner a domain"},
 		{"a failure domain lost", "CPU of an agent, % of a core, more for each lost domain", fmt.Sprintf("%.3f", s.slope("Lost", "lost", "agent-cpu-%")), "Lost, 14 domains"},
 		{"a failure domain lost", "B/s sent by an agent, more for each lost domain", fmt.Sprintf("%.0f", s.slope("Lost", "lost", "sent-B/s")), "Lost, 14 domains"},
-		{"two regions cut off from each other", "fetches that fail, a second, both sides", fmt.Sprintf("%.1f", s.cutFetches(t)), "DigestRetryMax with jitter, domains in a region"},
+		{"two regions cut off from each other", "fetches that fail, a second, both sides", fmt.Sprintf("%.1f", s.partitionFetches(t)), "DigestRetryMax with jitter, domains in a region"},
 	}
-	return days, s.err
+	return figures, s.err
 }
 
 const (
 	percent = 100
-	// atOnce is how many restarts come together.
-	atOnce = 40
+	// simultaneousRestarts is how many restarts come together.
+	simultaneousRestarts = 40
 	// jitterMean is the mean part of a wait's bound, which lies between half and
 	// the whole.
 	jitterMean = 0.75
@@ -157,8 +157,8 @@
 	return busy / percent / rate
 }
 
-// cutFetches counts the failing fetches a second between two regions.
-func (s *solver) cutFetches(t Target) float64 {
+// partitionFetches counts the failing fetches a second between two regions.
+func (s *solver) partitionFetches(t Target) float64 {
 	domains := t.Domains / t.Regions
 	return 2 * domains * domains / (agent.DigestRetryMax.Seconds() * jitterMean)
 }
