--- a/pkg/capacity/docs_test.go
+++ b/pkg/capacity/docs_test.go
@@ -10,7 +10,8 @@
 	"github.com/lilacweir/lilacweir/pkg/capacity"
 )
 
-// The page's tables are what the command prints from the recorded run.
+// The tables of docs/CAPACITY.md equal those that lilacweir-load prints from the recorded
+// run.
 func TestCapacityPageMatchesTheRecordedRun(t *testing.T) {
 	is := is.New(t)
 	record, err := os.Open("../../docs/capacity/measured.txt")
--- a/pkg/capacity/fit.go
+++ b/pkg/capacity/fit.go
@@ -1,5 +1,5 @@
-// Package capacity works out, from slopes measured by the project's benchmarks,
-// what each role costs at a given size of deployment.
+// Package capacity estimates the cost of each role at a given size of deployment, by
+// extrapolating the project's benchmark results linearly.
 package capacity
 
 import (
@@ -13,11 +13,11 @@
 	"strings"
 )
 
-// Point is one measured value at one size.
+// Point is a measured value at one size.
 type Point struct {
 	// Size is the number in the sub-benchmark's name, as in "nodes=9".
 	Size float64
-	// Value is in the series' unit.
+	// Value is in the unit of the series.
 	Value float64
 }
 
@@ -25,11 +25,11 @@
 type Series struct {
 	// Benchmark is the name without "Benchmark" and without the size.
 	Benchmark string
-	// Dimension is what the size counts, for example "nodes".
+	// Dimension is the name of the size, for example "nodes".
 	Dimension string
 	// Unit is the metric's unit as the benchmark printed it, for example "ns/op".
 	Unit string
-	// Points are in ascending size; repeated sizes hold the median.
+	// Points are in ascending size. A repeated size has the median of its values.
 	Points []Point
 }
 
@@ -45,11 +45,11 @@
 	return math.Max(0, l.Intercept+l.Slope*size)
 }
 
-// SeriesError is a series from which nothing can be worked out.
+// SeriesError is returned for a series with too few sizes for a fit.
 type SeriesError struct {
 	// Benchmark and Unit name the series.
 	Benchmark, Unit string
-	// Points is how many sizes were measured.
+	// Points is the number of sizes measured.
 	Points int
 }
 
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("series %s %s: %d sizes measured, expected at least 2", e.Benchmark, e.Unit, e.Points)
 }
 
-// minPoints is how many sizes a line needs.
+// minPoints is the number of sizes that a line needs.
 const minPoints = 2
 
 // Fit returns the least-squares line through the series.
@@ -92,14 +92,15 @@
 	return x / count, y / count
 }
 
-// sized finds the size in a sub-benchmark's name, as in "BenchmarkMerge/domains=41-12".
+// sized matches the name of a sub-benchmark with a size, as in
+// "BenchmarkMerge/domains=41-12".
 var sized = regexp.MustCompile(`^Benchmark(\S*?)/([a-z_]+)=(\d+)(\S*?)(?:-\d+)?$`)
 
-// seriesKey names a series while benchmark output is read.
+// seriesKey identifies a series while benchmark output is read.
 type seriesKey struct{ benchmark, dimension, unit string }
 
-// Read collects the series of `go test -bench` output. Lines that are not
-// results of a sized benchmark are passed over.
+// Read parses the series of `go test -bench` output. Lines that are not results of a
+// sized benchmark are skipped.
 func Read(r io.Reader) ([]Series, error) {
 	values := make(map[seriesKey]map[float64][]float64)
 	scanner := bufio.NewScanner(r)
@@ -166,7 +167,7 @@
 	return (values[middle-1] + values[middle]) / 2
 }
 
-// WriteTable writes each series with its points and its line, as Markdown.
+// WriteTable writes each series with its points and its fitted line, as Markdown.
 func WriteTable(w io.Writer, all []Series) error {
 	if _, err := fmt.Fprint(w, "| benchmark | unit | points (size: value) | fit | R² |\n|---|---|---|---|---|\n"); err != nil {
 		return fmt.Errorf("table: %w", err)
--- a/pkg/capacity/measured.go
+++ b/pkg/capacity/measured.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Measured holds the series of a recorded run.
+// Measured is the series of a recorded run.
 type Measured struct{ series []Series }
 
-// NewMeasured returns the series for look-ups.
+// NewMeasured returns the given series for lookups.
 func NewMeasured(series []Series) *Measured { return &Measured{series: series} }
 
-// MissingError is a series that a figure is worked out from and that the recorded
-// run does not have.
+// MissingError is returned for a series that an estimate needs and that the recorded run
+// does not have.
 type MissingError struct {
 	// Benchmark, Dimension and Unit name the series.
 	Benchmark, Dimension, Unit string
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("no series %s/%s in %s", e.Benchmark, e.Dimension, e.Unit)
 }
 
-// Line returns a series' fit.
+// Line returns the fit of a series.
 func (m *Measured) Line(benchmark, dimension, unit string) (Line, error) {
 	index := slices.IndexFunc(m.series, func(s Series) bool {
 		return s.Benchmark == benchmark && s.Dimension == dimension && s.Unit == unit
@@ -34,7 +34,7 @@
 	return m.series[index].Fit()
 }
 
-// solver reads values off lines and keeps the first error, so that formulas stay
+// solver evaluates fitted lines and records the first error, which keeps formulas
 // readable.
 type solver struct {
 	measured *Measured
@@ -49,12 +49,12 @@
 	return line
 }
 
-// at is a series' line at a size.
+// at returns the value of a series' line at a size.
 func (s *solver) at(benchmark, dimension, unit string, size float64) float64 {
 	return s.line(benchmark, dimension, unit).At(size)
 }
 
-// slope is what one more costs.
+// slope returns the cost of one more unit of the dimension.
 func (s *solver) slope(benchmark, dimension, unit string) float64 {
 	return s.line(benchmark, dimension, unit).Slope
 }
--- a/pkg/capacity/model.go
+++ b/pkg/capacity/model.go
@@ -5,13 +5,13 @@
 	"github.com/lilacweir/lilacweir/pkg/spread"
 )
 
-// Term is one part of what a role sends and receives for control.
+// Term is one part of the control traffic of a role.
 type Term struct {
-	// Role is who has it, What the mechanism that carries it.
+	// Role is the role that has the traffic, What the mechanism that causes it.
 	Role, What string
-	// Events is how many a second, Sent and Received are bytes a second.
+	// Events is the number of events a second, Sent and Received are bytes a second.
 	Events, Sent, Received float64
-	// Source names the series and the interval that it was worked out from.
+	// Source names the series and the interval that it is calculated from.
 	Source string
 }
 
@@ -23,21 +23,21 @@
 	RoleWatcher = "watcher"
 )
 
-// Shares says how much of the domain's shared work one node has: 1 is all of it.
+// Shares are the fractions of the domain's shared work that one node does; 1 is all of it.
 type Shares struct {
-	// Digests of remote domains, Polls of upstreams, Watches of the head key.
+	// Digests is the share of remote domains, Polls that of upstreams, Watches that of
+	// the watches of the head key.
 	Digests, Polls, Watches float64
 }
 
-// MeanShares is an even split.
+// MeanShares returns the shares of an even split.
 func MeanShares(t Target) Shares {
 	nodes := t.NodesPerDomain()
 	return Shares{Digests: 1 / nodes, Polls: 1 / nodes, Watches: spread.Watchers / nodes}
 }
 
-// Links works out what one node's agent sends to and receives from other nodes,
-// upstreams and the platform at the peak: every load has changed since it was
-// told last.
+// Links estimates the traffic of one node's agent with other nodes, upstreams and the
+// platform at the peak, when every load has changed since its last report.
 func Links(t Target, m *Measured, shares Shares) ([]Term, error) {
 	s := &solver{measured: m}
 	terms := []Term{
@@ -69,7 +69,7 @@
 	}
 }
 
-// prefixBytes is what new cached prefixes add to a report.
+// prefixBytes returns the bytes that new cached prefixes add to a report.
 func (s *solver) prefixBytes() float64 {
 	return s.slope("PrefixShare", "upstreams", "sent-B/op") - s.slope("UpstreamShare", "upstreams", "sent-B/op")
 }
@@ -101,7 +101,7 @@
 	}
 }
 
-// deltas are accepted changes: one is received, and passed on by the watchers.
+// deltas are accepted changes. Each is received once and forwarded by the watchers.
 func (s *solver) deltas(t Target) Term {
 	bytes := s.at("Apply", "upstreams", "change-bytes", t.Servers)
 	return Term{
@@ -111,7 +111,7 @@
 	}
 }
 
-// digestInterval is the time in seconds between two fetches of one domain.
+// digestInterval returns the time in seconds between two fetches from one domain.
 func digestInterval(t Target) float64 {
 	return max(agent.DigestInterval.Seconds(), (t.Domains-1)*agent.DigestPerDomain.Seconds())
 }
@@ -126,7 +126,7 @@
 	}
 }
 
-// digestsServed are the fetches of the other domains, spread over the nodes.
+// digestsServed are the fetches by other domains, spread evenly over the nodes.
 func (s *solver) digestsServed(t Target) Term {
 	rate := (t.Domains - 1) / digestInterval(t) / t.NodesPerDomain()
 	return Term{
@@ -165,10 +165,10 @@
 	}
 }
 
-// jsonInflation is what base64 adds to a value in the key-value service's JSON.
+// jsonInflation is the growth factor of a value by base64 in the key-value service's JSON.
 const jsonInflation = 4.0 / 3
 
-// watches are heads that come by the watch, one for each change.
+// watches are the heads received by the watch, one for each change.
 func (s *solver) watches(t Target, shares Shares) Term {
 	watching := min(shares.Watches, 1)
 	bytes := jsonInflation * s.headBytes(t)
@@ -179,14 +179,14 @@
 	}
 }
 
-// headBytes is the stored head at the target's size.
+// headBytes returns the size of the stored head for the target.
 func (s *solver) headBytes(t Target) float64 {
 	upstreams := s.line("EncodeHead", "upstreams", "head-bytes")
 	callers := s.line("EncodeHead", "callers", "head-bytes")
 	return upstreams.At(t.Servers) + callers.Slope*(t.Organisations-benchCallers)
 }
 
-// benchCallers is how many callers the benchmarks over upstreams declare.
+// benchCallers is the number of callers that the benchmarks over upstreams declare.
 const benchCallers = 60
 
 // Calls is one part of the load on the key-value service.
@@ -194,14 +194,14 @@
 	// What is the mechanism.
 	What string
 	CallRates
-	// Source is what it was worked out from.
+	// Source names what it is calculated from.
 	Source string
 }
 
-// fixedDomains is how many domains BenchmarkFixedDomains has.
+// fixedDomains is the number of domains in BenchmarkFixedDomains.
 const fixedDomains = 3
 
-// KeyValueCalls works out the calls of the whole fleet on an ordinary day.
+// KeyValueCalls estimates the calls of the whole fleet without failures.
 func KeyValueCalls(t Target, m *Measured) ([]Calls, error) {
 	s := &solver{measured: m}
 	calls := []Calls{
@@ -223,21 +223,21 @@
 	return calls, s.err
 }
 
-// fleet works out a rate of the key-value service: for one domain of the target's
-// size, times the domains.
+// fleet estimates a rate at the key-value service: that of one domain of the target's size,
+// times the number of domains.
 func (s *solver) fleet(t Target, state, unit string) float64 {
 	nodes := fixedDomains * t.NodesPerDomain()
 	return s.at("FixedDomains/"+state, "nodes", unit, nodes) / fixedDomains * t.Domains
 }
 
-// GrowthRow is how the load on the key-value service grows with n of something.
+// GrowthRow is the growth of the load on the key-value service along one dimension.
 type GrowthRow struct {
-	// With says what n counts.
+	// With describes the dimension.
 	With                   string
 	Reads, Writes, Watches Line
 }
 
-// Growth returns the lines through the idle deployments.
+// Growth returns the lines fitted to the idle deployments.
 func Growth(_ Target, m *Measured) ([]GrowthRow, error) {
 	s := &solver{measured: m}
 	row := func(with, benchmark, dimension string) GrowthRow {
@@ -255,17 +255,17 @@
 	return rows, s.err
 }
 
-// Process is what a whole process of one node uses, as measured on real ones.
+// Process is the resource usage of one process of a node, from measured processes.
 type Process struct {
-	// State is the state of the deployment in which it was measured.
+	// State is the state of the measured deployment.
 	State string
 	// CPU is percent of a core, Memory bytes.
 	CPU, Memory float64
 }
 
-// Agents works out an agent's processor time and memory in each measured state:
-// the line over the nodes of a failure domain that sees 40 others. The peak has the
-// target's rate of requests besides.
+// Agents estimates an agent's processor time and memory in each measured state, from the
+// line over the nodes of a failure domain with 40 remote domains. The peak adds the
+// target's rate of requests.
 func Agents(t Target, m *Measured) ([]Process, error) {
 	s := &solver{measured: m}
 	var processes []Process
@@ -287,12 +287,12 @@
 
 const (
 	megabyte = 1e6
-	// measuredRequests is a node's requests a second in OneOf41/traffic.
+	// measuredRequests is the requests a second of a node in OneOf41/traffic.
 	measuredRequests = 2
 )
 
-// agentUsage reads a value off the line of the domain that sees 40 others. What traffic
-// adds was measured in a domain that sees none.
+// agentUsage evaluates the line of the domain with 40 remote domains. The increase under
+// traffic was measured in a domain without remote ones.
 func (s *solver) agentUsage(t Target, state, unit string) float64 {
 	nodes := t.NodesPerDomain()
 	if state != "traffic" {
--- a/pkg/capacity/model_test.go
+++ b/pkg/capacity/model_test.go
@@ -12,7 +12,7 @@
 	"github.com/lilacweir/lilacweir/pkg/capacity"
 )
 
-// recorded has every series that the control traffic is worked out from.
+// recorded has every series that the estimate of control traffic needs.
 const recorded = `
 BenchmarkBeat/nodes=1-12 1 0 sent-B/op 0 received-B/op
 BenchmarkBeat/nodes=9-12 1 800 sent-B/op 400 received-B/op
@@ -34,8 +34,8 @@
 BenchmarkEncodeHead/callers=60-12 1 690 head-bytes
 `
 
-// small has numbers that are easily multiplied: 2 domains of 5 nodes and 10
-// servers each, and a change a second.
+// small has round numbers: 2 domains of 5 nodes and 10 servers each, and one change a
+// second.
 var small = capacity.Target{Nodes: 10, Servers: 20, Domains: 2, Organisations: 60, ChangesPerDay: 86400}
 
 func measured(t *testing.T, text string) *capacity.Measured {
@@ -101,5 +101,5 @@
 	}
 	wide := capacity.UsersTarget
 	wide.Nodes, wide.Servers, wide.Domains = 2*wide.Nodes, 2*wide.Servers, 2*wide.Domains
-	is.True(sum(wide) < 1.2*sum(capacity.UsersTarget)) // twice the domains, as large as before
+	is.True(sum(wide) < 1.2*sum(capacity.UsersTarget)) // twice the domains, of the same size
 }
--- a/pkg/capacity/report.go
+++ b/pkg/capacity/report.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// WriteModel writes the tables of a target, worked out from a recorded run.
+// WriteModel writes the tables of a target, calculated from a recorded run.
 func WriteModel(w io.Writer, t Target, m *Measured) error {
 	var text strings.Builder
 	for _, write := range []func(*strings.Builder, Target, *Measured) error{
@@ -40,8 +40,8 @@
 	return writeLargeDomain(text, t, m)
 }
 
-// largeDomain is how many times as large as the mean a domain may be: an
-// assumption, as the users say only that regions differ tenfold.
+// largeDomain is the assumed ratio of a large domain to the mean; it is only known that
+// regions differ tenfold.
 const largeDomain = 3
 
 func writeLargeDomain(text *strings.Builder, t Target, m *Measured) error {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// text writes a line as a sum.
+// text formats a line as a sum.
 func (l Line) text(format string) string {
 	return fmt.Sprintf(format+" + "+format+" × n", l.Intercept, l.Slope)
 }
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// size writes bytes with a unit.
+// size formats bytes with a unit.
 func size(bytes float64) string {
 	switch {
 	case bytes >= 1e6:
--- a/pkg/capacity/roles.go
+++ b/pkg/capacity/roles.go
@@ -9,18 +9,17 @@
 	"github.com/lilacweir/lilacweir/pkg/spread"
 )
 
-// State is what somebody holds.
+// State is data that a role retains.
 type State struct {
 	Role, What string
 	Bytes      float64
 	Source     string
 }
 
-// keyedShare is the part of requests that carry an idempotency key: an assumption,
-// as the users gave none; a fifth.
+// keyedShare is the assumed share of requests with an idempotency key; no figure is known.
 const keyedShare = 0.2
 
-// StateSizes works out what each role holds.
+// StateSizes estimates the data that each role retains.
 func StateSizes(t Target, m *Measured) ([]State, error) {
 	s := &solver{measured: m}
 	compressed := s.headBytes(t)
@@ -44,20 +43,20 @@
 
 const (
 	daysPerYear = 365
-	// recordsMeasured is the size at which a record's memory is read off.
+	// recordsMeasured is the number of records at which the memory of one is evaluated.
 	recordsMeasured = 10_000
 )
 
-// GatewayLoad is what one gateway carries at the peak.
+// GatewayLoad is the load of one gateway at the peak.
 type GatewayLoad struct {
 	Requests, Tokens, InFlight float64
 	// CPU is percent of a core, Memory bytes.
 	CPU, Memory float64
-	// Pick, Queue and Compile are nanoseconds of single steps.
+	// Pick, Queue and Compile are durations of single operations in nanoseconds.
 	Pick, Queue, Compile float64
 }
 
-// Gateway works out one gateway's load.
+// Gateway estimates the load of one gateway.
 func Gateway(t Target, m *Measured) (GatewayLoad, error) {
 	s := &solver{measured: m}
 	requests := t.Requests / t.Nodes
@@ -73,20 +72,20 @@
 	}, s.err
 }
 
-// The times that the users have asked for, in seconds.
+// Required times to the first token and between tokens, in seconds.
 const (
 	firstToken    = 1.8
 	betweenTokens = 0.063
 )
 
-// InForceTime is a time from accepted to in force.
+// InForceTime is the time from a change being accepted to it being in force.
 type InForceTime struct {
 	Along string
 	Size  float64
 	Took  time.Duration
 }
 
-// InForce works out the time along nodes and along domains.
+// InForce estimates the time by the number of nodes and by the number of domains.
 func InForce(t Target, m *Measured) ([]InForceTime, error) {
 	s := &solver{measured: m}
 	took := func(benchmark, dimension string, size float64) time.Duration {
@@ -100,13 +99,13 @@
 	return times, s.err
 }
 
-// FailureFigure is one figure of one bad day.
+// FailureFigure is one figure of one failure.
 type FailureFigure struct{ Failure, What, Figure, Source string }
 
-// outageTime is how long the key-value service is down on its bad day.
+// outageTime is the assumed duration of an outage of the key-value service.
 const outageTime = time.Hour
 
-// FailureFigures works out what the stated failures bring.
+// FailureFigures estimates the effects of the stated failures.
 func FailureFigures(t Target, m *Measured) ([]FailureFigure, error) {
 	s := &solver{measured: m}
 	attempts := s.fleet(t, "outage", "kv-tries/s")
@@ -142,14 +141,14 @@
 
 const (
 	percent = 100
-	// simultaneousRestarts is how many restarts come together.
+	// simultaneousRestarts is the number of restarts at the same time.
 	simultaneousRestarts = 40
-	// jitterMean is the mean part of a wait's bound, which lies between half and
-	// the whole.
+	// jitterMean is the mean of a jittered delay, which is uniform between half and
+	// all of its bound, as a fraction of the bound.
 	jitterMean = 0.75
 )
 
-// perChangeCPU is core seconds of an agent for one change.
+// perChangeCPU returns the core seconds that an agent uses for one change.
 func (s *solver) perChangeCPU(t Target) float64 {
 	nodes := t.NodesPerDomain()
 	busy := s.at("OneOf41/changes", "nodes", "agent-cpu-%", nodes) - s.at("OneOf41/idle", "nodes", "agent-cpu-%", nodes)
@@ -157,7 +156,7 @@
 	return busy / percent / rate
 }
 
-// partitionFetches counts the failing fetches a second between two regions.
+// partitionFetches returns the failing fetches a second between two partitioned regions.
 func (s *solver) partitionFetches(t Target) float64 {
 	domains := t.Domains / t.Regions
 	return 2 * domains * domains / (agent.DigestRetryMax.Seconds() * jitterMean)
--- a/pkg/capacity/summary.go
+++ b/pkg/capacity/summary.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// BoundCheck is one of the target's bounds and what was worked out for it.
+// BoundCheck is one of the target's bounds and the estimate for it.
 type BoundCheck struct {
-	// What is bounded; Unit is that of Value and Bound.
+	// What describes the bounded quantity, Unit is that of Value and Bound.
 	What, Unit   string
 	Value, Bound float64
 }
 
-// Holds says whether the value keeps to its bound.
+// Holds returns whether the value is within its bound.
 func (v BoundCheck) Holds() bool { return v.Value <= v.Bound }
 
-// CheckBounds compares the target's bounds with what was worked out.
+// CheckBounds compares the estimates with the target's bounds.
 func CheckBounds(t Target, m *Measured) ([]BoundCheck, error) {
 	var checks []BoundCheck
 	for _, check := range []func(Target, *Measured) ([]BoundCheck, error){checkLinks, checkAgents, checkInForce, checkKeyValue} {
@@ -82,7 +82,7 @@
 	}, s.err
 }
 
-// returnSeconds is the time after the service's return in which calls are counted.
+// returnSeconds is the time after the service's recovery in which calls are counted.
 const returnSeconds = 5
 
 func writeSummary(text *strings.Builder, t Target, m *Measured) error {
--- a/pkg/capacity/target.go
+++ b/pkg/capacity/target.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Target is a size of deployment and what it has to keep to.
+// Target is a size of deployment and its bounds.
 type Target struct {
-	// Nodes are entry instances; Servers are upstreams, which together have
-	// Accelerators.
+	// Nodes are entry instances, Servers are upstreams, and Accelerators is their total
+	// over all servers.
 	Nodes, Servers, Accelerators float64
 	Regions, Domains             float64
 	// Organisations are callers.
 	Organisations, Models float64
-	// Requests and Tokens are a second, at the peak.
+	// Requests and Tokens are rates a second at the peak.
 	Requests, Tokens float64
 	// ChangesPerDay are accepted changes of the configuration.
 	ChangesPerDay float64
-	// Restarts are instances that are restarted or replaced in a day.
+	// Restarts is the number of instances restarted or replaced in a day.
 	Restarts float64
-	// InForce bounds the time from accepted to in force everywhere.
+	// InForce bounds the time from a change being accepted to it being in force
+	// everywhere.
 	InForce time.Duration
-	// Budget bounds what one node spends on control.
+	// Budget bounds the resources that one node uses for control.
 	Budget Budget
 	// KeyValue bounds the calls of the key-value service.
 	KeyValue CallRates
 }
 
-// Budget is what one node may spend.
+// Budget is the resources that one node may use.
 type Budget struct {
 	// CPU is percent of a core, Memory bytes, Traffic bytes a second.
 	CPU, Memory, Traffic float64
@@ -32,13 +33,13 @@
 
 // CallRates are calls of the key-value service; a waiting watch counts as one.
 type CallRates struct {
-	// Reads and Writes are a second.
+	// Reads and Writes are rates a second.
 	Reads, Writes float64
-	// Watches wait at once.
+	// Watches is the number of watches that wait at the same time.
 	Watches float64
 }
 
-// UsersTarget is the size that the users have asked for.
+// UsersTarget is the size that users require.
 var UsersTarget = Target{
 	Nodes: 380, Servers: 1000, Accelerators: 8100, Regions: 14, Domains: 41,
 	Organisations: 600, Models: 5, Requests: 10_000, Tokens: 2_100_000,
@@ -47,13 +48,13 @@
 	KeyValue: CallRates{Reads: 2000, Writes: 300},
 }
 
-// NodesPerDomain is the mean.
+// NodesPerDomain returns the mean number of nodes of a domain.
 func (t Target) NodesPerDomain() float64 { return t.Nodes / t.Domains }
 
-// ServersPerDomain is the mean.
+// ServersPerDomain returns the mean number of servers of a domain.
 func (t Target) ServersPerDomain() float64 { return t.Servers / t.Domains }
 
 const secondsPerDay = 24 * 60 * 60
 
-// Changes is accepted changes a second, as a mean over a day.
+// Changes returns the accepted changes a second, as a mean over a day.
 func (t Target) Changes() float64 { return t.ChangesPerDay / secondsPerDay }
