--- a/test/capacity/agents_test.go
+++ b/test/capacity/agents_test.go
@@ -16,19 +16,19 @@
 const (
 	settleTime  = 8 * time.Second
 	measureTime = 12 * time.Second
-	// changeEvery is the pace of changes, about ten times the target's mean of one
+	// changeInterval is the pace of changes, about ten times the target's mean of one
 	// in 23 s, so that their cost stands out.
-	changeEvery = 2 * time.Second
+	changeInterval = 2 * time.Second
 	// requestsPerNode is requests a second and node where upstreams are many, and
 	// fewRequestsPerNode where they are few; an answer takes 13 s.
 	requestsPerNode    = 2
 	fewRequestsPerNode = 0.5
-	// answerTime is after how long as many answers end as begin.
-	answerTime = 15 * time.Second
+	// rampUpTime is after how long as many answers end as begin.
+	rampUpTime = 15 * time.Second
 	// outageTime is how long the key-value service is down.
 	outageTime = 10 * time.Second
-	// returnTime is the time after its return in which its calls are counted.
-	returnTime = 5 * time.Second
+	// recoveryTime is the time after its return in which its calls are counted.
+	recoveryTime = 5 * time.Second
 )
 
 // BenchmarkNodes measures the nodes of one failure domain with 25 upstreams.
@@ -65,7 +65,7 @@
 func BenchmarkOneOf41(b *testing.B) {
 	for _, nodes := range []int{3, 9} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			measure(b, layout{domains: 41, instances: 1, first: nodes, enginesPerModel: 5, rate: requestsPerNode})
+			measure(b, layout{domains: 41, instances: 1, firstDomainInstances: nodes, enginesPerModel: 5, rate: requestsPerNode})
 		})
 	}
 }
@@ -86,10 +86,10 @@
 	b.Run("start", func(b *testing.B) { d.reportStart(b) })
 	b.Run("idle", func(b *testing.B) { d.report(b, func() { time.Sleep(measureTime) }) })
 	b.Run("changes", func(b *testing.B) {
-		began := time.Now()
+		startedAt := time.Now()
 		var made int
 		d.report(b, func() { made = d.change() })
-		b.ReportMetric(float64(made)/time.Since(began).Seconds(), "changes/s")
+		b.ReportMetric(float64(made)/time.Since(startedAt).Seconds(), "changes/s")
 		d.reportInForce(b)
 	})
 	b.Run("traffic", func(b *testing.B) { d.underTraffic(b) })
@@ -111,19 +111,19 @@
 func (d *deployment) reportStart(b *testing.B) {
 	d.b = b
 	time.Sleep(settleTime)
-	var cpu, peak, most float64
-	for _, agent := range d.agents[:d.measured()] {
+	var cpu, peak, highest float64
+	for _, agent := range d.agents[:d.measuredNodes()] {
 		directory := fmt.Sprintf("/proc/%d", agent.command.Process.Pid)
 		cpu += d.processorTime(directory).Seconds()
 		high := d.peak(directory)
 		peak += high
-		most = math.Max(most, high)
+		highest = math.Max(highest, high)
 	}
-	count := float64(d.measured())
+	count := float64(d.measuredNodes())
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(cpu/count, "agent-cpu-s")
 	b.ReportMetric(peak/count/1e6, "agent-peak-MB")
-	b.ReportMetric(most/1e6, "agent-peak-MB-max")
+	b.ReportMetric(highest/1e6, "agent-peak-MB-max")
 }
 
 // change makes changes at a steady pace, through one agent after the other.
@@ -131,8 +131,8 @@
 	end := time.Now().Add(measureTime)
 	for n := 0; time.Now().Before(end); n++ {
 		made++
-		due := time.Now().Add(changeEvery)
-		answer, err := d.post(n%len(d.agents), "/v1/command", "text/plain", "drain "+farUpstream(n))
+		due := time.Now().Add(changeInterval)
+		answer, err := d.post(n%len(d.agents), "/v1/command", "text/plain", "drain "+undeployedUpstream(n))
 		check(d.b, err)
 		if !strings.HasPrefix(answer, "ok") && !strings.HasPrefix(answer, "accepted") {
 			d.b.Fatalf("change %d: %s", n, answer)
@@ -182,14 +182,14 @@
 func (d *deployment) underTraffic(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
-	rate := d.layout.rate * float64(d.measured())
-	run := d.traffic(rate, answerTime+measureTime)
+	rate := d.layout.rate * float64(d.measuredNodes())
+	run := d.traffic(rate, rampUpTime+measureTime)
 	done := make(chan error, 1)
 	go func() {
 		_, err := run.Send(ctx)
 		done <- err
 	}()
-	time.Sleep(answerTime)
+	time.Sleep(rampUpTime)
 	answered := run.Answered.Load()
 	d.report(b, func() { time.Sleep(measureTime) })
 	b.ReportMetric(float64(run.Answered.Load()-answered)/measureTime.Seconds(), "answers/s")
@@ -208,7 +208,7 @@
 	d.switchKeyValue("up")
 	time.Sleep(time.Second)
 	first := d.counts()
-	time.Sleep(returnTime - time.Second)
+	time.Sleep(recoveryTime - time.Second)
 	last := d.counts()
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(float64(end.Refused-down.Refused)/measureTime.Seconds(), "kv-tries/s")
@@ -226,32 +226,32 @@
 // as the busiest one's.
 func report(b *testing.B, before, after reading) {
 	seconds := after.at.Sub(before.at).Seconds()
-	spread := func(unit string, value func(i int) float64) {
-		var sum, most float64
+	meanAndMax := func(unit string, value func(i int) float64) {
+		var sum, highest float64
 		for i := range after.agents {
 			sum += value(i)
-			most = math.Max(most, value(i))
+			highest = math.Max(highest, value(i))
 		}
 		b.ReportMetric(sum/float64(len(after.agents)), unit)
-		b.ReportMetric(most, unit+"-max")
+		b.ReportMetric(highest, unit+"-max")
 	}
-	spread("agent-cpu-%", func(i int) float64 {
+	meanAndMax("agent-cpu-%", func(i int) float64 {
 		return 100 * (after.agents[i].cpu - before.agents[i].cpu).Seconds() / seconds
 	})
-	spread("agent-MB", func(i int) float64 { return after.agents[i].resident / 1e6 })
-	spread("gateway-cpu-%", func(i int) float64 {
+	meanAndMax("agent-MB", func(i int) float64 { return after.agents[i].resident / 1e6 })
+	meanAndMax("gateway-cpu-%", func(i int) float64 {
 		return 100 * (after.gateways[i].cpu - before.gateways[i].cpu).Seconds() / seconds
 	})
-	spread("gateway-MB", func(i int) float64 { return after.gateways[i].resident / 1e6 })
+	meanAndMax("gateway-MB", func(i int) float64 { return after.gateways[i].resident / 1e6 })
 	rates := map[string]string{
 		"links_sent": "sent-B/s", "links_received": "received-B/s",
 		"gateway_sent": "to-gateway-B/s", "gateway_received": "from-gateway-B/s",
 	}
 	for counter, unit := range rates {
-		spread(unit, perSecond(before, after, "lilacweir_agent_bytes_"+counter, seconds))
+		meanAndMax(unit, perSecond(before, after, "lilacweir_agent_bytes_"+counter, seconds))
 	}
 	for _, counter := range []string{"heartbeats", "digests", "digests_failed", "polls", "key_value", "directory", "list"} {
-		spread(strings.ReplaceAll(counter, "_", "-")+"-calls/s", perSecond(before, after, "lilacweir_agent_calls_"+counter, seconds))
+		meanAndMax(strings.ReplaceAll(counter, "_", "-")+"-calls/s", perSecond(before, after, "lilacweir_agent_calls_"+counter, seconds))
 	}
 	reads := after.keyValue.Range - before.keyValue.Range + after.keyValue.Watch - before.keyValue.Watch
 	writes := after.keyValue.Txn - before.keyValue.Txn + after.keyValue.Grant - before.keyValue.Grant +
--- a/test/capacity/deployment_test.go
+++ b/test/capacity/deployment_test.go
@@ -35,9 +35,9 @@
 
 // Loopback nets 127.N.0.0/16 for measurements, and the address that holds one.
 const (
-	firstNet   = 200
-	lastNet    = 250
-	holderPort = 7999
+	firstNet = 200
+	lastNet  = 250
+	lockPort = 7999
 )
 
 // operator makes the changes; keyPrefix begins every key of a planned deployment.
@@ -46,15 +46,15 @@
 	keyPrefix = "key-"
 )
 
-// farDomain is declared and never runs: its upstreams make the declaration large.
-const farDomain = "far-domain"
+// undeployedDomain is declared and never runs: its upstreams make the declaration large.
+const undeployedDomain = "far-domain"
 
 // layout is the shape of a measured deployment.
 type layout struct {
 	// domains are failure domains, each with so many instances; first is the number
 	// in the first of them, when that is another. Then the others have one engine of
 	// each model, and only the first domain's nodes are measured and sent requests.
-	domains, instances, first int
+	domains, instances, firstDomainInstances int
 	// enginesPerModel is how many engines of each model a domain has.
 	enginesPerModel int
 	// rate is requests a second and node in the measurement under traffic.
@@ -66,7 +66,7 @@
 	b         *testing.B
 	layout    layout
 	directory string
-	holder    net.Listener
+	netLock   net.Listener
 	plan      plan.Plan
 	standin   *process
 	agents    []*process
@@ -131,9 +131,9 @@
 
 func (d *deployment) reserveNet() int {
 	for number := firstNet; number <= lastNet; number++ {
-		holder, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", number, holderPort))
+		netLock, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", number, lockPort))
 		if err == nil {
-			d.holder = holder
+			d.netLock = netLock
 			return number
 		}
 	}
@@ -147,13 +147,13 @@
 	built, err := plan.Build(d.topology(), number)
 	check(d.b, err)
 	built.Standin.Links = nil
-	if d.layout.first > 0 {
-		thin(&built)
+	if d.layout.firstDomainInstances > 0 {
+		keepOneEnginePerModel(&built)
 	}
 	for i := range built.Instances {
 		built.Instances[i].DialVia = nil
 	}
-	enlarge(&built.Declaration)
+	fillDeclaration(&built.Declaration)
 	d.plan = built
 	check(d.b, plan.Write(built, d.directory))
 }
@@ -166,8 +166,8 @@
 	}
 	for n := range d.layout.domains {
 		instances := d.layout.instances
-		if n == 0 && d.layout.first > 0 {
-			instances = d.layout.first
+		if n == 0 && d.layout.firstDomainInstances > 0 {
+			instances = d.layout.firstDomainInstances
 		}
 		domain := plan.Domain{Name: fmt.Sprintf("domain-%02d", n+1), Prefix: fmt.Sprintf("d%02d", n+1), Instances: instances}
 		topology.Regions = append(topology.Regions, plan.Region{Name: fmt.Sprintf("region-%02d", n+1), Domains: []plan.Domain{domain}})
@@ -188,16 +188,16 @@
 	return topology
 }
 
-// thin leaves one engine of each model in all domains but the first.
-func thin(p *plan.Plan) {
-	gone := make(map[string]bool)
+// keepOneEnginePerModel leaves one engine of each model in all domains but the first.
+func keepOneEnginePerModel(p *plan.Plan) {
+	removed := make(map[string]bool)
 	p.Declaration.Upstreams = slices.DeleteFunc(p.Declaration.Upstreams, func(u config.Upstream) bool {
-		gone[u.Name] = u.Domain != firstDomain && !strings.HasSuffix(u.Name, "-1")
-		return gone[u.Name]
+		removed[u.Name] = u.Domain != firstDomain && !strings.HasSuffix(u.Name, "-1")
+		return removed[u.Name]
 	})
-	p.Standin.Engines = slices.DeleteFunc(p.Standin.Engines, func(e engine.Settings) bool { return gone[e.Name] })
+	p.Standin.Engines = slices.DeleteFunc(p.Standin.Engines, func(e engine.Settings) bool { return removed[e.Name] })
 	list := &p.Standin.Platform.List
-	list.Instances = slices.DeleteFunc(list.Instances, func(l standin.Listed) bool { return gone[l.Name] })
+	list.Instances = slices.DeleteFunc(list.Instances, func(l standin.Listed) bool { return removed[l.Name] })
 }
 
 // firstDomain is the name of the first failure domain.
@@ -205,37 +205,37 @@
 
 func modelName(m int) string { return fmt.Sprintf("model-%d", m+1) }
 
-// enlarge adds what does not run to a declaration, up to the target's sizes.
-func enlarge(to *config.Declaration) {
-	to.Regions = append([]config.Region{{Name: "far", Domains: []string{farDomain}}}, to.Regions...)
-	for m := range to.Models {
-		to.Models[m].Regions = append([]string{"far"}, to.Models[m].Regions...)
+// fillDeclaration adds what does not run to a declaration, up to the target's sizes.
+func fillDeclaration(declaration *config.Declaration) {
+	declaration.Regions = append([]config.Region{{Name: "far", Domains: []string{undeployedDomain}}}, declaration.Regions...)
+	for m := range declaration.Models {
+		declaration.Models[m].Regions = append([]string{"far"}, declaration.Models[m].Regions...)
 	}
-	var far []config.Upstream
-	for n := range declaredUpstreams - len(to.Upstreams) {
-		far = append(far, config.Upstream{
-			Name: farUpstream(n), Kind: config.KindEngine, Serves: modelName(n % models), Version: "v1",
-			Domain: farDomain, Address: fmt.Sprintf("127.1.%d.%d:9000", 1+n/250, 1+n%250), Concurrency: 8, ChecksFencing: true,
+	var undeployed []config.Upstream
+	for n := range declaredUpstreams - len(declaration.Upstreams) {
+		undeployed = append(undeployed, config.Upstream{
+			Name: undeployedUpstream(n), Kind: config.KindEngine, Serves: modelName(n % models), Version: "v1",
+			Domain: undeployedDomain, Address: fmt.Sprintf("127.1.%d.%d:9000", 1+n/250, 1+n%250), Concurrency: 8, ChecksFencing: true,
 		})
 	}
-	to.Upstreams = append(far, to.Upstreams...)
+	declaration.Upstreams = append(undeployed, declaration.Upstreams...)
 	var callers []config.Caller
-	for n := range declaredCallers - len(to.Callers) {
+	for n := range declaredCallers - len(declaration.Callers) {
 		name := fmt.Sprintf("organisation-%03d", n+1)
 		callers = append(callers, config.Caller{
-			Name: name, KeyHash: config.HashKey(keyPrefix + name), Home: "far", Regions: []string{"far", to.Regions[1].Name},
+			Name: name, KeyHash: config.HashKey(keyPrefix + name), Home: "far", Regions: []string{"far", declaration.Regions[1].Name},
 		})
 	}
-	to.Callers = append(callers, to.Callers...)
+	declaration.Callers = append(callers, declaration.Callers...)
 }
 
-// farUpstream names an upstream of the domain that does not run.
-func farUpstream(n int) string { return fmt.Sprintf("far-%04d", n+1) }
+// undeployedUpstream names an upstream of the domain that does not run.
+func undeployedUpstream(n int) string { return fmt.Sprintf("far-%04d", n+1) }
 
-// measured is how many nodes, from the first on, are measured.
-func (d *deployment) measured() int {
-	if d.layout.first > 0 {
-		return d.layout.first
+// measuredNodes is how many nodes, from the first on, are measured.
+func (d *deployment) measuredNodes() int {
+	if d.layout.firstDomainInstances > 0 {
+		return d.layout.firstDomainInstances
 	}
 	return len(d.agents)
 }
@@ -270,7 +270,7 @@
 	for _, p := range append(append(d.agents, d.gateways...), d.standin) {
 		p.kill()
 	}
-	_ = d.holder.Close()
+	_ = d.netLock.Close()
 }
 
 // regions names the region of each domain that runs.
@@ -291,7 +291,7 @@
 	}
 	var names []string
 	senders := d.layout.domains
-	if d.layout.first > 0 {
+	if d.layout.firstDomainInstances > 0 {
 		senders = 1
 	}
 	for n := range senders {
--- a/test/capacity/failures_test.go
+++ b/test/capacity/failures_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// returnWindow is the time after a restart in which calls are counted.
-const returnWindow = 10 * time.Second
+// restartWindow is the time after a restart in which calls are counted.
+const restartWindow = 10 * time.Second
 
 // BenchmarkRestarts kills so many of 18 nodes in three domains at once, starts
 // them again, and measures the time until each has the configuration in force, and
@@ -17,7 +17,7 @@
 		b.Run(fmt.Sprintf("restarts=%d", restarts), func(b *testing.B) {
 			d := deploy(b, layout{domains: 3, instances: 6, enginesPerModel: 1})
 			time.Sleep(2 * settleTime)
-			quiet := d.callsDuring(func() { time.Sleep(returnWindow) })
+			quiet := d.callsDuring(func() { time.Sleep(restartWindow) })
 			var ready time.Duration
 			busy := d.callsDuring(func() { ready = d.restart(restarts) })
 			b.ReportMetric(0, "ns/op")
@@ -25,7 +25,7 @@
 			b.ReportMetric(float64(busy-quiet), "kv-extra-calls")
 			var cpu float64
 			for n := range restarts {
-				cpu += d.sample(d.agents[d.spread(n)]).cpu.Seconds()
+				cpu += d.sample(d.agents[d.nthNode(n)]).cpu.Seconds()
 			}
 			b.ReportMetric(cpu/float64(restarts), "agent-cpu-s")
 		})
@@ -39,8 +39,8 @@
 	return calls(d.counts()) - calls(before)
 }
 
-// spread takes the nodes from one domain after the other.
-func (d *deployment) spread(n int) int {
+// nthNode takes the nodes from one domain after the other.
+func (d *deployment) nthNode(n int) int {
 	return n%d.layout.domains*d.layout.instances + n/d.layout.domains
 }
 
@@ -49,33 +49,33 @@
 // having a configuration in force.
 func (d *deployment) restart(count int) time.Duration {
 	for n := range count {
-		d.agents[d.spread(n)].kill()
-		d.gateways[d.spread(n)].kill()
+		d.agents[d.nthNode(n)].kill()
+		d.gateways[d.nthNode(n)].kill()
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	var started []*process
 	for n := range count {
-		i := d.spread(n)
+		i := d.nthNode(n)
 		name := d.plan.Instances[i].Instance
 		d.gateways[i] = d.start(name+"-gateway-again", "lilacweir-gateway", name+".yaml")
 		d.agents[i] = d.start(name+"-agent-again", "lilacweir-agent", name+".yaml")
 		started = append(started, d.gateways[i])
 	}
-	last := began
+	last := startedAt
 	for _, gateway := range started {
 		if at := d.firstInForce(gateway); at.After(last) {
 			last = at
 		}
 	}
-	time.Sleep(time.Until(began.Add(returnWindow)))
-	return last.Sub(began)
+	time.Sleep(time.Until(startedAt.Add(restartWindow)))
+	return last.Sub(startedAt)
 }
 
 // firstInForce waits until a gateway has a configuration, and says since when.
 func (d *deployment) firstInForce(gateway *process) (at time.Time) {
-	limit := time.Now().Add(startBound)
+	deadline := time.Now().Add(startBound)
 	for at.IsZero() {
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			d.b.Fatal("no configuration in " + gateway.log)
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/test/capacity/sample_test.go
+++ b/test/capacity/sample_test.go
@@ -36,7 +36,7 @@
 
 func (d *deployment) read() reading {
 	r := reading{at: time.Now(), keyValue: d.counts()}
-	for i, agent := range d.agents[:d.measured()] {
+	for i, agent := range d.agents[:d.measuredNodes()] {
 		s := d.sample(agent)
 		s.counters = d.counters(d.plan.Instances[i].Agent.Operators)
 		r.agents = append(r.agents, s)
@@ -64,7 +64,7 @@
 }
 
 // processorTime adds up the scheduler's nanoseconds of all threads: ticks would
-// miss most of what a process does that sleeps nearly always.
+// miss highest of what a process does that sleeps nearly always.
 func (d *deployment) processorTime(directory string) time.Duration {
 	files, err := filepath.Glob(directory + "/task/*/schedstat")
 	check(d.b, err)
@@ -89,7 +89,7 @@
 	return pages * float64(os.Getpagesize())
 }
 
-// peak is the most memory that the process has had.
+// peak is the highest memory that the process has had.
 func (d *deployment) peak(directory string) float64 {
 	data, err := os.ReadFile(directory + "/status")
 	check(d.b, err)
@@ -148,13 +148,13 @@
 func (d *deployment) apply() {
 	data, err := os.ReadFile(filepath.Join(d.directory, "declaration.yaml"))
 	check(d.b, err)
-	limit := time.Now().Add(startBound)
+	deadline := time.Now().Add(startBound)
 	for {
 		answer, err := d.post(0, "/v1/apply?seen=0", "application/yaml", string(data))
 		if err == nil && (strings.HasPrefix(answer, "ok") || strings.HasPrefix(answer, "accepted")) {
 			return
 		}
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			d.b.Fatalf("apply: %s %v", answer, err)
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -163,13 +163,13 @@
 
 // awaitInForce waits until every gateway has a revision in force.
 func (d *deployment) awaitInForce(revision uint64) {
-	limit := time.Now().Add(startBound)
+	deadline := time.Now().Add(startBound)
 	for {
 		times := d.inForceTimes()
 		if len(times[revision]) == len(d.gateways) {
 			return
 		}
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			d.b.Fatalf("revision %d in force at %d of %d", revision, len(times[revision]), len(d.gateways))
 		}
 		time.Sleep(200 * time.Millisecond)
