--- a/test/capacity/agents_test.go
+++ b/test/capacity/agents_test.go
@@ -12,22 +12,22 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/kv"
 )
 
-// How long each state is left to settle and is then measured.
+// Durations of the phases of a measurement.
 const (
 	settleTime  = 8 * time.Second
 	measureTime = 12 * time.Second
-	// changeInterval is the pace of changes, about ten times the target's mean of one
-	// in 23 s, so that their cost stands out.
+	// changeInterval is the time between changes. The rate is about ten times the target's
+	// mean of one in 23 s, so that their cost stands out.
 	changeInterval = 2 * time.Second
-	// requestsPerNode is requests a second and node where upstreams are many, and
-	// fewRequestsPerNode where they are few; an answer takes 13 s.
+	// requestsPerNode is the requests a second and node in layouts with many upstreams,
+	// fewRequestsPerNode in those with few. An answer takes 13 s.
 	requestsPerNode    = 2
 	fewRequestsPerNode = 0.5
-	// rampUpTime is after how long as many answers end as begin.
+	// rampUpTime is the time after which as many answers end as begin.
 	rampUpTime = 15 * time.Second
-	// outageTime is how long the key-value service is down.
+	// outageTime is the time that the key-value service is down before measuring.
 	outageTime = 10 * time.Second
-	// recoveryTime is the time after its return in which its calls are counted.
+	// recoveryTime is the time after its recovery in which its calls are counted.
 	recoveryTime = 5 * time.Second
 )
 
@@ -49,8 +49,8 @@
 	}
 }
 
-// BenchmarkFixedDomains measures a growing number of nodes in three failure domains:
-// what the key-value service sees of a fleet that grows inside its domains.
+// BenchmarkFixedDomains measures a growing number of nodes in three failure domains, for
+// the load on the key-value service by a fleet that grows inside its domains.
 func BenchmarkFixedDomains(b *testing.B) {
 	for _, nodes := range []int{6, 9, 18, 27} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -59,9 +59,8 @@
 	}
 }
 
-// BenchmarkOneOf41 measures the nodes of one failure domain with 25 upstreams that
-// sees 40 others, of one node and 5 upstreams each: the target's shape, as one node
-// meets it.
+// BenchmarkOneOf41 measures the nodes of one failure domain with 25 upstreams and 40
+// remote domains of one node and 5 upstreams each: the target as seen from one node.
 func BenchmarkOneOf41(b *testing.B) {
 	for _, nodes := range []int{3, 9} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -70,8 +69,8 @@
 	}
 }
 
-// BenchmarkRequests measures one node at several rates of requests, of which each
-// streams 200 tokens at 63 ms.
+// BenchmarkRequests measures one node at several rates of requests. Each request streams
+// 200 tokens at 63 ms.
 func BenchmarkRequests(b *testing.B) {
 	for _, requests := range []float64{2, 8, 26} {
 		b.Run(fmt.Sprintf("requests=%g", requests), func(b *testing.B) {
@@ -96,7 +95,7 @@
 	b.Run("outage", func(b *testing.B) { d.outage(b) })
 }
 
-// report measures the deployment during what is run.
+// report measures the deployment while run executes.
 func (d *deployment) report(b *testing.B, run func()) {
 	d.b = b
 	before := d.read()
@@ -106,8 +105,8 @@
 	report(b, before, after)
 }
 
-// reportStart reports what an agent's start has cost, up to the first accepted
-// configuration being in force everywhere and a time to settle.
+// reportStart reports the cost of an agent's start, until the first accepted configuration
+// is in force everywhere and settleTime has passed.
 func (d *deployment) reportStart(b *testing.B) {
 	d.b = b
 	time.Sleep(settleTime)
@@ -126,7 +125,7 @@
 	b.ReportMetric(highest/1e6, "agent-peak-MB-max")
 }
 
-// change makes changes at a steady pace, through one agent after the other.
+// change makes changes at a steady rate, through the agents in turn.
 func (d *deployment) change() (made int) {
 	end := time.Now().Add(measureTime)
 	for n := 0; time.Now().Before(end); n++ {
@@ -142,15 +141,15 @@
 	return made
 }
 
-// reportInForce reports how long the changes took from an agent's first
-// knowledge to being in force in the last gateway.
+// reportInForce reports the time of the changes from the first agent that received them to
+// being in force in the last gateway.
 func (d *deployment) reportInForce(b *testing.B) {
 	time.Sleep(settleTime)
 	accepted, inForce := d.acceptedTimes(), d.inForceTimes()
 	var all []float64
 	for revision, at := range accepted {
 		if revision == 1 {
-			continue // It met agents that were starting.
+			continue // Agents were still starting.
 		}
 		last := at
 		for _, one := range inForce[revision] {
@@ -168,8 +167,8 @@
 	b.ReportMetric(all[len(all)-1], "in-force-max-ms")
 }
 
-// superseded says whether a later revision is in force everywhere: a node may
-// step over one.
+// superseded returns whether a later revision is in force everywhere, as a node may skip
+// revisions.
 func superseded(inForce map[uint64][]time.Time, revision uint64, nodes int) bool {
 	for later, at := range inForce {
 		if later > revision && len(at) == nodes {
@@ -196,8 +195,8 @@
 	check(b, <-done)
 }
 
-// outage takes the key-value service away, and counts its calls in the time and
-// after its return.
+// outage stops the key-value service, and counts the calls during the outage and after
+// its recovery.
 func (d *deployment) outage(b *testing.B) {
 	d.b = b
 	d.switchKeyValue("down")
@@ -222,8 +221,8 @@
 	return c.Range + c.Txn + c.Watch + c.Grant + c.KeepAlive + c.Revoke
 }
 
-// report writes what changed between two readings, as means over the agents and
-// as the busiest one's.
+// report reports the changes between two readings, as the mean over the agents and the
+// maximum.
 func report(b *testing.B, before, after reading) {
 	seconds := after.at.Sub(before.at).Seconds()
 	meanAndMax := func(unit string, value func(i int) float64) {
--- a/test/capacity/deployment_test.go
+++ b/test/capacity/deployment_test.go
@@ -1,7 +1,6 @@
-// Package capacity measures what real agents and gateways cost at several sizes.
-// Each benchmark starts processes on loopback, with a declaration as large as the
-// target's, and prints its figures in the benchmark format that pkg/capacity
-// fits lines through:
+// Package capacity measures the resource usage of real agents and gateways at several
+// sizes. Each benchmark starts processes on loopback, with a declaration as large as the
+// target's, and prints its figures in the benchmark format that pkg/capacity reads:
 //
 //	go test -run '^$' -bench . -benchtime 1x -timeout 60m ./test/capacity
 package capacity
@@ -26,38 +25,40 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/plan"
 )
 
-// What is declared, whatever runs of it: the target's sizes.
+// Sizes of the declaration, which are the target's however much of it is deployed.
 const (
 	declaredUpstreams = 1000
 	declaredCallers   = 600
 	models            = 5
 )
 
-// Loopback nets 127.N.0.0/16 for measurements, and the address that holds one.
+// Loopback nets 127.N.0.0/16 for measurements, and the port that reserves one.
 const (
 	firstNet = 200
 	lastNet  = 250
 	lockPort = 7999
 )
 
-// operator makes the changes; keyPrefix begins every key of a planned deployment.
+// operator makes the changes; keyPrefix is the prefix of every key of a planned
+// deployment.
 const (
 	operator  = "capacity"
 	keyPrefix = "key-"
 )
 
-// undeployedDomain is declared and never runs: its upstreams make the declaration large.
+// undeployedDomain is declared and never started. Its upstreams make the declaration large.
 const undeployedDomain = "far-domain"
 
 // layout is the shape of a measured deployment.
 type layout struct {
-	// domains are failure domains, each with so many instances; first is the number
-	// in the first of them, when that is another. Then the others have one engine of
-	// each model, and only the first domain's nodes are measured and sent requests.
+	// domains is the number of failure domains, instances that of each domain.
+	// firstDomainInstances, unless zero, replaces it for the first domain. The others
+	// then have one engine of each model, and only the first domain's nodes are
+	// measured and sent requests.
 	domains, instances, firstDomainInstances int
-	// enginesPerModel is how many engines of each model a domain has.
+	// enginesPerModel is the number of engines of each model in a domain.
 	enginesPerModel int
-	// rate is requests a second and node in the measurement under traffic.
+	// rate is the requests a second and node in the measurement under traffic.
 	rate float64
 }
 
@@ -78,7 +79,7 @@
 	binaries  string
 )
 
-// TestMain removes the programs that a measurement has built.
+// TestMain removes the programs that the benchmarks built.
 func TestMain(m *testing.M) {
 	status := m.Run()
 	if binaries != "" {
@@ -141,8 +142,8 @@
 	return 0
 }
 
-// write writes the settings, without links: the delays of one machine are not
-// what is measured here.
+// write writes the settings, without the emulated links, as the measurements are without
+// network delays.
 func (d *deployment) write(number int) {
 	built, err := plan.Build(d.topology(), number)
 	check(d.b, err)
@@ -188,7 +189,8 @@
 	return topology
 }
 
-// keepOneEnginePerModel leaves one engine of each model in all domains but the first.
+// keepOneEnginePerModel removes all but one engine of each model in all domains but the
+// first.
 func keepOneEnginePerModel(p *plan.Plan) {
 	removed := make(map[string]bool)
 	p.Declaration.Upstreams = slices.DeleteFunc(p.Declaration.Upstreams, func(u config.Upstream) bool {
@@ -205,7 +207,7 @@
 
 func modelName(m int) string { return fmt.Sprintf("model-%d", m+1) }
 
-// fillDeclaration adds what does not run to a declaration, up to the target's sizes.
+// fillDeclaration adds upstreams and callers that are not started, up to the target's sizes.
 func fillDeclaration(declaration *config.Declaration) {
 	declaration.Regions = append([]config.Region{{Name: "far", Domains: []string{undeployedDomain}}}, declaration.Regions...)
 	for m := range declaration.Models {
@@ -229,10 +231,10 @@
 	declaration.Callers = append(callers, declaration.Callers...)
 }
 
-// undeployedUpstream names an upstream of the domain that does not run.
+// undeployedUpstream returns the name of an upstream of undeployedDomain.
 func undeployedUpstream(n int) string { return fmt.Sprintf("far-%04d", n+1) }
 
-// measuredNodes is how many nodes, from the first on, are measured.
+// measuredNodes returns the number of nodes that are measured, counted from the first.
 func (d *deployment) measuredNodes() int {
 	if d.layout.firstDomainInstances > 0 {
 		return d.layout.firstDomainInstances
@@ -240,7 +242,7 @@
 	return len(d.agents)
 }
 
-// process is one started program.
+// process is a started program.
 type process struct {
 	command *exec.Cmd
 	log     string
@@ -273,7 +275,7 @@
 	_ = d.netLock.Close()
 }
 
-// regions names the region of each domain that runs.
+// regions returns the region of each deployed domain.
 func (d *deployment) regions() map[string]string {
 	regions := make(map[string]string)
 	for i := range d.plan.Instances {
@@ -282,8 +284,7 @@
 	return regions
 }
 
-// traffic is a run of streamed answers that last as long as the target's: 63 ms a
-// token, 200 tokens.
+// traffic returns a run of streamed answers of the target's duration: 200 tokens at 63 ms.
 func (d *deployment) traffic(rate float64, length time.Duration) *load.Run {
 	run := &load.Run{
 		Mix: &load.Mix{}, Seeds: make(map[string][]string), Regions: d.regions(),
--- a/test/capacity/failures_test.go
+++ b/test/capacity/failures_test.go
@@ -9,9 +9,9 @@
 // restartWindow is the time after a restart in which calls are counted.
 const restartWindow = 10 * time.Second
 
-// BenchmarkRestarts kills so many of 18 nodes in three domains at once, starts
-// them again, and measures the time until each has the configuration in force, and
-// the calls of the key-value service beyond those of a quiet time as long.
+// BenchmarkRestarts kills some of 18 nodes in three domains at once and restarts them. It
+// measures the time until each has the configuration in force, and the calls of the
+// key-value service in excess of those in an idle period of the same length.
 func BenchmarkRestarts(b *testing.B) {
 	for _, restarts := range []int{1, 3, 6, 12} {
 		b.Run(fmt.Sprintf("restarts=%d", restarts), func(b *testing.B) {
@@ -32,21 +32,21 @@
 	}
 }
 
-// callsDuring counts the key-value service's calls.
+// callsDuring returns the number of calls of the key-value service while run executes.
 func (d *deployment) callsDuring(run func()) int64 {
 	before := d.counts()
 	run()
 	return calls(d.counts()) - calls(before)
 }
 
-// nthNode takes the nodes from one domain after the other.
+// nthNode returns the index of the nth node in round-robin order over the domains.
 func (d *deployment) nthNode(n int) int {
 	return n%d.layout.domains*d.layout.instances + n/d.layout.domains
 }
 
-// restart kills both programs of so many nodes at once, starts them again and
-// waits out the window. It returns the time from the start to the last of them
-// having a configuration in force.
+// restart kills both programs of count nodes at once, restarts them and waits until
+// restartWindow has passed. It returns the time from the restart until the last of them
+// has a configuration in force.
 func (d *deployment) restart(count int) time.Duration {
 	for n := range count {
 		d.agents[d.nthNode(n)].kill()
@@ -71,7 +71,8 @@
 	return last.Sub(startedAt)
 }
 
-// firstInForce waits until a gateway has a configuration, and says since when.
+// firstInForce waits until a gateway has a configuration in force and returns the time at
+// which it came into force.
 func (d *deployment) firstInForce(gateway *process) (at time.Time) {
 	deadline := time.Now().Add(startBound)
 	for at.IsZero() {
@@ -88,8 +89,7 @@
 	return at
 }
 
-// BenchmarkLost kills so many of 14 failure domains and measures the agents of the
-// others.
+// BenchmarkLost kills some of 14 failure domains and measures the agents of the others.
 func BenchmarkLost(b *testing.B) {
 	for _, lost := range []int{0, 1, 3} {
 		b.Run(fmt.Sprintf("lost=%d", lost), func(b *testing.B) {
--- a/test/capacity/sample_test.go
+++ b/test/capacity/sample_test.go
@@ -17,17 +17,17 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/kv"
 )
 
-// sample is what one process had used at one moment.
+// sample is the resource usage of one process at one time.
 type sample struct {
-	// cpu is processor time, all threads.
+	// cpu is the processor time of all threads.
 	cpu time.Duration
-	// resident is bytes of memory.
+	// resident is the resident memory in bytes.
 	resident float64
-	// counters are the agent's own, by exposed name.
+	// counters are the agent's metrics, by exposed name.
 	counters map[string]float64
 }
 
-// reading is one look at a whole deployment.
+// reading is the resource usage of a whole deployment at one time.
 type reading struct {
 	at               time.Time
 	agents, gateways []sample
@@ -63,8 +63,8 @@
 	return sample{cpu: d.processorTime(directory), resident: d.resident(directory)}
 }
 
-// processorTime adds up the scheduler's nanoseconds of all threads: ticks would
-// miss highest of what a process does that sleeps nearly always.
+// processorTime adds up the scheduler's nanoseconds of all threads, since clock ticks miss
+// most of the processor time of a mostly idle process.
 func (d *deployment) processorTime(directory string) time.Duration {
 	files, err := filepath.Glob(directory + "/task/*/schedstat")
 	check(d.b, err)
@@ -89,7 +89,7 @@
 	return pages * float64(os.Getpagesize())
 }
 
-// peak is the highest memory that the process has had.
+// peak returns the peak resident memory of the process in bytes.
 func (d *deployment) peak(directory string) float64 {
 	data, err := os.ReadFile(directory + "/status")
 	check(d.b, err)
@@ -121,7 +121,7 @@
 	return found
 }
 
-// post sends a body to an agent's operators' address.
+// post sends a body to the operators' address of an agent.
 func (d *deployment) post(instance int, path, contentType, body string) (string, error) {
 	address := d.plan.Instances[instance].Agent.Operators
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader(body))
@@ -141,10 +141,10 @@
 	return response.Header.Get("X-Lilacweir-Verdict") + ": " + string(text), nil
 }
 
-// startBound bounds how long a deployment may take to be in force everywhere.
+// startBound bounds the time until a revision is in force everywhere.
 const startBound = 2 * time.Minute
 
-// apply makes revision 1, as soon as the first agent can.
+// apply makes revision 1, retrying until the first agent accepts it.
 func (d *deployment) apply() {
 	data, err := os.ReadFile(filepath.Join(d.directory, "declaration.yaml"))
 	check(d.b, err)
@@ -176,7 +176,8 @@
 	}
 }
 
-// inForceTimes reads from the gateways' logs when each revision came into force.
+// inForceTimes reads from the gateways' logs the times at which each revision came into
+// force.
 func (d *deployment) inForceTimes() map[uint64][]time.Time {
 	times := make(map[uint64][]time.Time)
 	for _, gateway := range d.gateways {
@@ -189,8 +190,8 @@
 	return times
 }
 
-// acceptedTimes reads from the agents' logs when each revision was first known
-// to an agent: the one that made the change, or one whose watch was faster.
+// acceptedTimes reads from the agents' logs the time at which each revision first reached
+// an agent: the one that made the change, or one with a faster watch.
 func (d *deployment) acceptedTimes() map[uint64]time.Time {
 	times := make(map[uint64]time.Time)
 	for _, agent := range d.agents {
