--- a/pkg/capacity/roles.go
+++ b/pkg/capacity/roles.go
@@ -143,7 +143,7 @@
 	percent = 100
 	// simultaneousRestarts is the number of restarts at the same time.
 	simultaneousRestarts = 40
-	// jitterMean is the mean of a jittered delay, which is uniform between half and
+	// jitterMean is the mean of a jittered delay, which lies between half and
 	// all of its bound, as a fraction of the bound.
 	jitterMean = 0.75
 )
