--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Measures everything that docs/CAPACITY.md is worked out from (some 40 minutes),
-# records it in docs/capacity/measured.txt, and writes the page's tables anew.
-# With "tables" it only writes the tables, from what is recorded.
+# Runs the benchmarks that docs/CAPACITY.md is calculated from (about 40 minutes),
+# records their output in docs/capacity/measured.txt, and regenerates the page's tables.
+# With "tables" it only regenerates the tables from the recorded output.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 record=docs/capacity/measured.txt
 page=docs/CAPACITY.md
 
-# run ARGS: runs benchmarks and keeps the command with its results.
+# run ARGS: runs benchmarks and prints the command with their results.
 run() {
   echo "# go test -run '^\$' $*"
   go test -run '^$' "$@" | grep -E '^(Benchmark|goos|goarch|cpu|FAIL|--- FAIL)' | sed -E 's/[ \t]+/ /g'
@@ -26,7 +26,7 @@
   echo "# load average at the end: $(cut -d' ' -f1-3 /proc/loadavg)"
 }
 
-# tables replaces what stands between the marks in the page, and the series.
+# tables replaces the text between the markers in the page, and the page of the series.
 tables() {
   local text
   text=$(mktemp)
--- a/scripts/compare.sh
+++ b/scripts/compare.sh
@@ -15,14 +15,14 @@
 shift 7
 mkdir -p "$out"
 
-# checkout NAME REVISION: makes a clone, unless there is one already.
+# checkout NAME REVISION: makes a clone of the revision, unless it exists.
 checkout() {
   [ -d "$out/$1" ] && return
   git clone -q . "$out/$1"
   git -C "$out/$1" checkout -q "$2"
 }
 
-# play BUILD SITE DAY SEED: one day of one build, unless it was played.
+# play BUILD SITE DAY SEED: plays one day with one build, unless its report exists.
 play() {
   local report seed=()
   report=$out/$1.$(basename "$2" .toml).$3.$4.json
@@ -42,7 +42,7 @@
 done | xargs -0 -n 1 -P "$jobs" bash -c 'play $0'
 cp -rn "$out"/old/journal/. "$out"/new/journal/. journal/
 
-# worths REPORT: day's worth, parts and broken rules, as one line.
+# worths REPORT: prints the day's worth, its parts and the sum of the prices of broken rules, as one line.
 worths() {
   jq -r '[.G, (.parts[] | .[2]), ([.prices[] | .[2]] | add)] | map(. * 1000 | round / 1000) | @tsv' "$1"
 }
--- a/scripts/deployment.sh
+++ b/scripts/deployment.sh
@@ -1,5 +1,5 @@
-# Brings up deployments of stand-ins as real processes; sourced by other scripts.
-# Every process is ended by the id it was started with.
+# Starts deployments of stand-ins as real processes. It is sourced by other scripts.
+# Processes are stopped by the id that they were started with.
 
 declare -A started # process id by name
 declare -a gateways # -g ADDRESS for each gateway
@@ -12,10 +12,10 @@
   started[$name]=$!
 }
 
-# address FILE KEY: a listening address in an instance's settings.
+# address FILE KEY: prints a listening address from an instance's settings.
 address() { sed -n "s/^ *$2: *//p" "$1"; }
 
-# bring_up DIRECTORY: starts the deployment whose settings lie there, applies its
+# bring_up DIRECTORY: starts the deployment with the settings in DIRECTORY, applies its
 # declaration, and waits until every gateway serves.
 bring_up() {
   local directory=$1 file instance
@@ -33,8 +33,8 @@
   bin/lilacweir wait "${gateways[@]}"
 }
 
-# stop_all stops what was started, gateways and agents before the stand-ins, and
-# fails when one did not exit cleanly.
+# stop_all stops the started processes, gateways and agents before the stand-ins, and
+# fails if one did not exit cleanly.
 stop_all() {
   local name failed=0
   for name in "${!started[@]}"; do
--- a/scripts/measure-agent.sh
+++ b/scripts/measure-agent.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Measures the control path on the wellness deployment as real processes: the time
-# from a change's command to "in force 7/7", on a whole network and with larisa-hall
-# cut off from the platform but not from its neighbours; and each agent's processor
-# time, memory and bytes while no caller sends anything.
+# Measures the control path of the wellness deployment as real processes: the time from
+# the command of a change to "in force 7/7", on an intact network and with larisa-hall
+# partitioned from the platform but not from the other domains; and the processor time,
+# memory and traffic of each agent without requests.
 #
 # Usage: scripts/measure-agent.sh [NET]: the second octet of all addresses (10).
 set -Eeuo pipefail
@@ -23,7 +23,7 @@
 }
 trap finish EXIT
 
-# change VERB: prints the milliseconds until the reply that says 7/7, or the reply.
+# change VERB: prints the milliseconds until the reply if it is in force 7/7, else the reply.
 change() {
   local from to reply
   from=$(date +%s%N)
@@ -49,7 +49,7 @@
     END { printf "%s: %d changes, in force 7/7 after ms: least %d, median %d, most %d\n", name, NR, t[1], t[int((NR + 1) / 2)], t[NR] }'
 }
 
-# sample: name, clock ticks, resident kB, bytes received and sent.
+# sample prints for each agent: name, clock ticks, resident kB, bytes received and sent.
 sample() {
   local name id operators
   for name in "${!started[@]}"; do
--- a/scripts/measure-speed.sh
+++ b/scripts/measure-speed.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Measures what the gateway costs on the wellness deployment as real processes: the
-# time that it adds to a short call, at about a quarter of a gateway's load, in five
-# runs with direct and relayed calls in turn; and the chunks relayed for each second
-# of processor time, as a ratio to streaming directly.
+# Measures the overhead of a gateway in the wellness deployment as real processes: the
+# latency that it adds to a short call, at about a quarter of a gateway's load, in five
+# runs of alternating direct and relayed calls; and the chunks relayed per second of
+# processor time, as a ratio to direct streaming.
 #
 # Usage: scripts/measure-speed.sh [NET]: the second octet of all addresses (10).
 set -Eeuo pipefail
@@ -10,7 +10,7 @@
 
 net=${1:-10}
 runs=5
-rate=200 # calls a second, both ways together
+rate=200 # calls a second, direct and relayed together
 length=15s
 run=$(mktemp -d)
 logs=$run/logs
@@ -28,7 +28,7 @@
 export LILACWEIR_KEY=key-eleni
 bring_up "$run" >"$run/apply.log"
 
-# address_of UPSTREAM: where the declaration has it.
+# address_of UPSTREAM: prints its address in the declaration.
 address_of() { grep -A6 "name: $1\$" "$run/declaration.yaml" | sed -n 's/^ *address: *//p' | head -1; }
 
 callers=$(address "$run/kal-1.yaml" callers)
--- a/scripts/probes.sh
+++ b/scripts/probes.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The price of each single fault on a deployment: plays the days of deploy/probes, which
-# have one fault each on the deployment's usual traffic, and prints by how much the worth
-# of each lies below that of the day without any.
+# Measures the cost of single faults on a deployment: plays the days of deploy/probes, which
+# have one fault each on the deployment's usual traffic, and prints the difference of the
+# worth of each from that of the day without a fault.
 # Usage: scripts/probes.sh BENCH SITE [JOBS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -9,7 +9,7 @@
 out=$(mktemp -d)
 trap 'rm -rf "$out"' EXIT
 
-# play DAY: plays one day and keeps its worth.
+# play DAY: plays one day and saves its worth.
 play() {
   local name
   name=$(basename "$1" .toml)
--- a/scripts/regress.sh
+++ b/scripts/regress.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # The regression runs: scores each deployment in turn and prints whether its gate passed
-# and the worth of each day. The deployments that it is given are those of docs/DEVELOPERS.md.
+# and the worth of each day. docs/DEVELOPERS.md lists the deployments to run.
 # Usage: scripts/regress.sh BENCH JOBS WHY SITE...
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The README's test command: format, vet, linter, then every test under the race
-# detector. Tests listed in KNOWN-RED.txt are passed over and printed.
+# The README's test command: format, vet, linter, then all tests under the race detector.
+# Failures of tests listed in KNOWN-RED.txt are printed and do not fail the run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 unformatted=$(gofmt -l .)
@@ -13,7 +13,7 @@
 events=$(mktemp)
 trap 'rm -f "$events"' EXIT
 status=0
-# Tests that the race detector does not bear run without it (pkg/edge/region_cut_test.go).
+# Tests that crash the race detector run without it (pkg/edge/region_cut_test.go).
 go test -count=1 -json -run '(OfARegionThatIsCutOffMayTurnCold|RegionThatIsCutOffServesItsOwn|RestsInARegionThatIsCutOff|ManyInstancesAskAfterALostHistory)$' ./pkg/edge >"$events" || status=$?
 go test -race -count=1 -json ./... >>"$events" || status=$?
 go run ./internal/ci -status "$status" <"$events"
