--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -25,11 +25,11 @@
 	Target, Patience time.Duration
 	// Rank is the route's priority.
 	Rank int
-	// Shared and Own are the prompt's tokens that others have too, in one of Things
+	// SharedTokens and OwnTokens are the prompt's tokens that others have too, in one of SharedPrefixes
 	// parts, and those that are its own, doubled or halved at random.
-	Shared, Own, Things int
-	// Answer is the tokens of the answer.
-	Answer int
+	SharedTokens, OwnTokens, SharedPrefixes int
+	// AnswerTokens is the tokens of the answer.
+	AnswerTokens int
 }
 
 // Options describe a deployment and a day.
@@ -38,25 +38,25 @@
 	Model              EngineModel
 	Kinds              []Kind
 	For                time.Duration
-	// Told passes between the reports of an instance, Way is how old they are when they
+	// ReportInterval passes between the reports of an instance, ReportDelay is how old they are when they
 	// reach the others.
-	Told, Way time.Duration
-	Seed      uint64
+	ReportInterval, ReportDelay time.Duration
+	Seed                        uint64
 	// Admits is false for the baseline that sends everything, wherever it is cheapest.
 	Admits bool
 }
 
 // Result is what callers of one kind met.
 type Result struct {
-	Asked, InTime, Late, Refused, Left int
+	Requests, InTime, Late, Refused, Cancelled int
 }
 
 // request is one request of a caller.
 type request struct {
 	steer.Request
-	kind     *Kind
-	returned bool
-	asked    time.Time
+	kind      *Kind
+	retried   bool
+	arrivedAt time.Time
 }
 
 func (r *request) prompt() int { return r.PromptTokens }
@@ -69,8 +69,8 @@
 	estimates *steer.Estimator
 	overload  *steer.Overload
 	flow      *steer.Flow
-	// others is what it was told of the others' work.
-	others *peer.View
+	// peers is what it was told of the peers' work.
+	peers *peer.View
 }
 
 // emulation is one day.
@@ -108,7 +108,7 @@
 		m.arrivals(&o.Kinds[i], m.Now(), end)
 	}
 	for i := range m.instances {
-		m.At(m.Now().Add(o.Told*time.Duration(i)/time.Duration(o.Instances)), func() { m.tell(end) })
+		m.At(m.Now().Add(o.ReportInterval*time.Duration(i)/time.Duration(o.Instances)), func() { m.reportLoads(end) })
 	}
 	m.Play()
 	return m.results
@@ -126,22 +126,22 @@
 		m.instances = append(m.instances, &instance{
 			tracker: limit.NewTracker(&m.Timeline, nil),
 			recent:  steer.NewRecent(), estimates: steer.NewEstimator(), overload: steer.NewOverload(),
-			flow: steer.NewFlow(), others: peer.NewView(nil, nil, m.Now()),
+			flow: steer.NewFlow(), peers: peer.NewView(nil, nil, m.Now()),
 		})
 	}
-	least := time.Duration(0)
+	topTarget := time.Duration(0)
 	for i := range m.options.Kinds {
 		kind := &m.options.Kinds[i]
 		m.routes[kind.Name] = &httproute.Route{
 			Name: kind.Name, Kind: httproute.Streaming, TargetLatency: kind.Target, Priority: kind.Rank, SharedPrompts: true,
 		}
 		if kind.Rank == 0 {
-			least = kind.Target
+			topTarget = kind.Target
 		}
 	}
 	for _, route := range m.routes {
 		if route.Priority > 0 {
-			route.Yields = least
+			route.Yields = topTarget
 		}
 	}
 }
@@ -157,21 +157,21 @@
 		return
 	}
 	m.At(next, func() {
-		m.results[kind.Name].Asked++
-		m.arrive(m.made(kind))
+		m.results[kind.Name].Requests++
+		m.arrive(m.newRequest(kind))
 		m.arrivals(kind, m.Now(), end)
 	})
 }
 
-// made draws a request.
-func (m *emulation) made(kind *Kind) *request {
-	own := max(1, int(float64(kind.Own)*(0.5+m.random.Float64())))
+// newRequest draws a request.
+func (m *emulation) newRequest(kind *Kind) *request {
+	own := max(1, int(float64(kind.OwnTokens)*(0.5+m.random.Float64())))
 	m.requests++
-	r := &request{kind: kind, asked: m.Now()}
+	r := &request{kind: kind, arrivedAt: m.Now()}
 	r.Route, r.Service = m.routes[kind.Name], m.service
-	r.PromptTokens = kind.Shared + own
+	r.PromptTokens = kind.SharedTokens + own
 	r.Segments = []steer.Segment{
-		{ID: fmt.Sprint(kind.Name, "-", m.random.IntN(max(1, kind.Things))), Tokens: kind.Shared},
+		{ID: fmt.Sprint(kind.Name, "-", m.random.IntN(max(1, kind.SharedPrefixes))), Tokens: kind.SharedTokens},
 		{ID: fmt.Sprint("own-", m.requests), Tokens: own},
 	}
 	return r
@@ -180,13 +180,13 @@
 // arrive has an instance decide on a request.
 func (m *emulation) arrive(r *request) {
 	i := m.instances[m.random.IntN(len(m.instances))]
-	world := &steer.Snapshot{
-		Region: region, Fleet: m.view, Peers: i.others, Local: i.tracker, Recent: i.recent, CallTimes: steer.NewCallTimes(),
+	snapshot := &steer.Snapshot{
+		Region: region, Fleet: m.view, Peers: i.peers, Local: i.tracker, Recent: i.recent, CallTimes: steer.NewCallTimes(),
 		Estimates: i.estimates, Flow: i.flow, Now: m.Now(), Random: m.random.Uint64(),
 		Admits: func(*fleet.Upstream, *httproute.Service) bool { return true },
 	}
 	r.Contended = i.overload.Contended(serviceName, r.rank(), m.Now())
-	best := world.SurveyRegion(&r.Request).Best
+	best := snapshot.SurveyRegion(&r.Request).Best
 	if m.options.Admits && best.Late && i.overload.Refuses(&r.Request, m.Now()) {
 		m.refuse(i, r)
 		return
@@ -196,13 +196,13 @@
 
 // refuse has the caller come back once.
 func (m *emulation) refuse(i *instance, r *request) {
-	if r.returned {
+	if r.retried {
 		m.results[r.kind.Name].Refused++
 		return
 	}
-	r.returned = true
-	lasted := i.overload.Late(serviceName, r.rank(), m.Now())
-	m.At(m.Now().Add(steer.ReturnAfter(lasted, 5*r.kind.Patience, m.random.Float64())), func() { m.arrive(r) })
+	r.retried = true
+	overloadedFor := i.overload.Late(serviceName, r.rank(), m.Now())
+	m.At(m.Now().Add(steer.ReturnAfter(overloadedFor, 5*r.kind.Patience, m.random.Float64())), func() { m.arrive(r) })
 }
 
 // send has an engine run a request.
@@ -212,35 +212,35 @@
 	i.flow.Add(serviceName, to.Uncached, m.Now())
 	engine := m.engines[to.Upstream.ID]
 	sent := m.Now()
-	started := &run{request: r, owed: r.kind.Answer}
-	started.begun = func(now time.Time) {
+	started := &run{request: r, pendingTokens: r.kind.AnswerTokens}
+	started.onFirstToken = func(now time.Time) {
 		flight.FirstByte()
 		i.estimates.Observe(&to, now.Sub(sent), now)
-		m.begun(r, now)
+		m.recordFirstToken(r, now)
 	}
-	started.ended = func(time.Time) { flight.Done(limit.Succeeded) }
-	m.At(sent.Add(r.kind.Patience), func() { m.leave(started, flight) })
+	started.onEnd = func(time.Time) { flight.Done(limit.Succeeded) }
+	m.At(sent.Add(r.kind.Patience), func() { m.cancel(started, flight) })
 	engine.accept(started)
 	m.run(engine)
 }
 
-// begun counts an answer by when it began.
-func (m *emulation) begun(r *request, now time.Time) {
-	if now.Sub(r.asked) <= r.kind.Target {
+// recordFirstToken counts an answer by when it began.
+func (m *emulation) recordFirstToken(r *request, now time.Time) {
+	if now.Sub(r.arrivedAt) <= r.kind.Target {
 		m.results[r.kind.Name].InTime++
 	} else {
 		m.results[r.kind.Name].Late++
 	}
 }
 
-// leave ends a request whose answer has not begun when its caller's patience is over.
-func (m *emulation) leave(r *run, flight *limit.Flight) {
-	if r.unread == 0 || r.gone {
+// cancel ends a request whose answer has not begun when its caller's patience is over.
+func (m *emulation) cancel(r *run, flight *limit.Flight) {
+	if r.unreadTokens == 0 || r.cancelled {
 		return
 	}
-	r.gone = true
+	r.cancelled = true
 	flight.Done(limit.Abandoned)
-	m.results[r.request.kind.Name].Left++
+	m.results[r.request.kind.Name].Cancelled++
 }
 
 // run has an engine step as long as it has work.
@@ -255,26 +255,26 @@
 	e.stepping = true
 	m.At(m.Now().Add(took), func() {
 		for _, r := range begun {
-			r.begun(m.Now())
+			r.onFirstToken(m.Now())
 		}
 		for _, r := range ended {
-			r.ended(m.Now())
+			r.onEnd(m.Now())
 		}
 		e.stepping = false
 		m.run(e)
 	})
 }
 
-// tell brings what every instance has in hand to all others, and comes again.
-func (m *emulation) tell(end time.Time) {
+// reportLoads brings what every instance has in hand to all others, and comes again.
+func (m *emulation) reportLoads(end time.Time) {
 	reports := make([][]peer.Load, len(m.instances))
 	for n, i := range m.instances {
 		reports[n] = m.loads(i)
 	}
-	m.At(m.Now().Add(m.options.Way), func() { m.told(reports) })
-	next := m.Now().Add(m.options.Told)
+	m.At(m.Now().Add(m.options.ReportDelay), func() { m.applyReports(reports) })
+	next := m.Now().Add(m.options.ReportInterval)
 	if next.Before(end) {
-		m.At(next, func() { m.tell(end) })
+		m.At(next, func() { m.reportLoads(end) })
 	}
 }
 
@@ -289,16 +289,16 @@
 	return loads
 }
 
-// told gives each instance what the others reported.
-func (m *emulation) told(reports [][]peer.Load) {
+// applyReports gives each instance what the others reported.
+func (m *emulation) applyReports(reports [][]peer.Load) {
 	known := make([]peer.Known, len(m.instances)-1)
 	for n, i := range m.instances {
-		var others []peer.Load
+		var peers []peer.Load
 		for other, loads := range reports {
 			if other != n {
-				others = append(others, loads...)
+				peers = append(peers, loads...)
 			}
 		}
-		i.others = peer.NewView(known, others, m.Now().Add(-m.options.Way))
+		i.peers = peer.NewView(known, peers, m.Now().Add(-m.options.ReportDelay))
 	}
 }
--- a/pkg/emulator/engine.go
+++ b/pkg/emulator/engine.go
@@ -20,10 +20,10 @@
 	// Step is how long a step takes in which every running request gets a token, and
 	// StepPerContext what 1,000 tokens of context of those that run add to it.
 	Step, StepPerContext time.Duration
-	// ReadRate is prompt tokens read in a millisecond, Chunk how many are read in a step
+	// PrefillRate is prompt tokens read in a millisecond, Chunk how many are read in a step
 	// at most.
-	ReadRate float64
-	Chunk    int
+	PrefillRate  float64
+	PrefillChunk int
 	// CacheTokens is the memory for cached prompt parts.
 	CacheTokens int
 }
@@ -31,12 +31,12 @@
 // run is one request at an engine.
 type run struct {
 	request *request
-	// unread is what is left of its prompt to be read, owed the tokens of its answer to
+	// unreadTokens is what is left of its prompt to be read, pendingTokens the tokens of its answer to
 	// come.
-	unread, owed int
-	begun        func(now time.Time)
-	ended        func(now time.Time)
-	gone         bool
+	unreadTokens, pendingTokens int
+	onFirstToken                func(now time.Time)
+	onEnd                       func(now time.Time)
+	cancelled                   bool
 }
 
 // engine is one modelled engine.
@@ -52,7 +52,7 @@
 
 // accept queues a request by its rank.
 func (e *engine) accept(r *run) {
-	r.unread = max(1, r.request.prompt()-e.cache.held(r.request.Segments))
+	r.unreadTokens = max(1, r.request.prompt()-e.cache.cachedTokens(r.request.Segments))
 	at, _ := slices.BinarySearchFunc(e.queue, r.request.rank()+1, func(other *run, rank int) int {
 		return cmp.Compare(other.request.rank(), rank)
 	})
@@ -60,9 +60,9 @@
 }
 
 // step does one step and returns how long it takes; zero when there is nothing to do.
-func (e *engine) step() (took time.Duration, begun, ended []*run) {
-	e.running = slices.DeleteFunc(e.running, func(r *run) bool { return r.gone })
-	e.queue = slices.DeleteFunc(e.queue, func(r *run) bool { return r.gone })
+func (e *engine) step() (took time.Duration, started, ended []*run) {
+	e.running = slices.DeleteFunc(e.running, func(r *run) bool { return r.cancelled })
+	e.queue = slices.DeleteFunc(e.queue, func(r *run) bool { return r.cancelled })
 	for len(e.queue) > 0 && len(e.running) < e.model.Slots {
 		e.running = append(e.running, e.queue[0])
 		e.queue = e.queue[1:]
@@ -72,51 +72,51 @@
 	}
 	read, context := 0, 0
 	for _, r := range e.running {
-		if r.unread > 0 {
-			part := min(r.unread, e.model.Chunk-read)
-			r.unread -= part
+		if r.unreadTokens > 0 {
+			part := min(r.unreadTokens, e.model.PrefillChunk-read)
+			r.unreadTokens -= part
 			read += part
-			if r.unread > 0 {
+			if r.unreadTokens > 0 {
 				continue
 			}
 			e.cache.add(r.request.Segments)
-			begun = append(begun, r)
+			started = append(started, r)
 		}
 		context += r.request.prompt()
-		r.owed--
-		if r.owed <= 0 {
+		r.pendingTokens--
+		if r.pendingTokens <= 0 {
 			ended = append(ended, r)
 		}
 	}
-	e.running = slices.DeleteFunc(e.running, func(r *run) bool { return r.unread == 0 && r.owed <= 0 })
+	e.running = slices.DeleteFunc(e.running, func(r *run) bool { return r.unreadTokens == 0 && r.pendingTokens <= 0 })
 	took = e.model.Step + time.Duration(context)*e.model.StepPerContext/1000
-	took += time.Duration(float64(read) / e.model.ReadRate * float64(time.Millisecond))
-	return time.Duration(float64(took) * max(1, e.slow)), begun, ended
+	took += time.Duration(float64(read) / e.model.PrefillRate * float64(time.Millisecond))
+	return time.Duration(float64(took) * max(1, e.slow)), started, ended
 }
 
 // cache holds prompt parts and drops the least recently used.
 type cache struct {
-	room, used int
-	order      *list.List
-	byID       map[string]*list.Element
+	capacity, used int
+	order          *list.List
+	byID           map[string]*list.Element
 }
 
-func newCache(room int) *cache {
-	return &cache{room: room, order: list.New(), byID: make(map[string]*list.Element)}
+func newCache(capacity int) *cache {
+	return &cache{capacity: capacity, order: list.New(), byID: make(map[string]*list.Element)}
 }
 
-// held is how many tokens of the prompt's first parts are cached.
-func (c *cache) held(parts []steer.Segment) int {
-	held := 0
+// cachedTokens is how many tokens of the prompt's first parts are cached.
+func (c *cache) cachedTokens(parts []steer.Segment) int {
+	cachedTokens := 0
 	for _, part := range parts {
 		element := c.byID[part.ID]
 		if element == nil {
-			return held
+			return cachedTokens
 		}
 		c.order.MoveToFront(element)
-		held += part.Tokens
+		cachedTokens += part.Tokens
 	}
-	return held
+	return cachedTokens
 }
 
 // add caches the parts of a prompt.
@@ -129,7 +129,7 @@
 		c.byID[part.ID] = c.order.PushFront(part)
 		c.used += part.Tokens
 	}
-	for c.used > c.room {
+	for c.used > c.capacity {
 		last := c.order.Remove(c.order.Back()).(steer.Segment)
 		delete(c.byID, last.ID)
 		c.used -= last.Tokens
--- a/pkg/emulator/plain.go
+++ b/pkg/emulator/plain.go
@@ -23,12 +23,12 @@
 	// Work is the mean time of a call, exponentially distributed.
 	Work, Target time.Duration
 	For          time.Duration
-	// Told passes between two times that instances hear of the others of their region,
-	// Age is how old what they hear is then; FarTold and FarAge are those of other regions.
-	Told, Age, FarTold, FarAge time.Duration
-	Seed                       uint64
-	// Alone keeps calls in their region, the baseline.
-	Alone bool
+	// ReportInterval passes between two times that instances hear of the others of their region,
+	// ReportAge is how old what they hear is then; RemoteReportInterval and RemoteReportAge are those of other regions.
+	ReportInterval, ReportAge, RemoteReportInterval, RemoteReportAge time.Duration
+	Seed                                                             uint64
+	// LocalOnly keeps calls in their region, the baseline.
+	LocalOnly bool
 }
 
 // PlainRegion is one region: its servers, its instances and the calls a second that its
@@ -41,13 +41,13 @@
 
 // PlainResult is what the callers of one region met. Sends counts arrivals at servers,
 // Away the calls that went to another region.
-type PlainResult struct{ Asked, InTime, Late, Refused, Sends, Away int }
+type PlainResult struct{ Calls, InTime, Late, Refused, Sends, Remote int }
 
-// plainSends is how often a call is sent before it is refused.
-const plainSends = 4
+// maxPlainSends is how often a call is sent before it is refused.
+const maxPlainSends = 4
 
-// crossing is the one-way time between two regions.
-const crossing = 55 * time.Millisecond
+// interRegionDelay is the one-way time between two regions.
+const interRegionDelay = 55 * time.Millisecond
 
 // plainServer is one modelled server. Its queue holds what is to be done at each call's
 // end.
@@ -58,24 +58,24 @@
 
 // plainInstance is one instance that decides.
 type plainInstance struct {
-	region  string
-	tracker *limit.Tracker
-	pace    *steer.CallTimes
-	others  *peer.View
+	region    string
+	tracker   *limit.Tracker
+	callTimes *steer.CallTimes
+	peers     *peer.View
 }
 
 // plainCall is one call on its way.
 type plainCall struct {
-	request steer.Request
-	result  *PlainResult
-	asked   time.Time
-	sends   int
-	// crossed is true in another region than its caller's.
-	crossed bool
+	request   steer.Request
+	result    *PlainResult
+	arrivedAt time.Time
+	sends     int
+	// remote is true in another region than its caller's.
+	remote bool
 }
 
-// plainDay is one day.
-type plainDay struct {
+// plainEmulation is one day.
+type plainEmulation struct {
 	timeline.Timeline
 	options   PlainOptions
 	random    *rand.Rand
@@ -83,23 +83,23 @@
 	servers   map[string]*plainServer
 	instances map[string][]*plainInstance
 	known     map[string][]peer.Known
-	// far is the work in each region as other regions were last told.
-	far     map[string]int
-	service *httproute.Service
-	results map[string]*PlainResult
+	// remoteWork is the work in each region as other regions were last told.
+	remoteWork map[string]int
+	service    *httproute.Service
+	results    map[string]*PlainResult
 }
 
 // RunPlain plays a day of a plain service, and returns what callers met by region.
 func RunPlain(o PlainOptions) map[string]*PlainResult {
-	d := &plainDay{
+	d := &plainEmulation{
 		Timeline: timeline.New(), options: o, random: rand.New(rand.NewPCG(o.Seed, 2)), view: &fleet.View{},
 		servers: make(map[string]*plainServer), instances: make(map[string][]*plainInstance), known: make(map[string][]peer.Known),
-		far: make(map[string]int), service: &httproute.Service{Name: "api"}, results: make(map[string]*PlainResult),
+		remoteWork: make(map[string]int), service: &httproute.Service{Name: "api"}, results: make(map[string]*PlainResult),
 	}
 	d.build()
 	end := d.Now().Add(o.For)
-	d.Every(o.Told, end, func() { d.tell(end) })
-	d.Every(o.FarTold, end, d.tellFar)
+	d.Every(o.ReportInterval, end, func() { d.reportLoads(end) })
+	d.Every(o.RemoteReportInterval, end, d.reportRegions)
 	for i := range o.Regions {
 		d.results[o.Regions[i].Name] = &PlainResult{}
 		d.arrivals(&o.Regions[i], end)
@@ -108,7 +108,7 @@
 	return d.results
 }
 
-func (d *plainDay) build() {
+func (d *plainEmulation) build() {
 	for _, region := range d.options.Regions {
 		for i := range region.Servers {
 			id := fmt.Sprint(region.Name, "-", i)
@@ -118,9 +118,9 @@
 		for i := range region.Instances {
 			d.known[region.Name] = append(d.known[region.Name], peer.Known{Instance: fleet.Instance{Name: fmt.Sprint(region.Name, "-edge-", i), Region: region.Name}, Ready: true})
 			d.instances[region.Name] = append(d.instances[region.Name], &plainInstance{
-				region:  region.Name,
-				tracker: limit.NewTracker(&d.Timeline, nil),
-				pace:    steer.NewCallTimes(),
+				region:    region.Name,
+				tracker:   limit.NewTracker(&d.Timeline, nil),
+				callTimes: steer.NewCallTimes(),
 			})
 		}
 	}
@@ -128,44 +128,44 @@
 }
 
 // arrivals schedules a region's calls.
-func (d *plainDay) arrivals(region *PlainRegion, end time.Time) {
+func (d *plainEmulation) arrivals(region *PlainRegion, end time.Time) {
 	wait := time.Duration(d.random.ExpFloat64() / region.PerSecond * float64(time.Second))
 	if d.Now().Add(wait).After(end) {
 		return
 	}
 	d.After(wait, func() {
 		result := d.results[region.Name]
-		result.Asked++
-		c := &plainCall{result: result, asked: d.Now()}
+		result.Calls++
+		c := &plainCall{result: result, arrivedAt: d.Now()}
 		c.request = steer.Request{Route: &httproute.Route{TargetLatency: d.options.Target}, Service: d.service}
-		d.decide(d.one(region.Name), c)
+		d.decide(d.pickInstance(region.Name), c)
 		d.arrivals(region, end)
 	})
 }
 
-// one draws an instance of a region.
-func (d *plainDay) one(region string) *plainInstance {
+// pickInstance draws an instance of a region.
+func (d *plainEmulation) pickInstance(region string) *plainInstance {
 	all := d.instances[region]
 	return all[d.random.IntN(len(all))]
 }
 
 // decide has an instance send a call, or refuse it.
-func (d *plainDay) decide(i *plainInstance, c *plainCall) {
-	world := &steer.Snapshot{
-		Region: i.region, Fleet: d.view, Peers: i.others, Local: i.tracker, Recent: steer.NewRecent(), CallTimes: i.pace,
+func (d *plainEmulation) decide(i *plainInstance, c *plainCall) {
+	snapshot := &steer.Snapshot{
+		Region: i.region, Fleet: d.view, Peers: i.peers, Local: i.tracker, Recent: steer.NewRecent(), CallTimes: i.callTimes,
 		Estimates: steer.NewEstimator(), Flow: steer.NewFlow(), Now: d.Now(), Random: d.random.Uint64(),
 		Admits: func(*fleet.Upstream, *httproute.Service) bool { return true },
 	}
-	survey := world.SurveyRegion(&c.request)
-	if !c.crossed && !d.options.Alone {
-		if away := world.Choose(&c.request, survey, world.Regions(&c.request)); away != nil {
-			c.crossed = true
-			c.result.Away++
-			d.After(crossing, func() { d.decide(d.one(away.Region), c) })
+	survey := snapshot.SurveyRegion(&c.request)
+	if !c.remote && !d.options.LocalOnly {
+		if choice := snapshot.Choose(&c.request, survey, snapshot.Regions(&c.request)); choice != nil {
+			c.remote = true
+			c.result.Remote++
+			d.After(interRegionDelay, func() { d.decide(d.pickInstance(choice.Region), c) })
 			return
 		}
 	}
-	if survey.Best.Upstream == nil || c.sends == plainSends {
+	if survey.Best.Upstream == nil || c.sends == maxPlainSends {
 		c.result.Refused++
 		return
 	}
@@ -173,7 +173,7 @@
 }
 
 // send has a server run a call, queue it or reject it.
-func (d *plainDay) send(i *plainInstance, c *plainCall, to steer.Candidate) {
+func (d *plainEmulation) send(i *plainInstance, c *plainCall, to steer.Candidate) {
 	c.sends++
 	c.result.Sends++
 	flight, ok := i.tracker.Start(to.Upstream.ID, 0, 0)
@@ -189,14 +189,14 @@
 	sent := d.Now()
 	server.queue = append(server.queue, func() {
 		flight.Done(limit.Succeeded)
-		i.pace.Add(d.service.Name, &to, d.Now().Sub(sent))
-		d.answered(c)
+		i.callTimes.Add(d.service.Name, &to, d.Now().Sub(sent))
+		d.recordAnswer(c)
 	})
-	d.work(server)
+	d.runQueued(server)
 }
 
-// work has a server run what waits, as far as slots are free.
-func (d *plainDay) work(server *plainServer) {
+// runQueued has a server run what waits, as far as slots are free.
+func (d *plainEmulation) runQueued(server *plainServer) {
 	for server.running < d.options.Slots && len(server.queue) > 0 {
 		ended := server.queue[0]
 		server.queue = server.queue[1:]
@@ -204,16 +204,16 @@
 		d.After(time.Duration(d.random.ExpFloat64()*float64(d.options.Work)), func() {
 			server.running--
 			ended()
-			d.work(server)
+			d.runQueued(server)
 		})
 	}
 }
 
-// answered counts an answer, by when it comes to the caller.
-func (d *plainDay) answered(c *plainCall) {
-	took := d.Now().Sub(c.asked)
-	if c.crossed {
-		took += crossing
+// recordAnswer counts an answer, by when it comes to the caller.
+func (d *plainEmulation) recordAnswer(c *plainCall) {
+	took := d.Now().Sub(c.arrivedAt)
+	if c.remote {
+		took += interRegionDelay
 	}
 	if took <= d.options.Target {
 		c.result.InTime++
@@ -222,9 +222,9 @@
 	}
 }
 
-// tell brings to all instances what the others of their region have in hand, and what is
+// reportLoads brings to all instances what the others of their region have in hand, and what is
 // known of other regions.
-func (d *plainDay) tell(end time.Time) {
+func (d *plainEmulation) reportLoads(end time.Time) {
 	type report struct {
 		to    *plainInstance
 		loads []peer.Load
@@ -232,30 +232,30 @@
 	var reports []report
 	for _, region := range d.options.Regions {
 		for _, i := range d.instances[region.Name] {
-			reports = append(reports, report{i, d.othersOf(i)})
+			reports = append(reports, report{i, d.peerLoads(i)})
 		}
 	}
 	taken := d.Now()
-	bring := func() {
+	deliver := func() {
 		for _, r := range reports {
-			r.to.others = peer.NewView(d.others(r.to), r.loads, taken)
-			for region, work := range d.far {
+			r.to.peers = peer.NewView(d.knownPeers(r.to), r.loads, taken)
+			for region, work := range d.remoteWork {
 				if region != r.to.region {
-					r.to.others.AddService(region, peer.Load{Name: d.service.Name, InFlight: work})
+					r.to.peers.AddService(region, peer.Load{Name: d.service.Name, InFlight: work})
 				}
 			}
 		}
 	}
-	if taken.Add(d.options.Age).Before(end) {
-		d.After(d.options.Age, bring)
+	if taken.Add(d.options.ReportAge).Before(end) {
+		d.After(d.options.ReportAge, deliver)
 	}
-	if d.instances[d.options.Regions[0].Name][0].others == nil {
-		bring()
+	if d.instances[d.options.Regions[0].Name][0].peers == nil {
+		deliver()
 	}
 }
 
-// othersOf is the work of the others of an instance's region by server.
-func (d *plainDay) othersOf(i *plainInstance) []peer.Load {
+// peerLoads is the work of the others of an instance's region by server.
+func (d *plainEmulation) peerLoads(i *plainInstance) []peer.Load {
 	var loads []peer.Load
 	for n := range d.view.Upstreams {
 		id := d.view.Upstreams[n].ID
@@ -267,28 +267,28 @@
 	return loads
 }
 
-// others lists the other instances of a region, and one of each other region.
-func (d *plainDay) others(i *plainInstance) []peer.Known {
-	others := append([]peer.Known(nil), d.known[i.region][1:]...)
+// knownPeers lists the other instances of a region, and one of each other region.
+func (d *plainEmulation) knownPeers(i *plainInstance) []peer.Known {
+	knownPeers := append([]peer.Known(nil), d.known[i.region][1:]...)
 	for _, region := range d.options.Regions {
 		if region.Name != i.region {
-			others = append(others, d.known[region.Name][0])
+			knownPeers = append(knownPeers, d.known[region.Name][0])
 		}
 	}
-	for n := range others {
-		others[n].Heard = d.Now()
+	for n := range knownPeers {
+		knownPeers[n].Heard = d.Now()
 	}
-	return others
+	return knownPeers
 }
 
-// tellFar brings each region's work to the others.
-func (d *plainDay) tellFar() {
+// reportRegions brings each region's work to the others.
+func (d *plainEmulation) reportRegions() {
 	work := make(map[string]int)
 	for n := range d.view.Upstreams {
 		server := d.servers[d.view.Upstreams[n].ID]
 		work[d.view.Upstreams[n].Region] += server.running + len(server.queue)
 	}
-	d.After(d.options.FarAge, func() { d.far = work })
+	d.After(d.options.RemoteReportAge, func() { d.remoteWork = work })
 }
 
 // PlainPeak is a deployment of three regions whose peaks come one after another: the
@@ -296,7 +296,7 @@
 func PlainPeak(times float64, instances int) PlainOptions {
 	o := PlainOptions{
 		Slots: 6, Queue: 8, Work: 60 * time.Millisecond, Target: 500 * time.Millisecond, For: 10 * time.Second,
-		Told: 100 * time.Millisecond, Age: 60 * time.Millisecond, FarTold: 600 * time.Millisecond, FarAge: 100 * time.Millisecond,
+		ReportInterval: 100 * time.Millisecond, ReportAge: 60 * time.Millisecond, RemoteReportInterval: 600 * time.Millisecond, RemoteReportAge: 100 * time.Millisecond,
 	}
 	const servers = 4
 	capacity := float64(servers*o.Slots) / o.Work.Seconds()
