--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -16,42 +16,43 @@
 // Kind is one kind of request.
 type Kind struct {
 	Name string
-	// PerSecond is how many come at the usual load; Level multiplies it at a time of the
-	// day, nil: always 1.
+	// PerSecond is the rate at the usual load. Level returns its factor at a time since
+	// the start; nil means always 1.
 	PerSecond float64
 	Level     func(at time.Duration) float64
-	// Target is the time within which the answer should begin, Patience that after which
-	// its caller leaves.
+	// Target is the time within which the answer should begin, Patience the time after
+	// which its caller cancels.
 	Target, Patience time.Duration
-	// Rank is the route's priority.
+	// Rank is the priority of the route.
 	Rank int
-	// SharedTokens and OwnTokens are the prompt's tokens that others have too, in one of SharedPrefixes
-	// parts, and those that are its own, doubled or halved at random.
+	// SharedTokens is the length of the prompt's prefix, one of SharedPrefixes that requests
+	// share. OwnTokens is the mean length of the rest, varied at random by up to a half.
 	SharedTokens, OwnTokens, SharedPrefixes int
-	// AnswerTokens is the tokens of the answer.
+	// AnswerTokens is the length of the answer.
 	AnswerTokens int
 }
 
-// Options describe a deployment and a day.
+// Options describe a deployment and its load.
 type Options struct {
 	Engines, Instances int
 	Model              EngineModel
 	Kinds              []Kind
 	For                time.Duration
-	// ReportInterval passes between the reports of an instance, ReportDelay is how old they are when they
-	// reach the others.
+	// ReportInterval is the time between the reports of an instance, ReportDelay their
+	// age when the other instances receive them.
 	ReportInterval, ReportDelay time.Duration
 	Seed                        uint64
-	// Admits is false for the baseline that sends everything, wherever it is cheapest.
+	// Admits is false for the baseline without load shedding, which sends every request
+	// to the engine with the least cost.
 	Admits bool
 }
 
-// Result is what callers of one kind met.
+// Result counts the requests of one kind by outcome.
 type Result struct {
 	Requests, InTime, Late, Refused, Cancelled int
 }
 
-// request is one request of a caller.
+// request is a request of a caller.
 type request struct {
 	steer.Request
 	kind      *Kind
@@ -62,21 +63,21 @@
 func (r *request) prompt() int { return r.PromptTokens }
 func (r *request) rank() int   { return r.Route.Priority }
 
-// instance is one emulated instance.
+// instance is an emulated instance.
 type instance struct {
 	tracker   *limit.Tracker
 	recent    *steer.Recent
 	estimates *steer.Estimator
 	overload  *steer.Overload
 	flow      *steer.Flow
-	// peers is what it was told of the peers' work.
+	// peers is the work that the other instances reported.
 	peers *peer.View
 }
 
-// emulation is one day.
+// emulation is the state of one run.
 type emulation struct {
 	timeline.Timeline
-	// requests counts those that were made.
+	// requests is the number of requests generated.
 	requests  int
 	options   Options
 	random    *rand.Rand
@@ -93,7 +94,7 @@
 	region      = "north"
 )
 
-// Run plays a day and returns what callers met, by kind.
+// Run emulates a deployment and returns the results by kind of request.
 func Run(o Options) map[string]*Result {
 	m := &emulation{
 		Timeline: timeline.New(), options: o, random: rand.New(rand.NewPCG(o.Seed, 1)),
@@ -114,7 +115,7 @@
 	return m.results
 }
 
-// build makes engines, instances and routes.
+// build creates engines, instances and routes.
 func (m *emulation) build() {
 	for i := range m.options.Engines {
 		id := fmt.Sprintf("engine-%02d", i)
@@ -163,7 +164,7 @@
 	})
 }
 
-// newRequest draws a request.
+// newRequest generates a request at random.
 func (m *emulation) newRequest(kind *Kind) *request {
 	own := max(1, int(float64(kind.OwnTokens)*(0.5+m.random.Float64())))
 	m.requests++
@@ -177,7 +178,7 @@
 	return r
 }
 
-// arrive has an instance decide on a request.
+// arrive routes or refuses a request at a random instance.
 func (m *emulation) arrive(r *request) {
 	i := m.instances[m.random.IntN(len(m.instances))]
 	snapshot := &steer.Snapshot{
@@ -194,7 +195,7 @@
 	m.send(i, r, best)
 }
 
-// refuse has the caller come back once.
+// refuse refuses a request, which its caller retries once.
 func (m *emulation) refuse(i *instance, r *request) {
 	if r.retried {
 		m.results[r.kind.Name].Refused++
@@ -205,7 +206,7 @@
 	m.At(m.Now().Add(steer.ReturnAfter(overloadedFor, 5*r.kind.Patience, m.random.Float64())), func() { m.arrive(r) })
 }
 
-// send has an engine run a request.
+// send sends a request to an engine.
 func (m *emulation) send(i *instance, r *request, to steer.Candidate) {
 	flight, _ := i.tracker.Start(to.Upstream.ID, to.Uncached, 0)
 	i.recent.Add(r.Segments, to.Upstream.ID, m.Now())
@@ -224,7 +225,7 @@
 	m.run(engine)
 }
 
-// recordFirstToken counts an answer by when it began.
+// recordFirstToken counts an answer as in time or late.
 func (m *emulation) recordFirstToken(r *request, now time.Time) {
 	if now.Sub(r.arrivedAt) <= r.kind.Target {
 		m.results[r.kind.Name].InTime++
@@ -233,7 +234,7 @@
 	}
 }
 
-// cancel ends a request whose answer has not begun when its caller's patience is over.
+// cancel ends a request if its answer has not begun before its caller cancels.
 func (m *emulation) cancel(r *run, flight *limit.Flight) {
 	if r.unreadTokens == 0 || r.cancelled {
 		return
@@ -243,7 +244,7 @@
 	m.results[r.request.kind.Name].Cancelled++
 }
 
-// run has an engine step as long as it has work.
+// run executes steps of an engine while it has work.
 func (m *emulation) run(e *engine) {
 	if e.stepping {
 		return
@@ -265,7 +266,7 @@
 	})
 }
 
-// reportLoads brings what every instance has in hand to all others, and comes again.
+// reportLoads sends the requests in flight of every instance to all others, periodically.
 func (m *emulation) reportLoads(end time.Time) {
 	reports := make([][]peer.Load, len(m.instances))
 	for n, i := range m.instances {
@@ -289,7 +290,7 @@
 	return loads
 }
 
-// applyReports gives each instance what the others reported.
+// applyReports delivers to each instance the reports of the others.
 func (m *emulation) applyReports(reports [][]peer.Load) {
 	known := make([]peer.Known, len(m.instances)-1)
 	for n, i := range m.instances {
--- a/pkg/emulator/emulator_test.go
+++ b/pkg/emulator/emulator_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// regionOptions is the load of one region of a deployment whose commonest requests have short
-// prompts and long answers, beside long prompts with short answers. The figures are those
-// that its customer gives; a peak is twice the mean.
+// regionOptions returns one region of a deployment in which most requests have short
+// prompts and long answers, and the others long prompts and short answers. The figures are
+// those of a customer; a peak is twice the mean.
 func regionOptions() Options {
 	return Options{
 		Engines: 4, Instances: 3, For: 20 * time.Second, ReportInterval: 200 * time.Millisecond, ReportDelay: 2 * time.Millisecond, Seed: 1, Admits: true,
@@ -21,12 +21,12 @@
 	}
 }
 
-// TestPrefillMoreThanHalvesTheDecodeRateOfAFullBatch: with prompts always being read, an
-// engine of 128 places ends less than half as many answers of 290 tokens as without.
+// TestPrefillMoreThanHalvesTheDecodeRateOfAFullBatch checks that an engine with 128 slots
+// completes less than half as many answers of 290 tokens during continuous prefill.
 func TestPrefillMoreThanHalvesTheDecodeRateOfAFullBatch(t *testing.T) {
 	running := &request{}
 	running.PromptTokens = 1000
-	ends := func(reading bool) int {
+	completed := func(prefilling bool) int {
 		o := regionOptions()
 		e := &engine{model: &o.Model, cache: newCache(1 << 20)}
 		count, spent := 0, time.Duration(0)
@@ -34,7 +34,7 @@
 			for len(e.running) < o.Model.Slots {
 				e.running = append(e.running, &run{request: running, pendingTokens: 290})
 			}
-			if reading {
+			if prefilling {
 				e.running[0].unreadTokens = o.Model.PrefillChunk
 			}
 			took, _, ended := e.step()
@@ -44,12 +44,11 @@
 		return count
 	}
 	is := is.New(t)
-	alone, beside := ends(false), ends(true)
-	is.True(2*beside < alone)
-	is.True(4*beside > alone)
+	decodeOnly, withPrefill := completed(false), completed(true)
+	is.True(2*withPrefill < decodeOnly)
+	is.True(4*withPrefill > decodeOnly)
 }
 
-// TestSameSeedGivesTheSameResult.
 func TestSameSeedGivesTheSameResult(t *testing.T) {
 	is := is.New(t)
 	o := regionOptions()
@@ -57,7 +56,6 @@
 	is.Equal(*Run(o)["short"], *Run(o)["short"])
 }
 
-// TestEveryRequestIsCountedOnce, once.
 func TestEveryRequestIsCountedOnce(t *testing.T) {
 	o := regionOptions()
 	o.Kinds[0].PerSecond = 300
@@ -66,7 +64,7 @@
 	}
 }
 
-// burst multiplies a kind's load from the third second to the twelfth.
+// burst returns a Level with the given factor from the third second to the twelfth.
 func burst(times float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at > 3*time.Second && at < 12*time.Second {
@@ -76,28 +74,26 @@
 	}
 }
 
-// TestLoadSheddingKeepsABurstInTime: the commonest kind comes 2.9
-// times as often for nine seconds. Sent to the engines as they come, everyone waits behind
-// everyone; refused where they would be late, most of those that fit are in time, and
-// hardly fewer are served in all.
+// TestLoadSheddingKeepsABurstInTime offers 2.9 times the usual rate of the most frequent
+// requests for nine seconds. Without load shedding all requests queue behind each other.
+// With it, most requests within the capacity are in time, and hardly fewer are served.
 func TestLoadSheddingKeepsABurstInTime(t *testing.T) {
 	for seed := range uint64(3) {
 		o := regionOptions()
 		o.Seed = seed
 		o.Kinds[0].Level = burst(2.9)
-		with := Run(o)["short"]
+		shedding := Run(o)["short"]
 		o.Admits = false
-		without := Run(o)["short"]
-		if 10*with.InTime < 25*without.InTime {
-			t.Errorf("seed %d: %d in time, %d without admission", seed, with.InTime, without.InTime)
+		baseline := Run(o)["short"]
+		if 10*shedding.InTime < 25*baseline.InTime {
+			t.Errorf("seed %d: %d in time, %d without admission", seed, shedding.InTime, baseline.InTime)
 		}
-		if 10*(with.InTime+with.Late) < 9*(without.InTime+without.Late) {
-			t.Errorf("seed %d: %d served, %d without admission", seed, with.InTime+with.Late, without.InTime+without.Late)
+		if 10*(shedding.InTime+shedding.Late) < 9*(baseline.InTime+baseline.Late) {
+			t.Errorf("seed %d: %d served, %d without admission", seed, shedding.InTime+shedding.Late, baseline.InTime+baseline.Late)
 		}
 	}
 }
 
-// TestUsualLoadIsNotRefused.
 func TestUsualLoadIsNotRefused(t *testing.T) {
 	for seed := range uint64(3) {
 		o := regionOptions()
--- a/pkg/emulator/engine.go
+++ b/pkg/emulator/engine.go
@@ -1,7 +1,7 @@
-// Package emulator plays a deployment of model engines and instances in virtual time,
-// without network: engines that read prompts in chunks between the tokens of others, and
-// instances that decide with the real decision code and hear of each other late. A seed
-// gives the same run each time.
+// Package emulator emulates a deployment of model engines and instances in virtual time,
+// without a network. Engines prefill prompts in chunks in the steps that decode other
+// requests; instances route with the production code and receive delayed reports of each
+// other. Runs with the same seed are identical.
 package emulator
 
 import (
@@ -13,33 +13,33 @@
 	"github.com/lilacweir/lilacweir/pkg/steer"
 )
 
-// EngineModel is what the engines of a deployment have in common.
+// EngineModel holds the parameters of all engines of a deployment.
 type EngineModel struct {
-	// Slots is how many requests run at once.
+	// Slots is the number of requests that run concurrently.
 	Slots int
-	// Step is how long a step takes in which every running request gets a token, and
-	// StepPerContext what 1,000 tokens of context of those that run add to it.
+	// Step is the duration of a step, in which every running request gets a token, and
+	// StepPerContext the time that each 1,000 tokens of context of those requests add.
 	Step, StepPerContext time.Duration
-	// PrefillRate is prompt tokens read in a millisecond, Chunk how many are read in a step
-	// at most.
+	// PrefillRate is the prompt tokens prefilled in a millisecond, PrefillChunk the
+	// largest number of them in a step.
 	PrefillRate  float64
 	PrefillChunk int
-	// CacheTokens is the memory for cached prompt parts.
+	// CacheTokens is the capacity of the cache of prompt segments.
 	CacheTokens int
 }
 
-// run is one request at an engine.
+// run is a request at an engine.
 type run struct {
 	request *request
-	// unreadTokens is what is left of its prompt to be read, pendingTokens the tokens of its answer to
-	// come.
+	// unreadTokens is the number of prompt tokens still to be prefilled, pendingTokens that
+	// of answer tokens still to be generated.
 	unreadTokens, pendingTokens int
 	onFirstToken                func(now time.Time)
 	onEnd                       func(now time.Time)
 	cancelled                   bool
 }
 
-// engine is one modelled engine.
+// engine is an emulated engine.
 type engine struct {
 	id       string
 	model    *EngineModel
@@ -50,7 +50,7 @@
 	stepping bool
 }
 
-// accept queues a request by its rank.
+// accept queues a request by its priority.
 func (e *engine) accept(r *run) {
 	r.unreadTokens = max(1, r.request.prompt()-e.cache.cachedTokens(r.request.Segments))
 	at, _ := slices.BinarySearchFunc(e.queue, r.request.rank()+1, func(other *run, rank int) int {
@@ -59,7 +59,8 @@
 	e.queue = slices.Insert(e.queue, at, r)
 }
 
-// step does one step and returns how long it takes; zero when there is nothing to do.
+// step executes one step and returns its duration, zero if there is no work, with the
+// requests that it started and ended.
 func (e *engine) step() (took time.Duration, started, ended []*run) {
 	e.running = slices.DeleteFunc(e.running, func(r *run) bool { return r.cancelled })
 	e.queue = slices.DeleteFunc(e.queue, func(r *run) bool { return r.cancelled })
@@ -94,7 +95,7 @@
 	return time.Duration(float64(took) * max(1, e.slow)), started, ended
 }
 
-// cache holds prompt parts and drops the least recently used.
+// cache is an LRU cache of prompt segments.
 type cache struct {
 	capacity, used int
 	order          *list.List
@@ -105,7 +106,7 @@
 	return &cache{capacity: capacity, order: list.New(), byID: make(map[string]*list.Element)}
 }
 
-// cachedTokens is how many tokens of the prompt's first parts are cached.
+// cachedTokens returns the number of tokens in the prompt's leading cached segments.
 func (c *cache) cachedTokens(parts []steer.Segment) int {
 	cachedTokens := 0
 	for _, part := range parts {
@@ -119,7 +120,7 @@
 	return cachedTokens
 }
 
-// add caches the parts of a prompt.
+// add caches the segments of a prompt.
 func (c *cache) add(parts []steer.Segment) {
 	for _, part := range parts {
 		if element := c.byID[part.ID]; element != nil {
--- a/pkg/emulator/plain.go
+++ b/pkg/emulator/plain.go
@@ -14,49 +14,49 @@
 	"github.com/lilacweir/lilacweir/pkg/timeline"
 )
 
-// PlainOptions describe a plain service in several regions, and a day.
+// PlainOptions describe a plain service in several regions and its load.
 type PlainOptions struct {
 	Regions []PlainRegion
-	// Slots is how many calls a server runs at once, Queue how many more it takes; it
-	// rejects the rest.
+	// Slots is the number of calls that a server runs concurrently, Queue the number that
+	// it queues. It rejects the rest.
 	Slots, Queue int
-	// Work is the mean time of a call, exponentially distributed.
+	// Work is the mean duration of a call, exponentially distributed.
 	Work, Target time.Duration
 	For          time.Duration
-	// ReportInterval passes between two times that instances hear of the others of their region,
-	// ReportAge is how old what they hear is then; RemoteReportInterval and RemoteReportAge are those of other regions.
+	// ReportInterval is the time between reports within a region, ReportAge their age when
+	// they are received. RemoteReportInterval and RemoteReportAge are those of reports
+	// from other regions.
 	ReportInterval, ReportAge, RemoteReportInterval, RemoteReportAge time.Duration
 	Seed                                                             uint64
-	// LocalOnly keeps calls in their region, the baseline.
+	// LocalOnly keeps calls in their region, as the baseline.
 	LocalOnly bool
 }
 
-// PlainRegion is one region: its servers, its instances and the calls a second that its
-// callers make.
+// PlainRegion is one region: its servers, its instances and the calls a second of its
+// callers.
 type PlainRegion struct {
 	Name               string
 	Servers, Instances int
 	PerSecond          float64
 }
 
-// PlainResult is what the callers of one region met. Sends counts arrivals at servers,
-// Away the calls that went to another region.
+// PlainResult counts the calls of one region by outcome. Sends counts arrivals at servers,
+// Remote the calls forwarded to another region.
 type PlainResult struct{ Calls, InTime, Late, Refused, Sends, Remote int }
 
-// maxPlainSends is how often a call is sent before it is refused.
+// maxPlainSends is the number of times that a call is sent before it is refused.
 const maxPlainSends = 4
 
 // interRegionDelay is the one-way time between two regions.
 const interRegionDelay = 55 * time.Millisecond
 
-// plainServer is one modelled server. Its queue holds what is to be done at each call's
-// end.
+// plainServer is an emulated server. Its queue holds a completion callback for each call.
 type plainServer struct {
 	running int
 	queue   []func()
 }
 
-// plainInstance is one instance that decides.
+// plainInstance is an emulated instance.
 type plainInstance struct {
 	region    string
 	tracker   *limit.Tracker
@@ -64,17 +64,17 @@
 	peers     *peer.View
 }
 
-// plainCall is one call on its way.
+// plainCall is a call in progress.
 type plainCall struct {
 	request   steer.Request
 	result    *PlainResult
 	arrivedAt time.Time
 	sends     int
-	// remote is true in another region than its caller's.
+	// remote is true once the call was forwarded to another region than its caller's.
 	remote bool
 }
 
-// plainEmulation is one day.
+// plainEmulation is the state of one run.
 type plainEmulation struct {
 	timeline.Timeline
 	options   PlainOptions
@@ -83,13 +83,13 @@
 	servers   map[string]*plainServer
 	instances map[string][]*plainInstance
 	known     map[string][]peer.Known
-	// remoteWork is the work in each region as other regions were last told.
+	// remoteWork is the work of each region in its last report to other regions.
 	remoteWork map[string]int
 	service    *httproute.Service
 	results    map[string]*PlainResult
 }
 
-// RunPlain plays a day of a plain service, and returns what callers met by region.
+// RunPlain emulates a plain service and returns the results by region of the caller.
 func RunPlain(o PlainOptions) map[string]*PlainResult {
 	d := &plainEmulation{
 		Timeline: timeline.New(), options: o, random: rand.New(rand.NewPCG(o.Seed, 2)), view: &fleet.View{},
@@ -143,13 +143,13 @@
 	})
 }
 
-// pickInstance draws an instance of a region.
+// pickInstance returns a random instance of a region.
 func (d *plainEmulation) pickInstance(region string) *plainInstance {
 	all := d.instances[region]
 	return all[d.random.IntN(len(all))]
 }
 
-// decide has an instance send a call, or refuse it.
+// decide sends, forwards or refuses a call at an instance.
 func (d *plainEmulation) decide(i *plainInstance, c *plainCall) {
 	snapshot := &steer.Snapshot{
 		Region: i.region, Fleet: d.view, Peers: i.peers, Local: i.tracker, Recent: steer.NewRecent(), CallTimes: i.callTimes,
@@ -172,7 +172,7 @@
 	d.send(i, c, survey.Best)
 }
 
-// send has a server run a call, queue it or reject it.
+// send sends a call to a server, which runs, queues or rejects it.
 func (d *plainEmulation) send(i *plainInstance, c *plainCall, to steer.Candidate) {
 	c.sends++
 	c.result.Sends++
@@ -195,7 +195,7 @@
 	d.runQueued(server)
 }
 
-// runQueued has a server run what waits, as far as slots are free.
+// runQueued starts queued calls of a server while slots are free.
 func (d *plainEmulation) runQueued(server *plainServer) {
 	for server.running < d.options.Slots && len(server.queue) > 0 {
 		ended := server.queue[0]
@@ -209,7 +209,7 @@
 	}
 }
 
-// recordAnswer counts an answer, by when it comes to the caller.
+// recordAnswer counts an answer as in time or late, on arrival at the caller.
 func (d *plainEmulation) recordAnswer(c *plainCall) {
 	took := d.Now().Sub(c.arrivedAt)
 	if c.remote {
@@ -222,8 +222,8 @@
 	}
 }
 
-// reportLoads brings to all instances what the others of their region have in hand, and what is
-// known of other regions.
+// reportLoads sends to all instances the work of the others of their region, and the last
+// reports from other regions.
 func (d *plainEmulation) reportLoads(end time.Time) {
 	type report struct {
 		to    *plainInstance
@@ -254,7 +254,7 @@
 	}
 }
 
-// peerLoads is the work of the others of an instance's region by server.
+// peerLoads returns the work by server of the other instances in an instance's region.
 func (d *plainEmulation) peerLoads(i *plainInstance) []peer.Load {
 	var loads []peer.Load
 	for n := range d.view.Upstreams {
@@ -267,7 +267,7 @@
 	return loads
 }
 
-// knownPeers lists the other instances of a region, and one of each other region.
+// knownPeers returns the other instances of a region, and one of each other region.
 func (d *plainEmulation) knownPeers(i *plainInstance) []peer.Known {
 	knownPeers := append([]peer.Known(nil), d.known[i.region][1:]...)
 	for _, region := range d.options.Regions {
@@ -281,7 +281,7 @@
 	return knownPeers
 }
 
-// reportRegions brings each region's work to the others.
+// reportRegions sends the work of each region to the others.
 func (d *plainEmulation) reportRegions() {
 	work := make(map[string]int)
 	for n := range d.view.Upstreams {
@@ -291,8 +291,8 @@
 	d.After(d.options.RemoteReportAge, func() { d.remoteWork = work })
 }
 
-// PlainPeak is a deployment of three regions whose peaks come one after another: the
-// first is offered so many times what its servers can run, the others a tenth of it.
+// PlainPeak returns a deployment of three regions with peaks at different times. The load
+// of the first is the given multiple of its capacity, that of the others a tenth of it.
 func PlainPeak(times float64, instances int) PlainOptions {
 	o := PlainOptions{
 		Slots: 6, Queue: 8, Work: 60 * time.Millisecond, Target: 500 * time.Millisecond, For: 10 * time.Second,
--- a/pkg/emulator/plain_test.go
+++ b/pkg/emulator/plain_test.go
@@ -2,12 +2,11 @@
 
 import "testing"
 
-// TestRegionalPeakOfPlainCallsIsSharedAcrossRegions: one region is offered 1.5 times what its
-// plain servers can run while two others idle, as where regions peak one after another,
-// and sixty instances choose, each of which makes a few calls a second and hears of the
-// others when their calls are over. Kept in the region, calls are rejected, sent again and
-// refused; sent away after that, they arrive twice. By plan nearly all are in time, and
-// servers see hardly more arrivals than there are calls.
+// TestRegionalPeakOfPlainCallsIsSharedAcrossRegions offers one region 1.5 times its
+// capacity while two others are nearly idle. Each of 60 instances makes a few calls a second
+// and receives reports of the others only after their calls have ended. Kept in the region,
+// calls are rejected, retried and refused; forwarded after a rejection, they arrive twice.
+// With planned sharing nearly all are in time, and there are few arrivals beyond the calls.
 func TestRegionalPeakOfPlainCallsIsSharedAcrossRegions(t *testing.T) {
 	for seed := range uint64(3) {
 		o := PlainPeak(1.5, 60)
@@ -28,8 +27,8 @@
 	}
 }
 
-// TestPlainCallsStayInTheRegionWithSpareCapacity: at half of its capacity a region sends hardly
-// any call away, with many instances and with few.
+// TestPlainCallsStayInTheRegionWithSpareCapacity checks that a region at half of its
+// capacity forwards hardly any calls, with many instances and with few.
 func TestPlainCallsStayInTheRegionWithSpareCapacity(t *testing.T) {
 	for _, instances := range []int{2, 60} {
 		north := RunPlain(PlainPeak(0.5, instances))["north"]
