--- a/pkg/api/api_test.go
+++ b/pkg/api/api_test.go
@@ -205,15 +205,15 @@
 // servePipe serves one in-memory connection, which works with a synctest clock, and
 // returns its client end.
 func servePipe(t *testing.T, server *http.Server) net.Conn {
-	near, far := net.Pipe()
+	serverEnd, clientEnd := net.Pipe()
 	listener := &pipeListener{conn: make(chan net.Conn, 1), done: make(chan struct{})}
-	listener.conn <- near
+	listener.conn <- serverEnd
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() {
-		_ = far.Close()
+		_ = clientEnd.Close()
 		_ = server.Close()
 	})
-	return far
+	return clientEnd
 }
 
 func TestSlowBodyIsRefused(t *testing.T) {
@@ -256,8 +256,8 @@
 		start := time.Now()
 		_, err := io.WriteString(conn, "GET /log/e/1 HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\n\r\n")
 		is.NoErr(err)
-		var gone *relay.CallerError
-		is.True(errors.As(<-ended, &gone))
+		var callerError *relay.CallerError
+		is.True(errors.As(<-ended, &callerError))
 		is.Equal(time.Since(start), relay.WriteTimeout)
 	})
 }
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -16,10 +16,10 @@
 // Kind is one kind of request.
 type Kind struct {
 	Name string
-	// PerSecond is the rate at the usual load. Level returns its factor at a time since
+	// PerSecond is the rate at the usual load. LoadFactor returns its multiplier at a time since
 	// the start; nil means always 1.
-	PerSecond float64
-	Level     func(at time.Duration) float64
+	PerSecond  float64
+	LoadFactor func(at time.Duration) float64
 	// Target is the time within which the answer should begin, Patience the time after
 	// which its caller cancels.
 	Target, Patience time.Duration
@@ -37,7 +37,7 @@
 	Engines, Instances int
 	Model              EngineModel
 	Kinds              []Kind
-	For                time.Duration
+	Length             time.Duration
 	// ReportInterval is the time between the reports of an instance, ReportDelay their
 	// age when the other instances receive them.
 	ReportInterval, ReportDelay time.Duration
@@ -103,7 +103,7 @@
 		routes:  make(map[string]*httproute.Route), results: make(map[string]*Result),
 	}
 	m.build()
-	end := m.Now().Add(o.For)
+	end := m.Now().Add(o.Length)
 	for i := range o.Kinds {
 		m.results[o.Kinds[i].Name] = &Result{}
 		m.arrivals(&o.Kinds[i], m.Now(), end)
@@ -150,8 +150,8 @@
 // arrivals schedules the requests of a kind.
 func (m *emulation) arrivals(kind *Kind, from, end time.Time) {
 	level := 1.0
-	if kind.Level != nil {
-		level = kind.Level(m.options.For - end.Sub(from))
+	if kind.LoadFactor != nil {
+		level = kind.LoadFactor(m.options.Length - end.Sub(from))
 	}
 	next := from.Add(time.Duration(m.random.ExpFloat64() / (kind.PerSecond * level) * float64(time.Second)))
 	if next.After(end) {
--- a/pkg/emulator/emulator_test.go
+++ b/pkg/emulator/emulator_test.go
@@ -12,7 +12,7 @@
 // those of a customer; a peak is twice the mean.
 func regionOptions() Options {
 	return Options{
-		Engines: 4, Instances: 3, For: 20 * time.Second, ReportInterval: 200 * time.Millisecond, ReportDelay: 2 * time.Millisecond, Seed: 1, Admits: true,
+		Engines: 4, Instances: 3, Length: 20 * time.Second, ReportInterval: 200 * time.Millisecond, ReportDelay: 2 * time.Millisecond, Seed: 1, Admits: true,
 		Model: EngineModel{Slots: 128, Step: 4390 * time.Microsecond, StepPerContext: 35 * time.Microsecond, PrefillRate: 69.8, PrefillChunk: 1024, CacheTokens: 300_000},
 		Kinds: []Kind{
 			{Name: "short", PerSecond: 60, Target: 600 * time.Millisecond, Patience: 2400 * time.Millisecond, SharedTokens: 198, OwnTokens: 628, SharedPrefixes: 4, AnswerTokens: 290},
@@ -52,7 +52,7 @@
 func TestSameSeedGivesTheSameResult(t *testing.T) {
 	is := is.New(t)
 	o := regionOptions()
-	o.For = 3 * time.Second
+	o.Length = 3 * time.Second
 	is.Equal(*Run(o)["short"], *Run(o)["short"])
 }
 
@@ -64,7 +64,7 @@
 	}
 }
 
-// burst returns a Level with the given factor from the third second to the twelfth.
+// burst returns a LoadFactor with the given factor from the third second to the twelfth.
 func burst(times float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at > 3*time.Second && at < 12*time.Second {
@@ -81,7 +81,7 @@
 	for seed := range uint64(3) {
 		o := regionOptions()
 		o.Seed = seed
-		o.Kinds[0].Level = burst(2.9)
+		o.Kinds[0].LoadFactor = burst(2.9)
 		shedding := Run(o)["short"]
 		o.Admits = false
 		baseline := Run(o)["short"]
--- a/pkg/emulator/plain.go
+++ b/pkg/emulator/plain.go
@@ -22,7 +22,7 @@
 	Slots, Queue int
 	// Work is the mean duration of a call, exponentially distributed.
 	Work, Target time.Duration
-	For          time.Duration
+	Length       time.Duration
 	// ReportInterval is the time between reports within a region, ReportAge their age when
 	// they are received. RemoteReportInterval and RemoteReportAge are those of reports
 	// from other regions.
@@ -97,7 +97,7 @@
 		remoteWork: make(map[string]int), service: &httproute.Service{Name: "api"}, results: make(map[string]*PlainResult),
 	}
 	d.build()
-	end := d.Now().Add(o.For)
+	end := d.Now().Add(o.Length)
 	d.Every(o.ReportInterval, end, func() { d.reportLoads(end) })
 	d.Every(o.RemoteReportInterval, end, d.reportRegions)
 	for i := range o.Regions {
@@ -295,7 +295,7 @@
 // of the first is the given multiple of its capacity, that of the others a tenth of it.
 func PlainPeak(times float64, instances int) PlainOptions {
 	o := PlainOptions{
-		Slots: 6, Queue: 8, Work: 60 * time.Millisecond, Target: 500 * time.Millisecond, For: 10 * time.Second,
+		Slots: 6, Queue: 8, Work: 60 * time.Millisecond, Target: 500 * time.Millisecond, Length: 10 * time.Second,
 		ReportInterval: 100 * time.Millisecond, ReportAge: 60 * time.Millisecond, RemoteReportInterval: 600 * time.Millisecond, RemoteReportAge: 100 * time.Millisecond,
 	}
 	const servers = 4
