--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -13,7 +13,7 @@
 events=$(mktemp)
 trap 'rm -f "$events"' EXIT
 status=0
-# Tests that crash the race detector run without it (pkg/edge/region_cut_test.go).
+# Tests in which the race detector may crash run without it (pkg/edge/region_cut_test.go).
 go test -count=1 -json -run '(OfARegionThatIsCutOffMayTurnCold|RegionThatIsCutOffServesItsOwn|RestsInARegionThatIsCutOff|ManyInstancesAskAfterALostHistory)$' ./pkg/edge >"$events" || status=$?
 go test -race -count=1 -json ./... >>"$events" || status=$?
 go run ./internal/ci -status "$status" <"$events"
