--- a/pkg/api/accept.go
+++ b/pkg/api/accept.go
@@ -19,24 +19,25 @@
 	"github.com/lilacweir/lilacweir/pkg/trace"
 )
 
-// What may be given as a request ID. Gateways pass on the scoped form of the IDs
-// that callers chose.
+// Accepted request IDs. Other gateways forward the scoped form of IDs that callers
+// chose.
 var (
 	callerIDPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,100}$`)
 	peerIDPattern   = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,100}(` + trace.ScopeSeparator + `[A-Za-z0-9._:-]{1,100}){0,2}$`)
 )
 
-// identifyRequest takes the given request ID, or makes one, and echoes it.
+// identifyRequest uses the request ID of the header, or generates one, and sets it on
+// the response.
 func (s *Server) identifyRequest(c echo.Context, request *dispatch.Request, pattern *regexp.Regexp) *outcome.Refusal {
 	given := c.Request().Header.Get(header.RequestID)
-	fits := pattern.MatchString(given)
+	valid := pattern.MatchString(given)
 	request.ID = given
-	if !fits {
+	if !valid {
 		request.ID = s.source.NewRequestID()
 	}
 	request.CallerID = request.ID
 	c.Response().Header().Set(header.RequestID, request.ID)
-	if given != "" && !fits {
+	if given != "" && !valid {
 		return badRequest("the request ID must be 1 to 100 letters, digits or . _ : -")
 	}
 	return nil
@@ -46,8 +47,8 @@
 	return outcome.Refuse(http.StatusBadRequest, outcome.ReasonBadRequest, 0, detail)
 }
 
-// fromCaller authenticates a caller by its key.
-func (s *Server) fromCaller(c echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal {
+// identifyCaller authenticates a caller by its key.
+func (s *Server) identifyCaller(c echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal {
 	caller, refusal := authenticate(c, index)
 	if refusal != nil {
 		return refusal
@@ -69,9 +70,9 @@
 	return nil, outcome.Refuse(http.StatusUnauthorized, outcome.ReasonUnauthenticated, 0, "the key is missing or not known")
 }
 
-// fromPeer takes what another domain's gateway says of the request, and refuses
-// to decide by an older configuration than the sender's.
-func (s *Server) fromPeer(c echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal {
+// identifyPeer reads the headers that another domain's gateway sets, and refuses a
+// request that was routed by a newer configuration than this gateway has.
+func (s *Server) identifyPeer(c echo.Context, index *Configuration, request *dispatch.Request) *outcome.Refusal {
 	fields := c.Request().Header
 	request.Origin = fields.Get(header.Origin)
 	if fields.Get(header.Class) != header.ClassDomain || request.Origin == "" || request.Origin == s.domain {
@@ -94,7 +95,7 @@
 	return readOffset(fields, request)
 }
 
-// readOffset takes the number of chunks that the sender already has.
+// readOffset reads the number of chunks that the sender already has.
 func readOffset(fields http.Header, request *dispatch.Request) *outcome.Refusal {
 	text := fields.Get(header.ResumeOffset)
 	if text == "" {
@@ -110,10 +111,10 @@
 
 const priorityExpected = "the priority must be low, normal or high"
 
-// maxDeadline bounds what a caller may ask for, so that adding it cannot overflow.
+// maxDeadline bounds the deadline of a caller, so that adding it cannot overflow.
 const maxDeadline = 24 * time.Hour
 
-// readHeader takes the headers that callers and gateways may both set.
+// readHeader reads the headers that both callers and gateways may set.
 func (s *Server) readHeader(c echo.Context, request *dispatch.Request) *outcome.Refusal {
 	fields := c.Request().Header
 	request.Header = make(http.Header, len(fields))
@@ -129,17 +130,17 @@
 	if text == "" {
 		return nil
 	}
-	left, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || left < 0 {
+	milliseconds, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || milliseconds < 0 {
 		return badRequest("the deadline must be milliseconds from now")
 	}
-	wait := min(time.Duration(min(left, maxDeadline.Milliseconds()))*time.Millisecond, maxDeadline)
-	request.Deadline = s.now().Add(wait)
+	remaining := min(time.Duration(min(milliseconds, maxDeadline.Milliseconds()))*time.Millisecond, maxDeadline)
+	request.Deadline = s.now().Add(remaining)
 	return nil
 }
 
-// readBody reads the whole body within the bounds. Until release is called, the
-// body counts against the memory for all bodies.
+// readBody reads the whole body within the limits. The body counts against the memory
+// for all bodies until release is called.
 func (s *Server) readBody(c echo.Context, request *dispatch.Request) (release func(), refusal *outcome.Refusal) {
 	incoming := c.Request()
 	size := incoming.ContentLength
@@ -163,22 +164,22 @@
 	return func() { s.memory.Release(used) }, nil
 }
 
-// read reads the body against the clock. The read deadline is lifted afterwards:
-// the connection is then watched for the caller's going away.
+// read reads the body before a deadline. It clears the read deadline afterwards, since
+// the connection is then watched for a disconnect of the caller.
 func (s *Server) read(c echo.Context, size int64) ([]byte, *outcome.Refusal) {
 	if size == 0 {
 		return nil, nil
 	}
 	controller := http.NewResponseController(c.Response())
-	// A connection without deadlines (a test's recorder) has no slow client.
+	// Only test recorders lack deadlines, and they have no slow client.
 	_ = controller.SetReadDeadline(s.now().Add(bodyTimeout))
 	defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, s.maxBody))
-	var over *http.MaxBytesError
+	var sizeError *http.MaxBytesError
 	switch {
 	case err == nil:
 		return body, nil
-	case errors.As(err, &over):
+	case errors.As(err, &sizeError):
 		return nil, tooLarge()
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, outcome.Refuse(http.StatusRequestTimeout, outcome.ReasonSlowCaller, 0, "the request's body came too slowly")
@@ -187,8 +188,8 @@
 	}
 }
 
-// boundHeader refuses requests whose header is too large.
-func (s *Server) boundHeader(next echo.HandlerFunc) echo.HandlerFunc {
+// limitHeader refuses requests with too large a header.
+func (s *Server) limitHeader(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if len(c.Request().RequestURI)+header.Size(c.Request().Header) <= maxHeader {
 			return next(c)
--- a/pkg/capacity/model.go
+++ b/pkg/capacity/model.go
@@ -5,13 +5,13 @@
 	"github.com/lilacweir/lilacweir/pkg/spread"
 )
 
-// Term is one part of what a role sends and receives for control.
+// Term is one part of the control traffic of a role.
 type Term struct {
-	// Role is who has it, What the mechanism that carries it.
+	// Role is the role that has the traffic, What the mechanism that causes it.
 	Role, What string
-	// Events is how many a second, Sent and Received are bytes a second.
+	// Events is the number of events a second, Sent and Received are bytes a second.
 	Events, Sent, Received float64
-	// Source names the series and the interval that it was worked out from.
+	// Source names the series and the interval that it is calculated from.
 	Source string
 }
 
@@ -23,27 +23,27 @@
 	RoleWatcher = "watcher"
 )
 
-// Shares says how much of the domain's shared work one node has: 1 is all of it.
+// Shares are the fractions of the domain's shared work that one node does; 1 is all of it.
 type Shares struct {
-	// Digests of remote domains, Polls of upstreams, Watches of the head key.
+	// Digests is the share of remote domains, Polls that of upstreams, Watches that of
+	// the watches of the head key.
 	Digests, Polls, Watches float64
 }
 
-// MeanShares is an even split.
+// MeanShares returns the shares of an even split.
 func MeanShares(t Target) Shares {
 	nodes := t.NodesPerDomain()
 	return Shares{Digests: 1 / nodes, Polls: 1 / nodes, Watches: spread.Watchers / nodes}
 }
 
-// Links works out what one node's agent sends to and receives from other nodes,
-// upstreams and the platform at the peak: every load has changed since it was
-// told last.
+// Links estimates the traffic of one node's agent with other nodes, upstreams and the
+// platform at the peak, when every load has changed since its last report.
 func Links(t Target, m *Measured, shares Shares) ([]Term, error) {
 	s := &solver{measured: m}
 	terms := []Term{
-		s.heartbeats(t), s.reportsHeard(t, shares), s.prefixesHeard(t, shares), s.digestsHeard(t, shares), s.deltas(t),
-		s.digestsFetched(t, shares), s.digestsAnswered(t), s.digestsTold(t, shares),
-		s.polls(t, shares), s.reportsTold(t, shares), s.prefixesTold(t, shares), s.watches(t, shares),
+		s.heartbeats(t), s.reportsReceived(t, shares), s.prefixesReceived(t, shares), s.digestsReceived(t, shares), s.deltas(t),
+		s.digestsFetched(t, shares), s.digestsServed(t), s.digestsSent(t, shares),
+		s.polls(t, shares), s.reportsSent(t, shares), s.prefixesSent(t, shares), s.watches(t, shares),
 	}
 	return terms, s.err
 }
@@ -59,8 +59,8 @@
 	}
 }
 
-// reportsHeard are the reports of the upstreams that other nodes poll.
-func (s *solver) reportsHeard(t Target, shares Shares) Term {
+// reportsReceived are the reports of the upstreams that other nodes poll.
+func (s *solver) reportsReceived(t Target, shares Shares) Term {
 	rate := t.ServersPerDomain() * (1 - shares.Polls) / agent.PollInterval.Seconds()
 	return Term{
 		Role: RoleMember, What: "reports of upstreams, from their poll owners", Events: rate,
@@ -69,12 +69,12 @@
 	}
 }
 
-// prefixBytes is what new cached prefixes add to a report.
+// prefixBytes returns the bytes that new cached prefixes add to a report.
 func (s *solver) prefixBytes() float64 {
 	return s.slope("PrefixShare", "upstreams", "sent-B/op") - s.slope("UpstreamShare", "upstreams", "sent-B/op")
 }
 
-func (s *solver) prefixesHeard(t Target, shares Shares) Term {
+func (s *solver) prefixesReceived(t Target, shares Shares) Term {
 	rate := t.ServersPerDomain() * (1 - shares.Polls) / agent.PrefixInterval.Seconds()
 	return Term{
 		Role: RoleMember, What: "cached prefixes of engines, from their poll owners", Events: rate,
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *solver) prefixesTold(t Target, shares Shares) Term {
+func (s *solver) prefixesSent(t Target, shares Shares) Term {
 	rate := t.ServersPerDomain() * shares.Polls / agent.PrefixInterval.Seconds()
 	return Term{
 		Role: RolePolls, What: "cached prefixes of polled engines, to each node of the domain", Events: rate,
@@ -92,7 +92,7 @@
 	}
 }
 
-func (s *solver) digestsHeard(t Target, shares Shares) Term {
+func (s *solver) digestsReceived(t Target, shares Shares) Term {
 	rate := (t.Domains - 1) * (1 - shares.Digests) / digestInterval(t)
 	return Term{
 		Role: RoleMember, What: "digests of other domains, from their owners", Events: rate,
@@ -101,7 +101,7 @@
 	}
 }
 
-// deltas are accepted changes: one is received, and passed on by the watchers.
+// deltas are accepted changes. Each is received once and forwarded by the watchers.
 func (s *solver) deltas(t Target) Term {
 	bytes := s.at("Apply", "upstreams", "change-bytes", t.Servers)
 	return Term{
@@ -111,7 +111,7 @@
 	}
 }
 
-// digestInterval is the time in seconds between two fetches of one domain.
+// digestInterval returns the time in seconds between two fetches from one domain.
 func digestInterval(t Target) float64 {
 	return max(agent.DigestInterval.Seconds(), (t.Domains-1)*agent.DigestPerDomain.Seconds())
 }
@@ -126,8 +126,8 @@
 	}
 }
 
-// digestsAnswered are the fetches of the other domains, spread over the nodes.
-func (s *solver) digestsAnswered(t Target) Term {
+// digestsServed are the fetches by other domains, spread evenly over the nodes.
+func (s *solver) digestsServed(t Target) Term {
 	rate := (t.Domains - 1) / digestInterval(t) / t.NodesPerDomain()
 	return Term{
 		Role: RoleMember, What: "answers to other domains' fetches", Events: rate,
@@ -137,7 +137,7 @@
 	}
 }
 
-func (s *solver) digestsTold(t Target, shares Shares) Term {
+func (s *solver) digestsSent(t Target, shares Shares) Term {
 	rate := (t.Domains - 1) * shares.Digests / digestInterval(t)
 	return Term{
 		Role: RoleDigests, What: "fetched digests, to each node of the domain", Events: rate,
@@ -156,7 +156,7 @@
 	}
 }
 
-func (s *solver) reportsTold(t Target, shares Shares) Term {
+func (s *solver) reportsSent(t Target, shares Shares) Term {
 	rate := t.ServersPerDomain() * shares.Polls / agent.PollInterval.Seconds()
 	return Term{
 		Role: RolePolls, What: "reports of polled upstreams, to each node of the domain", Events: rate,
@@ -165,10 +165,10 @@
 	}
 }
 
-// jsonInflation is what base64 adds to a value in the key-value service's JSON.
+// jsonInflation is the growth factor of a value by base64 in the key-value service's JSON.
 const jsonInflation = 4.0 / 3
 
-// watches are heads that come by the watch, one for each change.
+// watches are the heads received by the watch, one for each change.
 func (s *solver) watches(t Target, shares Shares) Term {
 	watching := min(shares.Watches, 1)
 	bytes := jsonInflation * s.headBytes(t)
@@ -179,14 +179,14 @@
 	}
 }
 
-// headBytes is the stored head at the target's size.
+// headBytes returns the size of the stored head for the target.
 func (s *solver) headBytes(t Target) float64 {
 	upstreams := s.line("EncodeHead", "upstreams", "head-bytes")
 	callers := s.line("EncodeHead", "callers", "head-bytes")
 	return upstreams.At(t.Servers) + callers.Slope*(t.Organisations-benchCallers)
 }
 
-// benchCallers is how many callers the benchmarks over upstreams declare.
+// benchCallers is the number of callers that the benchmarks over upstreams declare.
 const benchCallers = 60
 
 // Calls is one part of the load on the key-value service.
@@ -194,14 +194,14 @@
 	// What is the mechanism.
 	What string
 	CallRates
-	// Source is what it was worked out from.
+	// Source names what it is calculated from.
 	Source string
 }
 
-// fixedDomains is how many domains BenchmarkFixedDomains has.
+// fixedDomains is the number of domains in BenchmarkFixedDomains.
 const fixedDomains = 3
 
-// KeyValueCalls works out the calls of the whole fleet on an ordinary day.
+// KeyValueCalls estimates the calls of the whole fleet without failures.
 func KeyValueCalls(t Target, m *Measured) ([]Calls, error) {
 	s := &solver{measured: m}
 	calls := []Calls{
@@ -223,21 +223,21 @@
 	return calls, s.err
 }
 
-// fleet works out a rate of the key-value service: for one domain of the target's
-// size, times the domains.
+// fleet estimates a rate at the key-value service: that of one domain of the target's size,
+// times the number of domains.
 func (s *solver) fleet(t Target, state, unit string) float64 {
 	nodes := fixedDomains * t.NodesPerDomain()
 	return s.at("FixedDomains/"+state, "nodes", unit, nodes) / fixedDomains * t.Domains
 }
 
-// GrowthRow is how the load on the key-value service grows with n of something.
+// GrowthRow is the growth of the load on the key-value service along one dimension.
 type GrowthRow struct {
-	// With says what n counts.
+	// With describes the dimension.
 	With                   string
 	Reads, Writes, Watches Line
 }
 
-// Growth returns the lines through the idle deployments.
+// Growth returns the lines fitted to the idle deployments.
 func Growth(_ Target, m *Measured) ([]GrowthRow, error) {
 	s := &solver{measured: m}
 	row := func(with, benchmark, dimension string) GrowthRow {
@@ -255,45 +255,45 @@
 	return rows, s.err
 }
 
-// Process is what a whole process of one node uses, as measured on real ones.
+// Process is the resource usage of one process of a node, from measured processes.
 type Process struct {
-	// State is the state of the deployment in which it was measured.
+	// State is the state of the measured deployment.
 	State string
 	// CPU is percent of a core, Memory bytes.
 	CPU, Memory float64
 }
 
-// Agents works out an agent's processor time and memory in each measured state:
-// the line over the nodes of a failure domain that sees 40 others. The peak has the
-// target's rate of requests besides.
+// Agents estimates an agent's processor time and memory in each measured state, from the
+// line over the nodes of a failure domain with 40 remote domains. The peak adds the
+// target's rate of requests.
 func Agents(t Target, m *Measured) ([]Process, error) {
 	s := &solver{measured: m}
 	var processes []Process
 	for _, state := range []string{"idle", "changes", "traffic"} {
 		processes = append(processes, Process{
 			State:  state,
-			CPU:    s.whole(t, state, "agent-cpu-%"),
-			Memory: s.whole(t, state, "agent-MB") * megabyte,
+			CPU:    s.agentUsage(t, state, "agent-cpu-%"),
+			Memory: s.agentUsage(t, state, "agent-MB") * megabyte,
 		})
 	}
 	peak := processes[len(processes)-1]
-	further := t.Requests/t.Nodes - measuredRequests
+	addedRequests := t.Requests/t.Nodes - measuredRequests
 	peak.State = "peak, worked out from traffic"
-	peak.CPU += further * s.slope("Requests", "requests", "agent-cpu-%")
-	peak.Memory += further * s.slope("Requests", "requests", "agent-MB") * megabyte
-	start := Process{State: "start", Memory: s.whole(t, "start", "agent-peak-MB") * megabyte}
+	peak.CPU += addedRequests * s.slope("Requests", "requests", "agent-cpu-%")
+	peak.Memory += addedRequests * s.slope("Requests", "requests", "agent-MB") * megabyte
+	start := Process{State: "start", Memory: s.agentUsage(t, "start", "agent-peak-MB") * megabyte}
 	return append(processes, peak, start), s.err
 }
 
 const (
 	megabyte = 1e6
-	// measuredRequests is a node's requests a second in OneOf41/traffic.
+	// measuredRequests is the requests a second of a node in OneOf41/traffic.
 	measuredRequests = 2
 )
 
-// whole reads a value off the line of the domain that sees 40 others. What traffic
-// adds was measured in a domain that sees none.
-func (s *solver) whole(t Target, state, unit string) float64 {
+// agentUsage evaluates the line of the domain with 40 remote domains. The increase under
+// traffic was measured in a domain without remote ones.
+func (s *solver) agentUsage(t Target, state, unit string) float64 {
 	nodes := t.NodesPerDomain()
 	if state != "traffic" {
 		return s.at("OneOf41/"+state, "nodes", unit, nodes)
--- a/pkg/capacity/report.go
+++ b/pkg/capacity/report.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// WriteModel writes the tables of a target, worked out from a recorded run.
+// WriteModel writes the tables of a target, calculated from a recorded run.
 func WriteModel(w io.Writer, t Target, m *Measured) error {
 	var text strings.Builder
 	for _, write := range []func(*strings.Builder, Target, *Measured) error{
-		writeSummary, writeLinks, writeAgents, writeKeyValue, writeGrowth, writeState, writeGateway, writeInForce, writeBadDays,
+		writeSummary, writeLinks, writeAgents, writeKeyValue, writeGrowth, writeState, writeGateway, writeInForce, writeFailures,
 	} {
 		if err := write(&text, t, m); err != nil {
 			return err
@@ -40,8 +40,8 @@
 	return writeLargeDomain(text, t, m)
 }
 
-// largeDomain is how many times as large as the mean a domain may be: an
-// assumption, as the users say only that regions differ tenfold.
+// largeDomain is the assumed ratio of a large domain to the mean; it is only known that
+// regions differ tenfold.
 const largeDomain = 3
 
 func writeLargeDomain(text *strings.Builder, t Target, m *Measured) error {
@@ -107,13 +107,13 @@
 	return nil
 }
 
-// text writes a line as a sum.
+// text formats a line as a sum.
 func (l Line) text(format string) string {
 	return fmt.Sprintf(format+" + "+format+" × n", l.Intercept, l.Slope)
 }
 
 func writeState(text *strings.Builder, t Target, m *Measured) error {
-	state, err := Held(t, m)
+	state, err := StateSizes(t, m)
 	if err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// size writes bytes with a unit.
+// size formats bytes with a unit.
 func size(bytes float64) string {
 	switch {
 	case bytes >= 1e6:
@@ -170,14 +170,14 @@
 
 const millis = float64(time.Second / time.Millisecond)
 
-func writeBadDays(text *strings.Builder, t Target, m *Measured) error {
-	days, err := BadDays(t, m)
+func writeFailures(text *strings.Builder, t Target, m *Measured) error {
+	figures, err := FailureFigures(t, m)
 	if err != nil {
 		return err
 	}
 	text.WriteString("### Bad days\n\n| day | what | figure | worked out from |\n|---|---|---|---|\n")
-	for _, one := range days {
-		fmt.Fprintf(text, "| %s | %s | %s | %s |\n", one.Day, one.What, one.Figure, one.Source)
+	for _, one := range figures {
+		fmt.Fprintf(text, "| %s | %s | %s | %s |\n", one.Failure, one.What, one.Figure, one.Source)
 	}
 	return nil
 }
--- a/pkg/client/follower_test.go
+++ b/pkg/client/follower_test.go
@@ -14,15 +14,15 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// gatewayFake answers requests as a gateway that may be leaving.
-type gatewayFake struct {
-	list    Instances
-	leaving bool
-	fresh   bool
-	served  int
+// fakeGateway is a gateway that may be leaving or without a configuration.
+type fakeGateway struct {
+	list         Instances
+	leaving      bool
+	unconfigured bool
+	served       int
 }
 
-func (g *gatewayFake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *fakeGateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/v1/instances" {
 		_ = json.NewEncoder(w).Encode(g.list)
 		return
@@ -32,7 +32,7 @@
 		_, _ = w.Write([]byte(`{"error":{"type":"instance-leaving","outcome":"not-run"}}`))
 		return
 	}
-	if g.fresh {
+	if g.unconfigured {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = w.Write([]byte(`{"error":{"type":"no-configuration","outcome":"unknown"}}`))
 		return
@@ -41,9 +41,9 @@
 	w.Header().Set(header.Outcome, string(outcome.Complete))
 }
 
-func TestFollowerLeavesLeavingInstances(t *testing.T) {
+func TestFollowerSkipsLeavingInstances(t *testing.T) {
 	is := is.New(t)
-	fakes := []*gatewayFake{{}, {}, {}}
+	fakes := []*fakeGateway{{}, {}, {}}
 	var list Instances
 	for index, fake := range fakes {
 		server := httptest.NewServer(fake)
@@ -62,16 +62,16 @@
 	for range 4 {
 		is.Equal(post(), outcome.Complete)
 	}
-	is.Equal([]int{fakes[0].served, fakes[1].served, fakes[2].served}, []int{2, 2, 0}) // turns within the domain
+	is.Equal([]int{fakes[0].served, fakes[1].served, fakes[2].served}, []int{2, 2, 0}) // round-robin within the domain
 
 	fakes[0].leaving, fakes[1].leaving = true, true
 	is.Equal(post(), outcome.Complete)
-	is.Equal(fakes[2].served, 1) // another domain only when its own has none
+	is.Equal(fakes[2].served, 1) // another domain only if its own has no usable instance
 }
 
-func TestFollowerRepeatsUnderItsKeyOnly(t *testing.T) {
+func TestFollowerRetriesOnlyWithAnIdempotencyKey(t *testing.T) {
 	is := is.New(t)
-	fakes := []*gatewayFake{{fresh: true}, {}}
+	fakes := []*fakeGateway{{unconfigured: true}, {}}
 	var list Instances
 	for _, fake := range fakes {
 		server := httptest.NewServer(fake)
@@ -82,26 +82,26 @@
 	fakes[0].list, fakes[1].list = list, list
 	for _, key := range []string{"", "key-1"} {
 		follower := NewFollower(New("k", nil), []string{list.Instances[0].Address})
-		follower.next = 1 // the fresh instance comes first
+		follower.next = 1 // the unconfigured instance comes first
 		answer := follower.Call(context.Background(), http.MethodPost, "/sleeplog/uploads", nil, Options{IdempotencyKey: key})
-		is.Equal(answer.Outcome == outcome.Complete, key != "") // an unknown end is repeated under a key alone
+		is.Equal(answer.Outcome == outcome.Complete, key != "") // an unknown outcome is retried only with a key
 	}
 	is.Equal(fakes[1].served, 1)
 }
 
-// TestFollowerKeepsDoubt: once a try under a key may have run, an instance that
-// cannot be reached does not turn that into "not run".
-func TestFollowerKeepsDoubt(t *testing.T) {
+// TestFollowerKeepsAnUnknownOutcome checks that once an attempt with a key may have run, an
+// unreachable instance does not change the outcome to not run.
+func TestFollowerKeepsAnUnknownOutcome(t *testing.T) {
 	is := is.New(t)
-	fresh := &gatewayFake{fresh: true}
-	server := httptest.NewServer(fresh)
+	unconfigured := &fakeGateway{unconfigured: true}
+	server := httptest.NewServer(unconfigured)
 	defer server.Close()
-	gone := httptest.NewServer(nil)
-	gone.Close()
+	closed := httptest.NewServer(nil)
+	closed.Close()
 	first := strings.TrimPrefix(server.URL, "http://")
-	fresh.list = Instances{ValidMS: 60_000, Instances: []Instance{{Address: first}, {Address: strings.TrimPrefix(gone.URL, "http://")}}}
+	unconfigured.list = Instances{ValidMS: 60_000, Instances: []Instance{{Address: first}, {Address: strings.TrimPrefix(closed.URL, "http://")}}}
 	follower := NewFollower(New("k", nil), []string{first})
-	follower.next = 1 // the fresh instance comes first
+	follower.next = 1 // the unconfigured instance comes first
 	answer := follower.Call(context.Background(), http.MethodPost, "/sleeplog/uploads", nil, Options{IdempotencyKey: "key-1"})
 	is.Equal(answer.Outcome, outcome.Unknown)
 	is.Equal(answer.Refusal.Type, outcome.ReasonNoConfiguration)
--- a/pkg/emulator/emulator_test.go
+++ b/pkg/emulator/emulator_test.go
@@ -7,35 +7,35 @@
 	"github.com/matryer/is"
 )
 
-// dealers is the load of one region of a deployment whose commonest requests have short
-// prompts and long answers, beside long prompts with short answers. The figures are those
-// that its customer gives; a peak is twice the mean.
-func dealers() Options {
+// regionOptions returns one region of a deployment in which most requests have short
+// prompts and long answers, and the others long prompts and short answers. The figures are
+// those of a customer; a peak is twice the mean.
+func regionOptions() Options {
 	return Options{
-		Engines: 4, Instances: 3, For: 20 * time.Second, Told: 200 * time.Millisecond, Way: 2 * time.Millisecond, Seed: 1, Admits: true,
-		Model: EngineModel{Slots: 128, Step: 4390 * time.Microsecond, StepPerContext: 35 * time.Microsecond, ReadRate: 69.8, Chunk: 1024, CacheTokens: 300_000},
+		Engines: 4, Instances: 3, Length: 20 * time.Second, ReportInterval: 200 * time.Millisecond, ReportDelay: 2 * time.Millisecond, Seed: 1, Admits: true,
+		Model: EngineModel{Slots: 128, Step: 4390 * time.Microsecond, StepPerContext: 35 * time.Microsecond, PrefillRate: 69.8, PrefillChunk: 1024, CacheTokens: 300_000},
 		Kinds: []Kind{
-			{Name: "short", PerSecond: 60, Target: 600 * time.Millisecond, Patience: 2400 * time.Millisecond, Shared: 198, Own: 628, Things: 4, Answer: 290},
-			{Name: "long", PerSecond: 20, Target: 800 * time.Millisecond, Patience: 3200 * time.Millisecond, Rank: 1, Shared: 6300, Own: 2890, Things: 140, Answer: 50},
+			{Name: "short", PerSecond: 60, Target: 600 * time.Millisecond, Patience: 2400 * time.Millisecond, SharedTokens: 198, OwnTokens: 628, SharedPrefixes: 4, AnswerTokens: 290},
+			{Name: "long", PerSecond: 20, Target: 800 * time.Millisecond, Patience: 3200 * time.Millisecond, Rank: 1, SharedTokens: 6300, OwnTokens: 2890, SharedPrefixes: 140, AnswerTokens: 50},
 		},
 	}
 }
 
-// TestAFullBatchReadsPromptsAtHalfTheRateOfStreams: with prompts always being read, an
-// engine of 128 places ends less than half as many answers of 290 tokens as without.
-func TestAFullBatchReadsPromptsAtHalfTheRateOfStreams(t *testing.T) {
+// TestPrefillMoreThanHalvesTheDecodeRateOfAFullBatch checks that an engine with 128 slots
+// completes less than half as many answers of 290 tokens during continuous prefill.
+func TestPrefillMoreThanHalvesTheDecodeRateOfAFullBatch(t *testing.T) {
 	running := &request{}
 	running.PromptTokens = 1000
-	ends := func(reading bool) int {
-		o := dealers()
+	completed := func(prefilling bool) int {
+		o := regionOptions()
 		e := &engine{model: &o.Model, cache: newCache(1 << 20)}
 		count, spent := 0, time.Duration(0)
 		for spent < 10*time.Second {
 			for len(e.running) < o.Model.Slots {
-				e.running = append(e.running, &run{request: running, owed: 290})
+				e.running = append(e.running, &run{request: running, pendingTokens: 290})
 			}
-			if reading {
-				e.running[0].unread = o.Model.Chunk
+			if prefilling {
+				e.running[0].unreadTokens = o.Model.PrefillChunk
 			}
 			took, _, ended := e.step()
 			spent += took
@@ -44,29 +44,27 @@
 		return count
 	}
 	is := is.New(t)
-	alone, beside := ends(false), ends(true)
-	is.True(2*beside < alone)
-	is.True(4*beside > alone)
+	decodeOnly, withPrefill := completed(false), completed(true)
+	is.True(2*withPrefill < decodeOnly)
+	is.True(4*withPrefill > decodeOnly)
 }
 
-// TestTheSameSeedGivesTheSameDay.
-func TestTheSameSeedGivesTheSameDay(t *testing.T) {
+func TestSameSeedGivesTheSameResult(t *testing.T) {
 	is := is.New(t)
-	o := dealers()
-	o.For = 3 * time.Second
+	o := regionOptions()
+	o.Length = 3 * time.Second
 	is.Equal(*Run(o)["short"], *Run(o)["short"])
 }
 
-// TestEveryRequestEnds, once.
-func TestEveryRequestEnds(t *testing.T) {
-	o := dealers()
+func TestEveryRequestIsCountedOnce(t *testing.T) {
+	o := regionOptions()
 	o.Kinds[0].PerSecond = 300
 	for _, r := range Run(o) {
-		is.New(t).Equal(r.InTime+r.Late+r.Refused+r.Left, r.Asked)
+		is.New(t).Equal(r.InTime+r.Late+r.Refused+r.Cancelled, r.Requests)
 	}
 }
 
-// burst multiplies a kind's load from the third second to the twelfth.
+// burst returns a LoadFactor with the given factor from the third second to the twelfth.
 func burst(times float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at > 3*time.Second && at < 12*time.Second {
@@ -76,35 +74,33 @@
 	}
 }
 
-// TestABurstOfLongAnswersIsServedInTimeAsFarAsThereIsRoom: the commonest kind comes 2.9
-// times as often for nine seconds. Sent to the engines as they come, everyone waits behind
-// everyone; refused where they would be late, most of those that fit are in time, and
-// hardly fewer are served in all.
-func TestABurstOfLongAnswersIsServedInTimeAsFarAsThereIsRoom(t *testing.T) {
+// TestLoadSheddingKeepsABurstInTime offers 2.9 times the usual rate of the most frequent
+// requests for nine seconds. Without load shedding all requests queue behind each other.
+// With it, most requests within the capacity are in time, and hardly fewer are served.
+func TestLoadSheddingKeepsABurstInTime(t *testing.T) {
 	for seed := range uint64(3) {
-		o := dealers()
+		o := regionOptions()
 		o.Seed = seed
-		o.Kinds[0].Level = burst(2.9)
-		with := Run(o)["short"]
+		o.Kinds[0].LoadFactor = burst(2.9)
+		shedding := Run(o)["short"]
 		o.Admits = false
-		without := Run(o)["short"]
-		if 10*with.InTime < 25*without.InTime {
-			t.Errorf("seed %d: %d in time, %d without admission", seed, with.InTime, without.InTime)
+		baseline := Run(o)["short"]
+		if 10*shedding.InTime < 25*baseline.InTime {
+			t.Errorf("seed %d: %d in time, %d without admission", seed, shedding.InTime, baseline.InTime)
 		}
-		if 10*(with.InTime+with.Late) < 9*(without.InTime+without.Late) {
-			t.Errorf("seed %d: %d served, %d without admission", seed, with.InTime+with.Late, without.InTime+without.Late)
+		if 10*(shedding.InTime+shedding.Late) < 9*(baseline.InTime+baseline.Late) {
+			t.Errorf("seed %d: %d served, %d without admission", seed, shedding.InTime+shedding.Late, baseline.InTime+baseline.Late)
 		}
 	}
 }
 
-// TestTheUsualLoadIsNotRefused.
-func TestTheUsualLoadIsNotRefused(t *testing.T) {
+func TestUsualLoadIsNotRefused(t *testing.T) {
 	for seed := range uint64(3) {
-		o := dealers()
+		o := regionOptions()
 		o.Seed = seed
 		o.Kinds[1].PerSecond = 15
 		for name, r := range Run(o) {
-			if 100*(r.Refused+r.Left) > r.Asked {
+			if 100*(r.Refused+r.Cancelled) > r.Requests {
 				t.Errorf("seed %d: %s: %+v", seed, name, *r)
 			}
 		}
--- a/pkg/emulator/engine.go
+++ b/pkg/emulator/engine.go
@@ -1,7 +1,7 @@
-// Package emulator plays a deployment of model engines and instances in virtual time,
-// without network: engines that read prompts in chunks between the tokens of others, and
-// instances that decide with the real decision code and hear of each other late. A seed
-// gives the same run each time.
+// Package emulator emulates a deployment of model engines and instances in virtual time,
+// without a network. Engines prefill prompts in chunks in the steps that decode other
+// requests; instances route with the production code and receive delayed reports of each
+// other. Runs with the same seed are identical.
 package emulator
 
 import (
@@ -13,33 +13,33 @@
 	"github.com/lilacweir/lilacweir/pkg/steer"
 )
 
-// EngineModel is what the engines of a deployment have in common.
+// EngineModel holds the parameters of all engines of a deployment.
 type EngineModel struct {
-	// Slots is how many requests run at once.
+	// Slots is the number of requests that run concurrently.
 	Slots int
-	// Step is how long a step takes in which every running request gets a token, and
-	// StepPerContext what 1,000 tokens of context of those that run add to it.
+	// Step is the duration of a step, in which every running request gets a token, and
+	// StepPerContext the time that each 1,000 tokens of context of those requests add.
 	Step, StepPerContext time.Duration
-	// ReadRate is prompt tokens read in a millisecond, Chunk how many are read in a step
-	// at most.
-	ReadRate float64
-	Chunk    int
-	// CacheTokens is the memory for cached prompt parts.
+	// PrefillRate is the prompt tokens prefilled in a millisecond, PrefillChunk the
+	// largest number of them in a step.
+	PrefillRate  float64
+	PrefillChunk int
+	// CacheTokens is the capacity of the cache of prompt segments.
 	CacheTokens int
 }
 
-// run is one request at an engine.
+// run is a request at an engine.
 type run struct {
 	request *request
-	// unread is what is left of its prompt to be read, owed the tokens of its answer to
-	// come.
-	unread, owed int
-	begun        func(now time.Time)
-	ended        func(now time.Time)
-	gone         bool
+	// unreadTokens is the number of prompt tokens still to be prefilled, pendingTokens that
+	// of answer tokens still to be generated.
+	unreadTokens, pendingTokens int
+	onFirstToken                func(now time.Time)
+	onEnd                       func(now time.Time)
+	cancelled                   bool
 }
 
-// engine is one modelled engine.
+// engine is an emulated engine.
 type engine struct {
 	id       string
 	model    *EngineModel
@@ -50,19 +50,20 @@
 	stepping bool
 }
 
-// accept queues a request by its rank.
+// accept queues a request by its priority.
 func (e *engine) accept(r *run) {
-	r.unread = max(1, r.request.prompt()-e.cache.held(r.request.Segments))
+	r.unreadTokens = max(1, r.request.prompt()-e.cache.cachedTokens(r.request.Segments))
 	at, _ := slices.BinarySearchFunc(e.queue, r.request.rank()+1, func(other *run, rank int) int {
 		return cmp.Compare(other.request.rank(), rank)
 	})
 	e.queue = slices.Insert(e.queue, at, r)
 }
 
-// step does one step and returns how long it takes; zero when there is nothing to do.
-func (e *engine) step() (took time.Duration, begun, ended []*run) {
-	e.running = slices.DeleteFunc(e.running, func(r *run) bool { return r.gone })
-	e.queue = slices.DeleteFunc(e.queue, func(r *run) bool { return r.gone })
+// step executes one step and returns its duration, zero if there is no work, with the
+// requests that it started and ended.
+func (e *engine) step() (took time.Duration, started, ended []*run) {
+	e.running = slices.DeleteFunc(e.running, func(r *run) bool { return r.cancelled })
+	e.queue = slices.DeleteFunc(e.queue, func(r *run) bool { return r.cancelled })
 	for len(e.queue) > 0 && len(e.running) < e.model.Slots {
 		e.running = append(e.running, e.queue[0])
 		e.queue = e.queue[1:]
@@ -72,54 +73,54 @@
 	}
 	read, context := 0, 0
 	for _, r := range e.running {
-		if r.unread > 0 {
-			part := min(r.unread, e.model.Chunk-read)
-			r.unread -= part
+		if r.unreadTokens > 0 {
+			part := min(r.unreadTokens, e.model.PrefillChunk-read)
+			r.unreadTokens -= part
 			read += part
-			if r.unread > 0 {
+			if r.unreadTokens > 0 {
 				continue
 			}
 			e.cache.add(r.request.Segments)
-			begun = append(begun, r)
+			started = append(started, r)
 		}
 		context += r.request.prompt()
-		r.owed--
-		if r.owed <= 0 {
+		r.pendingTokens--
+		if r.pendingTokens <= 0 {
 			ended = append(ended, r)
 		}
 	}
-	e.running = slices.DeleteFunc(e.running, func(r *run) bool { return r.unread == 0 && r.owed <= 0 })
+	e.running = slices.DeleteFunc(e.running, func(r *run) bool { return r.unreadTokens == 0 && r.pendingTokens <= 0 })
 	took = e.model.Step + time.Duration(context)*e.model.StepPerContext/1000
-	took += time.Duration(float64(read) / e.model.ReadRate * float64(time.Millisecond))
-	return time.Duration(float64(took) * max(1, e.slow)), begun, ended
+	took += time.Duration(float64(read) / e.model.PrefillRate * float64(time.Millisecond))
+	return time.Duration(float64(took) * max(1, e.slow)), started, ended
 }
 
-// cache holds prompt parts and drops the least recently used.
+// cache is an LRU cache of prompt segments.
 type cache struct {
-	room, used int
-	order      *list.List
-	byID       map[string]*list.Element
+	capacity, used int
+	order          *list.List
+	byID           map[string]*list.Element
 }
 
-func newCache(room int) *cache {
-	return &cache{room: room, order: list.New(), byID: make(map[string]*list.Element)}
+func newCache(capacity int) *cache {
+	return &cache{capacity: capacity, order: list.New(), byID: make(map[string]*list.Element)}
 }
 
-// held is how many tokens of the prompt's first parts are cached.
-func (c *cache) held(parts []steer.Segment) int {
-	held := 0
+// cachedTokens returns the number of tokens in the prompt's leading cached segments.
+func (c *cache) cachedTokens(parts []steer.Segment) int {
+	cachedTokens := 0
 	for _, part := range parts {
 		element := c.byID[part.ID]
 		if element == nil {
-			return held
+			return cachedTokens
 		}
 		c.order.MoveToFront(element)
-		held += part.Tokens
+		cachedTokens += part.Tokens
 	}
-	return held
+	return cachedTokens
 }
 
-// add caches the parts of a prompt.
+// add caches the segments of a prompt.
 func (c *cache) add(parts []steer.Segment) {
 	for _, part := range parts {
 		if element := c.byID[part.ID]; element != nil {
@@ -129,7 +130,7 @@
 		c.byID[part.ID] = c.order.PushFront(part)
 		c.used += part.Tokens
 	}
-	for c.used > c.room {
+	for c.used > c.capacity {
 		last := c.order.Remove(c.order.Back()).(steer.Segment)
 		delete(c.byID, last.ID)
 		c.used -= last.Tokens
--- a/pkg/emulator/plain.go
+++ b/pkg/emulator/plain.go
@@ -14,68 +14,68 @@
 	"github.com/lilacweir/lilacweir/pkg/timeline"
 )
 
-// PlainOptions describe a plain service in several regions, and a day.
+// PlainOptions describe a plain service in several regions and its load.
 type PlainOptions struct {
 	Regions []PlainRegion
-	// Slots is how many calls a server runs at once, Queue how many more it takes; it
-	// rejects the rest.
+	// Slots is the number of calls that a server runs concurrently, Queue the number that
+	// it queues. It rejects the rest.
 	Slots, Queue int
-	// Work is the mean time of a call, exponentially distributed.
+	// Work is the mean duration of a call, exponentially distributed.
 	Work, Target time.Duration
-	For          time.Duration
-	// Told passes between two times that instances hear of the others of their region,
-	// Age is how old what they hear is then; FarTold and FarAge are those of other regions.
-	Told, Age, FarTold, FarAge time.Duration
-	Seed                       uint64
-	// Alone keeps calls in their region, the baseline.
-	Alone bool
+	Length       time.Duration
+	// ReportInterval is the time between reports within a region, ReportAge their age when
+	// they are received. RemoteReportInterval and RemoteReportAge are those of reports
+	// from other regions.
+	ReportInterval, ReportAge, RemoteReportInterval, RemoteReportAge time.Duration
+	Seed                                                             uint64
+	// LocalOnly keeps calls in their region, as the baseline.
+	LocalOnly bool
 }
 
-// PlainRegion is one region: its servers, its instances and the calls a second that its
-// callers make.
+// PlainRegion is one region: its servers, its instances and the calls a second of its
+// callers.
 type PlainRegion struct {
 	Name               string
 	Servers, Instances int
 	PerSecond          float64
 }
 
-// PlainResult is what the callers of one region met. Sends counts arrivals at servers,
-// Away the calls that went to another region.
-type PlainResult struct{ Asked, InTime, Late, Refused, Sends, Away int }
+// PlainResult counts the calls of one region by outcome. Sends counts arrivals at servers,
+// Remote the calls forwarded to another region.
+type PlainResult struct{ Calls, InTime, Late, Refused, Sends, Remote int }
 
-// plainSends is how often a call is sent before it is refused.
-const plainSends = 4
+// maxPlainSends is the number of times that a call is sent before it is refused.
+const maxPlainSends = 4
 
-// crossing is the one-way time between two regions.
-const crossing = 55 * time.Millisecond
+// interRegionDelay is the one-way time between two regions.
+const interRegionDelay = 55 * time.Millisecond
 
-// plainServer is one modelled server. Its queue holds what is to be done at each call's
-// end.
+// plainServer is an emulated server. Its queue holds a completion callback for each call.
 type plainServer struct {
 	running int
 	queue   []func()
 }
 
-// plainInstance is one instance that decides.
+// plainInstance is an emulated instance.
 type plainInstance struct {
-	region  string
-	tracker *limit.Tracker
-	pace    *steer.CallTimes
-	others  *peer.View
+	region    string
+	tracker   *limit.Tracker
+	callTimes *steer.CallTimes
+	peers     *peer.View
 }
 
-// plainCall is one call on its way.
+// plainCall is a call in progress.
 type plainCall struct {
-	request steer.Request
-	result  *PlainResult
-	asked   time.Time
-	sends   int
-	// crossed is true in another region than its caller's.
-	crossed bool
+	request   steer.Request
+	result    *PlainResult
+	arrivedAt time.Time
+	sends     int
+	// remote is true once the call was forwarded to another region than its caller's.
+	remote bool
 }
 
-// plainDay is one day.
-type plainDay struct {
+// plainEmulation is the state of one run.
+type plainEmulation struct {
 	timeline.Timeline
 	options   PlainOptions
 	random    *rand.Rand
@@ -83,23 +83,23 @@
 	servers   map[string]*plainServer
 	instances map[string][]*plainInstance
 	known     map[string][]peer.Known
-	// far is the work in each region as other regions were last told.
-	far     map[string]int
-	service *httproute.Service
-	results map[string]*PlainResult
+	// remoteWork is the work of each region in its last report to other regions.
+	remoteWork map[string]int
+	service    *httproute.Service
+	results    map[string]*PlainResult
 }
 
-// RunPlain plays a day of a plain service, and returns what callers met by region.
+// RunPlain emulates a plain service and returns the results by region of the caller.
 func RunPlain(o PlainOptions) map[string]*PlainResult {
-	d := &plainDay{
+	d := &plainEmulation{
 		Timeline: timeline.New(), options: o, random: rand.New(rand.NewPCG(o.Seed, 2)), view: &fleet.View{},
 		servers: make(map[string]*plainServer), instances: make(map[string][]*plainInstance), known: make(map[string][]peer.Known),
-		far: make(map[string]int), service: &httproute.Service{Name: "api"}, results: make(map[string]*PlainResult),
+		remoteWork: make(map[string]int), service: &httproute.Service{Name: "api"}, results: make(map[string]*PlainResult),
 	}
 	d.build()
-	end := d.Now().Add(o.For)
-	d.Every(o.Told, end, func() { d.tell(end) })
-	d.Every(o.FarTold, end, d.tellFar)
+	end := d.Now().Add(o.Length)
+	d.Every(o.ReportInterval, end, func() { d.reportLoads(end) })
+	d.Every(o.RemoteReportInterval, end, d.reportRegions)
 	for i := range o.Regions {
 		d.results[o.Regions[i].Name] = &PlainResult{}
 		d.arrivals(&o.Regions[i], end)
@@ -108,7 +108,7 @@
 	return d.results
 }
 
-func (d *plainDay) build() {
+func (d *plainEmulation) build() {
 	for _, region := range d.options.Regions {
 		for i := range region.Servers {
 			id := fmt.Sprint(region.Name, "-", i)
@@ -118,9 +118,9 @@
 		for i := range region.Instances {
 			d.known[region.Name] = append(d.known[region.Name], peer.Known{Instance: fleet.Instance{Name: fmt.Sprint(region.Name, "-edge-", i), Region: region.Name}, Ready: true})
 			d.instances[region.Name] = append(d.instances[region.Name], &plainInstance{
-				region:  region.Name,
-				tracker: limit.NewTracker(&d.Timeline, nil),
-				pace:    steer.NewCallTimes(),
+				region:    region.Name,
+				tracker:   limit.NewTracker(&d.Timeline, nil),
+				callTimes: steer.NewCallTimes(),
 			})
 		}
 	}
@@ -128,52 +128,52 @@
 }
 
 // arrivals schedules a region's calls.
-func (d *plainDay) arrivals(region *PlainRegion, end time.Time) {
+func (d *plainEmulation) arrivals(region *PlainRegion, end time.Time) {
 	wait := time.Duration(d.random.ExpFloat64() / region.PerSecond * float64(time.Second))
 	if d.Now().Add(wait).After(end) {
 		return
 	}
 	d.After(wait, func() {
 		result := d.results[region.Name]
-		result.Asked++
-		c := &plainCall{result: result, asked: d.Now()}
+		result.Calls++
+		c := &plainCall{result: result, arrivedAt: d.Now()}
 		c.request = steer.Request{Route: &httproute.Route{TargetLatency: d.options.Target}, Service: d.service}
-		d.decide(d.one(region.Name), c)
+		d.decide(d.pickInstance(region.Name), c)
 		d.arrivals(region, end)
 	})
 }
 
-// one draws an instance of a region.
-func (d *plainDay) one(region string) *plainInstance {
+// pickInstance returns a random instance of a region.
+func (d *plainEmulation) pickInstance(region string) *plainInstance {
 	all := d.instances[region]
 	return all[d.random.IntN(len(all))]
 }
 
-// decide has an instance send a call, or refuse it.
-func (d *plainDay) decide(i *plainInstance, c *plainCall) {
-	world := &steer.Snapshot{
-		Region: i.region, Fleet: d.view, Peers: i.others, Local: i.tracker, Recent: steer.NewRecent(), CallTimes: i.pace,
+// decide sends, forwards or refuses a call at an instance.
+func (d *plainEmulation) decide(i *plainInstance, c *plainCall) {
+	snapshot := &steer.Snapshot{
+		Region: i.region, Fleet: d.view, Peers: i.peers, Local: i.tracker, Recent: steer.NewRecent(), CallTimes: i.callTimes,
 		Estimates: steer.NewEstimator(), Flow: steer.NewFlow(), Now: d.Now(), Random: d.random.Uint64(),
 		Admits: func(*fleet.Upstream, *httproute.Service) bool { return true },
 	}
-	survey := world.SurveyRegion(&c.request)
-	if !c.crossed && !d.options.Alone {
-		if away := world.Choose(&c.request, survey, world.Regions(&c.request)); away != nil {
-			c.crossed = true
-			c.result.Away++
-			d.After(crossing, func() { d.decide(d.one(away.Region), c) })
+	survey := snapshot.SurveyRegion(&c.request)
+	if !c.remote && !d.options.LocalOnly {
+		if choice := snapshot.Choose(&c.request, survey, snapshot.Regions(&c.request)); choice != nil {
+			c.remote = true
+			c.result.Remote++
+			d.After(interRegionDelay, func() { d.decide(d.pickInstance(choice.Region), c) })
 			return
 		}
 	}
-	if survey.Best.Upstream == nil || c.sends == plainSends {
+	if survey.Best.Upstream == nil || c.sends == maxPlainSends {
 		c.result.Refused++
 		return
 	}
 	d.send(i, c, survey.Best)
 }
 
-// send has a server run a call, queue it or reject it.
-func (d *plainDay) send(i *plainInstance, c *plainCall, to steer.Candidate) {
+// send sends a call to a server, which runs, queues or rejects it.
+func (d *plainEmulation) send(i *plainInstance, c *plainCall, to steer.Candidate) {
 	c.sends++
 	c.result.Sends++
 	flight, ok := i.tracker.Start(to.Upstream.ID, 0, 0)
@@ -189,14 +189,14 @@
 	sent := d.Now()
 	server.queue = append(server.queue, func() {
 		flight.Done(limit.Succeeded)
-		i.pace.Add(d.service.Name, &to, d.Now().Sub(sent))
-		d.answered(c)
+		i.callTimes.Add(d.service.Name, &to, d.Now().Sub(sent))
+		d.recordAnswer(c)
 	})
-	d.work(server)
+	d.runQueued(server)
 }
 
-// work has a server run what waits, as far as slots are free.
-func (d *plainDay) work(server *plainServer) {
+// runQueued starts queued calls of a server while slots are free.
+func (d *plainEmulation) runQueued(server *plainServer) {
 	for server.running < d.options.Slots && len(server.queue) > 0 {
 		ended := server.queue[0]
 		server.queue = server.queue[1:]
@@ -204,16 +204,16 @@
 		d.After(time.Duration(d.random.ExpFloat64()*float64(d.options.Work)), func() {
 			server.running--
 			ended()
-			d.work(server)
+			d.runQueued(server)
 		})
 	}
 }
 
-// answered counts an answer, by when it comes to the caller.
-func (d *plainDay) answered(c *plainCall) {
-	took := d.Now().Sub(c.asked)
-	if c.crossed {
-		took += crossing
+// recordAnswer counts an answer as in time or late, on arrival at the caller.
+func (d *plainEmulation) recordAnswer(c *plainCall) {
+	took := d.Now().Sub(c.arrivedAt)
+	if c.remote {
+		took += interRegionDelay
 	}
 	if took <= d.options.Target {
 		c.result.InTime++
@@ -222,9 +222,9 @@
 	}
 }
 
-// tell brings to all instances what the others of their region have in hand, and what is
-// known of other regions.
-func (d *plainDay) tell(end time.Time) {
+// reportLoads sends to all instances the work of the others of their region, and the last
+// reports from other regions.
+func (d *plainEmulation) reportLoads(end time.Time) {
 	type report struct {
 		to    *plainInstance
 		loads []peer.Load
@@ -232,30 +232,30 @@
 	var reports []report
 	for _, region := range d.options.Regions {
 		for _, i := range d.instances[region.Name] {
-			reports = append(reports, report{i, d.othersOf(i)})
+			reports = append(reports, report{i, d.peerLoads(i)})
 		}
 	}
 	taken := d.Now()
-	bring := func() {
+	deliver := func() {
 		for _, r := range reports {
-			r.to.others = peer.NewView(d.others(r.to), r.loads, taken)
-			for region, work := range d.far {
+			r.to.peers = peer.NewView(d.knownPeers(r.to), r.loads, taken)
+			for region, work := range d.remoteWork {
 				if region != r.to.region {
-					r.to.others.AddService(region, peer.Load{Name: d.service.Name, InFlight: work})
+					r.to.peers.AddService(region, peer.Load{Name: d.service.Name, InFlight: work})
 				}
 			}
 		}
 	}
-	if taken.Add(d.options.Age).Before(end) {
-		d.After(d.options.Age, bring)
+	if taken.Add(d.options.ReportAge).Before(end) {
+		d.After(d.options.ReportAge, deliver)
 	}
-	if d.instances[d.options.Regions[0].Name][0].others == nil {
-		bring()
+	if d.instances[d.options.Regions[0].Name][0].peers == nil {
+		deliver()
 	}
 }
 
-// othersOf is the work of the others of an instance's region by server.
-func (d *plainDay) othersOf(i *plainInstance) []peer.Load {
+// peerLoads returns the work by server of the other instances in an instance's region.
+func (d *plainEmulation) peerLoads(i *plainInstance) []peer.Load {
 	var loads []peer.Load
 	for n := range d.view.Upstreams {
 		id := d.view.Upstreams[n].ID
@@ -267,36 +267,36 @@
 	return loads
 }
 
-// others lists the other instances of a region, and one of each other region.
-func (d *plainDay) others(i *plainInstance) []peer.Known {
-	others := append([]peer.Known(nil), d.known[i.region][1:]...)
+// knownPeers returns the other instances of a region, and one of each other region.
+func (d *plainEmulation) knownPeers(i *plainInstance) []peer.Known {
+	knownPeers := append([]peer.Known(nil), d.known[i.region][1:]...)
 	for _, region := range d.options.Regions {
 		if region.Name != i.region {
-			others = append(others, d.known[region.Name][0])
+			knownPeers = append(knownPeers, d.known[region.Name][0])
 		}
 	}
-	for n := range others {
-		others[n].Heard = d.Now()
+	for n := range knownPeers {
+		knownPeers[n].Heard = d.Now()
 	}
-	return others
+	return knownPeers
 }
 
-// tellFar brings each region's work to the others.
-func (d *plainDay) tellFar() {
+// reportRegions sends the work of each region to the others.
+func (d *plainEmulation) reportRegions() {
 	work := make(map[string]int)
 	for n := range d.view.Upstreams {
 		server := d.servers[d.view.Upstreams[n].ID]
 		work[d.view.Upstreams[n].Region] += server.running + len(server.queue)
 	}
-	d.After(d.options.FarAge, func() { d.far = work })
+	d.After(d.options.RemoteReportAge, func() { d.remoteWork = work })
 }
 
-// PlainPeak is a deployment of three regions whose peaks come one after another: the
-// first is offered so many times what its servers can run, the others a tenth of it.
+// PlainPeak returns a deployment of three regions with peaks at different times. The load
+// of the first is the given multiple of its capacity, that of the others a tenth of it.
 func PlainPeak(times float64, instances int) PlainOptions {
 	o := PlainOptions{
-		Slots: 6, Queue: 8, Work: 60 * time.Millisecond, Target: 500 * time.Millisecond, For: 10 * time.Second,
-		Told: 100 * time.Millisecond, Age: 60 * time.Millisecond, FarTold: 600 * time.Millisecond, FarAge: 100 * time.Millisecond,
+		Slots: 6, Queue: 8, Work: 60 * time.Millisecond, Target: 500 * time.Millisecond, Length: 10 * time.Second,
+		ReportInterval: 100 * time.Millisecond, ReportAge: 60 * time.Millisecond, RemoteReportInterval: 600 * time.Millisecond, RemoteReportAge: 100 * time.Millisecond,
 	}
 	const servers = 4
 	capacity := float64(servers*o.Slots) / o.Work.Seconds()
--- a/test/capacity/agents_test.go
+++ b/test/capacity/agents_test.go
@@ -12,23 +12,23 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/kv"
 )
 
-// How long each state is left to settle and is then measured.
+// Durations of the phases of a measurement.
 const (
 	settleTime  = 8 * time.Second
 	measureTime = 12 * time.Second
-	// changeEvery is the pace of changes, about ten times the target's mean of one
-	// in 23 s, so that their cost stands out.
-	changeEvery = 2 * time.Second
-	// requestsPerNode is requests a second and node where upstreams are many, and
-	// fewRequestsPerNode where they are few; an answer takes 13 s.
+	// changeInterval is the time between changes. The rate is about ten times the target's
+	// mean of one in 23 s, so that their cost stands out.
+	changeInterval = 2 * time.Second
+	// requestsPerNode is the requests a second and node in layouts with many upstreams,
+	// fewRequestsPerNode in those with few. An answer takes 13 s.
 	requestsPerNode    = 2
 	fewRequestsPerNode = 0.5
-	// answerTime is after how long as many answers end as begin.
-	answerTime = 15 * time.Second
-	// outageTime is how long the key-value service is down.
+	// rampUpTime is the time after which as many answers end as begin.
+	rampUpTime = 15 * time.Second
+	// outageTime is the time that the key-value service is down before measuring.
 	outageTime = 10 * time.Second
-	// returnTime is the time after its return in which its calls are counted.
-	returnTime = 5 * time.Second
+	// recoveryTime is the time after its recovery in which its calls are counted.
+	recoveryTime = 5 * time.Second
 )
 
 // BenchmarkNodes measures the nodes of one failure domain with 25 upstreams.
@@ -49,8 +49,8 @@
 	}
 }
 
-// BenchmarkFixedDomains measures a growing number of nodes in three failure domains:
-// what the key-value service sees of a fleet that grows inside its domains.
+// BenchmarkFixedDomains measures a growing number of nodes in three failure domains, for
+// the load on the key-value service by a fleet that grows inside its domains.
 func BenchmarkFixedDomains(b *testing.B) {
 	for _, nodes := range []int{6, 9, 18, 27} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -59,19 +59,18 @@
 	}
 }
 
-// BenchmarkOneOf41 measures the nodes of one failure domain with 25 upstreams that
-// sees 40 others, of one node and 5 upstreams each: the target's shape, as one node
-// meets it.
+// BenchmarkOneOf41 measures the nodes of one failure domain with 25 upstreams and 40
+// remote domains of one node and 5 upstreams each: the target as seen from one node.
 func BenchmarkOneOf41(b *testing.B) {
 	for _, nodes := range []int{3, 9} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			measure(b, layout{domains: 41, instances: 1, first: nodes, enginesPerModel: 5, rate: requestsPerNode})
+			measure(b, layout{domains: 41, instances: 1, firstDomainInstances: nodes, enginesPerModel: 5, rate: requestsPerNode})
 		})
 	}
 }
 
-// BenchmarkRequests measures one node at several rates of requests, of which each
-// streams 200 tokens at 63 ms.
+// BenchmarkRequests measures one node at several rates of requests. Each request streams
+// 200 tokens at 63 ms.
 func BenchmarkRequests(b *testing.B) {
 	for _, requests := range []float64{2, 8, 26} {
 		b.Run(fmt.Sprintf("requests=%g", requests), func(b *testing.B) {
@@ -86,17 +85,17 @@
 	b.Run("start", func(b *testing.B) { d.reportStart(b) })
 	b.Run("idle", func(b *testing.B) { d.report(b, func() { time.Sleep(measureTime) }) })
 	b.Run("changes", func(b *testing.B) {
-		began := time.Now()
+		startedAt := time.Now()
 		var made int
 		d.report(b, func() { made = d.change() })
-		b.ReportMetric(float64(made)/time.Since(began).Seconds(), "changes/s")
+		b.ReportMetric(float64(made)/time.Since(startedAt).Seconds(), "changes/s")
 		d.reportInForce(b)
 	})
 	b.Run("traffic", func(b *testing.B) { d.underTraffic(b) })
 	b.Run("outage", func(b *testing.B) { d.outage(b) })
 }
 
-// report measures the deployment during what is run.
+// report measures the deployment while run executes.
 func (d *deployment) report(b *testing.B, run func()) {
 	d.b = b
 	before := d.read()
@@ -106,33 +105,33 @@
 	report(b, before, after)
 }
 
-// reportStart reports what an agent's start has cost, up to the first accepted
-// configuration being in force everywhere and a time to settle.
+// reportStart reports the cost of an agent's start, until the first accepted configuration
+// is in force everywhere and settleTime has passed.
 func (d *deployment) reportStart(b *testing.B) {
 	d.b = b
 	time.Sleep(settleTime)
-	var cpu, peak, most float64
-	for _, agent := range d.agents[:d.measured()] {
+	var cpu, peak, highest float64
+	for _, agent := range d.agents[:d.measuredNodes()] {
 		directory := fmt.Sprintf("/proc/%d", agent.command.Process.Pid)
 		cpu += d.processorTime(directory).Seconds()
 		high := d.peak(directory)
 		peak += high
-		most = math.Max(most, high)
+		highest = math.Max(highest, high)
 	}
-	count := float64(d.measured())
+	count := float64(d.measuredNodes())
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(cpu/count, "agent-cpu-s")
 	b.ReportMetric(peak/count/1e6, "agent-peak-MB")
-	b.ReportMetric(most/1e6, "agent-peak-MB-max")
+	b.ReportMetric(highest/1e6, "agent-peak-MB-max")
 }
 
-// change makes changes at a steady pace, through one agent after the other.
+// change makes changes at a steady rate, through the agents in turn.
 func (d *deployment) change() (made int) {
 	end := time.Now().Add(measureTime)
 	for n := 0; time.Now().Before(end); n++ {
 		made++
-		due := time.Now().Add(changeEvery)
-		answer, err := d.post(n%len(d.agents), "/v1/command", "text/plain", "drain "+farUpstream(n))
+		due := time.Now().Add(changeInterval)
+		answer, err := d.post(n%len(d.agents), "/v1/command", "text/plain", "drain "+undeployedUpstream(n))
 		check(d.b, err)
 		if !strings.HasPrefix(answer, "ok") && !strings.HasPrefix(answer, "accepted") {
 			d.b.Fatalf("change %d: %s", n, answer)
@@ -142,15 +141,15 @@
 	return made
 }
 
-// reportInForce reports how long the changes took from an agent's first
-// knowledge to being in force in the last gateway.
+// reportInForce reports the time of the changes from the first agent that received them to
+// being in force in the last gateway.
 func (d *deployment) reportInForce(b *testing.B) {
 	time.Sleep(settleTime)
 	accepted, inForce := d.acceptedTimes(), d.inForceTimes()
 	var all []float64
 	for revision, at := range accepted {
 		if revision == 1 {
-			continue // It met agents that were starting.
+			continue // Agents were still starting.
 		}
 		last := at
 		for _, one := range inForce[revision] {
@@ -168,8 +167,8 @@
 	b.ReportMetric(all[len(all)-1], "in-force-max-ms")
 }
 
-// superseded says whether a later revision is in force everywhere: a node may
-// step over one.
+// superseded returns whether a later revision is in force everywhere, as a node may skip
+// revisions.
 func superseded(inForce map[uint64][]time.Time, revision uint64, nodes int) bool {
 	for later, at := range inForce {
 		if later > revision && len(at) == nodes {
@@ -182,22 +181,22 @@
 func (d *deployment) underTraffic(b *testing.B) {
 	ctx, cancel := context.WithCancel(b.Context())
 	defer cancel()
-	rate := d.layout.rate * float64(d.measured())
-	run := d.traffic(rate, answerTime+measureTime)
+	rate := d.layout.rate * float64(d.measuredNodes())
+	run := d.traffic(rate, rampUpTime+measureTime)
 	done := make(chan error, 1)
 	go func() {
 		_, err := run.Send(ctx)
 		done <- err
 	}()
-	time.Sleep(answerTime)
+	time.Sleep(rampUpTime)
 	answered := run.Answered.Load()
 	d.report(b, func() { time.Sleep(measureTime) })
 	b.ReportMetric(float64(run.Answered.Load()-answered)/measureTime.Seconds(), "answers/s")
 	check(b, <-done)
 }
 
-// outage takes the key-value service away, and counts its calls in the time and
-// after its return.
+// outage stops the key-value service, and counts the calls during the outage and after
+// its recovery.
 func (d *deployment) outage(b *testing.B) {
 	d.b = b
 	d.switchKeyValue("down")
@@ -208,7 +207,7 @@
 	d.switchKeyValue("up")
 	time.Sleep(time.Second)
 	first := d.counts()
-	time.Sleep(returnTime - time.Second)
+	time.Sleep(recoveryTime - time.Second)
 	last := d.counts()
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(float64(end.Refused-down.Refused)/measureTime.Seconds(), "kv-tries/s")
@@ -222,36 +221,36 @@
 	return c.Range + c.Txn + c.Watch + c.Grant + c.KeepAlive + c.Revoke
 }
 
-// report writes what changed between two readings, as means over the agents and
-// as the busiest one's.
+// report reports the changes between two readings, as the mean over the agents and the
+// maximum.
 func report(b *testing.B, before, after reading) {
 	seconds := after.at.Sub(before.at).Seconds()
-	spread := func(unit string, value func(i int) float64) {
-		var sum, most float64
+	meanAndMax := func(unit string, value func(i int) float64) {
+		var sum, highest float64
 		for i := range after.agents {
 			sum += value(i)
-			most = math.Max(most, value(i))
+			highest = math.Max(highest, value(i))
 		}
 		b.ReportMetric(sum/float64(len(after.agents)), unit)
-		b.ReportMetric(most, unit+"-max")
+		b.ReportMetric(highest, unit+"-max")
 	}
-	spread("agent-cpu-%", func(i int) float64 {
+	meanAndMax("agent-cpu-%", func(i int) float64 {
 		return 100 * (after.agents[i].cpu - before.agents[i].cpu).Seconds() / seconds
 	})
-	spread("agent-MB", func(i int) float64 { return after.agents[i].resident / 1e6 })
-	spread("gateway-cpu-%", func(i int) float64 {
+	meanAndMax("agent-MB", func(i int) float64 { return after.agents[i].resident / 1e6 })
+	meanAndMax("gateway-cpu-%", func(i int) float64 {
 		return 100 * (after.gateways[i].cpu - before.gateways[i].cpu).Seconds() / seconds
 	})
-	spread("gateway-MB", func(i int) float64 { return after.gateways[i].resident / 1e6 })
+	meanAndMax("gateway-MB", func(i int) float64 { return after.gateways[i].resident / 1e6 })
 	rates := map[string]string{
 		"links_sent": "sent-B/s", "links_received": "received-B/s",
 		"gateway_sent": "to-gateway-B/s", "gateway_received": "from-gateway-B/s",
 	}
 	for counter, unit := range rates {
-		spread(unit, perSecond(before, after, "lilacweir_agent_bytes_"+counter, seconds))
+		meanAndMax(unit, perSecond(before, after, "lilacweir_agent_bytes_"+counter, seconds))
 	}
 	for _, counter := range []string{"heartbeats", "digests", "digests_failed", "polls", "key_value", "directory", "list"} {
-		spread(strings.ReplaceAll(counter, "_", "-")+"-calls/s", perSecond(before, after, "lilacweir_agent_calls_"+counter, seconds))
+		meanAndMax(strings.ReplaceAll(counter, "_", "-")+"-calls/s", perSecond(before, after, "lilacweir_agent_calls_"+counter, seconds))
 	}
 	reads := after.keyValue.Range - before.keyValue.Range + after.keyValue.Watch - before.keyValue.Watch
 	writes := after.keyValue.Txn - before.keyValue.Txn + after.keyValue.Grant - before.keyValue.Grant +
