--- a/pkg/load/arrivals.go
+++ b/pkg/load/arrivals.go
@@ -1,8 +1,8 @@
 // Package load sends open-loop load to gateways and measures what callers see.
 //
-// Guarantee: each request is due at a time that was drawn beforehand from a
-// fixed seed, and its times count from then. A slow answer thus delays no later
-// request and hides none of its own wait (no coordinated omission).
+// The due time of each request is drawn in advance from a fixed seed, and its
+// latencies count from that time. A slow answer thus neither delays later requests
+// nor hides its own waiting time (no coordinated omission).
 package load
 
 import (
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Arrivals draws the due times of a Poisson process, from its beginning.
-// rate is requests a second.
+// Arrivals draws the due times of a Poisson process, as offsets from its start.
+// rate is in requests per second.
 func Arrivals(seed uint64, rate float64, length time.Duration) []time.Duration {
 	source := newRand(seed)
 	var due []time.Duration
--- a/pkg/load/chunks.go
+++ b/pkg/load/chunks.go
@@ -21,20 +21,20 @@
 	Gateway, Direct, Key, Model string
 	// Streams run at once, each of Tokens chunks.
 	Streams, Tokens int
-	// Slices is how many slices each way has.
+	// Slices is the number of slices on each path.
 	Slices int
 	// Processes lists the gateway's and the engine's process IDs; this process's
 	// own time is counted as well.
 	Processes []int
 }
 
-// ChunkCost is what chunks took one way.
+// ChunkCost is the number of chunks on one path and the processor time they took.
 type ChunkCost struct {
 	Chunks, Failed int
 	CPU            time.Duration
 }
 
-// PerCore is how many chunks a second one core carries, all processes together.
+// PerCore returns the chunks per second and core, over all processes together.
 func (c ChunkCost) PerCore() float64 {
 	if c.CPU <= 0 {
 		return 0
@@ -42,13 +42,13 @@
 	return float64(c.Chunks) / c.CPU.Seconds()
 }
 
-// ChunkComparison is what a ChunkRate measured.
+// ChunkComparison is the result of a ChunkRate.
 type ChunkComparison struct {
 	Gateway, Direct ChunkCost
 }
 
-// Ratio is the chunks a second per core through the gateway, by those of direct
-// streams.
+// Ratio returns the chunks per second and core through the gateway, divided by
+// those of direct streams.
 func (c ChunkComparison) Ratio() float64 {
 	if c.Direct.PerCore() == 0 {
 		return 0
@@ -101,7 +101,7 @@
 	return caller.Chat(ctx, address, chat, client.Options{}, nil)
 }
 
-// cpu adds up the processor time of this process and the others so far.
+// cpu returns the processor time that this process and r.Processes have used.
 func (r *ChunkRate) cpu() (time.Duration, error) {
 	var own syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &own); err != nil {
@@ -121,13 +121,13 @@
 // clockTick is the unit of processor times in /proc on Linux (USER_HZ).
 const clockTick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat after the program's name; see proc(5).
+// Indexes of fields in /proc/PID/stat, counted after the program's name; see proc(5).
 const (
 	statUserField   = 11
 	statSystemField = 12
 )
 
-// StatError is a process whose times cannot be read.
+// StatError reports a process whose processor times cannot be read.
 type StatError struct {
 	PID int
 	Err error
@@ -139,7 +139,7 @@
 // Unwrap returns the cause.
 func (e *StatError) Unwrap() error { return e.Err }
 
-// ProcessCPU reads the processor time that a process has used.
+// ProcessCPU returns the processor time that a process has used.
 func ProcessCPU(pid int) (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/pkg/load/chunks_test.go
+++ b/pkg/load/chunks_test.go
@@ -30,7 +30,7 @@
 	is.NoErr(err)
 	is.Equal(result.Direct.Chunks, 24)
 	is.Equal(result.Direct.Failed, 0)
-	is.Equal(result.Gateway.Failed, 8) // streams without their end are not counted as whole
+	is.Equal(result.Gateway.Failed, 8) // a stream without its final event is not complete
 	_, err = ProcessCPU(-1)
 	is.True(err != nil)
 }
--- a/pkg/load/cost.go
+++ b/pkg/load/cost.go
@@ -11,17 +11,18 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// Cost is what a run took from the upstreams, by their journals.
+// Cost is the upstream work of a run, from the journals of the stand-ins.
 type Cost struct {
-	// Runs counts requests that upstreams ran, Engine the time that requests
-	// held a slot of a model engine.
+	// Runs counts the requests that upstreams ran. Engine is the time for which
+	// requests held slots of model engines.
 	Runs   int
 	Engine time.Duration
-	// Wasted is the part of Engine that ended in no whole answer.
+	// Wasted is the share of Engine spent on requests without a complete answer.
 	Wasted time.Duration
 }
 
-// ReadCost reads the journals of the stand-ins and adds up what began after a time.
+// ReadCost reads the journals of the stand-ins and sums the requests that started
+// after the given time.
 func ReadCost(ctx context.Context, address string, since time.Time) (*Cost, error) {
 	lines, err := admin.Send(ctx, address, admin.Command{Verb: "journal"})
 	if err != nil {
--- a/pkg/load/decide/answers.go
+++ b/pkg/load/decide/answers.go
@@ -2,8 +2,8 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// answers writes how answers went on after the first token, and whether refusals
-// were warranted.
+// answers writes the latencies after the first token, and how many refusals were
+// warranted.
 func (p *printer) answers(title string, all []series) {
 	p.printf("| %s | between tokens p50 | p95 | p99 | whole answer p50 | p95 | p99 | refusals | warranted | only with a warm cache | unwarranted |\n", title)
 	p.printf("|---|---|---|---|---|---|---|---|---|---|---|\n")
--- a/pkg/load/decide/course.go
+++ b/pkg/load/decide/course.go
@@ -6,7 +6,7 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// receive gives a request a slot, or lets it wait for one.
+// receive gives a request a slot or queues it.
 func (e *engine) receive(s *simulation, f *flight) {
 	s.result.over(e)
 	defer e.note(s)
@@ -23,7 +23,7 @@
 	e.nextPrefill(s)
 }
 
-// nextPrefill works on one prompt at a time.
+// nextPrefill starts the next prefill; an engine processes one prompt at a time.
 func (e *engine) nextPrefill(s *simulation) {
 	if e.prefillBusy || len(e.prefilling) == 0 {
 		return
@@ -40,7 +40,7 @@
 	})
 }
 
-// decode generates the answer at the speed of the batch at its beginning.
+// decode generates the answer at the rate of the batch size at its start.
 func (e *engine) decode(s *simulation, f *flight) {
 	token := e.tokenTime()
 	s.result.between(s, f.job, token)
--- a/pkg/load/decide/day.go
+++ b/pkg/load/decide/day.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// hoursOfDay is the number of hours that a day has, however short each is.
+// hoursOfDay is the number of hours in a day; Day.Hour is the length of each.
 const hoursOfDay = 24
 
-// Day is a day's course in regions whose peaks are offset, with time compressed.
+// Day describes the load of a day in regions with offset peaks, in compressed time.
 type Day struct {
-	// Hour is the virtual time that stands for an hour.
+	// Hour is the virtual time that represents an hour.
 	Hour time.Duration
-	// Peak is the highest load, a part of a region's capacity.
+	// Peak is the highest load as a fraction of a region's capacity.
 	Peak float64
-	// PeakToTrough is the highest load over the lowest.
+	// PeakToTrough is the ratio of the highest load to the lowest.
 	PeakToTrough float64
-	// Offset is by how many hours each region's peak is later than the one before.
+	// Offset is the delay in hours of each region's peak after the previous region's.
 	Offset float64
-	// Lose takes all engines from the first region from an hour before its peak
+	// Lose takes down all engines of the first region from an hour before its peak
 	// until an hour after it; they return with cold caches.
 	Lose bool
 }
 
-// The first region's peak, and when it is lost, in hours.
+// Peak of the first region, and the start and end of its outage, in hours.
 const (
 	peakHour           = hoursOfDay / 2
 	lostFrom, lostUpto = peakHour - 1, peakHour + 1
 )
 
-// level is the load of a region at a time since the start of the day, a part of its
-// capacity: a cosine between trough and peak.
+// level returns the load of a region as a fraction of its capacity, at a time since
+// the start of the day. It follows a cosine between trough and peak.
 func (d Day) level(failureDomain int, at time.Duration) float64 {
 	trough := d.Peak / d.PeakToTrough
 	hour := float64(at)/float64(d.Hour) - d.Offset*float64(failureDomain)
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// hours are the phases of a day.
+// hours returns one phase for each hour of the day.
 func (d Day) hours() []phase {
 	out := make([]phase, hoursOfDay)
 	for i := range out {
@@ -55,23 +55,25 @@
 	return out
 }
 
-// daySeries is one variant's days.
+// daySeries is the results of one variant.
 type daySeries struct {
 	name string
 	runs []dayResult
 }
 
-// dayResult is one day: all regions together and the first one, by hour.
+// dayResult is the result of one day by hour, for all regions together and for the
+// first alone.
 type dayResult struct {
 	all, first spillResult
-	// queue is how many requests waited in the first region, one sample a second.
+	// queue is the number of requests waiting in the first region, one sample per
+	// queueInterval.
 	queue []int
 }
 
-// queueInterval is how often the queue is looked at.
+// queueInterval is the interval between samples of the queue.
 const queueInterval = time.Second
 
-// RunDay compares ways to send work to other regions over a day, and writes tables.
+// RunDay compares the spill variants over a day and writes tables to w.
 func RunDay(w io.Writer, o Options) error {
 	days, capacity, err := measureDays(&o)
 	if err != nil {
@@ -123,7 +125,7 @@
 	return out
 }
 
-// waiting counts the requests that wait in a failure domain, at gateways and at engines.
+// waiting counts the requests queued in a failure domain, at gateways and engines.
 func (h *failureDomain) waiting() int {
 	total := 0
 	for _, g := range h.gateways {
@@ -135,7 +137,7 @@
 	return total
 }
 
-// lose takes engines away for a while; they return with cold caches.
+// lose takes engines down between two times; they return with cold caches.
 func (s *simulation) lose(engines []*engine, from, to time.Duration) {
 	s.After(from, func() {
 		for _, e := range engines {
--- a/pkg/load/decide/day_test.go
+++ b/pkg/load/decide/day_test.go
@@ -19,10 +19,10 @@
 	is.NoErr(err)
 	stay := days[0].runs[0].first.phases
 	is.Equal(stay[lostFrom-1].refused, 0)
-	is.Equal(stay[lostFrom+1].refused, stay[lostFrom+1].offered) // nowhere to go
-	is.True(math.IsNaN(stay[lostFrom+1].quantile(99)))           // no latency is made up
+	is.Equal(stay[lostFrom+1].refused, stay[lostFrom+1].offered) // the variant does not spill
+	is.True(math.IsNaN(stay[lostFrom+1].quantile(99)))           // no answers, so no latency
 	is.Equal(stay[lostUpto+1].refused, 0)
 	sent := days[len(days)-1].runs[0].first.phases[lostFrom+1]
 	is.True(sent.away > 0)
-	is.True(sent.inTime > 0) // others serve what may leave
+	is.True(sent.inTime > 0) // other regions serve the requests that may leave
 }
--- a/pkg/load/decide/dayprint.go
+++ b/pkg/load/decide/dayprint.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// day writes the comparison over a day, hour by hour and for the whole.
+// day writes the comparison over a day, by hour and in total.
 func (p *printer) day(o Options, capacity float64, days []daySeries) {
 	p.printf("mix %s, %d regions of %d engines and %d gateways, %d pairs, seeds from %d, cost weight %g\n",
 		o.Mix, o.FailureDomains, o.Engines, o.Gateways, o.Pairs, o.Seed, o.CostWeight)
@@ -45,7 +45,7 @@
 	{"most waiting", "%.0f", func(d *dayResult, _ *phaseResult, ph phase) float64 { return float64(d.mostWaiting(ph)) }},
 }
 
-// hours writes one measure, a row an hour and a column for each way.
+// hours writes one measure with a row per hour and a column per variant.
 func (p *printer) hours(o Options, days []daySeries, table dayTable) {
 	p.printf("| first region, hour | load |")
 	for _, d := range days {
@@ -80,7 +80,7 @@
 		spread(n, "%.3f", func(run int) float64 { return d.runs[run].all.all.wasted }))
 }
 
-// between writes what went between regions, and what cold caches cost.
+// between writes the traffic between regions and the prefill wasted on cold caches.
 func (p *printer) between(days []daySeries) {
 	p.printf("| all regions, whole day | MB between regions | prefill wasted, engine-seconds |\n|---|---|---|\n")
 	for _, d := range days {
@@ -96,7 +96,7 @@
 
 const bytesPerMegabyte = 1e6
 
-// mostWaiting is the longest queue of a phase.
+// mostWaiting returns the longest queue of a phase.
 func (d *dayResult) mostWaiting(ph phase) int {
 	most := 0
 	for i, waiting := range d.queue {
--- a/pkg/load/decide/decide.go
+++ b/pkg/load/decide/decide.go
@@ -1,10 +1,10 @@
-// Package decide measures decisions: it drives the real routing, limits and
-// admission of a group of gateways over modelled engines in virtual time, open
-// loop and from fixed seeds, and compares them with simpler policies.
+// Package decide measures routing decisions. It runs the real routing, limits and
+// admission of a group of gateways against modelled engines in virtual time, with
+// open-loop load from fixed seeds, and compares them with simpler policies.
 //
-// It models what decisions see (slots, prefill, decode, a prefix cache in limited
-// memory, reports and gossip that lag) and nothing else: no network, no faults of
-// processes. Engine parameters are those of the stand-in engine's deployments.
+// It models only the inputs of decisions (slots, prefill, decode, a prefix cache of
+// limited size, delayed reports and gossip), without a network or process faults.
+// Engine parameters are those of the stand-in engine's deployments.
 package decide
 
 import (
@@ -13,50 +13,50 @@
 	"time"
 )
 
-// Options says what to measure.
+// Options configures a measurement.
 type Options struct {
-	// Mix is "wellness" or "minibar".
+	// Mix is MixWellness or MixMinibar.
 	Mix string
-	// Engines and Gateways is the size of the failure domain.
+	// Engines and Gateways are the sizes of each failure domain.
 	Engines, Gateways int
-	// Halls is the number of failure domains; zero means 1.
+	// FailureDomains is the number of failure domains; zero means 1.
 	FailureDomains int
-	// Loads lists the offered loads in percent of capacity.
+	// Loads lists the offered loads as percentages of capacity.
 	Loads []int
-	// Overload adds the goodput at and beyond the candidate's own capacity.
+	// Overload adds the goodput at and above the candidate's own capacity.
 	Overload bool
-	// Fault makes the first engine misbehave: FaultSlow, FaultLie, FaultReject, or
-	// none of them.
+	// Fault is the fault of the first engine: FaultSlow, FaultLie, FaultReject, or
+	// empty for none.
 	Fault string
-	// Pairs is how many times each policy runs, each time with another seed that
-	// all policies share.
+	// Pairs is the number of runs of each policy. Run i of all policies uses the
+	// same seed.
 	Pairs int
-	// Length is the virtual time that is measured, after a warm-up.
+	// Length is the virtual time measured after the warm-up.
 	Length time.Duration
-	// Seed is the first of the seeds.
+	// Seed is the seed of the first pair; each further pair adds one.
 	Seed uint64
-	// CostWeight is the declared weight of cost against latency, 0 to 1.
+	// CostWeight is the declared weight of cost against latency, from 0 to 1.
 	CostWeight float64
-	// Day is for RunDay.
+	// Day is used by RunDay only.
 	Day Day
 }
 
 // Faults of the first engine.
 const (
-	// FaultSlow makes it slowFactor times slower, which it reports as it is.
+	// FaultSlow makes it slowFactor times slower, with correct reports.
 	FaultSlow = "slow"
-	// FaultLie makes it as slow, and report that it is fast and has nothing to do.
+	// FaultLie makes it as slow, but it reports that it is fast and idle.
 	FaultLie = "lie"
-	// FaultReject makes it start nothing, while it reports that it is idle.
+	// FaultReject makes it reject every request while it reports that it is idle.
 	FaultReject = "reject"
 )
 
-// slowFactor is how much slower an engine with a fault is.
+// slowFactor multiplies the processing times of a slow engine.
 const slowFactor = 4
 
-// OptionError is an option that cannot be used.
+// OptionError reports an invalid option.
 type OptionError struct {
-	// Name is the option, Value what was given.
+	// Name is the option, Value the rejected value.
 	Name, Value string
 }
 
@@ -65,7 +65,7 @@
 	return fmt.Sprintf("option %s: %q cannot be used", e.Name, e.Value)
 }
 
-// Run measures and writes a table to w.
+// Run compares the policies at each load and writes tables to w.
 func Run(w io.Writer, o Options) error {
 	mix, err := mixOf(o.Mix)
 	if err != nil {
@@ -86,14 +86,15 @@
 	return out.err
 }
 
-// healthy returns the options without the fault.
+// healthy returns the options without a fault.
 func (o Options) healthy() Options {
 	o.Fault = ""
 	return o
 }
 
-// compare runs every policy with every seed at one rate, one after the other with
-// each seed, so that no policy has a part of the run to itself.
+// compare runs every policy with every seed at one rate. It runs all policies with
+// one seed before the next, in a rotating order, so that none has a part of the
+// measurement to itself.
 func compare(o Options, mix *mix, rate float64) []series {
 	results := make([]series, len(policies))
 	for pair := range o.Pairs {
@@ -107,8 +108,8 @@
 	return results
 }
 
-// saturated is the capacity in requests a second: that of the best of the simpler
-// policies.
+// saturated returns the highest capacity of the simpler policies, in requests per
+// second.
 func saturated(o Options, mix *mix) float64 {
 	best := 0.0
 	for _, p := range policies[1:] {
@@ -117,17 +118,17 @@
 	return best
 }
 
-// Search for a capacity.
+// Parameters of the capacity search.
 const (
-	// keepsUp is the part of the offered requests that must be whole in time.
+	// keepsUp is the fraction of offered requests that must complete in time.
 	keepsUp = 0.99
-	// highestRate is requests a second for each engine, beyond any capacity.
+	// highestRate is in requests per second and engine, above any capacity.
 	highestRate = 8.0
 	searchSteps = 8
 )
 
-// capacityOf is the highest rate at which a policy answers keepsUp of what is
-// offered before the deadlines, found by bisection with the first seed.
+// capacityOf returns the highest rate at which a policy completes a fraction keepsUp
+// of the offered requests in time, found by bisection with the first seed.
 func capacityOf(o Options, mix *mix, p policy) float64 {
 	low, high := 0.0, highestRate*float64(o.Engines)
 	for range searchSteps {
@@ -142,7 +143,7 @@
 	return low
 }
 
-// overload compares the goodput of the candidate at its own capacity and beyond.
+// overload measures the goodput of the candidate at and above its own capacity.
 func overload(o Options, mix *mix) []goodputAt {
 	capacity := capacityOf(o, mix, policies[0])
 	var out []goodputAt
--- a/pkg/load/decide/decide_test.go
+++ b/pkg/load/decide/decide_test.go
@@ -48,7 +48,7 @@
 	is.Equal(wrong.Value, "nonesuch")
 }
 
-// Every request is served or refused, none is lost in the model.
+// Guards against requests that the model loses, neither served nor refused.
 func TestEveryRequestEnds(t *testing.T) {
 	is := is.New(t)
 	o := small()
@@ -56,7 +56,7 @@
 	is.NoErr(err)
 	for _, p := range policies {
 		run := newSimulation(o, mix, p, 60, o.Seed).measure()
-		is.True(run.refusals > 0) // it is far beyond capacity
+		is.True(run.refusals > 0) // the rate is far above capacity
 		is.Equal(run.offered, run.served+run.refusals)
 	}
 }
@@ -66,5 +66,5 @@
 	demand := map[string]float64{"greedy": 100, "a": 10, "b": 10}
 	is.Equal(fairness(demand, map[string]float64{"greedy": 20, "a": 10, "b": 10}), 1.0)
 	taken := fairness(demand, map[string]float64{"greedy": 38, "a": 1, "b": 1})
-	is.True(taken < 0.5) // one took what the others asked for
+	is.True(taken < 0.5) // one caller took the share of the others
 }
--- a/pkg/load/decide/domain.go
+++ b/pkg/load/decide/domain.go
@@ -11,14 +11,15 @@
 	name, region string
 	engines      []*engine
 	gateways     []*gateway
-	// polled is the last poll of the engines, heard the last digests of others.
+	// polled is the last poll of the engines. heard is the latest digest of each
+	// other failure domain.
 	polled *board.Upstreams
 	heard  map[string]board.DomainDigest
-	// cutFrom names the failure domains whose messages do not arrive here.
+	// cutFrom is the set of failure domains from which messages are lost.
 	cutFrom map[string]bool
 }
 
-// poll takes the engines' reports, each a sample old.
+// poll collects the engines' reports, each one sample interval old.
 func (h *failureDomain) poll() {
 	h.polled = &board.Upstreams{ByName: map[string]board.UpstreamLoad{}}
 	for _, e := range h.engines {
@@ -28,7 +29,7 @@
 	}
 }
 
-// members is what the gateways of the failure domain have told each other.
+// members returns the loads last published by the failure domain's gateways.
 func (h *failureDomain) members() *board.Members {
 	members := &board.Members{}
 	for _, g := range h.gateways {
@@ -40,7 +41,7 @@
 	return members
 }
 
-// tell sends the failure domain's digest to the others.
+// tell sends the failure domain's digest to the others, with a delay of linkDelay.
 func (h *failureDomain) tell(s *simulation) {
 	made := digest.Build(digest.Input{
 		Domain: h.name, Region: h.region, Sequence: uint64(s.Now().UnixNano()),
@@ -59,7 +60,7 @@
 	})
 }
 
-// domains is what the failure domain knows of the others.
+// domains returns the digests received from other failure domains.
 func (h *failureDomain) domains(s *simulation) *board.Domains {
 	domains := &board.Domains{}
 	for _, other := range s.failureDomains {
--- a/pkg/load/decide/engine.go
+++ b/pkg/load/decide/engine.go
@@ -13,30 +13,30 @@
 // Parameters of a modelled engine, those of the stand-in engine's deployments.
 const (
 	engineSlots       = 8
-	engineDecodeRate  = 60.0 // tokens a second for a stream that runs alone
-	engineBatchCost   = 0.06 // how much longer a token takes for each further stream
+	engineDecodeRate  = 60.0 // tokens per second of a single stream
+	engineBatchCost   = 0.06 // relative increase of the time per token for each further stream
 	enginePrefillRate = 8000.0
 	engineCacheTokens = 60000
 	reportedPrefixes  = 64
 )
 
-// engine is a modelled model engine: slots, one prompt in prefill at a time, and a
-// prefix cache that drops the least recently used.
+// engine is a simulated model engine with slots, one prompt in prefill at a time and
+// a prefix cache with least-recently-used eviction.
 type engine struct {
 	name          string
 	failureDomain *failureDomain
-	// lost engines take no new work.
+	// lost engines report that they are unreachable and receive no new work.
 	lost bool
-	// slow stretches all its times; zero means 1. An engine that lies reports
-	// that it has nothing to do.
+	// slow multiplies all processing times; zero means 1. An engine that lies
+	// reports that it is idle.
 	slow              float64
 	lies, rejects     bool
 	running           int
 	queue, prefilling []*flight
 	prefillBusy       bool
 	cache             cache
-	// prefillSeconds and wasted add up the prefill, and the part of it that a
-	// warm cache would have saved.
+	// prefillSeconds sums the prefill time, wasted the share of it that a warm
+	// cache would have saved.
 	prefillSeconds, wasted float64
 	decodeSeconds          float64
 	reports                [2]board.UpstreamLoad
@@ -47,18 +47,18 @@
 	return &engine{name: fmt.Sprintf("engine-%s-%02d", h.name, i), failureDomain: h, cache: newCache()}
 }
 
-// tokenTime is how long one token takes at the present batch.
+// tokenTime returns the time per token at the current batch size.
 func (e *engine) tokenTime() time.Duration {
 	others := float64(max(0, e.running-1))
 	return time.Duration(max(1, e.slow) * (1 + engineBatchCost*others) / engineDecodeRate * float64(time.Second))
 }
 
-// tokenCost is an engine-second's part for one token in a full batch.
+// tokenCost returns the engine-seconds per token in a full batch.
 func tokenCost() float64 {
 	return (1 + engineBatchCost*(engineSlots-1)) / engineDecodeRate / engineSlots
 }
 
-// prefillTime admits a prompt to the cache and returns how long its prefill takes.
+// prefillTime admits a prompt to the cache and returns the duration of its prefill.
 func (e *engine) prefillTime(j *job) time.Duration {
 	missing, reusable := e.cache.admit(j)
 	seconds := float64(missing) / enginePrefillRate
@@ -67,7 +67,7 @@
 	return time.Duration(max(1, e.slow) * seconds * float64(time.Second))
 }
 
-// sample makes the report that gateways will see one interval later.
+// sample makes the report that polls return after the next sample.
 func (e *engine) sample(now time.Time) {
 	e.reports[0] = e.reports[1]
 	e.reports[1] = board.UpstreamLoad{
@@ -92,7 +92,7 @@
 	return board.UpstreamLive
 }
 
-// cache is a prefix cache.
+// cache is a prefix cache with least-recently-used eviction.
 type cache struct {
 	used   int
 	order  *list.List
@@ -108,8 +108,8 @@
 	return cache{order: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
-// admit caches a prompt. It returns how many of its tokens were missing, and how
-// many of those belong to messages that others share.
+// admit caches a prompt. It returns the number of its tokens that were missing, and
+// the number of those in messages before the last, which other prompts may share.
 func (c *cache) admit(j *job) (missing, reusable int) {
 	before, broken := 0, false
 	for i, hash := range j.prefixes {
--- a/pkg/load/decide/fairness.go
+++ b/pkg/load/decide/fairness.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// fairness is Jain's index over what callers got of their fair part: the max-min
-// fair division, among equals, of all the work that was done.
+// fairness returns Jain's index of the ratios between each caller's completed work
+// and its fair share, the unweighted max-min fair share of all completed work.
 func fairness(demand, got map[string]float64) float64 {
 	total := 0.0
 	for _, work := range got {
@@ -29,8 +29,8 @@
 	return sum * sum / (n * squares)
 }
 
-// maxMin divides total so that nobody gets more than the demand, and nobody could
-// get more without somebody who has no more getting less.
+// maxMin divides total max-min fairly. No caller receives more than its demand, and
+// none could receive more without reducing a caller that receives no more than it.
 func maxMin(demand map[string]float64, total float64) map[string]float64 {
 	callers := make([]string, 0, len(demand))
 	for caller := range demand {
--- a/pkg/load/decide/forward.go
+++ b/pkg/load/decide/forward.go
@@ -6,10 +6,10 @@
 	"github.com/lilacweir/lilacweir/pkg/route"
 )
 
-// connectTimeout is how long it takes to notice that a link is cut.
+// connectTimeout is the time until a gateway detects that a link is cut.
 const connectTimeout = time.Second
 
-// forward sends a request to another failure domain, to one of its gateways at random.
+// forward sends a request to a random gateway of another failure domain.
 func (g *gateway) forward(j *job, decision *route.Decision) {
 	to := g.sim.failureDomain(decision.Domain.Domain)
 	j.tried = append(j.tried, to.name)
@@ -23,7 +23,7 @@
 	g.sim.After(linkDelay, func() { receiver.arrive(j) })
 }
 
-// giveBack returns a refused request to the gateway that forwarded it.
+// giveBack returns a refused request to the gateway that received it first.
 func (g *gateway) giveBack(j *job) {
 	g.sim.spills.refusedThere++
 	origin := g.sim.failureDomains[j.failureDomain].gateways[j.gateway]
@@ -39,17 +39,17 @@
 	return nil
 }
 
-// bytesPerToken is the length of a token in a prompt, by the rule of the gateways.
+// bytesPerToken is the gateways' estimate of the length of a prompt token.
 const bytesPerToken = 4
 
-// answerBytes is the length of an answer as a stream of chunks.
+// answerBytes returns the length of an answer as a stream of chunks.
 func (j *job) answerBytes() int { return j.answer * len(sampleChunk) }
 
-// sampleChunk is a chunk of a stream in the upstreams' format.
+// sampleChunk is a chunk in the upstreams' stream format.
 const sampleChunk = `data: {"id":"gw-1-0123456789abcdef","object":"chat.completion.chunk","model":"m",` +
 	`"choices":[{"index":0,"delta":{"content":"tok "},"finish_reason":null}]}` + "\n\n"
 
-// wayBack is how long an answer travels to the gateway that the caller asked.
+// wayBack returns the network delay of an answer to the gateway of its caller.
 func (e *engine) wayBack(j *job) time.Duration {
 	if e.failureDomain.index == j.failureDomain {
 		return 0
@@ -57,16 +57,16 @@
 	return linkDelay
 }
 
-// spills counts what was sent away.
+// spills counts the requests sent to other failure domains.
 type spills struct {
 	total, refusedThere int
-	// bytes of prompts and answers that went between failure domains; without headers.
+	// bytes counts prompts and answers between failure domains, without headers.
 	bytes int
-	// bins counts what each failure domain sent, by intervals of binTime.
+	// bins counts the requests that each failure domain sent, per binTime.
 	bins map[int][]float64
 }
 
-// binTime is the resolution at which swings are looked for.
+// binTime is the resolution at which reversals are detected.
 const binTime = 5 * time.Second
 
 func (s *spills) sent(j *job, _ *failureDomain) {
@@ -78,10 +78,11 @@
 	s.bins[j.failureDomain][bin]++
 }
 
-// swing is the change, in requests a bin, from which a turn counts.
+// swing is the smallest change, in requests per bin, that counts as a reversal.
 const swing = 8
 
-// turns counts how often what a failure domain sends turned from rising to falling or back.
+// turns counts how often the rate sent by a failure domain changed between rising
+// and falling.
 func (s *spills) turns() int {
 	count := 0
 	for _, bins := range s.bins {
--- a/pkg/load/decide/gateway.go
+++ b/pkg/load/decide/gateway.go
@@ -20,7 +20,7 @@
 	version = "v1"
 )
 
-// gateway runs the real decisions of one gateway.
+// gateway runs the real decision code of one gateway.
 type gateway struct {
 	sim           *simulation
 	failureDomain *failureDomain
@@ -33,11 +33,11 @@
 	queue         *admission.Queue
 	table         *route.Table
 	rnd           *rand.Rand
-	told          board.GatewayLoad // what the others know of it
+	told          board.GatewayLoad // load last published to the others
 	waiting       []*waiting
 }
 
-// waiting is a request in the queue.
+// waiting is a request in the admission queue.
 type waiting struct {
 	entry   *admission.Entry
 	request *route.Request
@@ -91,7 +91,7 @@
 	return d
 }
 
-// compile rebuilds the table from what the gateway has been told by now.
+// compile rebuilds the table from the information received so far.
 func (g *gateway) compile() {
 	g.table = route.Compile(route.Input{
 		Head: g.head, Members: g.failureDomain.members(), Upstreams: g.failureDomain.polled, Domains: g.failureDomain.domains(g.sim),
@@ -107,7 +107,7 @@
 	g.start()
 }
 
-// gossip tells the others what is in hand; they see it at their next compile.
+// gossip publishes the current load; other gateways read it at their next compile.
 func (g *gateway) gossip() {
 	inFlight := g.tracker.Snapshot()
 	waiting := g.queue.Waiting()
@@ -117,9 +117,9 @@
 	}
 }
 
-// arrive takes a request the way that a gateway does: a first decision, the queue,
-// a second decision, the upstream. It also takes those that others forwarded, and
-// its own that came back.
+// arrive handles a request in the order of a real gateway: first decision, queue,
+// second decision, upstream. It also handles requests forwarded by other gateways,
+// and its own that were returned.
 func (g *gateway) arrive(j *job) {
 	request := g.request(j)
 	request.Waiting = g.queue.Predict(g.ticket(j, route.PoolKey(model, version), 0))
@@ -156,7 +156,7 @@
 	return r
 }
 
-// caller is who sent a request, and where it may be processed.
+// caller returns the caller of a request with the regions that may process it.
 func (g *gateway) caller(j *job) *config.Caller {
 	home := g.sim.failureDomains[j.failureDomain].region
 	caller := &config.Caller{Name: j.caller.Name, Home: home, Regions: []string{home}}
@@ -178,7 +178,7 @@
 	}
 }
 
-// start sends what the queue has granted, and drops what it has refused.
+// start handles the requests that the queue has granted or refused.
 func (g *gateway) start() {
 	kept := g.waiting[:0]
 	var ready []*waiting
@@ -230,10 +230,10 @@
 	}
 }
 
-// freeAttempts is how many attempts a request has that upstreams reject.
+// freeAttempts is the number of rejected attempts after which a request fails.
 const freeAttempts = 2
 
-// rejected tries another engine, or gives the request up.
+// rejected retries on another engine, or refuses the request after freeAttempts.
 func (g *gateway) rejected(w *waiting, started *limit.Flight, name string) {
 	g.sim.result.rejections++
 	started.Done(limit.Rejected)
--- a/pkg/load/decide/mix.go
+++ b/pkg/load/decide/mix.go
@@ -15,7 +15,7 @@
 	MixMinibar  = "minibar"
 )
 
-// mix is who sends what. Tokens are those of the model.
+// mix defines the callers and their kinds of request. Lengths are in model tokens.
 type mix struct {
 	callers []mixCaller
 	kinds   []mixKind
@@ -30,8 +30,8 @@
 type mixKind struct {
 	name   string
 	weight float64
-	// system and history are tokens of the two leading messages; there are
-	// histories different histories.
+	// system and history are the tokens of the two leading messages. histories is
+	// the number of different histories.
 	system, history, histories int
 	question, answer           int
 	deadline                   time.Duration
@@ -45,13 +45,13 @@
 	failureDomain int
 	gateway       int
 	prefixes      []uint64
-	tokens        []int // up to the end of each message
+	tokens        []int // cumulative, up to the end of each message
 	answer        int
-	// homeBound requests may be processed in their own region alone.
+	// homeBound requests may be processed only in their own region.
 	homeBound bool
-	// tried names the failure domains that it was sent to.
+	// tried names the failure domains to which it was sent.
 	tried []string
-	// What became of it.
+	// Result of the request.
 	refused, inTime bool
 	first           time.Duration
 	roll            uint64
@@ -72,7 +72,7 @@
 	}
 }
 
-// wellness has long monthly reviews of whole histories next to short questions.
+// wellness mixes long monthly reviews of whole histories with short questions.
 func wellness() *mix {
 	return &mix{
 		callers: []mixCaller{
@@ -87,14 +87,14 @@
 	}
 }
 
-// rivals is how many partners share the minibar deployment; the first sends
-// greed times as much as each of the others.
+// rivals is the number of callers in the minibar mix. The first sends greed times
+// as many requests as each of the others.
 const (
 	rivals = 6
 	greed  = 10
 )
 
-// minibar has restock lists with a hotel's history, and short charge checks.
+// minibar mixes restock lists with a hotel's history and short charge checks.
 func minibar() *mix {
 	m := &mix{kinds: []mixKind{
 		{name: "restock", weight: 4, system: 150, history: 2500, histories: 60, question: 60, answer: 200, deadline: 15 * time.Second},
@@ -110,8 +110,8 @@
 	return m
 }
 
-// arrivals draws the jobs of a Poisson process in one failure domain. The rate may
-// change with time, but is never above the highest.
+// arrivals draws the jobs of a Poisson process in one failure domain, by thinning.
+// The rate may vary over time but never exceeds highest.
 func (m *mix) arrivals(rnd *rand.Rand, highest float64, rate func(time.Duration) float64, length time.Duration, failureDomain, gateways int) []job {
 	var jobs []job
 	at := time.Duration(0)
@@ -132,7 +132,7 @@
 	}
 }
 
-// homeBoundPart is the part of requests that may not leave their region.
+// homeBoundPart is the fraction of requests that may not leave their region.
 const homeBoundPart = 0.36
 
 func (m *mix) draw(rnd *rand.Rand) job {
--- a/pkg/load/decide/oracle.go
+++ b/pkg/load/decide/oracle.go
@@ -7,22 +7,22 @@
 	"github.com/lilacweir/lilacweir/pkg/timeline"
 )
 
-// record is what an engine had in hand over a run, for judgements afterwards.
+// record is an engine's load over a run, used to classify refusals afterwards.
 type record struct {
 	steps    []step
 	prefills []span
 }
 
-// step is the number of requests at an engine from a time on.
+// step is the number of requests at an engine from a time until the next step.
 type step struct {
 	at   time.Time
 	busy int
 }
 
-// span is a time in which an engine's prefill was busy.
+// span is an interval in which an engine's prefill was busy.
 type span struct{ from, to time.Time }
 
-// note records how many requests the engine has; a lost engine is full.
+// note records the number of requests at the engine; a lost engine counts as full.
 func (e *engine) note(s *simulation) {
 	busy := e.running + len(e.queue)
 	if e.lost {
@@ -36,15 +36,15 @@
 	e.record.steps = append(steps, step{s.Now(), busy})
 }
 
-// verdicts counts refused requests by what a place that knew the whole run could
-// have done with each alone, without taking a slot or prefill from another.
+// verdicts classifies refused requests by whether a scheduler that knew the whole run
+// could have completed each alone, without taking a slot or prefill from another.
 type verdicts struct {
-	// warranted could be finished nowhere in time, not even with a warm cache;
-	// warmOnly with a warm cache alone; the others, unwarranted, with a cold one.
+	// warranted requests could not complete in time even with a warm cache,
+	// warmOnly requests only with a warm cache, unwarranted ones with a cold cache.
 	warranted, warmOnly, unwarranted int
 }
 
-// judge looks at every measured refusal of the run.
+// judge classifies every measured refusal of the run.
 func (s *simulation) judge() verdicts {
 	var v verdicts
 	for i := range s.jobs {
@@ -64,7 +64,8 @@
 	return v
 }
 
-// ownTokens are those of the last message, which no cache holds.
+// ownTokens returns the tokens of the last message, which is unique and thus in no
+// cache.
 func (j *job) ownTokens() int {
 	n := len(j.tokens)
 	if n == 1 {
@@ -73,8 +74,8 @@
 	return j.tokens[n-1] - j.tokens[n-2]
 }
 
-// couldFinish says whether some permitted engine had room for a request before its
-// deadline, if so many of its tokens were missing from the cache.
+// couldFinish returns whether some permitted engine had the spare capacity to complete
+// a request in time, if the given number of its tokens was missing from the cache.
 func (s *simulation) couldFinish(j *job, missing int) bool {
 	return slices.ContainsFunc(s.engines, func(e *engine) bool {
 		permitted := e.failureDomain.index == j.failureDomain || (!j.homeBound && s.variant.percent > 0)
@@ -108,7 +109,7 @@
 	}
 }
 
-// after is the index of the first step later than a time.
+// after returns the index of the first step after a time.
 func (r *record) after(at time.Time) int {
 	i, _ := slices.BinarySearchFunc(r.steps, at, func(s step, at time.Time) int {
 		if s.at.After(at) {
@@ -126,7 +127,8 @@
 	return 0
 }
 
-// next is the first time from one to another at which the number of requests fits.
+// next returns the first time in [from, to) at which fits accepts the number of
+// requests.
 func (r *record) next(from, to time.Time, fits func(busy int) bool) (time.Time, bool) {
 	if fits(r.busyAt(from)) {
 		return from, true
@@ -142,7 +144,7 @@
 	return to, false
 }
 
-// idle is the first time at which prefill has nothing to do for as long as needed.
+// idle returns the first time from which prefill is idle for the needed duration.
 func (r *record) idle(from time.Time, need time.Duration) time.Time {
 	i, _ := slices.BinarySearchFunc(r.prefills, from, func(s span, at time.Time) int { return s.to.Compare(at) })
 	for _, s := range r.prefills[i:] {
--- a/pkg/load/decide/policy.go
+++ b/pkg/load/decide/policy.go
@@ -4,14 +4,14 @@
 	"github.com/lilacweir/lilacweir/pkg/route"
 )
 
-// policy is a way to choose an upstream.
+// policy is an algorithm that chooses an upstream.
 type policy struct {
 	name string
-	// strategy makes one gateway's strategy; nil keeps the gateways' own.
+	// strategy returns the strategy of one gateway; nil keeps the default.
 	strategy func() *route.Strategy
 }
 
-// policies holds the candidate first, then what it is compared with.
+// policies holds the candidate first, then the simpler policies.
 var policies = []policy{
 	{name: "lilacweir"},
 	{name: "round robin", strategy: simple(func() route.Picker { return &roundRobin{} }, inFlight{})},
@@ -40,7 +40,7 @@
 	return s
 }
 
-// everyone looks at all upstreams, from a random one on.
+// everyone samples all upstreams, starting from a random one.
 type everyone struct{}
 
 // Sample implements route.Picker.
@@ -53,7 +53,7 @@
 	return s
 }
 
-// twoChoices looks at two upstreams.
+// twoChoices samples two random upstreams.
 type twoChoices struct{}
 
 // Sample implements route.Picker.
@@ -70,7 +70,7 @@
 // Score implements route.Scorer.
 func (inFlight) Score(_ *route.Request, e route.Estimate) float64 { return e.Own }
 
-// reported ranks by all requests that are believed to be there.
+// reported ranks by the estimate of all requests at the upstream.
 type reported struct{}
 
 // Score implements route.Scorer.
--- a/pkg/load/decide/print.go
+++ b/pkg/load/decide/print.go
@@ -7,19 +7,19 @@
 	"slices"
 )
 
-// series is one policy's runs.
+// series is the runs of one policy.
 type series struct {
 	name string
 	runs []result
 }
 
-// goodputAt is the candidate's runs at one load.
+// goodputAt is the runs of the candidate at one load.
 type goodputAt struct {
 	percent int
 	runs    []result
 }
 
-// printer writes tables in Markdown and keeps the first error.
+// printer writes Markdown tables and records the first error.
 type printer struct {
 	w   io.Writer
 	err error
@@ -62,8 +62,7 @@
 	p.best(all)
 }
 
-// best compares the candidate, seed by seed, with whichever simpler policy did
-// best with that seed.
+// best compares the candidate with the best of the simpler policies, seed by seed.
 func (p *printer) best(all []series) {
 	candidate := all[0].runs
 	ratio := func(measure func(*result) float64) string {
@@ -97,7 +96,7 @@
 	p.printf("\n")
 }
 
-// spread formats the median, and the lowest and highest value.
+// spread formats the median, lowest and highest value; "none" if the median is NaN.
 func spread(n int, format string, value func(i int) float64) string {
 	values := make([]float64, n)
 	for i := range n {
@@ -111,7 +110,7 @@
 	return fmt.Sprintf("%s (%s-%s)", text(values[len(values)/2]), text(values[0]), text(values[len(values)-1]))
 }
 
-// spill writes the comparison of ways to send work away, phase by phase.
+// spill writes the comparison of the spill variants, by phase.
 func (p *printer) spill(o Options, capacity float64, all []spillSeries) {
 	p.printf("mix %s, 3 regions of %d engines and %d gateways, %d pairs, seeds from %d, cost weight %g\n",
 		o.Mix, o.Engines, o.Gateways, o.Pairs, o.Seed, o.CostWeight)
--- a/pkg/load/decide/result.go
+++ b/pkg/load/decide/result.go
@@ -10,35 +10,35 @@
 	"github.com/lilacweir/lilacweir/pkg/timeline"
 )
 
-// result is what one run showed.
+// result is the measurements of one run.
 type result struct {
-	// firstToken is in microseconds from when the request was due.
+	// firstToken is in microseconds from the request's due time.
 	firstToken *hdrhistogram.Histogram
-	// betweenTokens and wholeAnswer are in microseconds too, the latter from
-	// when the request was due.
+	// betweenTokens and wholeAnswer are in microseconds too, the latter from the
+	// due time.
 	betweenTokens, wholeAnswer *hdrhistogram.Histogram
-	// verdicts judges the refusals.
+	// verdicts classifies the refusals.
 	verdicts verdicts
-	// offered, served and refusals count requests; inTime those that were whole
+	// offered, served and refusals count requests; inTime counts those completed
 	// before their deadline.
 	offered, served, inTime, refusals int
 	byReason                          map[outcome.Reason]int
-	// demand and got are work by caller.
+	// demand and got are the offered work and the work completed in time, by caller.
 	demand, got map[string]float64
-	// engineSeconds is for each request that was served, wasted the part that is
-	// prefill which a warm cache would have saved.
+	// engineSeconds is per served request; wasted is the share of it spent on
+	// prefill that a warm cache would have saved.
 	engineSeconds, wasted float64
-	// workDone is the goodput in work a second.
+	// workDone is the goodput in work per second.
 	workDone float64
-	// excess is the most that gateways together had at one engine beyond its
-	// slots; lostPlaces counts grants that found no upstream below its limit.
+	// excess is the largest number of requests at one engine beyond its slots.
+	// lostPlaces counts grants that found no upstream below its limit.
 	excess, lostPlaces int
-	// rejections counts attempts that an engine did not start.
+	// rejections counts attempts that engines rejected.
 	rejections int
 	fairness   float64
 }
 
-// Bounds of the histogram, microseconds.
+// Range of the histograms in microseconds, and their precision in decimal digits.
 const (
 	shortest = 100
 	longest  = int64(10 * time.Minute / time.Microsecond)
@@ -66,7 +66,7 @@
 	r.byReason[refusal.Reason]++
 }
 
-// first records a first token that reaches the caller's gateway after the way back.
+// first records a first token, which reaches the caller's gateway after wayBack.
 func (r *result) first(s *simulation, j *job, wayBack time.Duration) {
 	j.first = s.Now().Add(wayBack).Sub(timeline.Epoch.Add(j.at))
 	if s.measured(j) {
@@ -74,14 +74,14 @@
 	}
 }
 
-// between records the time between an answer's tokens, once for each gap.
+// between records the time between an answer's tokens, once per gap.
 func (r *result) between(s *simulation, j *job, token time.Duration) {
 	if s.measured(j) && j.answer > 1 {
 		_ = r.betweenTokens.RecordValues(int64(token/time.Microsecond), int64(j.answer-1))
 	}
 }
 
-// whole records a whole answer.
+// whole records a complete answer, which reaches the caller's gateway after wayBack.
 func (r *result) whole(s *simulation, j *job, wayBack time.Duration) {
 	j.inTime = !s.Now().Add(wayBack).After(j.deadline())
 	if !s.measured(j) {
@@ -100,8 +100,8 @@
 	r.excess = max(r.excess, e.running+len(e.queue)+1-engineSlots)
 }
 
-// finish computes what needs the whole run. Engine-seconds are those of the whole
-// run, warm-up included, over all requests of it that were served.
+// finish computes the totals of the run. Engine-seconds are accumulated over the
+// warm-up too and scaled to the measured share of the run.
 func (r *result) finish(s *simulation) {
 	for i := range s.jobs {
 		if s.measured(&s.jobs[i]) {
@@ -125,5 +125,5 @@
 	return float64(r.firstToken.ValueAtPercentile(p)) / 1000
 }
 
-// goodput is requests a second that were whole before their deadline.
+// goodput returns the requests per second that completed before their deadline.
 func (r *result) goodput(o Options) float64 { return float64(r.inTime) / o.Length.Seconds() }
--- a/pkg/load/decide/simulation.go
+++ b/pkg/load/decide/simulation.go
@@ -9,9 +9,9 @@
 	"github.com/lilacweir/lilacweir/pkg/timeline"
 )
 
-// Lags and the warm-up, virtual time. The lags are those of the stand-in engines
-// and of the agents: an engine samples its load, an agent polls it, heartbeats carry
-// the gateways' work, and a gateway compiles its table.
+// Reporting delays and warm-up in virtual time. The delays are those of the stand-in
+// engines and of the agents: an engine samples its load, an agent polls it,
+// heartbeats carry the gateways' load, and a gateway compiles its table.
 const (
 	sampleInterval  = 250 * time.Millisecond
 	pollInterval    = time.Second
@@ -21,7 +21,7 @@
 	linkDelay       = 55 * time.Millisecond
 
 	warmUp = time.Minute
-	// tail is how long after the last arrival the run goes on.
+	// tail is the time for which the run continues after the last arrival.
 	tail = time.Minute
 )
 
@@ -54,7 +54,7 @@
 	return s
 }
 
-// build makes the failure domains and their engines.
+// build creates the failure domains and their engines.
 func (s *simulation) build(failureDomains int) {
 	for i := range failureDomains {
 		h := &failureDomain{index: i, name: fmt.Sprintf("hall-%d", i), region: fmt.Sprintf("region-%d", i), heard: map[string]board.DomainDigest{}}
@@ -66,7 +66,7 @@
 	}
 }
 
-// spoil brings about the fault of the first engine.
+// spoil applies the configured fault to the first engine.
 func (s *simulation) spoil() {
 	if s.options.Fault == "" {
 		return
@@ -79,7 +79,7 @@
 	s.engines[0].lies = s.options.Fault == FaultLie
 }
 
-// staff puts gateways into the failure domains.
+// staff adds gateways to the failure domains.
 func (s *simulation) staff(p policy, seed uint64) {
 	for _, h := range s.failureDomains {
 		for i := range s.options.Gateways {
@@ -96,7 +96,7 @@
 	}
 }
 
-// measure runs to the end and returns what was seen.
+// measure plays the simulation to its end and returns the measurements.
 func (s *simulation) measure() result {
 	s.every(sampleInterval, func() {
 		for _, e := range s.engines {
@@ -123,10 +123,10 @@
 	return s.result
 }
 
-// measured says whether an arrival counts.
+// measured returns whether a request arrived after the warm-up.
 func (s *simulation) measured(j *job) bool { return j.at >= warmUp }
 
-// every runs now and then again until the tail is over.
+// every calls run at an interval until the end of the tail.
 func (s *simulation) every(interval time.Duration, run func()) {
 	s.Every(interval, s.end.Add(tail+interval), run)
 }
--- a/pkg/load/decide/spill.go
+++ b/pkg/load/decide/spill.go
@@ -10,19 +10,19 @@
 	"github.com/lilacweir/lilacweir/pkg/timeline"
 )
 
-// failureDomains is the number of failure domains in the comparison of sending away, each
-// a region of its own.
+// failureDomains is the number of failure domains in the comparison of spill
+// variants, each a region of its own.
 const failureDomains = 3
 
-// phase is a part of the scenario, by the arrival of requests.
+// phase is an interval of the scenario; requests belong to it by their arrival.
 type phase struct {
 	name     string
 	from, to time.Duration
 }
 
-// phases of the scenario, from the end of the warm-up. The first failure domain has its peak
-// from minute 2 to 5, and its link to the second is cut from 3 to 4; the second
-// loses all engines but one from 6 to 8.
+// phases holds the phases of the scenario, from the end of the warm-up. The first
+// failure domain peaks from minute 2 to 5, and its link to the second is cut from 3
+// to 4. The second loses all engines but one from 6 to 8.
 var phases = []phase{
 	{"even", 0, 2 * time.Minute},
 	{"peak", 2 * time.Minute, 3 * time.Minute},
@@ -32,7 +32,7 @@
 	{"region back", 8 * time.Minute, 10 * time.Minute},
 }
 
-// Loads of the scenario, parts of a failure domain's capacity.
+// Loads of the scenario, as fractions of a failure domain's capacity.
 const (
 	evenLoad = 0.5
 	peakLoad = 1.2
@@ -45,8 +45,8 @@
 	scenarioLength     = 10 * time.Minute
 )
 
-// RunSpill compares ways to send work to other regions through a peak, a cut link
-// and the loss of engines, and writes a table to w.
+// RunSpill compares the spill variants during a peak, a cut link and the loss of
+// engines, and writes tables to w.
 func RunSpill(w io.Writer, o Options) error {
 	mix, err := mixOf(o.Mix)
 	if err != nil {
@@ -69,19 +69,19 @@
 	return out.err
 }
 
-// spillSeries is one variant's runs.
+// spillSeries is the runs of one variant.
 type spillSeries struct {
 	name string
 	runs []spillResult
 }
 
-// spillResult is one run, by phases.
+// spillResult is one run, by phase and in total.
 type spillResult struct {
 	phases       []phaseResult
 	whole        phaseResult
 	refusedThere int
 	turns        int
-	// bytes went between regions, warm-up included.
+	// bytes is the traffic between regions, including the warm-up.
 	bytes int
 	all   result
 }
@@ -108,7 +108,7 @@
 	return s.byPhase(all, phases, func(*job) bool { return true })
 }
 
-// newRegions makes a run of several regions that send work to each other.
+// newRegions returns a simulation of several regions that spill to each other.
 func newRegions(o Options, m *mix, v variant, seed uint64) *simulation {
 	s := &simulation{options: o, mix: m, variant: v, Timeline: timeline.New()}
 	s.end = timeline.Epoch.Add(warmUp + o.Length)
@@ -119,7 +119,7 @@
 	return s
 }
 
-// troubles schedules the cut link and the loss of engines.
+// troubles schedules the link cut and the loss of engines.
 func (s *simulation) troubles() {
 	first, second := s.failureDomains[0], s.failureDomains[1]
 	s.After(warmUp+cutFrom, func() {
@@ -130,7 +130,7 @@
 	s.lose(second.engines[1:], warmUp+shortFrom, warmUp+shortTo)
 }
 
-// byPhase divides the measured requests that are kept, by their arrival.
+// byPhase groups the measured requests accepted by keep by their phase of arrival.
 func (s *simulation) byPhase(all result, phases []phase, keep func(*job) bool) spillResult {
 	out := spillResult{refusedThere: s.spills.refusedThere, turns: s.spills.turns(), bytes: s.spills.bytes, all: all}
 	for _, ph := range phases {
@@ -155,7 +155,8 @@
 	return 100 * float64(part) / float64(max(1, p.offered))
 }
 
-// quantile of the first token, in milliseconds; not a number where none came.
+// quantile returns a percentile of the time to first token in milliseconds, NaN if
+// there was none.
 func (p *phaseResult) quantile(q float64) float64 {
 	if p.firstToken.TotalCount() == 0 {
 		return math.NaN()
--- a/pkg/load/decide/variant.go
+++ b/pkg/load/decide/variant.go
@@ -6,20 +6,20 @@
 	"github.com/lilacweir/lilacweir/pkg/board"
 )
 
-// variant is a way to send work to other failure domains.
+// variant is a set of rules for spilling work to other failure domains.
 type variant struct {
 	name string
-	// percent is the spill rule between any two regions; 0: nothing is sent.
+	// percent is the spill rule between any two regions; zero disables spill.
 	percent int
 	// margin is the declared spill margin; zero leaves the default.
 	margin time.Duration
-	// boundless makes every domain offer more than it could ever take, so that
-	// credit binds nobody.
+	// boundless makes every domain advertise more spare capacity than it could
+	// ever have, so that credit limits no sender.
 	boundless bool
 }
 
-// variants holds what is compared: nothing sent away, everything sent where it is
-// predicted to end sooner, and the rules that gateways keep.
+// variants holds the rules under comparison: no spill, spill wherever a request is
+// predicted to complete sooner, and the rules of the gateways.
 var variants = []variant{
 	{name: "stay", percent: 0},
 	{name: "no credit, no margin", percent: 100, margin: time.Nanosecond, boundless: true},
@@ -27,7 +27,7 @@
 	{name: "lilacweir", percent: 100},
 }
 
-// boundlessSpare is more than any domain can take.
+// boundlessSpare exceeds the capacity of any domain.
 const boundlessSpare = 1 << 20
 
 func (v variant) offer(pool *board.PoolDigest) {
--- a/pkg/load/deployment.go
+++ b/pkg/load/deployment.go
@@ -11,7 +11,7 @@
 )
 
 // ReadInstances reads the settings of every instance in a deployment's
-// directory, by instance name. Other files there are left out.
+// directory, by instance name. It ignores other files.
 func ReadInstances(directory string) (map[string]*settings.Instance, error) {
 	files, err := filepath.Glob(filepath.Join(directory, "*.yaml"))
 	if err != nil {
@@ -36,7 +36,8 @@
 	return instances, nil
 }
 
-// SeedsByDomain lists the callers' addresses by failure domain.
+// SeedsByDomain returns the addresses on which gateways listen for callers, by
+// failure domain.
 func SeedsByDomain(instances map[string]*settings.Instance) map[string][]string {
 	seeds := make(map[string][]string)
 	for _, instance := range instances {
@@ -45,7 +46,7 @@
 	return seeds
 }
 
-// RegionByDomain gives the region of each failure domain.
+// RegionByDomain returns the region of each failure domain.
 func RegionByDomain(instances map[string]*settings.Instance) map[string]string {
 	regions := make(map[string]string)
 	for _, instance := range instances {
--- a/pkg/load/load_test.go
+++ b/pkg/load/load_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// gateway answers chats with two chunks from another domain and refuses uploads.
+// gateway answers chats with two chunks from another domain and rejects uploads.
 func gateway(address *string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -78,7 +78,7 @@
 	for range 20 {
 		is.Equal(mix.draw(first), mix.draw(second))
 	}
-	is.True(len(Arrivals(4, 1000, 10*time.Second)) > 9000) // the rate is kept
+	is.True(len(Arrivals(4, 1000, 10*time.Second)) > 9000) // close to the requested rate
 }
 
 func TestMixNamesUnknownCaller(t *testing.T) {
--- a/pkg/load/mix.go
+++ b/pkg/load/mix.go
@@ -9,60 +9,58 @@
 	"github.com/lilacweir/lilacweir/pkg/yamlfile"
 )
 
-// Mix says who sends what, and how often.
+// Mix defines the callers, their kinds of request and the frequency of each.
 type Mix struct {
-	// Callers lists who sends.
 	Callers []Caller `yaml:"callers" validate:"required,min=1,dive"`
-	// Items lists what is sent.
-	Items []Item `yaml:"items" validate:"required,min=1,dive"`
+	Items   []Item   `yaml:"items" validate:"required,min=1,dive"`
 }
 
-// Caller is one organisation that sends, from one failure domain.
+// Caller is one organisation that sends requests from one failure domain.
 type Caller struct {
 	Name string `yaml:"name" validate:"required,name"`
 	// Key is the caller's key in a deployment of stand-ins.
 	Key string `yaml:"key" validate:"required"`
-	// Domain is the failure domain whose instances it asks first.
+	// Domain is the failure domain that provides its seed addresses.
 	Domain string `yaml:"domain" validate:"required,name"`
-	// Region is its home, for the share that was sent away.
+	// Region is its home region; answers from others count as remote.
 	Region string `yaml:"region" validate:"required,name"`
 }
 
 // Item is one kind of request. Exactly one of Chat and Call is set.
 type Item struct {
 	Name string `yaml:"name" validate:"required,name"`
-	// Weight is its share among all items.
+	// Weight is its share relative to the other items.
 	Weight int `yaml:"weight" validate:"gte=1"`
-	// Callers names who sends it, taken evenly.
+	// Callers names the callers that send it, with equal probability.
 	Callers []string `yaml:"callers" validate:"required,min=1,dive,name"`
 	Chat    *Chat    `yaml:"chat,omitempty" validate:"required_without=Call"`
 	Call    *Call    `yaml:"call,omitempty" validate:"required_without=Chat"`
 }
 
-// Chat describes chat requests. Each has one of a number of histories, which
-// are the prefixes that recur.
+// Chat describes chat requests. Each starts with one of a fixed number of
+// histories, which are the prefixes that recur.
 type Chat struct {
 	Model string `yaml:"model" validate:"required,name"`
-	// Histories is how many different histories there are; zero means none.
+	// Histories is the number of different histories; zero means none.
 	Histories int `yaml:"histories,omitempty" validate:"gte=0"`
 	// HistoryBytes is the length of a history.
 	HistoryBytes int `yaml:"history_bytes,omitempty" validate:"gte=0"`
-	// QuestionBytes is the length of the part that is new each time.
+	// QuestionBytes is the length of the last message, which is unique.
 	QuestionBytes int `yaml:"question_bytes" validate:"gte=1"`
 	MaxTokens     int `yaml:"max_tokens" validate:"gte=1"`
 }
 
-// Call describes calls of a plain service.
+// Call describes requests to a service upstream.
 type Call struct {
 	Method string `yaml:"method" validate:"required,oneof=GET HEAD POST PUT PATCH DELETE"`
 	Path   string `yaml:"path" validate:"required,startswith=/"`
 	// BodyBytes is the length of the body.
 	BodyBytes int `yaml:"body_bytes,omitempty" validate:"gte=0"`
-	// Key sends each under a new idempotency key.
+	// Key adds a new idempotency key to each request.
 	Key bool `yaml:"key,omitempty"`
 }
 
-// MixError is a mix that cannot be sent.
+// MixError reports an item that names a caller missing from the mix.
 type MixError struct {
 	Item, Caller string
 }
@@ -84,7 +82,7 @@
 	return &mix, nil
 }
 
-// check finds the callers that items name.
+// check returns a MixError if an item names an unknown caller.
 func (m *Mix) check() error {
 	known := make(map[string]bool)
 	for _, caller := range m.Callers {
@@ -108,7 +106,7 @@
 	body   []byte
 }
 
-// draw makes the next request.
+// draw returns a random item's request from one of its callers.
 func (m *Mix) draw(source *rand.Rand) request {
 	total := 0
 	for _, item := range m.Items {
@@ -149,7 +147,7 @@
 	return fmt.Appendf(nil, `{"record":%q}`, text)
 }
 
-// filler is repeated to make texts of a given length.
+// filler is repeated to pad texts to a given length.
 const filler = "asleep 23:41 awake 06:12 stirred 03:05 for 4 min; "
 
 func fill(start string, length int) string {
--- a/pkg/load/overhead.go
+++ b/pkg/load/overhead.go
@@ -20,7 +20,7 @@
 const comparisonTimeout = 10 * time.Second
 
 // Comparison sends the same GET call through a gateway and directly to the
-// service behind it, in turn, so that both meet the same machine.
+// service behind it, alternately, so that both see the same load on the machine.
 type Comparison struct {
 	Gateway, Direct, Key string
 	// Path is the path through the gateway: /PREFIX/REST; directly it is /REST.
@@ -30,16 +30,16 @@
 	Length time.Duration
 }
 
-// Overhead is what a comparison measured; times are in microseconds and count
-// from when a call was due.
+// Overhead is the result of a Comparison. Times are in microseconds and count from
+// the due time of a call.
 type Overhead struct {
 	mu              sync.Mutex
 	Gateway, Direct *hdrhistogram.Histogram
-	// Failed counts the calls that did not end complete, either way.
+	// Failed counts the calls on both paths whose outcome was not complete.
 	Failed int
 }
 
-// Send sends the calls and waits for the last.
+// Send sends the calls and waits for all of them.
 func (c *Comparison) Send(ctx context.Context) *Overhead {
 	result := &Overhead{Gateway: newHistogram(), Direct: newHistogram()}
 	caller := client.New(c.Key, nil)
@@ -60,7 +60,7 @@
 	return result
 }
 
-// directPath takes the service's prefix off.
+// directPath returns the path without the service's prefix.
 func (c *Comparison) directPath() string {
 	_, rest, _ := strings.Cut(strings.TrimPrefix(c.Path, "/"), "/")
 	return "/" + rest
@@ -80,7 +80,7 @@
 	record(into, took)
 }
 
-// WriteText writes both distributions and what the gateway added.
+// WriteText writes both distributions and the latency that the gateway added.
 func (o *Overhead) WriteText(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "ms\tcalls\tp50\tp99\t")
--- a/pkg/load/print.go
+++ b/pkg/load/print.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// columns are the headings of a report; times are in milliseconds.
+// columns holds the headings of a report; times are in milliseconds.
 var columns = []string{
 	"item", "sent", "complete", "not-run", "unknown", "away%",
 	"first p50", "first p95", "first p99", "between p95", "whole p50", "whole p95", "whole p99",
@@ -27,7 +27,7 @@
 	}
 }
 
-// AwayPercent is the share of all requests that another region answered.
+// AwayPercent returns the percentage of requests answered by another region.
 func (t *Tally) AwayPercent() float64 {
 	if t.Sent == 0 {
 		return 0
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("%.2f", float64(histogram.ValueAtQuantile(percent))/1000)
 }
 
-// rows returns the whole report.
+// rows returns the headings and the rows of the items, the total and the callers.
 func (r *Report) rows() [][]string {
 	rows := [][]string{columns}
 	for _, tally := range r.Items {
@@ -77,7 +77,7 @@
 	return r.writeReasons(out)
 }
 
-// writeReasons counts why requests did not end complete.
+// writeReasons writes how often each reason kept a request from completing.
 func (r *Report) writeReasons(out io.Writer) error {
 	type cause struct{ outcome, reason string }
 	counts := make(map[cause]int)
--- a/pkg/load/report.go
+++ b/pkg/load/report.go
@@ -10,17 +10,17 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// Range and precision of the histograms, in microseconds and digits.
+// Range of the histograms in microseconds, and their precision in decimal digits.
 const (
 	lowest  = 1
 	highest = int64(5 * time.Minute / time.Microsecond)
 	digits  = 3
 )
 
-// Tally is what was measured of one kind of request.
+// Tally is the measurements of one kind of request, or of one caller.
 type Tally struct {
 	Item string
-	// Sent counts requests; the outcomes add up to it.
+	// Sent counts requests and is the sum of the three outcomes.
 	Sent, Complete, NotRun, Unknown int
 	// Away counts the answers that came from another region than the caller's home.
 	Away int
@@ -52,7 +52,7 @@
 	t.Whole.Merge(other.Whole)
 }
 
-// Ending describes a request that did not end complete.
+// Ending describes a request whose outcome was not complete.
 type Ending struct {
 	Item, Caller, RequestID string
 	Outcome                 outcome.Outcome
@@ -60,21 +60,21 @@
 	Err                     error
 }
 
-// maxEndings bounds how many endings a report keeps.
+// maxEndings bounds the endings that a report retains.
 const maxEndings = 1000
 
-// Report is what was measured of a run.
+// Report is the result of a Run.
 type Report struct {
 	mu sync.Mutex
 	// Items holds a tally for each kind of request, in the mix's order.
 	Items []*Tally
 	// ByCaller holds a tally for each caller, in the mix's order.
 	ByCaller []*Tally
-	// Endings describes the requests that did not end complete, the first 1000.
+	// Endings describes the first maxEndings requests that were not complete.
 	Endings []Ending
-	// Cost is what upstreams spent; nil when it was not read.
+	// Cost is the work of the upstreams; nil if it was not read.
 	Cost *Cost
-	// Elapsed is how long the run took.
+	// Elapsed is the duration of the run.
 	Elapsed time.Duration
 }
 
@@ -89,7 +89,7 @@
 	return report
 }
 
-// Total adds up the items.
+// Total returns the sum of the items.
 func (r *Report) Total() *Tally {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,7 +100,7 @@
 	return total
 }
 
-// sample is what was measured of one request.
+// sample is the measurements of one request.
 type sample struct {
 	request request
 	answer  *client.Answer
@@ -160,7 +160,7 @@
 	}
 }
 
-// record puts a duration into a histogram, held to its range.
+// record adds a duration to a histogram, clamped to its range.
 func record(histogram *hdrhistogram.Histogram, value time.Duration) {
 	_ = histogram.RecordValue(min(max(value.Microseconds(), lowest), highest))
 }
--- a/pkg/load/run.go
+++ b/pkg/load/run.go
@@ -15,29 +15,29 @@
 // Run is one run of load.
 type Run struct {
 	Mix *Mix
-	// Seeds lists gateways by failure domain, to ask for the instance list.
+	// Seeds lists by failure domain the gateway addresses that serve the instance list.
 	Seeds map[string][]string
-	// Regions gives the region of each failure domain.
+	// Regions maps failure domains to their regions.
 	Regions map[string]string
 	// Seed fixes the arrivals and the requests.
 	Seed uint64
-	// Rate is requests a second, Length how long they keep coming.
+	// Rate is in requests per second. Length is the duration of the arrivals.
 	Rate   float64
 	Length time.Duration
 	// Timeout bounds one request.
 	Timeout time.Duration
-	// Dial connects; nil dials plainly.
+	// Dial connects to gateways; nil uses the default dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	// Answered counts the requests that have ended so far.
+	// Answered counts the requests that have finished so far.
 	Answered atomic.Int64
 
 	followers map[string]*client.Follower
 	homes     map[string]string
 }
 
-// Send sends the load and waits for every answer. When ctx ends, no further
-// request is sent, and those under way are waited for.
+// Send sends the load and waits for every answer. When ctx is cancelled, it sends
+// no further requests but still waits for those in flight.
 func (r *Run) Send(ctx context.Context) (*Report, error) {
 	if err := r.Mix.check(); err != nil {
 		return nil, fmt.Errorf("mix: %w", err)
@@ -72,7 +72,7 @@
 	}
 }
 
-// sendOne sends one request that was due at a time.
+// sendOne sends one request and measures it from its due time.
 func (r *Run) sendOne(drawn request, due time.Time) *sample {
 	ctx, cancel := context.WithTimeout(context.Background(), r.Timeout)
 	defer cancel()
@@ -116,7 +116,7 @@
 	s.answer = follower.Call(ctx, call.Method, call.Path, s.request.body, options)
 }
 
-// sleepUntil waits for a time; false when ctx ended first.
+// sleepUntil waits until a time and returns false if ctx was cancelled first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
