--- a/pkg/load/chunks_test.go
+++ b/pkg/load/chunks_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func TestChunkRateCountsBothWays(t *testing.T) {
+func TestChunkRateMeasuresBothPaths(t *testing.T) {
 	is := is.New(t)
 	const chunk = `data: {"choices":[{"delta":{"content":"x"}}]}` + "\n\n"
 	serve := func(end string) *httptest.Server {
--- a/pkg/load/decide/answers.go
+++ b/pkg/load/decide/answers.go
@@ -9,10 +9,10 @@
 	p.printf("|---|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, s := range all {
 		count := func(of func(*result) int) string {
-			return spread(len(s.runs), "%.0f", func(i int) float64 { return float64(of(&s.runs[i])) })
+			return medianAndRange(len(s.runs), "%.0f", func(i int) float64 { return float64(of(&s.runs[i])) })
 		}
 		quantile := func(of func(*result) *hdrhistogram.Histogram, q float64) string {
-			return spread(len(s.runs), "%.0f", func(i int) float64 { return float64(of(&s.runs[i]).ValueAtPercentile(q)) / 1000 })
+			return medianAndRange(len(s.runs), "%.0f", func(i int) float64 { return float64(of(&s.runs[i]).ValueAtPercentile(q)) / 1000 })
 		}
 		between := func(r *result) *hdrhistogram.Histogram { return r.betweenTokens }
 		whole := func(r *result) *hdrhistogram.Histogram { return r.wholeAnswer }
@@ -20,9 +20,9 @@
 			quantile(between, 50), quantile(between, 95), quantile(between, 99),
 			quantile(whole, 50), quantile(whole, 95), quantile(whole, 99),
 			count(func(r *result) int { return r.refusals }),
-			count(func(r *result) int { return r.verdicts.warranted }),
-			count(func(r *result) int { return r.verdicts.warmOnly }),
-			count(func(r *result) int { return r.verdicts.unwarranted }))
+			count(func(r *result) int { return r.refusalClasses.warranted }),
+			count(func(r *result) int { return r.refusalClasses.warmOnly }),
+			count(func(r *result) int { return r.refusalClasses.unwarranted }))
 	}
 	p.printf("\n")
 }
--- a/pkg/load/decide/day.go
+++ b/pkg/load/decide/day.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// hoursOfDay is the number of hours in a day; Day.Hour is the length of each.
-const hoursOfDay = 24
+// hoursPerDay is the number of hours in a day; Day.Hour is the length of each.
+const hoursPerDay = 24
 
 // Day describes the load of a day in regions with offset peaks, in compressed time.
 type Day struct {
@@ -27,8 +27,8 @@
 
 // Peak of the first region, and the start and end of its outage, in hours.
 const (
-	peakHour           = hoursOfDay / 2
-	lostFrom, lostUpto = peakHour - 1, peakHour + 1
+	peakHour             = hoursPerDay / 2
+	outageFrom, outageTo = peakHour - 1, peakHour + 1
 )
 
 // level returns the load of a region as a fraction of its capacity, at a time since
@@ -36,7 +36,7 @@
 func (d Day) level(failureDomain int, at time.Duration) float64 {
 	trough := d.Peak / d.PeakToTrough
 	hour := float64(at)/float64(d.Hour) - d.Offset*float64(failureDomain)
-	return trough + (d.Peak-trough)*(1-math.Cos(2*math.Pi*hour/hoursOfDay))/2
+	return trough + (d.Peak-trough)*(1-math.Cos(2*math.Pi*hour/hoursPerDay))/2
 }
 
 func (d Day) check() error {
@@ -48,7 +48,7 @@
 
 // hours returns one phase for each hour of the day.
 func (d Day) hours() []phase {
-	out := make([]phase, hoursOfDay)
+	out := make([]phase, hoursPerDay)
 	for i := range out {
 		out[i] = phase{fmt.Sprint(i), time.Duration(i) * d.Hour, time.Duration(i+1) * d.Hour}
 	}
@@ -95,7 +95,7 @@
 	o.FailureDomains = 1
 	capacity := capacityOf(*o, mix, policies[0])
 	o.FailureDomains = failureDomains
-	o.Length = hoursOfDay * o.Day.Hour
+	o.Length = hoursPerDay * o.Day.Hour
 	days := make([]daySeries, len(variants))
 	for pair := range o.Pairs {
 		for i := range variants {
@@ -109,11 +109,11 @@
 
 func runDay(o Options, m *mix, v variant, capacity float64, seed uint64) dayResult {
 	s := newRegions(o, m, v, seed)
-	s.offer(seed, o.Day.Peak*capacity, func(failureDomain int) func(time.Duration) float64 {
+	s.addArrivals(seed, o.Day.Peak*capacity, func(failureDomain int) func(time.Duration) float64 {
 		return func(at time.Duration) float64 { return capacity * o.Day.level(failureDomain, at-warmUp) }
 	})
 	if o.Day.Lose {
-		s.lose(s.failureDomains[0].engines, warmUp+lostFrom*o.Day.Hour, warmUp+lostUpto*o.Day.Hour)
+		s.takeDown(s.failureDomains[0].engines, warmUp+outageFrom*o.Day.Hour, warmUp+outageTo*o.Day.Hour)
 	}
 	var out dayResult
 	s.After(warmUp, func() {
@@ -126,29 +126,29 @@
 }
 
 // waiting counts the requests queued in a failure domain, at gateways and engines.
-func (h *failureDomain) waiting() int {
+func (fd *failureDomain) waiting() int {
 	total := 0
-	for _, g := range h.gateways {
+	for _, g := range fd.gateways {
 		total += len(g.waiting)
 	}
-	for _, e := range h.engines {
+	for _, e := range fd.engines {
 		total += len(e.queue)
 	}
 	return total
 }
 
-// lose takes engines down between two times; they return with cold caches.
-func (s *simulation) lose(engines []*engine, from, to time.Duration) {
+// takeDown takes engines down between two times; they return with cold caches.
+func (s *simulation) takeDown(engines []*engine, from, to time.Duration) {
 	s.After(from, func() {
 		for _, e := range engines {
 			e.lost = true
-			e.note(s)
+			e.recordLoad(s)
 		}
 	})
 	s.After(to, func() {
 		for _, e := range engines {
 			e.lost = false
-			e.note(s)
+			e.recordLoad(s)
 			e.cache = newCache()
 		}
 	})
--- a/pkg/load/decide/day_test.go
+++ b/pkg/load/decide/day_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestDayHasDeclaredPeaksAndLossIsSeenInItsHoursAlone(t *testing.T) {
+func TestDayFollowsItsLoadCurveAndOutage(t *testing.T) {
 	is := is.New(t)
 	o := small()
 	o.Day = Day{Hour: 10 * time.Second, Peak: 0.5, PeakToTrough: 5, Offset: 8, Lose: true}
@@ -18,11 +18,11 @@
 	days, _, err := measureDays(&o)
 	is.NoErr(err)
 	stay := days[0].runs[0].first.phases
-	is.Equal(stay[lostFrom-1].refused, 0)
-	is.Equal(stay[lostFrom+1].refused, stay[lostFrom+1].offered) // the variant does not spill
-	is.True(math.IsNaN(stay[lostFrom+1].quantile(99)))           // no answers, so no latency
-	is.Equal(stay[lostUpto+1].refused, 0)
-	sent := days[len(days)-1].runs[0].first.phases[lostFrom+1]
-	is.True(sent.away > 0)
+	is.Equal(stay[outageFrom-1].refused, 0)
+	is.Equal(stay[outageFrom+1].refused, stay[outageFrom+1].offered) // the variant does not spill
+	is.True(math.IsNaN(stay[outageFrom+1].quantile(99)))             // no answers, so no latency
+	is.Equal(stay[outageTo+1].refused, 0)
+	sent := days[len(days)-1].runs[0].first.phases[outageFrom+1]
+	is.True(sent.spilled > 0)
 	is.True(sent.inTime > 0) // other regions serve the requests that may leave
 }
--- a/pkg/load/decide/dayprint.go
+++ b/pkg/load/decide/dayprint.go
@@ -28,7 +28,7 @@
 		}
 	}
 	p.answers("all regions, whole day", all)
-	p.between(days)
+	p.interRegionTraffic(days)
 }
 
 // dayTable is one measure of the first region's requests, hour by hour.
@@ -40,7 +40,7 @@
 var dayTables = []dayTable{
 	{"p95 first token", "%.0f", func(_ *dayResult, r *phaseResult, _ phase) float64 { return r.quantile(95) }},
 	{"p99 first token", "%.0f", func(_ *dayResult, r *phaseResult, _ phase) float64 { return r.quantile(99) }},
-	{"sent away %", "%.1f", func(_ *dayResult, r *phaseResult, _ phase) float64 { return r.percent(r.away) }},
+	{"sent away %", "%.1f", func(_ *dayResult, r *phaseResult, _ phase) float64 { return r.percent(r.spilled) }},
 	{"refused %", "%.1f", func(_ *dayResult, r *phaseResult, _ phase) float64 { return r.percent(r.refused) }},
 	{"most waiting", "%.0f", func(d *dayResult, _ *phaseResult, ph phase) float64 { return float64(d.mostWaiting(ph)) }},
 }
@@ -55,7 +55,7 @@
 	for hour, ph := range o.Day.hours() {
 		p.printf("| %s | %.2f |", ph.name, o.Day.level(0, (ph.from+ph.to)/2))
 		for _, d := range days {
-			p.printf(" %s |", spread(len(d.runs), table.format, func(run int) float64 {
+			p.printf(" %s |", medianAndRange(len(d.runs), table.format, func(run int) float64 {
 				return table.value(&d.runs[run], &d.runs[run].first.phases[hour], ph)
 			}))
 		}
@@ -68,25 +68,26 @@
 	n := len(d.runs)
 	at := func(run int) *phaseResult { return &d.runs[run].all.whole }
 	p.printf("| %s | %s | %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", d.name,
-		spread(n, "%.0f", func(run int) float64 { return at(run).quantile(50) }),
-		spread(n, "%.0f", func(run int) float64 { return at(run).quantile(95) }),
-		spread(n, "%.0f", func(run int) float64 { return at(run).quantile(99) }),
-		spread(n, "%.1f", func(run int) float64 { return at(run).percent(at(run).inTime) }),
-		spread(n, "%.1f", func(run int) float64 { return at(run).percent(at(run).refused) }),
-		spread(n, "%.1f", func(run int) float64 { return at(run).percent(at(run).away) }),
-		spread(n, "%.0f", func(run int) float64 { return float64(d.runs[run].all.turns) }),
-		spread(n, "%.0f", func(run int) float64 { return float64(d.runs[run].all.refusedThere) }),
-		spread(n, "%.3f", func(run int) float64 { return d.runs[run].all.all.engineSeconds }),
-		spread(n, "%.3f", func(run int) float64 { return d.runs[run].all.all.wasted }))
+		medianAndRange(n, "%.0f", func(run int) float64 { return at(run).quantile(50) }),
+		medianAndRange(n, "%.0f", func(run int) float64 { return at(run).quantile(95) }),
+		medianAndRange(n, "%.0f", func(run int) float64 { return at(run).quantile(99) }),
+		medianAndRange(n, "%.1f", func(run int) float64 { return at(run).percent(at(run).inTime) }),
+		medianAndRange(n, "%.1f", func(run int) float64 { return at(run).percent(at(run).refused) }),
+		medianAndRange(n, "%.1f", func(run int) float64 { return at(run).percent(at(run).spilled) }),
+		medianAndRange(n, "%.0f", func(run int) float64 { return float64(d.runs[run].all.reversals) }),
+		medianAndRange(n, "%.0f", func(run int) float64 { return float64(d.runs[run].all.refusedByReceiver) }),
+		medianAndRange(n, "%.3f", func(run int) float64 { return d.runs[run].all.all.engineSeconds }),
+		medianAndRange(n, "%.3f", func(run int) float64 { return d.runs[run].all.all.wasted }))
 }
 
-// between writes the traffic between regions and the prefill wasted on cold caches.
-func (p *printer) between(days []daySeries) {
+// interRegionTraffic writes the traffic between regions and the prefill wasted on
+// cold caches.
+func (p *printer) interRegionTraffic(days []daySeries) {
 	p.printf("| all regions, whole day | MB between regions | prefill wasted, engine-seconds |\n|---|---|---|\n")
 	for _, d := range days {
 		p.printf("| %s | %s | %s |\n", d.name,
-			spread(len(d.runs), "%.1f", func(run int) float64 { return float64(d.runs[run].all.bytes) / bytesPerMegabyte }),
-			spread(len(d.runs), "%.0f", func(run int) float64 {
+			medianAndRange(len(d.runs), "%.1f", func(run int) float64 { return float64(d.runs[run].all.bytes) / bytesPerMegabyte }),
+			medianAndRange(len(d.runs), "%.0f", func(run int) float64 {
 				r := &d.runs[run].all.all
 				return r.wasted * float64(r.served)
 			}))
--- a/pkg/load/decide/decide.go
+++ b/pkg/load/decide/decide.go
@@ -25,8 +25,8 @@
 	Loads []int
 	// Overload adds the goodput at and above the candidate's own capacity.
 	Overload bool
-	// Fault is the fault of the first engine: FaultSlow, FaultLie, FaultReject, or
-	// empty for none.
+	// Fault is the fault of the first engine: FaultSlow, FaultMisreport,
+	// FaultReject, or empty for none.
 	Fault string
 	// Pairs is the number of runs of each policy. Run i of all policies uses the
 	// same seed.
@@ -45,8 +45,8 @@
 const (
 	// FaultSlow makes it slowFactor times slower, with correct reports.
 	FaultSlow = "slow"
-	// FaultLie makes it as slow, but it reports that it is fast and idle.
-	FaultLie = "lie"
+	// FaultMisreport makes it equally slow, but it reports that it is fast and idle.
+	FaultMisreport = "lie"
 	// FaultReject makes it reject every request while it reports that it is idle.
 	FaultReject = "reject"
 )
@@ -74,7 +74,7 @@
 	if o.Engines < 1 || o.Gateways < 1 || o.Pairs < 1 {
 		return &OptionError{Name: "size", Value: fmt.Sprint(o.Engines, o.Gateways, o.Pairs)}
 	}
-	capacity := saturated(o.healthy(), mix)
+	capacity := baselineCapacity(o.healthy(), mix)
 	out := &printer{w: w}
 	out.header(o, capacity)
 	for _, percent := range o.Loads {
@@ -108,9 +108,9 @@
 	return results
 }
 
-// saturated returns the highest capacity of the simpler policies, in requests per
-// second.
-func saturated(o Options, mix *mix) float64 {
+// baselineCapacity returns the highest capacity of the simpler policies, in requests
+// per second.
+func baselineCapacity(o Options, mix *mix) float64 {
 	best := 0.0
 	for _, p := range policies[1:] {
 		best = max(best, capacityOf(o, mix, p))
@@ -120,21 +120,21 @@
 
 // Parameters of the capacity search.
 const (
-	// keepsUp is the fraction of offered requests that must complete in time.
-	keepsUp = 0.99
+	// requiredInTime is the fraction of offered requests that must complete in time.
+	requiredInTime = 0.99
 	// highestRate is in requests per second and engine, above any capacity.
 	highestRate = 8.0
 	searchSteps = 8
 )
 
-// capacityOf returns the highest rate at which a policy completes a fraction keepsUp
-// of the offered requests in time, found by bisection with the first seed.
+// capacityOf returns the highest rate at which a policy completes a fraction
+// requiredInTime of the offered requests in time, by bisection with the first seed.
 func capacityOf(o Options, mix *mix, p policy) float64 {
 	low, high := 0.0, highestRate*float64(o.Engines)
 	for range searchSteps {
 		rate := (low + high) / 2
 		run := newSimulation(o, mix, p, rate, o.Seed).measure()
-		if float64(run.inTime) >= keepsUp*float64(run.offered) {
+		if float64(run.inTime) >= requiredInTime*float64(run.offered) {
 			low = rate
 		} else {
 			high = rate
--- a/pkg/load/decide/decide_test.go
+++ b/pkg/load/decide/decide_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestTableHasEveryPolicy(t *testing.T) {
+func TestTableListsEveryPolicy(t *testing.T) {
 	is := is.New(t)
 	var table bytes.Buffer
 	is.NoErr(Run(&table, small()))
@@ -39,7 +39,7 @@
 	is.Equal(tables[0].String(), tables[1].String())
 }
 
-func TestUnknownMixIsNamed(t *testing.T) {
+func TestRunReportsAnUnknownMix(t *testing.T) {
 	is := is.New(t)
 	o := small()
 	o.Mix = "nonesuch"
@@ -49,7 +49,7 @@
 }
 
 // Guards against requests that the model loses, neither served nor refused.
-func TestEveryRequestEnds(t *testing.T) {
+func TestEveryRequestIsServedOrRefused(t *testing.T) {
 	is := is.New(t)
 	o := small()
 	mix, err := mixOf(o.Mix)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestFairness(t *testing.T) {
+func TestFairnessDropsWhenOneCallerTakesMore(t *testing.T) {
 	is := is.New(t)
 	demand := map[string]float64{"greedy": 100, "a": 10, "b": 10}
 	is.Equal(fairness(demand, map[string]float64{"greedy": 20, "a": 10, "b": 10}), 1.0)
--- a/pkg/load/decide/engine.go
+++ b/pkg/load/decide/engine.go
@@ -27,30 +27,30 @@
 	failureDomain *failureDomain
 	// lost engines report that they are unreachable and receive no new work.
 	lost bool
-	// slow multiplies all processing times; zero means 1. An engine that lies
-	// reports that it is idle.
-	slow              float64
-	lies, rejects     bool
-	running           int
-	queue, prefilling []*flight
-	prefillBusy       bool
-	cache             cache
+	// slowdown multiplies all processing times; zero means 1. An engine that
+	// misreports appears fast and idle.
+	slowdown            float64
+	misreports, rejects bool
+	running             int
+	queue, prefilling   []*flight
+	prefillBusy         bool
+	cache               cache
 	// prefillSeconds sums the prefill time, wasted the share of it that a warm
 	// cache would have saved.
 	prefillSeconds, wasted float64
 	decodeSeconds          float64
 	reports                [2]board.UpstreamLoad
-	record                 record
+	loadHistory            loadHistory
 }
 
-func newEngine(h *failureDomain, i int) *engine {
-	return &engine{name: fmt.Sprintf("engine-%s-%02d", h.name, i), failureDomain: h, cache: newCache()}
+func newEngine(fd *failureDomain, i int) *engine {
+	return &engine{name: fmt.Sprintf("engine-%s-%02d", fd.name, i), failureDomain: fd, cache: newCache()}
 }
 
 // tokenTime returns the time per token at the current batch size.
 func (e *engine) tokenTime() time.Duration {
 	others := float64(max(0, e.running-1))
-	return time.Duration(max(1, e.slow) * (1 + engineBatchCost*others) / engineDecodeRate * float64(time.Second))
+	return time.Duration(max(1, e.slowdown) * (1 + engineBatchCost*others) / engineDecodeRate * float64(time.Second))
 }
 
 // tokenCost returns the engine-seconds per token in a full batch.
@@ -64,7 +64,7 @@
 	seconds := float64(missing) / enginePrefillRate
 	e.prefillSeconds += seconds
 	e.wasted += float64(reusable) / enginePrefillRate
-	return time.Duration(max(1, e.slow) * seconds * float64(time.Second))
+	return time.Duration(max(1, e.slowdown) * seconds * float64(time.Second))
 }
 
 // sample makes the report that polls return after the next sample.
@@ -79,7 +79,7 @@
 		ReportedAt:  now,
 		Prefixes:    e.cache.recent(),
 	}
-	if e.lies {
+	if e.misreports {
 		e.reports[1].Running, e.reports[1].Queued = 0, 0
 		e.reports[1].DecodeRate = engineDecodeRate
 	}
--- a/pkg/load/decide/fairness.go
+++ b/pkg/load/decide/fairness.go
@@ -14,11 +14,11 @@
 	}
 	fair := maxMin(demand, total)
 	sum, squares, n := 0.0, 0.0, 0.0
-	for caller, part := range fair {
-		if part == 0 {
+	for caller, share := range fair {
+		if share == 0 {
 			continue
 		}
-		ratio := got[caller] / part
+		ratio := got[caller] / share
 		sum += ratio
 		squares += ratio * ratio
 		n++
@@ -41,9 +41,9 @@
 	})
 	fair := make(map[string]float64, len(callers))
 	for i, caller := range callers {
-		part := min(demand[caller], total/float64(len(callers)-i))
-		fair[caller] = part
-		total -= part
+		share := min(demand[caller], total/float64(len(callers)-i))
+		fair[caller] = share
+		total -= share
 	}
 	return fair
 }
--- a/pkg/load/decide/forward.go
+++ b/pkg/load/decide/forward.go
@@ -23,17 +23,17 @@
 	g.sim.After(linkDelay, func() { receiver.arrive(j) })
 }
 
-// giveBack returns a refused request to the gateway that received it first.
-func (g *gateway) giveBack(j *job) {
-	g.sim.spills.refusedThere++
+// returnToOrigin returns a refused request to the gateway that received it first.
+func (g *gateway) returnToOrigin(j *job) {
+	g.sim.spills.refusedByReceiver++
 	origin := g.sim.failureDomains[j.failureDomain].gateways[j.gateway]
 	g.sim.After(linkDelay, func() { origin.arrive(j) })
 }
 
 func (s *simulation) failureDomain(name string) *failureDomain {
-	for _, h := range s.failureDomains {
-		if h.name == name {
-			return h
+	for _, fd := range s.failureDomains {
+		if fd.name == name {
+			return fd
 		}
 	}
 	return nil
@@ -49,8 +49,8 @@
 const sampleChunk = `data: {"id":"gw-1-0123456789abcdef","object":"chat.completion.chunk","model":"m",` +
 	`"choices":[{"index":0,"delta":{"content":"tok "},"finish_reason":null}]}` + "\n\n"
 
-// wayBack returns the network delay of an answer to the gateway of its caller.
-func (e *engine) wayBack(j *job) time.Duration {
+// returnDelay returns the network delay of an answer to the gateway of its caller.
+func (e *engine) returnDelay(j *job) time.Duration {
 	if e.failureDomain.index == j.failureDomain {
 		return 0
 	}
@@ -59,45 +59,46 @@
 
 // spills counts the requests sent to other failure domains.
 type spills struct {
-	total, refusedThere int
+	total, refusedByReceiver int
 	// bytes counts prompts and answers between failure domains, without headers.
 	bytes int
-	// bins counts the requests that each failure domain sent, per binTime.
+	// bins counts the requests that each failure domain sent, per binWidth.
 	bins map[int][]float64
 }
 
-// binTime is the resolution at which reversals are detected.
-const binTime = 5 * time.Second
+// binWidth is the resolution at which reversals are detected.
+const binWidth = 5 * time.Second
 
 func (s *spills) sent(j *job, _ *failureDomain) {
 	s.total++
-	bin := int(j.at / binTime)
+	bin := int(j.at / binWidth)
 	for len(s.bins[j.failureDomain]) <= bin {
 		s.bins[j.failureDomain] = append(s.bins[j.failureDomain], 0)
 	}
 	s.bins[j.failureDomain][bin]++
 }
 
-// swing is the smallest change, in requests per bin, that counts as a reversal.
-const swing = 8
+// reversalThreshold is the smallest change that counts as a reversal, in requests per
+// bin.
+const reversalThreshold = 8
 
-// turns counts how often the rate sent by a failure domain changed between rising
+// reversals counts how often the rate sent by a failure domain changed between rising
 // and falling.
-func (s *spills) turns() int {
+func (s *spills) reversals() int {
 	count := 0
 	for _, bins := range s.bins {
 		low, high, rising := bins[0], bins[0], true
 		for _, sent := range bins {
 			if rising {
 				high = max(high, sent)
-				if sent <= high-swing {
+				if sent <= high-reversalThreshold {
 					rising, low = false, sent
 					count++
 				}
 				continue
 			}
 			low = min(low, sent)
-			if sent >= low+swing {
+			if sent >= low+reversalThreshold {
 				rising, high = true, sent
 				count++
 			}
--- a/pkg/load/decide/gateway.go
+++ b/pkg/load/decide/gateway.go
@@ -33,7 +33,7 @@
 	queue         *admission.Queue
 	table         *route.Table
 	rnd           *rand.Rand
-	told          board.GatewayLoad // load last published to the others
+	published     board.GatewayLoad // load last published to the others
 	waiting       []*waiting
 }
 
@@ -53,13 +53,13 @@
 	engine  *engine
 }
 
-func newGateway(s *simulation, h *failureDomain, p policy, i int, seed uint64) *gateway {
+func newGateway(s *simulation, fd *failureDomain, p policy, i int, seed uint64) *gateway {
 	g := &gateway{
-		sim: s, failureDomain: h, name: fmt.Sprintf("gw-%s-%02d", h.name, i),
+		sim: s, failureDomain: fd, name: fmt.Sprintf("gw-%s-%02d", fd.name, i),
 		spill:   route.NewSpillState(),
 		ejector: limit.NewEjector(s),
 		queue:   admission.NewQueue(s),
-		rnd:     rand.New(rand.NewPCG(seed, uint64(h.index*s.options.Gateways+i))),
+		rnd:     rand.New(rand.NewPCG(seed, uint64(fd.index*s.options.Gateways+i))),
 		head:    &config.Head{Revision: 1, Declaration: declaration(s)},
 	}
 	g.tracker = limit.NewTracker(s, g.ejector)
@@ -111,7 +111,7 @@
 func (g *gateway) gossip() {
 	inFlight := g.tracker.Snapshot()
 	waiting := g.queue.Waiting()
-	g.told = board.GatewayLoad{
+	g.published = board.GatewayLoad{
 		InFlight: inFlight,
 		Waiting:  map[string]int{model: waiting[route.PoolKey(model, version)]},
 	}
@@ -160,12 +160,12 @@
 func (g *gateway) caller(j *job) *config.Caller {
 	home := g.sim.failureDomains[j.failureDomain].region
 	caller := &config.Caller{Name: j.caller.Name, Home: home, Regions: []string{home}}
-	if j.homeBound {
+	if j.homeRegionOnly {
 		return caller
 	}
-	for _, h := range g.sim.failureDomains {
-		if h.region != home {
-			caller.Regions = append(caller.Regions, h.region)
+	for _, fd := range g.sim.failureDomains {
+		if fd.region != home {
+			caller.Regions = append(caller.Regions, fd.region)
 		}
 	}
 	return caller
@@ -218,7 +218,7 @@
 	started, ok := g.tracker.Start(name, w.job.prompt(), decision.FirstToken)
 	if !ok {
 		w.entry.Release()
-		g.sim.result.lostPlaces++
+		g.sim.result.unplacedGrants++
 		return
 	}
 	for _, e := range g.sim.engines {
@@ -248,7 +248,7 @@
 
 func (g *gateway) refuse(j *job, refusal *outcome.Refusal) {
 	if g.failureDomain.index != j.failureDomain {
-		g.giveBack(j)
+		g.returnToOrigin(j)
 		return
 	}
 	j.refused = true
--- a/pkg/load/decide/mix.go
+++ b/pkg/load/decide/mix.go
@@ -47,8 +47,8 @@
 	prefixes      []uint64
 	tokens        []int // cumulative, up to the end of each message
 	answer        int
-	// homeBound requests may be processed only in their own region.
-	homeBound bool
+	// homeRegionOnly requests may be processed only in their own region.
+	homeRegionOnly bool
 	// tried names the failure domains to which it was sent.
 	tried []string
 	// Result of the request.
@@ -87,11 +87,11 @@
 	}
 }
 
-// rivals is the number of callers in the minibar mix. The first sends greed times
-// as many requests as each of the others.
+// minibarCallers is the number of callers in the minibar mix. The first sends
+// greedyWeight times as many requests as each of the others.
 const (
-	rivals = 6
-	greed  = 10
+	minibarCallers = 6
+	greedyWeight   = 10
 )
 
 // minibar mixes restock lists with a hotel's history and short charge checks.
@@ -100,10 +100,10 @@
 		{name: "restock", weight: 4, system: 150, history: 2500, histories: 60, question: 60, answer: 200, deadline: 15 * time.Second},
 		{name: "check", weight: 6, system: 150, question: 50, answer: 40, deadline: 5 * time.Second},
 	}}
-	for i := range rivals {
+	for i := range minibarCallers {
 		weight := 1.0
 		if i == 0 {
-			weight = greed
+			weight = greedyWeight
 		}
 		m.callers = append(m.callers, mixCaller{&config.Caller{Name: fmt.Sprintf("partner-%d", i+1)}, weight})
 	}
@@ -127,13 +127,13 @@
 		j.at = at
 		j.failureDomain = failureDomain
 		j.gateway = rnd.IntN(gateways)
-		j.homeBound = rnd.Float64() < homeBoundPart
+		j.homeRegionOnly = rnd.Float64() < homeRegionFraction
 		jobs = append(jobs, j)
 	}
 }
 
-// homeBoundPart is the fraction of requests that may not leave their region.
-const homeBoundPart = 0.36
+// homeRegionFraction is the fraction of requests that may not leave their region.
+const homeRegionFraction = 0.36
 
 func (m *mix) draw(rnd *rand.Rand) job {
 	kind := &m.kinds[weighted(rnd, len(m.kinds), func(i int) float64 { return m.kinds[i].weight })]
--- a/pkg/load/decide/oracle.go
+++ b/pkg/load/decide/oracle.go
@@ -7,8 +7,8 @@
 	"github.com/lilacweir/lilacweir/pkg/timeline"
 )
 
-// record is an engine's load over a run, used to classify refusals afterwards.
-type record struct {
+// loadHistory is an engine's load over a run, used to classify refusals afterwards.
+type loadHistory struct {
 	steps    []step
 	prefills []span
 }
@@ -22,31 +22,31 @@
 // span is an interval in which an engine's prefill was busy.
 type span struct{ from, to time.Time }
 
-// note records the number of requests at the engine; a lost engine counts as full.
-func (e *engine) note(s *simulation) {
+// recordLoad records the number of requests at the engine; a lost engine counts as full.
+func (e *engine) recordLoad(s *simulation) {
 	busy := e.running + len(e.queue)
 	if e.lost {
 		busy = max(busy, engineSlots)
 	}
-	steps := e.record.steps
+	steps := e.loadHistory.steps
 	if n := len(steps); n > 0 && steps[n-1].at.Equal(s.Now()) {
 		steps[n-1].busy = busy
 		return
 	}
-	e.record.steps = append(steps, step{s.Now(), busy})
+	e.loadHistory.steps = append(steps, step{s.Now(), busy})
 }
 
-// verdicts classifies refused requests by whether a scheduler that knew the whole run
-// could have completed each alone, without taking a slot or prefill from another.
-type verdicts struct {
+// refusalClasses counts refused requests by whether a scheduler that knew the whole
+// run could have completed each alone, without taking a slot or prefill from another.
+type refusalClasses struct {
 	// warranted requests could not complete in time even with a warm cache,
 	// warmOnly requests only with a warm cache, unwarranted ones with a cold cache.
 	warranted, warmOnly, unwarranted int
 }
 
-// judge classifies every measured refusal of the run.
-func (s *simulation) judge() verdicts {
-	var v verdicts
+// classifyRefusals classifies every measured refusal of the run.
+func (s *simulation) classifyRefusals() refusalClasses {
+	var v refusalClasses
 	for i := range s.jobs {
 		j := &s.jobs[i]
 		if !j.refused || !s.measured(j) {
@@ -78,30 +78,30 @@
 // a request in time, if the given number of its tokens was missing from the cache.
 func (s *simulation) couldFinish(j *job, missing int) bool {
 	return slices.ContainsFunc(s.engines, func(e *engine) bool {
-		permitted := e.failureDomain.index == j.failureDomain || (!j.homeBound && s.variant.percent > 0)
+		permitted := e.failureDomain.index == j.failureDomain || (!j.homeRegionOnly && s.variant.percent > 0)
 		return permitted && !e.rejects && e.couldFinish(j, missing)
 	})
 }
 
 func (e *engine) couldFinish(j *job, missing int) bool {
-	way := e.wayBack(j)
-	until := j.deadline().Add(-way)
-	slow := max(1, e.slow)
-	prefill := time.Duration(slow * float64(missing) / enginePrefillRate * float64(time.Second))
-	start := timeline.Epoch.Add(j.at + way)
+	delay := e.returnDelay(j)
+	until := j.deadline().Add(-delay)
+	slowdown := max(1, e.slowdown)
+	prefill := time.Duration(slowdown * float64(missing) / enginePrefillRate * float64(time.Second))
+	start := timeline.Epoch.Add(j.at + delay)
 	for {
-		free, ok := e.record.next(start, until, func(busy int) bool { return busy < engineSlots })
+		free, ok := e.loadHistory.next(start, until, func(busy int) bool { return busy < engineSlots })
 		if !ok {
 			return false
 		}
-		begin := e.record.idle(free, prefill).Add(prefill)
-		others := float64(e.record.busyAt(begin))
-		token := slow * (1 + engineBatchCost*others) / engineDecodeRate * float64(time.Second)
+		begin := e.loadHistory.idle(free, prefill).Add(prefill)
+		others := float64(e.loadHistory.busyAt(begin))
+		token := slowdown * (1 + engineBatchCost*others) / engineDecodeRate * float64(time.Second)
 		end := begin.Add(time.Duration(token) * time.Duration(j.answer))
 		if end.After(until) {
 			return false
 		}
-		full, ok := e.record.next(free, end, func(busy int) bool { return busy >= engineSlots })
+		full, ok := e.loadHistory.next(free, end, func(busy int) bool { return busy >= engineSlots })
 		if !ok {
 			return true
 		}
@@ -110,7 +110,7 @@
 }
 
 // after returns the index of the first step after a time.
-func (r *record) after(at time.Time) int {
+func (r *loadHistory) after(at time.Time) int {
 	i, _ := slices.BinarySearchFunc(r.steps, at, func(s step, at time.Time) int {
 		if s.at.After(at) {
 			return 1
@@ -120,7 +120,7 @@
 	return i
 }
 
-func (r *record) busyAt(at time.Time) int {
+func (r *loadHistory) busyAt(at time.Time) int {
 	if i := r.after(at); i > 0 {
 		return r.steps[i-1].busy
 	}
@@ -129,7 +129,7 @@
 
 // next returns the first time in [from, to) at which fits accepts the number of
 // requests.
-func (r *record) next(from, to time.Time, fits func(busy int) bool) (time.Time, bool) {
+func (r *loadHistory) next(from, to time.Time, fits func(busy int) bool) (time.Time, bool) {
 	if fits(r.busyAt(from)) {
 		return from, true
 	}
@@ -145,7 +145,7 @@
 }
 
 // idle returns the first time from which prefill is idle for the needed duration.
-func (r *record) idle(from time.Time, need time.Duration) time.Time {
+func (r *loadHistory) idle(from time.Time, need time.Duration) time.Time {
 	i, _ := slices.BinarySearchFunc(r.prefills, from, func(s span, at time.Time) int { return s.to.Compare(at) })
 	for _, s := range r.prefills[i:] {
 		if s.from.Sub(from) >= need {
--- a/pkg/load/decide/policy.go
+++ b/pkg/load/decide/policy.go
@@ -14,13 +14,13 @@
 // policies holds the candidate first, then the simpler policies.
 var policies = []policy{
 	{name: "lilacweir"},
-	{name: "round robin", strategy: simple(func() route.Picker { return &roundRobin{} }, inFlight{})},
-	{name: "least in-flight", strategy: simple(func() route.Picker { return everyone{} }, inFlight{})},
-	{name: "two choices", strategy: simple(func() route.Picker { return twoChoices{} }, inFlight{})},
-	{name: "least reported", strategy: simple(func() route.Picker { return everyone{} }, reported{})},
+	{name: "round robin", strategy: baseline(func() route.Picker { return &roundRobin{} }, inFlight{})},
+	{name: "least in-flight", strategy: baseline(func() route.Picker { return allUpstreams{} }, inFlight{})},
+	{name: "two choices", strategy: baseline(func() route.Picker { return twoChoices{} }, inFlight{})},
+	{name: "least reported", strategy: baseline(func() route.Picker { return allUpstreams{} }, reported{})},
 }
 
-func simple(picker func() route.Picker, scorer route.Scorer) func() *route.Strategy {
+func baseline(picker func() route.Picker, scorer route.Scorer) func() *route.Strategy {
 	return func() *route.Strategy {
 		strategy := route.DefaultStrategy(0)
 		strategy.Picker = picker()
@@ -40,11 +40,11 @@
 	return s
 }
 
-// everyone samples all upstreams, starting from a random one.
-type everyone struct{}
+// allUpstreams samples all upstreams, starting from a random one.
+type allUpstreams struct{}
 
 // Sample implements route.Picker.
-func (everyone) Sample(_ *route.Request, pool route.Sampled, rnd route.Rand) route.Sample {
+func (allUpstreams) Sample(_ *route.Request, pool route.Sampled, rnd route.Rand) route.Sample {
 	var s route.Sample
 	start := rnd.Uint64()
 	for i := range uint64(pool.Size) {
--- a/pkg/load/decide/print.go
+++ b/pkg/load/decide/print.go
@@ -47,15 +47,15 @@
 	candidate := all[0].runs
 	for _, s := range all {
 		p.printf("| %s | %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", s.name,
-			spread(len(s.runs), "%.0f", func(i int) float64 { return s.runs[i].percentile(50) }),
-			spread(len(s.runs), "%.0f", func(i int) float64 { return s.runs[i].percentile(95) }),
-			spread(len(s.runs), "%.0f", func(i int) float64 { return s.runs[i].percentile(99) }),
-			spread(len(s.runs), "%.2f", func(i int) float64 { return s.runs[i].percentile(99) / candidate[i].percentile(99) }),
-			spread(len(s.runs), "%.3f", func(i int) float64 { return s.runs[i].engineSeconds }),
-			spread(len(s.runs), "%.3f", func(i int) float64 { return s.runs[i].wasted }),
-			spread(len(s.runs), "%.2f", func(i int) float64 { return candidate[i].engineSeconds / s.runs[i].engineSeconds }),
-			spread(len(s.runs), "%.1f", func(i int) float64 { return 100 * float64(s.runs[i].refusals) / float64(s.runs[i].offered) }),
-			spread(len(s.runs), "%.3f", func(i int) float64 { return s.runs[i].fairness }))
+			medianAndRange(len(s.runs), "%.0f", func(i int) float64 { return s.runs[i].percentile(50) }),
+			medianAndRange(len(s.runs), "%.0f", func(i int) float64 { return s.runs[i].percentile(95) }),
+			medianAndRange(len(s.runs), "%.0f", func(i int) float64 { return s.runs[i].percentile(99) }),
+			medianAndRange(len(s.runs), "%.2f", func(i int) float64 { return s.runs[i].percentile(99) / candidate[i].percentile(99) }),
+			medianAndRange(len(s.runs), "%.3f", func(i int) float64 { return s.runs[i].engineSeconds }),
+			medianAndRange(len(s.runs), "%.3f", func(i int) float64 { return s.runs[i].wasted }),
+			medianAndRange(len(s.runs), "%.2f", func(i int) float64 { return candidate[i].engineSeconds / s.runs[i].engineSeconds }),
+			medianAndRange(len(s.runs), "%.1f", func(i int) float64 { return 100 * float64(s.runs[i].refusals) / float64(s.runs[i].offered) }),
+			medianAndRange(len(s.runs), "%.3f", func(i int) float64 { return s.runs[i].fairness }))
 	}
 	p.printf("\n")
 	p.answers(fmt.Sprintf("%d %% load", percent), all)
@@ -66,7 +66,7 @@
 func (p *printer) best(all []series) {
 	candidate := all[0].runs
 	ratio := func(measure func(*result) float64) string {
-		return spread(len(candidate), "%.2f", func(i int) float64 {
+		return medianAndRange(len(candidate), "%.2f", func(i int) float64 {
 			lowest := measure(&all[1].runs[i])
 			for _, s := range all[2:] {
 				lowest = min(lowest, measure(&s.runs[i]))
@@ -77,27 +77,28 @@
 	p.printf("lilacweir / best simpler policy: p99 first token %s, engine-seconds %s; most beyond an engine's slots %s, grants without a place %s, attempts rejected %s\n\n",
 		ratio(func(r *result) float64 { return r.percentile(99) }),
 		ratio(func(r *result) float64 { return r.engineSeconds }),
-		spread(len(candidate), "%.0f", func(i int) float64 { return float64(candidate[i].excess) }),
-		spread(len(candidate), "%.0f", func(i int) float64 { return float64(candidate[i].lostPlaces) }),
-		spread(len(candidate), "%.0f", func(i int) float64 { return float64(candidate[i].rejections) }))
+		medianAndRange(len(candidate), "%.0f", func(i int) float64 { return float64(candidate[i].excess) }),
+		medianAndRange(len(candidate), "%.0f", func(i int) float64 { return float64(candidate[i].unplacedGrants) }),
+		medianAndRange(len(candidate), "%.0f", func(i int) float64 { return float64(candidate[i].rejections) }))
 }
 
 func (p *printer) goodput(o Options, all []goodputAt) {
 	p.printf("| lilacweir at its own capacity | goodput/s | of that at 100 %% | the same by work | late | refused %% | fairness |\n|---|---|---|---|---|---|---|\n")
 	for _, at := range all {
 		p.printf("| %d %% | %s | %s | %s | %s | %s | %s |\n", at.percent,
-			spread(len(at.runs), "%.2f", func(i int) float64 { return at.runs[i].goodput(o) }),
-			spread(len(at.runs), "%.2f", func(i int) float64 { return at.runs[i].goodput(o) / all[0].runs[i].goodput(o) }),
-			spread(len(at.runs), "%.2f", func(i int) float64 { return at.runs[i].workDone / all[0].runs[i].workDone }),
-			spread(len(at.runs), "%.0f", func(i int) float64 { return float64(at.runs[i].served - at.runs[i].inTime) }),
-			spread(len(at.runs), "%.1f", func(i int) float64 { return 100 * float64(at.runs[i].refusals) / float64(at.runs[i].offered) }),
-			spread(len(at.runs), "%.3f", func(i int) float64 { return at.runs[i].fairness }))
+			medianAndRange(len(at.runs), "%.2f", func(i int) float64 { return at.runs[i].goodput(o) }),
+			medianAndRange(len(at.runs), "%.2f", func(i int) float64 { return at.runs[i].goodput(o) / all[0].runs[i].goodput(o) }),
+			medianAndRange(len(at.runs), "%.2f", func(i int) float64 { return at.runs[i].workDone / all[0].runs[i].workDone }),
+			medianAndRange(len(at.runs), "%.0f", func(i int) float64 { return float64(at.runs[i].served - at.runs[i].inTime) }),
+			medianAndRange(len(at.runs), "%.1f", func(i int) float64 { return 100 * float64(at.runs[i].refusals) / float64(at.runs[i].offered) }),
+			medianAndRange(len(at.runs), "%.3f", func(i int) float64 { return at.runs[i].fairness }))
 	}
 	p.printf("\n")
 }
 
-// spread formats the median, lowest and highest value; "none" if the median is NaN.
-func spread(n int, format string, value func(i int) float64) string {
+// medianAndRange formats the median, lowest and highest value, or "none" if the median
+// is NaN.
+func medianAndRange(n int, format string, value func(i int) float64) string {
 	values := make([]float64, n)
 	for i := range n {
 		values[i] = value(i)
@@ -127,10 +128,10 @@
 			}
 			n := len(s.runs)
 			p.printf("| %s | %s | %s | %s | %s | %s | %s |\n", s.name,
-				spread(n, "%.0f", quantile(50)), spread(n, "%.0f", quantile(95)), spread(n, "%.0f", quantile(99)),
-				spread(n, "%.1f", share(func(r *phaseResult) int { return r.inTime })),
-				spread(n, "%.1f", share(func(r *phaseResult) int { return r.refused })),
-				spread(n, "%.1f", share(func(r *phaseResult) int { return r.away })))
+				medianAndRange(n, "%.0f", quantile(50)), medianAndRange(n, "%.0f", quantile(95)), medianAndRange(n, "%.0f", quantile(99)),
+				medianAndRange(n, "%.1f", share(func(r *phaseResult) int { return r.inTime })),
+				medianAndRange(n, "%.1f", share(func(r *phaseResult) int { return r.refused })),
+				medianAndRange(n, "%.1f", share(func(r *phaseResult) int { return r.spilled })))
 		}
 		p.printf("\n")
 	}
@@ -138,10 +139,10 @@
 	for _, s := range all {
 		n := len(s.runs)
 		p.printf("| %s | %s | %s | %s | %s |\n", s.name,
-			spread(n, "%.0f", func(i int) float64 { return float64(s.runs[i].turns) }),
-			spread(n, "%.0f", func(i int) float64 { return float64(s.runs[i].refusedThere) }),
-			spread(n, "%.3f", func(i int) float64 { return s.runs[i].all.engineSeconds }),
-			spread(n, "%.3f", func(i int) float64 { return s.runs[i].all.wasted }))
+			medianAndRange(n, "%.0f", func(i int) float64 { return float64(s.runs[i].reversals) }),
+			medianAndRange(n, "%.0f", func(i int) float64 { return float64(s.runs[i].refusedByReceiver) }),
+			medianAndRange(n, "%.3f", func(i int) float64 { return s.runs[i].all.engineSeconds }),
+			medianAndRange(n, "%.3f", func(i int) float64 { return s.runs[i].all.wasted }))
 	}
 	p.printf("\n")
 }
--- a/pkg/load/decide/result.go
+++ b/pkg/load/decide/result.go
@@ -17,8 +17,8 @@
 	// betweenTokens and wholeAnswer are in microseconds too, the latter from the
 	// due time.
 	betweenTokens, wholeAnswer *hdrhistogram.Histogram
-	// verdicts classifies the refusals.
-	verdicts verdicts
+	// refusalClasses counts the refusals by class.
+	refusalClasses refusalClasses
 	// offered, served and refusals count requests; inTime counts those completed
 	// before their deadline.
 	offered, served, inTime, refusals int
@@ -31,8 +31,8 @@
 	// workDone is the goodput in work per second.
 	workDone float64
 	// excess is the largest number of requests at one engine beyond its slots.
-	// lostPlaces counts grants that found no upstream below its limit.
-	excess, lostPlaces int
+	// unplacedGrants counts grants that found no upstream below its limit.
+	excess, unplacedGrants int
 	// rejections counts attempts that engines rejected.
 	rejections int
 	fairness   float64
@@ -66,29 +66,31 @@
 	r.byReason[refusal.Reason]++
 }
 
-// first records a first token, which reaches the caller's gateway after wayBack.
-func (r *result) first(s *simulation, j *job, wayBack time.Duration) {
-	j.first = s.Now().Add(wayBack).Sub(timeline.Epoch.Add(j.at))
+// recordFirstToken records a first token, which reaches the caller's gateway after
+// returnDelay.
+func (r *result) recordFirstToken(s *simulation, j *job, returnDelay time.Duration) {
+	j.first = s.Now().Add(returnDelay).Sub(timeline.Epoch.Add(j.at))
 	if s.measured(j) {
 		_ = r.firstToken.RecordValue(int64(j.first / time.Microsecond))
 	}
 }
 
-// between records the time between an answer's tokens, once per gap.
-func (r *result) between(s *simulation, j *job, token time.Duration) {
+// recordBetweenTokens records the time between an answer's tokens, once per gap.
+func (r *result) recordBetweenTokens(s *simulation, j *job, token time.Duration) {
 	if s.measured(j) && j.answer > 1 {
 		_ = r.betweenTokens.RecordValues(int64(token/time.Microsecond), int64(j.answer-1))
 	}
 }
 
-// whole records a complete answer, which reaches the caller's gateway after wayBack.
-func (r *result) whole(s *simulation, j *job, wayBack time.Duration) {
-	j.inTime = !s.Now().Add(wayBack).After(j.deadline())
+// recordAnswer records a complete answer, which reaches the caller's gateway after
+// returnDelay.
+func (r *result) recordAnswer(s *simulation, j *job, returnDelay time.Duration) {
+	j.inTime = !s.Now().Add(returnDelay).After(j.deadline())
 	if !s.measured(j) {
 		return
 	}
 	r.served++
-	_ = r.wholeAnswer.RecordValue(int64(s.Now().Add(wayBack).Sub(timeline.Epoch.Add(j.at)) / time.Microsecond))
+	_ = r.wholeAnswer.RecordValue(int64(s.Now().Add(returnDelay).Sub(timeline.Epoch.Add(j.at)) / time.Microsecond))
 	if j.inTime {
 		r.workDone += work(j) / s.options.Length.Seconds()
 		r.inTime++
@@ -96,7 +98,7 @@
 	}
 }
 
-func (r *result) over(e *engine) {
+func (r *result) recordExcess(e *engine) {
 	r.excess = max(r.excess, e.running+len(e.queue)+1-engineSlots)
 }
 
@@ -117,7 +119,7 @@
 	share := s.options.Length.Seconds() / (warmUp + s.options.Length).Seconds()
 	r.engineSeconds = share * seconds / float64(max(1, r.served))
 	r.wasted = share * wasted / float64(max(1, r.served))
-	r.verdicts = s.judge()
+	r.refusalClasses = s.classifyRefusals()
 	r.fairness = fairness(r.demand, r.got)
 }
 
--- a/pkg/load/decide/course.go
+++ b/pkg/load/decide/serving.go
@@ -8,8 +8,8 @@
 
 // receive gives a request a slot or queues it.
 func (e *engine) receive(s *simulation, f *flight) {
-	s.result.over(e)
-	defer e.note(s)
+	s.result.recordExcess(e)
+	defer e.recordLoad(s)
 	if e.running >= engineSlots {
 		e.queue = append(e.queue, f)
 		return
@@ -32,7 +32,7 @@
 	e.prefilling = e.prefilling[1:]
 	e.prefillBusy = true
 	length := e.prefillTime(f.job)
-	e.record.prefills = append(e.record.prefills, span{s.Now(), s.Now().Add(length)})
+	e.loadHistory.prefills = append(e.loadHistory.prefills, span{s.Now(), s.Now().Add(length)})
 	s.After(length, func() {
 		e.prefillBusy = false
 		e.nextPrefill(s)
@@ -43,11 +43,11 @@
 // decode generates the answer at the rate of the batch size at its start.
 func (e *engine) decode(s *simulation, f *flight) {
 	token := e.tokenTime()
-	s.result.between(s, f.job, token)
+	s.result.recordBetweenTokens(s, f.job, token)
 	e.decodeSeconds += tokenCost() * float64(f.job.answer)
 	s.After(token, func() {
 		f.flight.FirstByte()
-		s.result.first(s, f.job, e.wayBack(f.job))
+		s.result.recordFirstToken(s, f.job, e.returnDelay(f.job))
 	})
 	if e.failureDomain.index != f.job.failureDomain {
 		s.spills.bytes += f.job.answerBytes()
@@ -57,13 +57,13 @@
 
 func (e *engine) done(s *simulation, f *flight) {
 	e.running--
-	defer e.note(s)
+	defer e.recordLoad(s)
 	if len(e.queue) > 0 {
 		next := e.queue[0]
 		e.queue = e.queue[1:]
 		e.admit(s, next)
 	}
-	s.result.whole(s, f.job, e.wayBack(f.job))
+	s.result.recordAnswer(s, f.job, e.returnDelay(f.job))
 	f.flight.Done(limit.Succeeded)
 	f.entry.Release()
 	f.gateway.start()
--- a/pkg/load/decide/simulation.go
+++ b/pkg/load/decide/simulation.go
@@ -47,27 +47,27 @@
 	s.end = timeline.Epoch.Add(warmUp + o.Length)
 	s.result = newResult(m)
 	s.build(max(1, o.FailureDomains))
-	s.spoil()
+	s.injectFault()
 	constant := func(time.Duration) float64 { return rate }
-	s.staff(p, seed)
-	s.offer(seed, rate, func(int) func(time.Duration) float64 { return constant })
+	s.addGateways(p, seed)
+	s.addArrivals(seed, rate, func(int) func(time.Duration) float64 { return constant })
 	return s
 }
 
 // build creates the failure domains and their engines.
 func (s *simulation) build(failureDomains int) {
 	for i := range failureDomains {
-		h := &failureDomain{index: i, name: fmt.Sprintf("hall-%d", i), region: fmt.Sprintf("region-%d", i), heard: map[string]board.DomainDigest{}}
+		fd := &failureDomain{index: i, name: fmt.Sprintf("hall-%d", i), region: fmt.Sprintf("region-%d", i), received: map[string]board.DomainDigest{}}
 		for e := range s.options.Engines {
-			h.engines = append(h.engines, newEngine(h, e))
+			fd.engines = append(fd.engines, newEngine(fd, e))
 		}
-		s.engines = append(s.engines, h.engines...)
-		s.failureDomains = append(s.failureDomains, h)
+		s.engines = append(s.engines, fd.engines...)
+		s.failureDomains = append(s.failureDomains, fd)
 	}
 }
 
-// spoil applies the configured fault to the first engine.
-func (s *simulation) spoil() {
+// injectFault applies the configured fault to the first engine.
+func (s *simulation) injectFault() {
 	if s.options.Fault == "" {
 		return
 	}
@@ -75,21 +75,21 @@
 	if s.engines[0].rejects {
 		return
 	}
-	s.engines[0].slow = slowFactor
-	s.engines[0].lies = s.options.Fault == FaultLie
+	s.engines[0].slowdown = slowFactor
+	s.engines[0].misreports = s.options.Fault == FaultMisreport
 }
 
-// staff adds gateways to the failure domains.
-func (s *simulation) staff(p policy, seed uint64) {
-	for _, h := range s.failureDomains {
+// addGateways adds gateways to the failure domains.
+func (s *simulation) addGateways(p policy, seed uint64) {
+	for _, fd := range s.failureDomains {
 		for i := range s.options.Gateways {
-			h.gateways = append(h.gateways, newGateway(s, h, p, i, seed))
+			fd.gateways = append(fd.gateways, newGateway(s, fd, p, i, seed))
 		}
 	}
 }
 
-// offer draws the requests of each failure domain.
-func (s *simulation) offer(seed uint64, highest float64, rate func(failureDomain int) func(time.Duration) float64) {
+// addArrivals draws the requests of each failure domain.
+func (s *simulation) addArrivals(seed uint64, highest float64, rate func(failureDomain int) func(time.Duration) float64) {
 	for i := range s.failureDomains {
 		rnd := rand.New(rand.NewPCG(seed, seedStream+uint64(i)))
 		s.jobs = append(s.jobs, s.mix.arrivals(rnd, highest, rate(i), warmUp+s.options.Length, i, s.options.Gateways)...)
@@ -103,12 +103,12 @@
 			e.sample(s.Now())
 		}
 	})
-	for _, h := range s.failureDomains {
-		s.every(pollInterval, func() { h.poll() })
-		s.every(digestInterval, func() { h.tell(s) })
-		for i, g := range h.gateways {
+	for _, fd := range s.failureDomains {
+		s.every(pollInterval, func() { fd.poll() })
+		s.every(digestInterval, func() { fd.publishDigest(s) })
+		for i, g := range fd.gateways {
 			g.compile()
-			s.After(time.Duration(i+1)*compileInterval/time.Duration(len(h.gateways)), func() {
+			s.After(time.Duration(i+1)*compileInterval/time.Duration(len(fd.gateways)), func() {
 				s.every(compileInterval, g.compile)
 				s.every(gossipInterval, g.gossip)
 			})
--- a/pkg/load/decide/spill.go
+++ b/pkg/load/decide/spill.go
@@ -77,10 +77,10 @@
 
 // spillResult is one run, by phase and in total.
 type spillResult struct {
-	phases       []phaseResult
-	whole        phaseResult
-	refusedThere int
-	turns        int
+	phases            []phaseResult
+	whole             phaseResult
+	refusedByReceiver int
+	reversals         int
 	// bytes is the traffic between regions, including the warm-up.
 	bytes int
 	all   result
@@ -88,14 +88,14 @@
 
 // phaseResult counts the requests that arrived in a phase.
 type phaseResult struct {
-	firstToken             *hdrhistogram.Histogram
-	offered, refused, away int
-	inTime                 int
+	firstToken                *hdrhistogram.Histogram
+	offered, refused, spilled int
+	inTime                    int
 }
 
 func runScenario(o Options, m *mix, v variant, capacity float64, seed uint64) spillResult {
 	s := newRegions(o, m, v, seed)
-	s.offer(seed, peakLoad*capacity, func(failureDomain int) func(time.Duration) float64 {
+	s.addArrivals(seed, peakLoad*capacity, func(failureDomain int) func(time.Duration) float64 {
 		return func(at time.Duration) float64 {
 			if failureDomain == 0 && at >= warmUp+peakFrom && at < warmUp+peakTo {
 				return peakLoad * capacity
@@ -103,7 +103,7 @@
 			return evenLoad * capacity
 		}
 	})
-	s.troubles()
+	s.scheduleFaults()
 	all := s.measure()
 	return s.byPhase(all, phases, func(*job) bool { return true })
 }
@@ -115,24 +115,24 @@
 	s.result = newResult(m)
 	s.spills.bins = map[int][]float64{}
 	s.build(failureDomains)
-	s.staff(policies[0], seed)
+	s.addGateways(policies[0], seed)
 	return s
 }
 
-// troubles schedules the link cut and the loss of engines.
-func (s *simulation) troubles() {
+// scheduleFaults schedules the link cut and the loss of engines.
+func (s *simulation) scheduleFaults() {
 	first, second := s.failureDomains[0], s.failureDomains[1]
 	s.After(warmUp+cutFrom, func() {
 		first.cutFrom = map[string]bool{second.name: true}
 		second.cutFrom = map[string]bool{first.name: true}
 	})
 	s.After(warmUp+cutTo, func() { first.cutFrom, second.cutFrom = nil, nil })
-	s.lose(second.engines[1:], warmUp+shortFrom, warmUp+shortTo)
+	s.takeDown(second.engines[1:], warmUp+shortFrom, warmUp+shortTo)
 }
 
 // byPhase groups the measured requests accepted by keep by their phase of arrival.
 func (s *simulation) byPhase(all result, phases []phase, keep func(*job) bool) spillResult {
-	out := spillResult{refusedThere: s.spills.refusedThere, turns: s.spills.turns(), bytes: s.spills.bytes, all: all}
+	out := spillResult{refusedByReceiver: s.spills.refusedByReceiver, reversals: s.spills.reversals(), bytes: s.spills.bytes, all: all}
 	for _, ph := range phases {
 		out.phases = append(out.phases, s.phase(ph, keep))
 	}
@@ -151,8 +151,8 @@
 	return p
 }
 
-func (p *phaseResult) percent(part int) float64 {
-	return 100 * float64(part) / float64(max(1, p.offered))
+func (p *phaseResult) percent(count int) float64 {
+	return 100 * float64(count) / float64(max(1, p.offered))
 }
 
 // quantile returns a percentile of the time to first token in milliseconds, NaN if
@@ -167,7 +167,7 @@
 func (p *phaseResult) add(j *job) {
 	p.offered++
 	if len(j.tried) > 0 {
-		p.away++
+		p.spilled++
 	}
 	if j.refused {
 		p.refused++
--- a/pkg/load/decide/variant.go
+++ b/pkg/load/decide/variant.go
@@ -13,25 +13,25 @@
 	percent int
 	// margin is the declared spill margin; zero leaves the default.
 	margin time.Duration
-	// boundless makes every domain advertise more spare capacity than it could
+	// unlimitedCredit makes every domain advertise more spare capacity than it could
 	// ever have, so that credit limits no sender.
-	boundless bool
+	unlimitedCredit bool
 }
 
 // variants holds the rules under comparison: no spill, spill wherever a request is
 // predicted to complete sooner, and the rules of the gateways.
 var variants = []variant{
 	{name: "stay", percent: 0},
-	{name: "no credit, no margin", percent: 100, margin: time.Nanosecond, boundless: true},
-	{name: "no credit", percent: 100, boundless: true},
+	{name: "no credit, no margin", percent: 100, margin: time.Nanosecond, unlimitedCredit: true},
+	{name: "no credit", percent: 100, unlimitedCredit: true},
 	{name: "lilacweir", percent: 100},
 }
 
-// boundlessSpare exceeds the capacity of any domain.
-const boundlessSpare = 1 << 20
+// unlimitedSpare exceeds the capacity of any domain.
+const unlimitedSpare = 1 << 20
 
-func (v variant) offer(pool *board.PoolDigest) {
-	if v.boundless {
-		pool.Spare = boundlessSpare
+func (v variant) advertise(pool *board.PoolDigest) {
+	if v.unlimitedCredit {
+		pool.Spare = unlimitedSpare
 	}
 }
--- a/pkg/load/load_test.go
+++ b/pkg/load/load_test.go
@@ -62,7 +62,7 @@
 	is.Equal(total.Sent, total.Complete+total.NotRun+total.Unknown)
 	is.Equal(report.Items[0].Complete, report.Items[0].Sent)
 	is.Equal(report.Items[1].NotRun, report.Items[1].Sent)
-	is.Equal(total.Away, report.Items[0].Sent) // every chat was answered in another region
+	is.Equal(total.Remote, report.Items[0].Sent) // every chat was answered in another region
 	is.Equal(report.Items[0].FirstToken.TotalCount(), int64(report.Items[0].Sent))
 	is.Equal(report.Items[0].BetweenTokens.TotalCount(), int64(report.Items[0].Sent))
 	var text bytes.Buffer
@@ -70,7 +70,7 @@
 	is.True(strings.Contains(text.String(), "not-run: overloaded"))
 }
 
-func TestSameSeedSameLoad(t *testing.T) {
+func TestSameSeedGivesTheSameLoad(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Arrivals(3, 100, time.Second), Arrivals(3, 100, time.Second))
 	first, second := newRand(3), newRand(3)
@@ -81,7 +81,7 @@
 	is.True(len(Arrivals(4, 1000, 10*time.Second)) > 9000) // close to the requested rate
 }
 
-func TestMixNamesUnknownCaller(t *testing.T) {
+func TestSendRejectsAMixWithAnUnknownCaller(t *testing.T) {
 	is := is.New(t)
 	mix := testMix()
 	mix.Items[1].Callers = []string{"nobody"}
--- a/pkg/load/overhead_test.go
+++ b/pkg/load/overhead_test.go
@@ -16,7 +16,7 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-func TestComparisonSendsBothWays(t *testing.T) {
+func TestComparisonUsesBothPaths(t *testing.T) {
 	is := is.New(t)
 	var direct, through atomic.Int64
 	counting := func(counter *atomic.Int64, path string) *httptest.Server {
@@ -45,7 +45,7 @@
 	is.True(strings.Contains(text.String(), "added"))
 }
 
-func TestCostLeavesOutWhatBeganBefore(t *testing.T) {
+func TestCostIgnoresRequestsStartedBefore(t *testing.T) {
 	is := is.New(t)
 	began := time.Now()
 	entry := func(offset, held time.Duration, result string) journal.Entry {
--- a/pkg/load/print.go
+++ b/pkg/load/print.go
@@ -20,19 +20,19 @@
 func (t *Tally) row() []string {
 	return []string{
 		t.Item, strconv.Itoa(t.Sent), strconv.Itoa(t.Complete), strconv.Itoa(t.NotRun), strconv.Itoa(t.Unknown),
-		fmt.Sprintf("%.1f", t.AwayPercent()),
+		fmt.Sprintf("%.1f", t.RemotePercent()),
 		quantile(t.FirstToken, 50), quantile(t.FirstToken, 95), quantile(t.FirstToken, 99),
 		quantile(t.BetweenTokens, 95),
 		quantile(t.Whole, 50), quantile(t.Whole, 95), quantile(t.Whole, 99),
 	}
 }
 
-// AwayPercent returns the percentage of requests answered by another region.
-func (t *Tally) AwayPercent() float64 {
+// RemotePercent returns the percentage of requests answered by another region.
+func (t *Tally) RemotePercent() float64 {
 	if t.Sent == 0 {
 		return 0
 	}
-	return 100 * float64(t.Away) / float64(t.Sent)
+	return 100 * float64(t.Remote) / float64(t.Sent)
 }
 
 // absent stands for a value that was not measured.
@@ -82,18 +82,18 @@
 	type cause struct{ outcome, reason string }
 	counts := make(map[cause]int)
 	var order []cause
-	for _, ending := range r.Endings {
-		one := cause{string(ending.Outcome), string(ending.Reason)}
-		if one.reason == "" && ending.Err != nil {
-			one.reason = ending.Err.Error()
+	for _, failure := range r.Failures {
+		key := cause{string(failure.Outcome), string(failure.Reason)}
+		if key.reason == "" && failure.Err != nil {
+			key.reason = failure.Err.Error()
 		}
-		if counts[one] == 0 {
-			order = append(order, one)
+		if counts[key] == 0 {
+			order = append(order, key)
 		}
-		counts[one]++
+		counts[key]++
 	}
-	for _, one := range order {
-		if _, err := fmt.Fprintf(out, "%d %s: %s\n", counts[one], one.outcome, one.reason); err != nil {
+	for _, key := range order {
+		if _, err := fmt.Fprintf(out, "%d %s: %s\n", counts[key], key.outcome, key.reason); err != nil {
 			return fmt.Errorf("write report: %w", err)
 		}
 	}
--- a/pkg/load/report.go
+++ b/pkg/load/report.go
@@ -22,8 +22,8 @@
 	Item string
 	// Sent counts requests and is the sum of the three outcomes.
 	Sent, Complete, NotRun, Unknown int
-	// Away counts the answers that came from another region than the caller's home.
-	Away int
+	// Remote counts the answers that came from another region than the caller's home.
+	Remote int
 	// Chunks counts stream chunks.
 	Chunks int
 	// FirstToken, BetweenTokens and Whole are in microseconds. FirstToken and
@@ -45,23 +45,23 @@
 	t.Complete += other.Complete
 	t.NotRun += other.NotRun
 	t.Unknown += other.Unknown
-	t.Away += other.Away
+	t.Remote += other.Remote
 	t.Chunks += other.Chunks
 	t.FirstToken.Merge(other.FirstToken)
 	t.BetweenTokens.Merge(other.BetweenTokens)
 	t.Whole.Merge(other.Whole)
 }
 
-// Ending describes a request whose outcome was not complete.
-type Ending struct {
+// Failure describes a request whose outcome was not complete.
+type Failure struct {
 	Item, Caller, RequestID string
 	Outcome                 outcome.Outcome
 	Reason                  outcome.Reason
 	Err                     error
 }
 
-// maxEndings bounds the endings that a report retains.
-const maxEndings = 1000
+// maxFailures bounds the failures that a report retains.
+const maxFailures = 1000
 
 // Report is the result of a Run.
 type Report struct {
@@ -70,8 +70,8 @@
 	Items []*Tally
 	// ByCaller holds a tally for each caller, in the mix's order.
 	ByCaller []*Tally
-	// Endings describes the first maxEndings requests that were not complete.
-	Endings []Ending
+	// Failures describes the first maxFailures requests that were not complete.
+	Failures []Failure
 	// Cost is the work of the upstreams; nil if it was not read.
 	Cost *Cost
 	// Elapsed is the duration of the run.
@@ -104,44 +104,44 @@
 type sample struct {
 	request request
 	answer  *client.Answer
-	away    bool
+	remote  bool
 	first   time.Duration
 	gaps    []time.Duration
 	whole   time.Duration
 }
 
-func (r *Report) add(one *sample) {
+func (r *Report) add(s *sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, tally := range r.Items {
-		if tally.Item == one.request.item.Name {
-			tally.add(one)
+		if tally.Item == s.request.item.Name {
+			tally.add(s)
 		}
 	}
 	for _, tally := range r.ByCaller {
-		if tally.Item == one.request.caller {
-			tally.add(one)
+		if tally.Item == s.request.caller {
+			tally.add(s)
 		}
 	}
-	if one.answer.Outcome != outcome.Complete && len(r.Endings) < maxEndings {
-		r.Endings = append(r.Endings, endingOf(one))
+	if s.answer.Outcome != outcome.Complete && len(r.Failures) < maxFailures {
+		r.Failures = append(r.Failures, failureOf(s))
 	}
 }
 
-func endingOf(one *sample) Ending {
-	return Ending{
-		Item: one.request.item.Name, Caller: one.request.caller, RequestID: one.answer.RequestID,
-		Outcome: one.answer.Outcome, Reason: one.answer.Refusal.Type, Err: one.answer.Err,
+func failureOf(s *sample) Failure {
+	return Failure{
+		Item: s.request.item.Name, Caller: s.request.caller, RequestID: s.answer.RequestID,
+		Outcome: s.answer.Outcome, Reason: s.answer.Refusal.Type, Err: s.answer.Err,
 	}
 }
 
-func (t *Tally) add(one *sample) {
+func (t *Tally) add(s *sample) {
 	t.Sent++
-	t.Chunks += one.answer.Chunks
-	if one.away {
-		t.Away++
+	t.Chunks += s.answer.Chunks
+	if s.remote {
+		t.Remote++
 	}
-	switch one.answer.Outcome {
+	switch s.answer.Outcome {
 	case outcome.Complete:
 		t.Complete++
 	case outcome.NotRun:
@@ -151,11 +151,11 @@
 		t.Unknown++
 		return
 	}
-	record(t.Whole, one.whole)
-	if one.first > 0 {
-		record(t.FirstToken, one.first)
+	record(t.Whole, s.whole)
+	if s.first > 0 {
+		record(t.FirstToken, s.first)
 	}
-	for _, gap := range one.gaps {
+	for _, gap := range s.gaps {
 		record(t.BetweenTokens, gap)
 	}
 }
--- a/pkg/load/run.go
+++ b/pkg/load/run.go
@@ -76,17 +76,17 @@
 func (r *Run) sendOne(drawn request, due time.Time) *sample {
 	ctx, cancel := context.WithTimeout(context.Background(), r.Timeout)
 	defer cancel()
-	one := &sample{request: drawn}
+	s := &sample{request: drawn}
 	follower := r.followers[drawn.caller]
 	if drawn.item.Chat != nil {
-		one.chat(ctx, follower, due)
+		s.chat(ctx, follower, due)
 	} else {
-		one.call(ctx, follower)
+		s.call(ctx, follower)
 	}
-	one.whole = time.Since(due)
-	region := r.Regions[one.answer.Domain]
-	one.away = region != "" && region != r.homes[drawn.caller]
-	return one
+	s.whole = time.Since(due)
+	region := r.Regions[s.answer.Domain]
+	s.remote = region != "" && region != r.homes[drawn.caller]
+	return s
 }
 
 func (s *sample) chat(ctx context.Context, follower *client.Follower, due time.Time) {
--- a/test/scenario/sender_test.go
+++ b/test/scenario/sender_test.go
@@ -78,9 +78,9 @@
 	}
 	total := background.report.Total()
 	var text strings.Builder
-	fmt.Fprintf(&text, "sent=%d complete=%d not-run=%d unknown=%d away=%d\n", total.Sent, total.Complete, total.NotRun, total.Unknown, total.Away)
-	for _, ending := range background.report.Endings {
-		fmt.Fprintf(&text, "%s %s %s %s %s %v\n", ending.Item, ending.Caller, ending.Outcome, ending.Reason, ending.RequestID, ending.Err)
+	fmt.Fprintf(&text, "sent=%d complete=%d not-run=%d unknown=%d away=%d\n", total.Sent, total.Complete, total.NotRun, total.Unknown, total.Remote)
+	for _, failure := range background.report.Failures {
+		fmt.Fprintf(&text, "%s %s %s %s %s %v\n", failure.Item, failure.Caller, failure.Outcome, failure.Reason, failure.RequestID, failure.Err)
 	}
 	return text.String(), nil
 }
