--- a/test/scenario/apart_test.go
+++ b/test/scenario/apart_test.go
@@ -8,11 +8,11 @@
 	"github.com/lilacweir/lilacweir/pkg/client"
 )
 
-// apartPort is the first port of the switches of upstreams that run apart.
+// apartPort is the first admin port of upstreams with a process of their own.
 const apartPort = 7100
 
-// apart has some upstreams run in a process of their own, so that a script can
-// kill it: the process is named as the upstream. Its journal ends with it.
+// apart runs the named upstreams in one process each, so that a script can kill it.
+// The process has the upstream's name, and its journal is lost when it exits.
 func (d *deployment) apart(names []string) error {
 	if len(names) == 0 {
 		return nil
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// startApart starts the upstreams that run apart.
+// startApart starts the upstreams with a process of their own.
 func (d *deployment) startApart() error {
 	for name, one := range d.processes {
 		if one.admin == "" {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// backgroundChat is a chat request whose answer is read beside a script.
+// backgroundChat is a chat request that runs concurrently with a script.
 type backgroundChat struct {
 	done   chan struct{}
 	chunks atomic.Int64
@@ -59,7 +59,7 @@
 	err    error
 }
 
-// asking starts a chat request in the background: asking NAME and what ask takes.
+// asking starts a chat request in the background: asking NAME, then ask's arguments.
 func asking(d *deployment, args []string) (string, error) {
 	if len(args) == 0 {
 		return "", errUsage
@@ -73,7 +73,7 @@
 	return "", nil
 }
 
-// streamed says how many chunks a background answer has so far: streamed NAME.
+// streamed prints the number of chunks received so far: streamed NAME.
 func streamed(d *deployment, args []string) (string, error) {
 	if len(args) != 1 || d.chats[args[0]] == nil {
 		return "", errUsage
@@ -81,7 +81,7 @@
 	return fmt.Sprintf("chunks=%d", d.chats[args[0]].chunks.Load()), nil
 }
 
-// asked waits for a background answer and says its text alone: asked NAME.
+// asked waits for a background answer and prints only its text: asked NAME.
 func asked(d *deployment, args []string) (string, error) {
 	if len(args) != 1 || d.chats[args[0]] == nil {
 		return "", errUsage
--- a/test/scenario/deployment_test.go
+++ b/test/scenario/deployment_test.go
@@ -17,16 +17,15 @@
 	"github.com/lilacweir/lilacweir/pkg/settings"
 )
 
-// Loopback nets for tests: 127.N.0.0/16. The nets of the checked-in
-// deployments lie below.
+// Loopback nets for tests: 127.N.0.0/16. The checked-in deployments use lower nets.
 const (
 	firstNet = 20
 	lastNet  = 250
-	// holderPort is held on 127.N.255.254 by the test that uses net N.
+	// holderPort on 127.N.255.254 is the lock of the test that uses net N.
 	holderPort = 7999
 )
 
-// pollEvery and pollBound are the pace and the bound of waiting on a condition.
+// Interval and timeout of polling a condition.
 const (
 	pollEvery = 50 * time.Millisecond
 	pollBound = 20 * time.Second
@@ -49,7 +48,7 @@
 	loads     map[string]*backgroundLoad
 	calls     map[string]*backgroundCall
 	chats     map[string]*backgroundChat
-	// keys holds idempotency keys by the names that a script gave them.
+	// keys maps script names to idempotency keys.
 	keys    map[string]string
 	moments map[string]time.Time
 	slow    map[string]*slowSet
@@ -98,7 +97,7 @@
 
 func (d *deployment) admin() string { return fmt.Sprintf("127.%d.0.1:7000", d.number) }
 
-// readSettings makes a process for each program of each instance.
+// readSettings adds a process for each program of each instance.
 func (d *deployment) readSettings() error {
 	instances, err := load.ReadInstances(d.directory)
 	if err != nil {
@@ -120,8 +119,8 @@
 	}
 }
 
-// find returns the processes that a name stands for: one program, both of an
-// instance, all of a failure domain's instances, or "all" for every instance's.
+// find returns the processes that a name selects: one program, both of an instance,
+// those of a failure domain's instances, or with "all" those of every instance.
 func (d *deployment) find(name string) ([]*process, error) {
 	var found []*process
 	for key, candidate := range d.processes {
@@ -139,7 +138,7 @@
 	return found, nil
 }
 
-// start starts processes and waits until each answers.
+// start starts processes and waits until each is healthy.
 func (d *deployment) start(name string) error {
 	found, err := d.find(name)
 	if err != nil {
@@ -158,7 +157,7 @@
 	return nil
 }
 
-// health is the address at which a process answers for its health.
+// health returns the URL of a process's health check.
 func (d *deployment) health(one *process) string {
 	if one.admin != "" {
 		return "http://" + one.admin + "/healthz"
@@ -194,7 +193,7 @@
 	})
 }
 
-// poll repeats a condition until it holds, and returns its last failure.
+// poll repeats a condition until it returns nil, or returns its last error on timeout.
 func poll(bound time.Duration, condition func() error) error {
 	deadline := time.After(bound)
 	tick := time.NewTicker(pollEvery)
@@ -212,7 +211,7 @@
 	}
 }
 
-// close ends what still runs and gives the net back.
+// close kills the running processes and releases the net.
 func (d *deployment) close() {
 	for _, one := range d.loads {
 		one.cancel()
@@ -224,7 +223,7 @@
 	<-deploymentSlots
 }
 
-// showLogs returns the end of each process's log, for a failed script.
+// showLogs returns the tail of each process's log, for failed scripts.
 func (d *deployment) showLogs() string {
 	const tail = 3000
 	var text strings.Builder
--- a/test/scenario/input_test.go
+++ b/test/scenario/input_test.go
@@ -21,20 +21,20 @@
 	"github.com/lilacweir/lilacweir/pkg/header"
 )
 
-// Bounds of what the verbs of bad input send.
+// Parameters of the bad-input verbs.
 const (
-	// nonsenseSeed makes the random bytes the same in every run.
+	// nonsenseSeed fixes the random bytes.
 	nonsenseSeed = 7
 	nonsenseSize = 64 << 10
-	// slowEvery is the pace of slow connections, a byte each.
+	// slowEvery is the interval between bytes on slow connections.
 	slowEvery = 250 * time.Millisecond
-	// sizeMark starts a text that stands for so many bytes.
+	// sizeMark begins an argument that is replaced by that many bytes.
 	sizeMark = "size:"
-	// shownBody bounds what a script sees of a body.
+	// shownBody bounds the part of a body that is printed.
 	shownBody = 400
 )
 
-// doors lists an instance's addresses by the names that scripts use.
+// doors returns an instance's listen addresses by their names in scripts.
 func (d *deployment) doors(instance string) map[string]string {
 	found := d.instances[instance]
 	if found == nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// sized returns the text itself, or as many bytes as size:N says.
+// sized returns N bytes for size:N, and any other text unchanged.
 func sized(text string) string {
 	count, err := strconv.Atoi(strings.TrimPrefix(text, sizeMark))
 	if err != nil || !strings.HasPrefix(text, sizeMark) {
@@ -55,8 +55,8 @@
 	return strings.Repeat("x", count)
 }
 
-// web sends an HTTP request: web INSTANCE DOOR METHOD PATH BODY [HEADER=VALUE …].
-// BODY is a file of the script, size:N, or - for none.
+// web sends an HTTP request: web INSTANCE LISTENER METHOD PATH BODY [HEADER=VALUE …].
+// BODY is a file of the script, size:N, literal text, or - for none.
 func web(d *deployment, args []string) (string, error) {
 	const least = 5
 	if len(args) < least || d.doors(args[0])[args[1]] == "" {
@@ -87,7 +87,7 @@
 	return describeResponse(response)
 }
 
-// describeResponse says what a response holds, and how many typed errors.
+// describeResponse formats the status, typed error, verdict and body of a response.
 func describeResponse(response *http.Response) (string, error) {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -107,8 +107,8 @@
 		response.Header.Get(header.Verdict), body[:min(len(body), shownBody)]), nil
 }
 
-// nonsense sends bytes that are no request of any kind to all of an instance's
-// doors, and counts the connections that the instance ended: nonsense INSTANCE.
+// nonsense sends malformed input to all listeners of an instance and counts the
+// connections that the instance closed: nonsense INSTANCE.
 func nonsense(d *deployment, args []string) (string, error) {
 	if len(args) != 1 || d.instances[args[0]] == nil {
 		return "", errUsage
@@ -121,8 +121,8 @@
 	payloads := [][]byte{
 		random,
 		nil,
-		{0xf8, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01}, // a gob frame of eight exabytes
-		{0x16, 0x03, 0x01, 0x02, 0x00, 0x01, 0x00},                   // half a TLS handshake
+		{0xf8, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01}, // a gob message of eight exabytes
+		{0x16, 0x03, 0x01, 0x02, 0x00, 0x01, 0x00},                   // a truncated TLS handshake
 		[]byte("POST /v1/command HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n"),
 		[]byte("GET /\x00 HTTP/9.9\r\n\r\n\r\n"),
 	}
@@ -139,7 +139,7 @@
 	return fmt.Sprintf("sent=%d ended=%d", sent, ended), nil
 }
 
-// throw sends bytes and waits until the other side has ended the connection.
+// throw sends bytes and waits until the server closes the connection.
 func throw(address string, payload []byte) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -157,11 +157,12 @@
 	return nil
 }
 
-// slowSet is a set of connections that send a byte from time to time.
+// slowSet is a set of connections that send one byte per slowEvery.
 type slowSet struct{ open atomic.Int64 }
 
-// slow opens slow connections, and says how many are still open when the set is
-// there already: slow NAME INSTANCE DOOR COUNT FILE. FILE holds how each begins.
+// slow opens a set of slow connections, or prints how many of an existing set are
+// still open: slow NAME INSTANCE LISTENER COUNT FILE. FILE holds the bytes that each
+// connection sends first.
 func slow(d *deployment, args []string) (string, error) {
 	if set := d.slow[args[0]]; set != nil {
 		return fmt.Sprintf("open=%d", set.open.Load()), nil
@@ -192,7 +193,7 @@
 	return fmt.Sprintf("open=%d", count), nil
 }
 
-// dribble sends until the other side ends the connection.
+// dribble sends until the server closes the connection.
 func (s *slowSet) dribble(conn net.Conn, begin []byte) {
 	defer s.open.Add(-1)
 	defer func() { _ = conn.Close() }()
@@ -203,7 +204,7 @@
 	}
 }
 
-// pids lists the processes that run, with their IDs.
+// pids prints the running processes and their process IDs.
 func pids(d *deployment, _ []string) (string, error) {
 	var lines []string
 	for name, one := range d.processes {
@@ -215,8 +216,9 @@
 	return strings.Join(lines, "\n"), nil
 }
 
-// program runs one of the short-lived programs where the script's files are, and
-// says its exit code: program NAME ARGS.
+// program runs a short-lived program in the script's directory and prints its exit
+// code and output: program NAME ARGS. An argument @INSTANCE is replaced by the
+// instance's address for callers.
 func program(d *deployment, args []string) (string, error) {
 	if len(args) == 0 {
 		return "", errUsage
--- a/test/scenario/keys_test.go
+++ b/test/scenario/keys_test.go
@@ -13,10 +13,10 @@
 
 var errNoKey = errors.New("no such key")
 
-// keyMark starts the name of a key that the verb key made.
+// keyMark begins a reference to a key that the verb key created.
 const keyMark = "@"
 
-// newKey asks an instance for a key and keeps it: key NAME CALLER INSTANCE.
+// newKey creates a key of an instance and stores it: key NAME CALLER INSTANCE.
 func newKey(d *deployment, args []string) (string, error) {
 	const count = 3
 	if len(args) != count || d.instances[args[2]] == nil {
@@ -32,7 +32,7 @@
 	return d.keys[args[0]], nil
 }
 
-// keyNamed returns the key that an argument stands for: @NAME, or itself.
+// keyNamed returns the key stored as NAME for @NAME, and any other argument unchanged.
 func (d *deployment) keyNamed(argument string) (string, error) {
 	name, named := strings.CutPrefix(argument, keyMark)
 	if !named {
@@ -45,14 +45,14 @@
 	return key, nil
 }
 
-// backgroundCall is a call that runs beside a script.
+// backgroundCall is a call that runs concurrently with a script.
 type backgroundCall struct {
 	done chan struct{}
 	text string
 	err  error
 }
 
-// calling starts a call in the background: calling NAME and what call takes.
+// calling starts a call in the background: calling NAME, then call's arguments.
 func calling(d *deployment, args []string) (string, error) {
 	const least = 5
 	if len(args) < least {
@@ -67,7 +67,7 @@
 	return "", nil
 }
 
-// called waits for a call in the background and says how it ended: called NAME.
+// called waits for a background call and prints its result: called NAME.
 func called(d *deployment, args []string) (string, error) {
 	if len(args) != 1 || d.calls[args[0]] == nil {
 		return "", errUsage
@@ -77,8 +77,8 @@
 	return background.text, background.err
 }
 
-// atOnce sends the same call through several instances at the same time, and
-// counts the outcomes: atonce CALLER METHOD PATH BODY KEY INSTANCE…
+// atOnce sends the same call through several instances concurrently and prints the
+// sorted results: atonce CALLER METHOD PATH BODY KEY INSTANCE…
 func atOnce(d *deployment, args []string) (string, error) {
 	const fixed = 5
 	if len(args) <= fixed {
@@ -89,7 +89,7 @@
 	var running sync.WaitGroup
 	for index, instance := range instances {
 		running.Go(func() {
-			// An answer that is not complete is one of those to count.
+			// An incomplete answer is a result too, not a failure of the verb.
 			texts[index], _ = call(d, append([]string{caller, instance}, rest...))
 		})
 	}
--- a/test/scenario/leaving_test.go
+++ b/test/scenario/leaving_test.go
@@ -7,10 +7,10 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// markBound is how long after a leaving mark new work may still begin.
+// markBound is the time after a leaving mark in which new work may still start.
 const markBound = 3 * time.Second
 
-// moment notes the time under a name: moment NAME.
+// moment records the current time under a name: moment NAME.
 func moment(d *deployment, args []string) (string, error) {
 	if len(args) != 1 {
 		return "", errUsage
@@ -19,11 +19,10 @@
 	return "", nil
 }
 
-// work says what an upstream did around a moment, as its journal has it: work
-// UPSTREAM MOMENT. Requests began before the moment, of which some ended after it
-// (across), or within the bound of a leaving mark, or later; some are running now.
-// Elsewhere is what began later at other upstreams, unfinished what this one ended
-// otherwise than whole.
+// work counts an upstream's requests around a moment, from its journal: work UPSTREAM
+// MOMENT. They started before the moment (across: and finished after it), within
+// markBound after it, or later. running counts those in progress, unfinished those
+// without a complete answer, and elsewhere the later starts at other upstreams.
 func work(d *deployment, args []string) (string, error) {
 	const count = 2
 	if len(args) != count || d.moments[args[1]].IsZero() {
--- a/test/scenario/observe_test.go
+++ b/test/scenario/observe_test.go
@@ -19,10 +19,10 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// healthBound bounds one question for an instance's health.
+// healthBound bounds one readiness or metrics request.
 const healthBound = 2 * time.Second
 
-// ready says what an instance's gateway tells of its readiness: ready INSTANCE.
+// ready prints the readiness report of an instance's gateway: ready INSTANCE.
 func ready(d *deployment, args []string) (string, error) {
 	if len(args) != 1 || d.instances[args[0]] == nil {
 		return "", errUsage
@@ -49,7 +49,7 @@
 	return string(body), nil
 }
 
-// metric says the lines of a gateway's metrics that match: metric INSTANCE REGEXP.
+// metric prints the matching lines of a gateway's metrics: metric INSTANCE REGEXP.
 func metric(d *deployment, args []string) (string, error) {
 	const count = 2
 	if len(args) != count || d.instances[args[0]] == nil {
@@ -63,7 +63,7 @@
 	return strings.Join(pattern.FindAllString(text, -1), "\n"), err
 }
 
-// allServing checks that every instance says that it serves.
+// allServing checks that every instance reports serving and lists all instances.
 func (d *deployment) allServing() error {
 	for name := range d.instances {
 		text, err := ready(d, []string{name})
@@ -80,11 +80,11 @@
 	return nil
 }
 
-// roamers are callers that may be served in every region of a deployment.
+// roamers names a caller of each deployment that is permitted in every region.
 var roamers = map[string]string{"wellness": "clinic-review", "minibar": "chung-restock"}
 
-// listsAll checks that a gateway has heard of every instance: one that has just
-// started knows its own failure domain first.
+// listsAll checks that a gateway lists every instance. A gateway that has just
+// started knows only its own failure domain.
 func (d *deployment) listsAll(name string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), healthBound)
 	defer cancel()
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// listed reads the JSON lines that the stand-in's admin answers.
+// listed decodes the JSON lines of an answer of the stand-in's admin interface.
 func listed[T any](d *deployment, command ...string) ([]T, error) {
 	text, err := control(d, command)
 	if err != nil {
@@ -117,8 +117,8 @@
 	return entries, nil
 }
 
-// ran counts what ran at all upstreams, or at one: ran [UPSTREAM]. It says the
-// runs of each call, and how many idempotency keys ran more than once.
+// ran counts the runs at all upstreams or at one: ran [UPSTREAM]. It prints the runs
+// of each call, and the number of idempotency keys that ran more than once.
 func ran(d *deployment, args []string) (string, error) {
 	entries, err := listed[journal.Entry](d, append([]string{"journal"}, args...)...)
 	if err != nil {
@@ -150,8 +150,8 @@
 	return strings.Join(parts, "\n")
 }
 
-// outside counts what upstreams processed for callers that are not permitted in
-// the upstream's region, by the declaration that was planned.
+// outside counts the requests that upstreams processed for callers not permitted in
+// the upstream's region by the planned declaration.
 func outside(d *deployment, _ []string) (string, error) {
 	counts, err := listed[journal.Count](d, "processed")
 	if err != nil {
@@ -172,7 +172,7 @@
 	return fmt.Sprintf("inside=%d outside=%d\n%+v", inside, wrong, counts), nil
 }
 
-// declaration reads the declaration that was planned.
+// declaration reads the planned declaration.
 func (d *deployment) declaration() (*config.Declaration, error) {
 	data, err := os.ReadFile(d.file("declaration.yaml"))
 	if err != nil {
@@ -185,7 +185,7 @@
 	return &declaration, nil
 }
 
-// permittedDomains gives the failure domains that each caller may be served in.
+// permittedDomains returns the failure domains that may serve each caller.
 func (d *deployment) permittedDomains() (map[string]map[string]bool, error) {
 	declaration, err := d.declaration()
 	if err != nil {
@@ -207,7 +207,7 @@
 	return permitted, nil
 }
 
-// logged counts the lines of a process's log that match: logged PROCESS REGEXP.
+// logged counts the matching lines of processes' logs: logged PROCESS REGEXP.
 func logged(d *deployment, args []string) (string, error) {
 	const count = 2
 	if len(args) != count {
--- a/test/scenario/orders_test.go
+++ b/test/scenario/orders_test.go
@@ -15,13 +15,13 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// errNoHolder: no agent of the domain has taken the lease for orders.
+// errNoHolder means that no agent of the domain has acquired the order lease.
 var errNoHolder = errors.New("nobody has taken the lease")
 
 var leaseTaken = regexp.MustCompile(`event=order-lease-taken .*revision=([0-9]+)`)
 
-// holder gives a name to the agent that took a domain's lease for orders last,
-// and says which it is: holder NAME DOMAIN.
+// holder defines a name for the agent that acquired a domain's order lease last, and
+// prints the agent: holder NAME DOMAIN.
 func holder(d *deployment, args []string) (string, error) {
 	const count = 2
 	if len(args) != count {
@@ -50,10 +50,11 @@
 	return "holder=" + d.processes[args[0]].name, nil
 }
 
-// orders says what orders the engines of a domain, or of all, have taken: orders
-// DOMAIN. Fallen counts orders that took effect after one of the same domain with
-// a higher fencing number, over-rate pairs of loads that are closer than the
-// weight store permits. The rest counts engines by the version of their last order.
+// orders counts the orders that the engines of a domain, or of "all", have accepted:
+// orders DOMAIN. fallen counts orders that took effect after one of the same domain
+// with a higher fencing number, over-rate the pairs of weight loads closer together
+// than the weight store permits. The rest counts engines by the version of their last
+// order.
 func orders(d *deployment, args []string) (string, error) {
 	if len(args) != 1 {
 		return "", errUsage
@@ -94,7 +95,7 @@
 	return count
 }
 
-// overRate leaves each order its flight after the store gave out its load.
+// overRate allows each order FlightMargin to arrive after the store granted its load.
 func overRate(taken []journal.Entry, spacing time.Duration) int {
 	count := 0
 	for i := range taken {
--- a/test/scenario/process_test.go
+++ b/test/scenario/process_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// exitBound bounds how long a process may take to end after SIGTERM.
+// exitBound bounds the exit of a process after SIGTERM, and short-lived programs.
 const exitBound = 60 * time.Second
 
 var (
@@ -21,15 +21,15 @@
 	errNotFrozen  = errors.New("a thread still runs")
 )
 
-// process is one program of a deployment, which may be started many times.
+// process is one program of a deployment, which may be started repeatedly.
 type process struct {
-	// name is INSTANCE/gateway, INSTANCE/agent or standin.
+	// name is INSTANCE/gateway, INSTANCE/agent, standin or an upstream's name.
 	name    string
 	program string
 	args    []string
-	// admin is the address of the switches of an upstream that runs apart.
+	// admin is the admin address of an upstream with a process of its own.
 	admin string
-	// log receives what all starts write.
+	// log is the file to which all starts append their output.
 	log string
 
 	command *exec.Cmd
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// freeze stops every thread of the process with SIGSTOP. The signal acts some time
-// after it was sent; until then the process may still answer.
+// freeze stops every thread of the process with SIGSTOP and waits until all have
+// stopped, because the process may still answer until the signal takes effect.
 func (p *process) freeze() error {
 	if err := p.signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -101,7 +101,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", p.name, err)
 		}
-		// The state follows the program's name, which ends with a bracket.
+		// The state follows the program's name, which ends with a parenthesis.
 		if _, state, _ := bytes.Cut(stat, []byte(") ")); !bytes.HasPrefix(state, []byte("T")) {
 			return fmt.Errorf("%s: %w", p.name, errNotFrozen)
 		}
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// kill ends the process with SIGKILL, if it runs.
+// kill sends SIGKILL to the process, if it is running, and waits for its exit.
 func (p *process) kill() error {
 	if !p.running() {
 		return nil
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// stop ends the process with SIGTERM and wants exit status 0.
+// stop sends SIGTERM to the process and requires exit status 0.
 func (p *process) stop() error {
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		return err
--- a/test/scenario/random_callers_test.go
+++ b/test/scenario/random_callers_test.go
@@ -29,8 +29,8 @@
 	exportPath    = "/sleeplog/exports/night"
 )
 
-// homes lists the callers that send and the failure domain that each asks first.
-// The residents' data stays in that domain.
+// homes maps the sending callers to the failure domain of their seed addresses. The
+// residents' requests must stay in that domain.
 var homes = map[string]string{
 	"residents-app": "kalamaria-hall", "larisa-residents": "larisa-hall", "peristeri-residents": "peristeri-hall",
 	"clinic-review": "larisa-hall", "shift-workers": "kalamaria-hall",
@@ -39,40 +39,40 @@
 // senders is the order in which callers are drawn.
 var senders = []string{"residents-app", "larisa-residents", "peristeri-residents", "clinic-review", "shift-workers"}
 
-// errWrongContent is an answer that is not the one to the request.
+// errWrongContent reports an answer that does not match its request.
 var errWrongContent = errors.New("the answer belongs to another request or is not whole")
 
-// request is one request of a caller, which may be sent again under its key.
+// request is one request of a caller, which may be repeated under its key.
 type request struct {
 	id, caller, method, path, key string
 	body                          []byte
 	chat                          *client.ChatRequest
 	deadline                      time.Duration
-	// leaves says after how long the caller goes away; zero for never.
+	// leaves is the time after which the caller cancels; zero for never.
 	leaves time.Duration
-	// again says when the key is sent again through another instance; zero for
-	// at once, negative for not at all.
+	// again is the delay of a repeat under the same key through another instance;
+	// negative for none.
 	again time.Duration
 }
 
-// told is one request and what its caller was told.
+// told is one attempt of a request and its result.
 type told struct {
 	*request
-	// id names this try; tries of a key have different ones.
+	// id is the request ID of this attempt; each attempt under a key has its own.
 	id     string
 	answer *client.Answer
 	interval
-	// gateway is the callers' address that the caller spoke to last.
+	// gateway is the gateway address to which the caller connected last.
 	gateway string
-	// followed says that the caller kept to the instance list.
+	// followed is true if the caller followed the instance list.
 	followed bool
-	// gone says that the caller ended the request itself.
+	// gone is true if the caller cancelled the request or ran into its timeout.
 	gone bool
-	// wrong says what is wrong with the content.
+	// wrong is the mismatch of the content, or nil.
 	wrong error
 }
 
-// crowd sends the load of the random run and keeps what its callers were told.
+// crowd sends the load of the random run and records the result of each attempt.
 type crowd struct {
 	seed      uint64
 	followers map[string]*client.Follower
@@ -97,8 +97,8 @@
 	return c
 }
 
-// run sends requests at times that were drawn beforehand until ctx ends, and
-// waits for every answer.
+// run sends requests at times drawn in advance until ctx is cancelled, and waits for
+// every answer.
 func (c *crowd) run(ctx context.Context, length time.Duration) {
 	source := rand.New(rand.NewPCG(c.seed, 1))
 	begin := time.Now()
@@ -113,7 +113,7 @@
 	c.sent.Wait()
 }
 
-// draw makes a request.
+// draw returns a random request.
 func draw(source *rand.Rand, number int) *request {
 	r := &request{id: fmt.Sprintf("r%d", number), caller: senders[source.IntN(len(senders))], again: -1}
 	switch roll := source.IntN(10); {
@@ -139,13 +139,13 @@
 	return r
 }
 
-// Marks of a key before it is made: from the system, or the caller's own.
+// Placeholder for a key that the system generates, and prefix of a caller's own key.
 const (
 	systemKey = "system"
 	opaqueKey = "opaque-"
 )
 
-// keyed decides on a key and on repeats under it.
+// keyed chooses the kind of key and a repeat under it.
 func (r *request) keyed(source *rand.Rand) {
 	switch roll := source.IntN(10); {
 	case roll < 1:
@@ -163,7 +163,7 @@
 	}
 }
 
-// send sends a request by the instance list and, if it is to be, its key again
+// send sends a request along the instance list and, if drawn, a repeat under its key
 // through another instance.
 func (c *crowd) send(r *request, other string) {
 	ctx, cancel := context.WithTimeout(context.Background(), randomTimeout)
@@ -171,7 +171,7 @@
 	if r.key == systemKey {
 		key, err := c.followers[r.caller].NewKey(ctx)
 		if err != nil {
-			return // no gateway answers: nothing was sent
+			return // no gateway answered, so nothing was sent
 		}
 		r.key = key
 	}
@@ -184,8 +184,8 @@
 	c.attempt(&told{request: r, id: r.id, followed: true}, "")
 }
 
-// attempt sends one try, to an address or by the instance list, and keeps the
-// answer.
+// attempt sends one attempt, to an address or along the instance list, and records
+// the answer.
 func (c *crowd) attempt(one *told, address string) {
 	limit := randomTimeout
 	if one.leaves > 0 {
@@ -214,7 +214,7 @@
 	c.told = append(c.told, one)
 }
 
-// check compares a complete answer with what its request has to get.
+// check compares a complete answer with the one expected for its request.
 func (t *told) check() error {
 	if t.answer.Outcome != outcome.Complete {
 		return nil
@@ -223,13 +223,13 @@
 		return t.checkChat()
 	}
 	if t.answer.Status >= http.StatusInternalServerError {
-		return nil // the service's own error, which is passed on as it is
+		return nil // the service's own error, which is passed through
 	}
 	var body service.Answer
 	if err := json.Unmarshal(t.answer.Body, &body); err != nil {
 		return fmt.Errorf("%w: %w", errWrongContent, err)
 	}
-	// A repeat is given the first run's answer, which names that run.
+	// A repeat receives the answer of the first run, which contains that run's ID.
 	mine := strings.HasPrefix(body.RequestID, t.caller+"~"+t.request.id+"~") || strings.HasPrefix(body.RequestID, t.caller+"~"+t.request.id+"-again~")
 	if !mine || body.Bytes != int64(len(t.body)) || body.Method != t.method {
 		return fmt.Errorf("%w: %s", errWrongContent, t.answer.Body)
--- a/test/scenario/random_faults_test.go
+++ b/test/scenario/random_faults_test.go
@@ -13,15 +13,15 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// interval is when something was so.
+// interval is a span of time.
 type interval struct{ from, until time.Time }
 
-// overlaps tells whether the interval shares a moment with another.
+// overlaps returns whether the interval overlaps another.
 func (i interval) overlaps(from, until time.Time) bool {
 	return i.from.Before(until) && from.Before(i.until)
 }
 
-// saying is an operator's line and what the operator was told.
+// saying is an operator's command line and the reply.
 type saying struct {
 	line string
 	interval
@@ -29,18 +29,19 @@
 	err  error
 }
 
-// disturber carries out a schedule and notes what it did.
+// disturber carries out a schedule of faults and records its actions.
 type disturber struct {
 	d *deployment
-	// holds are the locks of what faults hold for themselves.
+	// holds has a mutex for each resource that faults use exclusively.
 	holds map[string]*sync.Mutex
-	// restart is told of processes that end or start.
+	// restart is called with processes that are about to end or have started.
 	restart func(found []*process)
 
 	mu sync.Mutex
-	// killed and stopped say when each process was ended by SIGKILL and SIGTERM.
+	// killed and stopped hold the intervals around SIGKILL and SIGTERM, by process.
 	killed, stopped map[string][]interval
-	// alone says when each failure domain was cut off and otherwise well.
+	// alone holds the intervals in which a failure domain was partitioned and had no
+	// other fault.
 	alone    map[string][]interval
 	sayings  []saying
 	problems []string
@@ -60,7 +61,7 @@
 	return x
 }
 
-// run carries out the faults at their times and returns when all are mended.
+// run carries out the faults at their times and returns when all are reverted.
 func (x *disturber) run(ctx context.Context, faults []*fault) {
 	begin := time.Now()
 	var running sync.WaitGroup
@@ -92,8 +93,8 @@
 	}
 }
 
-// mend carries out a line that ends a fault. An operator's is repeated until it is
-// so, since the platform may be silent.
+// mend executes a line that reverts a fault. It repeats an operator's line until it
+// is accepted, since the platform may be unreachable.
 func (x *disturber) mend(line string, f *fault) {
 	change, operators := strings.CutPrefix(line, "run ")
 	if !operators {
@@ -109,7 +110,7 @@
 	})
 }
 
-// begin begins a fault; operators' lines race.
+// begin starts a fault. Operators' lines run concurrently.
 func (x *disturber) begin(f *fault) {
 	var racing sync.WaitGroup
 	for _, line := range f.begin {
@@ -122,7 +123,7 @@
 	racing.Wait()
 }
 
-// do carries out one line.
+// do executes one line.
 func (x *disturber) do(line string, f *fault) {
 	fields := strings.Fields(line)
 	name, args := fields[0], fields[1:]
@@ -148,8 +149,8 @@
 	})
 }
 
-// endMargin is how long before a signal a request's connection may look broken
-// because of it, and after it until the process is gone.
+// endMargin is the time from a signal until the process has exited, in which a broken
+// connection may be due to the signal.
 const endMargin = 2 * time.Second
 
 func (x *disturber) noteEnd(into map[string][]interval, target string, from time.Time) {
@@ -177,7 +178,7 @@
 	change()
 }
 
-// say sends an operator's line and keeps what the operator was told.
+// say sends an operator's line and records the reply.
 func (x *disturber) say(line, through string) string {
 	one := saying{line: line}
 	one.from = time.Now()
@@ -194,7 +195,7 @@
 	return one.text
 }
 
-// What operators are told.
+// Patterns of the replies to operators.
 var (
 	acceptedText = regexp.MustCompile(`(?m)^(?:accepted as )?(\d+) in force (\d+)/(\d+)`)
 	foundText    = regexp.MustCompile(`(?m)^accepted as (\d+)`)
@@ -203,17 +204,17 @@
 	unsentText   = regexp.MustCompile(`nothing was sent`)
 )
 
-// verdict is what became of a change, as its operator was told.
+// verdict is the result of a change as reported to its operator.
 type verdict struct {
 	// revision is zero unless the change was accepted.
 	revision int
-	// everywhere says that it was told to be in force on all instances.
+	// everywhere is true if the reply reported it in force on all instances.
 	everywhere bool
-	// refused says that it was told not to be accepted; open that nothing was said.
+	// refused is true if the reply reported a refusal, open if it reported neither.
 	refused, open bool
 }
 
-// read judges a reply.
+// readVerdict parses a reply.
 func readVerdict(text string) verdict {
 	if match := acceptedText.FindStringSubmatch(text); match != nil {
 		revision, _ := strconv.Atoi(match[1])
@@ -229,8 +230,8 @@
 	return verdict{open: true}
 }
 
-// heal takes every fault back and waits until each instance serves and has the
-// newest revision.
+// heal reverts every fault and waits until each instance serves and has the newest
+// revision.
 func (x *disturber) heal(t *topology) error {
 	for _, domain := range t.domains {
 		for _, other := range append([]string{"platform"}, t.domains...) {
--- a/test/scenario/random_history_test.go
+++ b/test/scenario/random_history_test.go
@@ -11,19 +11,19 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// inForce is what one revision said of what the checks look at.
+// inForce is the part of one revision that the checks use.
 type inForce struct {
-	// line is what the operator typed, as the audit trail has it.
+	// line is the operator's line in the audit trail.
 	line string
-	// permitted holds "CALLER DOMAIN", drained upstreams' names.
+	// permitted is keyed by "CALLER DOMAIN", drained by upstream name.
 	permitted, drained map[string]bool
 }
 
-// history holds every revision by its number; 0 is not used.
+// history holds every revision by its number; index 0 is unused.
 type history []inForce
 
-// readHistory reads the audit trail up to a revision, by asking why, and works
-// out what each revision said, from the declaration that was applied first.
+// readHistory reads the audit trail up to a revision with the command why, and
+// derives the state of each revision from the declaration that was applied first.
 func readHistory(d *deployment, last int) (history, error) {
 	first, err := d.permittedDomains()
 	if err != nil {
@@ -52,7 +52,7 @@
 	return past, nil
 }
 
-// after returns what holds after an operator's line.
+// after returns the state after an operator's line.
 func (f inForce) after(line string, domains map[string]string) inForce {
 	next := inForce{line: line, permitted: maps.Clone(f.permitted), drained: maps.Clone(f.drained)}
 	words := strings.Fields(line)
@@ -65,7 +65,7 @@
 	return next
 }
 
-// anyDrained tells whether some upstream is drained.
+// anyDrained returns whether some upstream is drained.
 func (f inForce) anyDrained() bool {
 	for _, drained := range f.drained {
 		if drained {
@@ -75,7 +75,7 @@
 	return false
 }
 
-// any tells whether something held in one of the revisions from low to high.
+// any returns whether a predicate held in one of the revisions from low to high.
 func (h history) any(low, high int, held func(inForce) bool) bool {
 	for revision := max(low, 1); revision <= high && revision < len(h); revision++ {
 		if held(h[revision]) {
@@ -85,14 +85,14 @@
 	return false
 }
 
-// hopLine is what a gateway logged at the end of a request.
+// hopLine is a gateway's log entry for the end of a request.
 type hopLine struct {
 	domain, request, origin, outcome string
 }
 
 var logField = regexp.MustCompile(`(\w+)=("[^"]*"|\S+)`)
 
-// readHops reads the gateways' logs.
+// readHops reads the ends of requests from the gateways' logs.
 func readHops(d *deployment) ([]hopLine, error) {
 	var hops []hopLine
 	for name, instance := range d.instances {
@@ -114,7 +114,8 @@
 	return hops, nil
 }
 
-// ownID takes the caller and the random part off the ID that upstreams see.
+// ownID returns the caller's request ID from the ID at an upstream, which adds the
+// caller's name and a random part.
 func ownID(entry *journal.Entry) string {
 	parts := strings.Split(entry.RequestID, "~")
 	if len(parts) < 2 {
--- a/test/scenario/random_schedule_test.go
+++ b/test/scenario/random_schedule_test.go
@@ -11,28 +11,28 @@
 // scheduleStream separates the schedule's random stream from the callers'.
 const scheduleStream = 0x6661756c74
 
-// Times of the schedule.
+// Durations in the schedule.
 const (
 	meanGap     = 900 * time.Millisecond
 	shortest    = 300 * time.Millisecond
 	longest     = 6 * time.Second
 	isolation   = 8 * time.Second
 	settleFirst = 4 * time.Second
-	// changeLasts is the least time until operators take a change back: long
-	// enough for a drain to be in force everywhere and leaveBound to pass.
+	// changeLasts is the least time until operators revert a change. It leaves time
+	// for a drain to be in force everywhere and for leaveBound to pass.
 	changeLasts = 9 * time.Second
 )
 
-// fault is one disturbance: lines of the scripts' language that begin it and
-// end it. It has the names of what it holds for itself, such as processes.
+// fault is one fault with the script lines that start and revert it. holds names the
+// resources that it uses exclusively, such as processes.
 type fault struct {
 	at, length  time.Duration
 	kind        string
 	begin, mend []string
 	holds       []string
-	// alone is the failure domain that is cut off while nothing else is wrong there.
+	// alone is the failure domain that is partitioned without any other fault.
 	alone string
-	// through names the instance that operators' lines go to; empty for any.
+	// through is the instance that receives operators' lines; empty for any.
 	through string
 }
 
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("%6.1fs %-9s %s | %s", f.at.Seconds(), f.kind, strings.Join(f.begin, "; "), strings.Join(f.mend, "; "))
 }
 
-// topology is what a schedule can disturb.
+// topology lists the targets of faults.
 type topology struct {
 	// instances, engines and services are listed by failure domain.
 	instances, engines, services map[string][]string
@@ -55,7 +55,7 @@
 	return names
 }
 
-// held lists everything of a failure domain that faults can hold.
+// held lists the resources of a failure domain that faults can use exclusively.
 func (t *topology) held(domain string) []string {
 	var names []string
 	for _, instance := range t.instances[domain] {
@@ -69,14 +69,13 @@
 type scheduler struct {
 	*rand.Rand
 	topology *topology
-	// free is when each thing that a fault held is free again.
+	// free is the time from which each resource is available again.
 	free map[string]time.Duration
 	now  time.Duration
 }
 
-// newSchedule draws a schedule; it depends on the seed, the count and the
-// topology alone. The first fault cuts a failure domain off while nothing else is
-// wrong there.
+// newSchedule draws a schedule, which depends only on the seed, the count and the
+// topology. The first fault partitions a failure domain that has no other fault.
 func newSchedule(seed uint64, count int, t *topology) []*fault {
 	s := &scheduler{Rand: rand.New(rand.NewPCG(seed, scheduleStream)), topology: t, free: make(map[string]time.Duration)}
 	faults := []*fault{s.place(s.isolate())}
@@ -84,8 +83,8 @@
 		drawn := s.place(s.draw())
 		faults = append(faults, drawn)
 		switch s.IntN(6) {
-		case 0: // together with the next
-		case 1: // twice
+		case 0: // concurrent with the next
+		case 1: // repeated
 			again := *drawn
 			faults = append(faults, s.place(&again))
 		default:
@@ -97,7 +96,7 @@
 	return faults
 }
 
-// place sets when a fault begins: now, or when what it holds is free.
+// place sets the start of a fault to now, or to when its resources are available.
 func (s *scheduler) place(f *fault) *fault {
 	f.at = s.now
 	for _, name := range f.holds {
@@ -115,7 +114,7 @@
 	return shortest + time.Duration(s.Int64N(int64(longest-shortest)))
 }
 
-// draw makes a fault of any kind.
+// draw returns a fault of a random kind.
 func (s *scheduler) draw() *fault {
 	kinds := []struct {
 		weight int
@@ -150,7 +149,7 @@
 	return f
 }
 
-// cut stops a link in one direction or both, silently or with resets.
+// cut cuts a link in one or both directions, by dropping traffic or with resets.
 func (s *scheduler) cut() *fault {
 	from := pick(s, s.topology.domains)
 	to := pick(s, append([]string{"platform"}, s.topology.domains...))
@@ -168,11 +167,11 @@
 	}
 }
 
-// link names both directions between two places.
+// link returns the resource name of the link between two places, in both directions.
 func link(a, b string) string { return min(a, b) + "-" + max(a, b) }
 
-// isolate cuts a failure domain off from the platform and the others, and keeps
-// all other faults from it meanwhile and shortly before.
+// isolate partitions a failure domain from the platform and the others, and reserves
+// all its resources so that no other fault occurs there at the same time.
 func (s *scheduler) isolate() *fault {
 	domain := pick(s, s.topology.domains)
 	f := &fault{kind: "isolate", length: settleFirst + isolation, holds: s.topology.held(domain), alone: domain}
@@ -223,7 +222,7 @@
 	}
 }
 
-// operators makes one change, or two that race, through some instances.
+// operators makes one change, or two concurrent ones, through one or any instance.
 func (s *scheduler) operators() *fault {
 	f := &fault{kind: "operators", length: changeLasts + s.length()}
 	for range 1 + s.IntN(2) {
@@ -235,7 +234,7 @@
 	return f
 }
 
-// change adds an operator's line and the one that takes it back.
+// change adds an operator's line and, if it has an effect to undo, its inverse.
 func (s *scheduler) change(f *fault) {
 	switch s.IntN(5) {
 	case 0:
@@ -248,7 +247,7 @@
 		regions := pick(s, []string{"thessalia>attiki", "makedonia>thessalia", "attiki>makedonia"})
 		f.begin = append(f.begin, fmt.Sprintf("run spill %s %d%%", regions, s.IntN(100)))
 	case 3:
-		f.begin = append(f.begin, fmt.Sprintf("run ver lilac-nurse v1 %d%%", 100)) // so already: refused
+		f.begin = append(f.begin, fmt.Sprintf("run ver lilac-nurse v1 %d%%", 100)) // refused, since it changes nothing
 	default:
 		target := pick(s, append(s.topology.all(s.topology.engines), s.topology.all(s.topology.services)...))
 		f.holds = append(f.holds, target)
--- a/test/scenario/random_test.go
+++ b/test/scenario/random_test.go
@@ -17,16 +17,16 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// The random run's seed and number of faults; the same seed gives the same
-// schedule and the same requests.
+// Seed and number of faults of the random run. The same seed gives the same schedule
+// and the same requests.
 var (
 	seedFlag   = flag.Uint64("seed", 2406, "seed of TestRandom")
 	faultsFlag = flag.Int("faults", 24, "number of faults of TestRandom")
 )
 
-// TestRandom disturbs one deployment by mixed faults while callers send open-loop
-// load, heals everything, and compares what callers and operators were told with
-// the journals, for each promise.
+// TestRandom injects mixed faults into one deployment under open-loop load, reverts
+// them, and checks the replies to callers and operators against the journals, for each
+// guarantee.
 func TestRandom(t *testing.T) {
 	is := is.New(t)
 	d, err := plan("wellness", t.TempDir())
@@ -47,11 +47,11 @@
 		t.Logf("problems:\n%s\nwhat was done:\n%s", strings.Join(run.disturber.problems, "\n"), strings.Join(run.disturber.notes, "\n"))
 		keepLogs(t, d)
 	}
-	is.Equal(len(run.disturber.problems), 0) // every fault could be brought about and mended
-	is.Equal(len(e.wrong), 0)                // every promise held
+	is.Equal(len(run.disturber.problems), 0) // every fault could be injected and reverted
+	is.Equal(len(e.wrong), 0)                // every guarantee held
 }
 
-// TestScheduleFollowsSeed: the schedule depends on the seed alone.
+// TestScheduleFollowsSeed checks that equal seeds give equal schedules and others not.
 func TestScheduleFollowsSeed(t *testing.T) {
 	is := is.New(t)
 	parts := &topology{
@@ -65,7 +65,7 @@
 	is.True(text(7) != text(8))
 }
 
-// disturbance is what a run left behind.
+// disturbance is the result of a run with faults.
 type disturbance struct {
 	crowd     *crowd
 	watcher   *watcher
@@ -73,7 +73,7 @@
 	healed    error
 }
 
-// disturb runs the faults under load, heals, and waits for the last answers.
+// disturb runs the faults under load, reverts them and waits for the last answers.
 func disturb(d *deployment, parts *topology, faults []*fault) *disturbance {
 	run := &disturbance{crowd: newCrowd(d, *seedFlag), watcher: newWatcher(d), disturber: newDisturber(d, faults)}
 	run.disturber.restart = run.watcher.restart
@@ -112,7 +112,7 @@
 	return poll(pollBound, d.allServing)
 }
 
-// names lists the instances in order.
+// names returns the instances' names in order.
 func (d *deployment) names() []string {
 	var names []string
 	for name := range d.instances {
@@ -131,7 +131,7 @@
 	return gateways
 }
 
-// topology lists what can be disturbed.
+// topology returns the possible targets of faults.
 func (d *deployment) topology() *topology {
 	t := &topology{instances: make(map[string][]string), engines: make(map[string][]string), services: make(map[string][]string)}
 	for _, name := range d.names() {
@@ -173,7 +173,7 @@
 	return err
 }
 
-// lastRevision is the one that every instance names.
+// lastRevision returns the revision that every instance reports in force everywhere.
 func (e *evidence) lastRevision() (int, error) {
 	last := 0
 	for _, name := range e.d.names() {
@@ -187,7 +187,7 @@
 	return last, nil
 }
 
-// keepLogs copies the processes' logs to where LILACWEIR_KEEP_LOGS says, if it does.
+// keepLogs copies the processes' logs to the directory in LILACWEIR_KEEP_LOGS, if set.
 func keepLogs(t *testing.T, d *deployment) {
 	directory := os.Getenv("LILACWEIR_KEEP_LOGS")
 	if directory == "" {
--- a/test/scenario/random_verdict_test.go
+++ b/test/scenario/random_verdict_test.go
@@ -12,10 +12,10 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// leaveBound is how soon a leaving upstream gets no new work.
+// leaveBound is the time after which a leaving upstream receives no new work.
 const leaveBound = 3 * time.Second
 
-// evidence is everything that the checks compare.
+// evidence is the input of the checks and their results.
 type evidence struct {
 	d       *deployment
 	entries []journal.Entry
@@ -24,7 +24,7 @@
 	past    history
 	watcher *watcher
 	faults  *disturber
-	// gateways lists the gateways' processes by failure domain.
+	// gateways lists the names of gateway processes by failure domain.
 	gateways map[string][]string
 
 	wrong  []string
@@ -39,7 +39,7 @@
 	e.counts = append(e.counts, fmt.Sprintf(format, args...))
 }
 
-// check compares everything with each promise in turn.
+// check checks each guarantee in turn.
 func (e *evidence) check() {
 	e.checkRegions()
 	e.checkHops()
@@ -52,8 +52,8 @@
 	e.checkVerdicts()
 }
 
-// checkRegions holds each run against the permissions and the drains that the
-// failure domain's gateways may have had in force when it began.
+// checkRegions checks each run against the permissions and drains that the failure
+// domain's gateways may have had in force at its start.
 func (e *evidence) checkRegions() {
 	regions, drains := 0, 0
 	for index := range e.entries {
@@ -81,8 +81,8 @@
 	e.count("region: %d runs held against permissions; leaving: %d of them while some revision had a drain", regions, drains)
 }
 
-// checkHops wants each request that was forwarded to come from the failure domain
-// whose gateway its caller asked, and no run anywhere else.
+// checkHops checks that each forwarded request came from the failure domain that
+// received it from its caller, and that no request ran in a domain without a hop.
 func (e *evidence) checkHops() {
 	entered := make(map[string]string)
 	for _, hop := range e.hops {
@@ -112,8 +112,8 @@
 	e.count("loop: %d hops held against where their requests entered", forwarded)
 }
 
-// endedNear tells whether a gateway of the domain was killed later on, so that its
-// log may lack the request.
+// endedNear returns whether a gateway of the domain was killed within randomTimeout,
+// so that its log may lack the request.
 func (e *evidence) endedNear(domain string, from time.Time) bool {
 	for _, name := range e.gateways[domain] {
 		for _, end := range e.faults.killed[name] {
@@ -125,8 +125,8 @@
 	return false
 }
 
-// checkIsolation wants each resident's request complete while the own failure
-// domain was cut off and nothing else was wrong there.
+// checkIsolation checks that residents' requests completed while their failure domain
+// was partitioned and had no other fault.
 func (e *evidence) checkIsolation() {
 	asked := 0
 	for _, one := range e.told {
@@ -153,7 +153,7 @@
 		one.from.Format(time.StampMilli), one.until.Sub(one.from).Round(time.Millisecond))
 }
 
-// checkAnswers wants each complete answer to be the one to its request.
+// checkAnswers checks that each complete answer matches its request.
 func (e *evidence) checkAnswers() {
 	ends := make(map[string]int)
 	for _, one := range e.told {
@@ -169,8 +169,8 @@
 	e.count("whole: each complete answer compared with what it must be; ends: %v", ends)
 }
 
-// checkNotRun compares each "not run" with the journal: of gateways for each try
-// that a caller made, and of callers for each request.
+// checkNotRun checks each "not run" outcome against the journal: of gateways by
+// request ID, and of callers for each attempt.
 func (e *evidence) checkNotRun() {
 	ranTry, ranRequest := make(map[string]bool), make(map[string]bool)
 	for index := range e.entries {
@@ -195,8 +195,8 @@
 	e.count("not-run: said %d times by gateways, each compared with the journal", said)
 }
 
-// checkOnce compares the runs of each key, and of each upload without one, with
-// what was told.
+// checkOnce compares the runs of each key, and of each upload without one, with the
+// outcomes of its attempts.
 func (e *evidence) checkOnce() {
 	runs := make(map[string][]journal.Entry)
 	for index := range e.entries {
@@ -242,8 +242,8 @@
 		if complete {
 			body = string(one.answer.Body)
 		}
-		// Of a key, only what a gateway said counts: a repeat to one address that
-		// could not be reached says nothing of earlier tries.
+		// A repeat to a single address that could not be reached has no gateway's
+		// answer, so its outcome does not cover the other attempts under the key.
 		said := one.answer.Status != 0 || one.followed
 		if said && one.answer.Outcome == outcome.NotRun && len(runs) > 0 && ranBefore(runs[0].Started, one, tries) {
 			e.fail("not-run", "key %s ran at %s: %s", name, runs[0].Started.Format(time.StampMilli), describeTries(tries))
@@ -251,9 +251,9 @@
 	}
 }
 
-// ranBefore tells whether a run began before a try was told its end, in which case
-// "not run" was false. A run that began while the answer was on its way may be
-// another try's that overlapped.
+// ranBefore returns whether a run contradicts the "not run" outcome of an attempt: it
+// started before the attempt ended. If another attempt overlapped, the run may be that
+// one's, so only a run before the start of the attempt counts.
 func ranBefore(began time.Time, one *told, tries []*told) bool {
 	for _, other := range tries {
 		if other != one && other.overlaps(one.from, one.until) {
@@ -271,8 +271,8 @@
 	return strings.Join(texts, "; ")
 }
 
-// checkShutdown wants every connection that broke under a caller to be a killed
-// gateway's: none by a graceful stop.
+// checkShutdown checks that connections broke only at killed gateways and not by a
+// graceful stop.
 func (e *evidence) checkShutdown() {
 	names := make(map[string]string)
 	for name, instance := range e.d.instances {
@@ -298,7 +298,7 @@
 	e.count("shutdown: %d processes stopped gracefully; %d connections broke, each looked for among the kills", stops, broken)
 }
 
-// cutOff tells whether the connection to a gateway broke under a request.
+// cutOff returns whether the connection to a gateway broke during an attempt.
 func cutOff(one *told) bool {
 	answer := one.answer
 	if one.gone || answer.Err == nil || answer.Outcome != outcome.Unknown || errors.Is(answer.Err, client.ErrBrokenStream) {
@@ -307,7 +307,7 @@
 	return answer.Refusal.Type == ""
 }
 
-// checkRevisions wants no process to go back.
+// checkRevisions checks that no process went back to an older revision.
 func (e *evidence) checkRevisions() {
 	asked := 0
 	for name, samples := range e.watcher.samples {
@@ -321,7 +321,7 @@
 	e.count("configuration: %d answers of revisions, in order at each process", asked)
 }
 
-// checkVerdicts compares what operators were told with the audit trail.
+// checkVerdicts compares the replies to operators with the audit trail.
 func (e *evidence) checkVerdicts() {
 	accepted := make(map[string]int)
 	for _, one := range e.past[min(2, len(e.past)):] {
@@ -355,9 +355,9 @@
 	e.count("configuration: %d changes told accepted and %d told refused, held against the audit trail of %d revisions", states["accepted"], states["refused"], len(e.past)-1)
 }
 
-// checkAccepted compares an accepted change with the audit trail. One that was told
-// to be in force everywhere has to be so from then on at each process that has a
-// configuration, later starts included.
+// checkAccepted compares an accepted change with the audit trail. A change reported in
+// force everywhere must stay so at each process that has a configuration, including
+// processes started later.
 func (e *evidence) checkAccepted(line string, one saying, read verdict) {
 	if read.revision >= len(e.past) || e.past[read.revision].line != line {
 		e.fail("configuration", "%q was told revision %d, which is not it", line, read.revision)
@@ -374,7 +374,7 @@
 	}
 }
 
-// settle asks what became of a change whose verdict was unknown.
+// settle queries the result of a change whose reply reported none.
 func (e *evidence) settle(one saying) verdict {
 	match := identityText.FindStringSubmatch(one.text)
 	if match == nil {
@@ -386,7 +386,7 @@
 	return read
 }
 
-// report is the verdict in words.
+// report returns the counts and the violations as text.
 func (e *evidence) report() string {
 	sort.Strings(e.wrong)
 	return strings.Join(e.counts, "\n") + "\n" + strings.Join(e.wrong, "\n")
--- a/test/scenario/random_watch_test.go
+++ b/test/scenario/random_watch_test.go
@@ -9,23 +9,23 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// watchEvery is the pace at which each process is asked for its revision.
+// watchEvery is the interval between readings of each process's revision.
 const watchEvery = 250 * time.Millisecond
 
-// sample is the revision that a process said it has; the interval is that of the
-// question.
+// sample is the revision that a process reported; the interval is that of the
+// request.
 type sample struct {
 	interval
-	// start tells one start of the process from another.
+	// start identifies the start of the process.
 	start, revision int
 }
 
-// watcher asks every gateway and agent for its revision all the time.
+// watcher reads the revision of every gateway and agent periodically.
 type watcher struct {
 	d  *deployment
 	mu sync.Mutex
-	// starts counts by process name, and is odd from before a process is ended
-	// until the next one answers. samples are in order of time.
+	// starts counts ends and starts by process name. It is odd from before a process
+	// ends until the next one answers. samples are in order of time.
 	starts  map[string]int
 	samples map[string][]sample
 }
@@ -34,7 +34,7 @@
 	return &watcher{d: d, starts: make(map[string]int), samples: make(map[string][]sample)}
 }
 
-// run watches until ctx ends.
+// run watches until ctx is cancelled.
 func (w *watcher) run(ctx context.Context) {
 	var running sync.WaitGroup
 	for name, instance := range w.d.instances {
@@ -65,15 +65,15 @@
 	}
 }
 
-// started returns the count of a process. Answers that came while it was odd or
-// changed are not taken, as they may be either process's.
+// started returns the count of a process. Answers received while it was odd or
+// changed are discarded, as they may come from either process.
 func (w *watcher) started(process string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.starts[process]
 }
 
-// restart notes that processes end or start.
+// restart records that processes end or have started.
 func (w *watcher) restart(found []*process) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -82,13 +82,13 @@
 	}
 }
 
-// slack is how long a process may go on with what it knew before: the pace of the
-// questions, one question's time and a request between its check and its upstream.
+// slack is the time for which a process may act on an older revision than the next
+// sample: the sampling interval, the duration of one reading, and the time of a request
+// between its check and its upstream.
 const slack = 1500 * time.Millisecond
 
-// between returns the lowest and the highest revision that a failure domain's
-// gateways may have decided by from one time to another. ok is false when
-// nothing is known.
+// between returns the lowest and the highest revision that a failure domain's gateways
+// may have used from one time to another. ok is false if there is no sample.
 func (w *watcher) between(gateways []string, from, until time.Time) (low, high int, ok bool) {
 	for _, name := range gateways {
 		for index, one := range w.samples[name] {
--- a/test/scenario/scenario_test.go
+++ b/test/scenario/scenario_test.go
@@ -1,7 +1,6 @@
 // Package scenario runs the scripts of testdata against deployments of real
-// processes on loopback addresses. Each script is named for the promise that it
-// shows. The verbs are thin: scripts read the stand-ins' journals and the
-// operators' own commands.
+// processes on loopback addresses. Each script is named for the guarantee that it
+// tests. Scripts check the stand-ins' journals and the output of operators' commands.
 package scenario
 
 import (
@@ -16,7 +15,7 @@
 // binaries is the directory of the programs under test.
 var binaries string
 
-// deploymentSlots bounds how many deployments run at once.
+// deploymentSlots bounds the number of concurrent deployments.
 var deploymentSlots = make(chan struct{}, 3)
 
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
--- a/test/scenario/security_test.go
+++ b/test/scenario/security_test.go
@@ -14,14 +14,14 @@
 	"github.com/lilacweir/lilacweir/pkg/settings"
 )
 
-// knockBound bounds one attempt to be let in.
+// knockBound bounds one connection attempt.
 const knockBound = 5 * time.Second
 
-// securityKey begins the last block of the planned settings.
+// securityKey begins the security block, the last of the planned settings.
 const securityKey = "security:\n"
 
-// secure gives instances certificates of the authority that a directory holds,
-// and names them in their settings: secure DIRECTORY INSTANCE|all ….
+// secure issues certificates of a directory's authority to instances and adds them to
+// their settings: secure DIRECTORY INSTANCE|all ….
 func secure(d *deployment, args []string) (string, error) {
 	const least = 2
 	if len(args) < least {
@@ -59,7 +59,8 @@
 		return fmt.Errorf("secure: %w", errNoMatch)
 	}
 	security := d.material(directory, name)
-	// The stand-ins, callers and operators go on in plain text, which is asked for.
+	// Links to the stand-ins, callers and operators stay in plain text, which requires
+	// this setting.
 	rest += fmt.Sprintf("%s  plaintext_loopback: true\n  certificate: %s\n  key: %s\n  authority: %s\n", securityKey, security.Certificate, security.Key, security.Authority)
 	if err := os.WriteFile(d.file(name+".yaml"), []byte(rest), 0o600); err != nil {
 		return fmt.Errorf("secure: %w", err)
@@ -67,9 +68,10 @@
 	return nil
 }
 
-// encrypt gives an instance TLS for callers and operators, the key-value service TLS
-// and a user whose password is "right-password", and the operator the authority: encrypt
-// DIRECTORY INSTANCE. The instance reads the password from the file "password".
+// encrypt configures TLS for an instance's callers and operators and for the key-value
+// service, a key-value user with the password "right-password", and the operator's
+// authority: encrypt DIRECTORY INSTANCE. The instance reads its password from the file
+// "password".
 func encrypt(d *deployment, args []string) (string, error) {
 	const count = 2
 	if len(args) != count || d.instances[args[1]] == nil {
@@ -99,7 +101,7 @@
 	return d.exec("lilacweir-standin", "certificates", d.file(args[0]), "platform="+host)
 }
 
-// edit adds text behind the first place of another in a settings file.
+// edit inserts text after the first occurrence of another in a settings file.
 func (d *deployment) edit(file, behind, add string) error {
 	data, err := os.ReadFile(d.file(file))
 	if err != nil {
@@ -120,9 +122,9 @@
 	return settings.Security{Certificate: path + name + ".pem", Key: path + name + ".key", Authority: path + "authority.pem"}
 }
 
-// knock tries an instance's doors for other instances, with the certificate of
-// another or in plain text, and says which let it in: knock INSTANCE DIRECTORY
-// NAME, or knock INSTANCE plain. It takes whatever certificate the instance shows.
+// knock connects to an instance's listeners for other instances, with a certificate or
+// in plain text, and prints which of them accept it: knock INSTANCE DIRECTORY NAME, or
+// knock INSTANCE plain. It does not verify the instance's certificate.
 func knock(d *deployment, args []string) (string, error) {
 	const all = 3
 	if len(args) < all-1 || d.instances[args[0]] == nil {
@@ -164,14 +166,14 @@
 	return "out"
 }
 
-// askHealth reports whether HTTP is answered.
+// askHealth returns whether an HTTP request is answered.
 func askHealth(conn net.Conn) bool {
 	_, err := io.WriteString(conn, "GET /healthz HTTP/1.0\r\n\r\n")
 	answer, _ := io.ReadAll(conn)
 	return err == nil && strings.Contains(string(answer), " 200 OK")
 }
 
-// askService reports whether net/rpc is answered, if only by a refusal.
+// askService returns whether a net/rpc call is answered, even with an error.
 func askService(conn net.Conn) bool {
 	err := rpc.NewClient(conn).Call("No.Service", 0, new(int))
 	var refused rpc.ServerError
--- a/test/scenario/sender_test.go
+++ b/test/scenario/sender_test.go
@@ -9,14 +9,14 @@
 	"github.com/lilacweir/lilacweir/pkg/load"
 )
 
-// Bounds of background load.
+// Parameters of background load.
 const (
 	loadLength  = 2 * time.Minute
 	loadTimeout = 30 * time.Second
 	loadSeed    = 1
 )
 
-// backgroundLoad is open-loop load that runs beside a script.
+// backgroundLoad is open-loop load that runs concurrently with a script.
 type backgroundLoad struct {
 	run    *load.Run
 	cancel context.CancelFunc
@@ -57,7 +57,7 @@
 	}()
 }
 
-// sending says how many requests of a load have ended: sending NAME.
+// sending prints the number of finished requests of a load: sending NAME.
 func sending(d *deployment, args []string) (string, error) {
 	if len(args) != 1 || d.loads[args[0]] == nil {
 		return "", errUsage
@@ -65,7 +65,7 @@
 	return fmt.Sprintf("answered=%d", d.loads[args[0]].run.Answered.Load()), nil
 }
 
-// sent ends load, waits for its last answer and says what became of it: sent NAME.
+// sent stops a load, waits for its last answer and prints the results: sent NAME.
 func sent(d *deployment, args []string) (string, error) {
 	if len(args) != 1 || d.loads[args[0]] == nil {
 		return "", errUsage
--- a/test/scenario/stream_test.go
+++ b/test/scenario/stream_test.go
@@ -8,8 +8,8 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// text sends a chat request and says the answer's text alone, so that scripts can
-// compare it: it takes what ask takes.
+// text sends a chat request and prints only the answer's text, so that scripts can
+// compare it. It takes ask's arguments.
 func text(d *deployment, args []string) (string, error) {
 	return textOf(chat(context.Background(), d, args, nil))
 }
@@ -24,8 +24,8 @@
 	return string(answer.Body), nil
 }
 
-// hangUp sends a chat request and goes away at its first chunk: it takes what ask
-// takes.
+// hangUp sends a chat request and cancels it at its first chunk. It takes ask's
+// arguments.
 func hangUp(d *deployment, args []string) (string, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/test/scenario/verbs_test.go
+++ b/test/scenario/verbs_test.go
@@ -21,7 +21,7 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// verb does one thing to a deployment and returns what it has to say.
+// verb executes a script command on a deployment and returns its output.
 type verb func(d *deployment, args []string) (string, error)
 
 var (
@@ -32,8 +32,8 @@
 	errSucceeded   = errors.New("succeeded against expectation")
 )
 
-// table lists the verbs. kill and stop are words of testscript, hence sigkill
-// and sigterm.
+// table returns the verbs. sigkill and sigterm are so named because kill and stop are
+// commands of testscript.
 func table() map[string]verb {
 	return map[string]verb{
 		"start":    each(func(d *deployment, name string) error { return d.start(name) }),
@@ -81,8 +81,8 @@
 	}
 }
 
-// verbs returns the commands that scripts use: the table's, plan and deploy
-// which make the deployment, and expect.
+// verbs returns the script commands: the table's, plan and deploy, which create the
+// deployment, and expect.
 func verbs() map[string]func(*testscript.TestScript, bool, []string) {
 	commands := map[string]func(*testscript.TestScript, bool, []string){
 		"plan":   func(ts *testscript.TestScript, _ bool, args []string) { planFor(ts, args) },
@@ -133,15 +133,14 @@
 	return d
 }
 
-// deploy plans for a deployment, with the upstreams that are named run apart; it
-// starts everything, applies the declaration and waits until it
-// is in force everywhere.
+// deploy plans a deployment, with one process each for the named upstreams, starts
+// everything, applies the declaration and waits until it is in force everywhere.
 func deploy(ts *testscript.TestScript, args []string) {
 	ts.Check(bringUp(planFor(ts, args)))
 }
 
-// expect repeats a verb until what it says matches: expect REGEXP VERB ARGS.
-// With !, until it does not.
+// expect repeats a verb until its output matches, or with ! until it does not: expect
+// REGEXP VERB ARGS.
 func expect(ts *testscript.TestScript, neg bool, args []string) {
 	if len(args) < 2 || table()[args[1]] == nil {
 		ts.Check(errUsage)
@@ -158,7 +157,7 @@
 	}))
 }
 
-// each applies an action to every name given.
+// each applies an action to every given name in turn.
 func each(action func(d *deployment, name string) error) verb {
 	return func(d *deployment, args []string) (string, error) {
 		for _, name := range args {
@@ -170,7 +169,7 @@
 	}
 }
 
-// together acts on all processes of all names at once.
+// together applies an action to the processes of all given names concurrently.
 func together(action func(*process) error) verb {
 	return func(d *deployment, args []string) (string, error) {
 		var found []*process
@@ -198,7 +197,7 @@
 	return d.start(name)
 }
 
-// control asks the stand-in's admin: ctl VERB ARGS.
+// control sends a command to the stand-in's admin interface: ctl VERB ARGS.
 func control(d *deployment, args []string) (string, error) {
 	return d.exec(append([]string{"lilacweir-standin", "ctl", d.admin()}, args...)...)
 }
@@ -224,7 +223,8 @@
 	return d.exec("lilacweir", "apply", "-c", d.file("operator.yaml"), file)
 }
 
-// race sends lines through different instances at once: race INSTANCE LINE INSTANCE LINE.
+// race sends lines through different instances concurrently: race INSTANCE LINE
+// INSTANCE LINE.
 func race(d *deployment, args []string) (string, error) {
 	const pair = 2
 	replies := make([]string, len(args)/pair)
@@ -253,14 +253,14 @@
 	return text, nil
 }
 
-// operatorKey is the key of the deployment's operator; see the key rule of
-// deployments of stand-ins.
+// operatorKey returns the key of the deployment's operator, which deployments of
+// stand-ins derive from the name.
 func (d *deployment) operatorKey() string {
 	return map[string]string{"wellness": "key-eleni", "minibar": "key-linh"}[d.name]
 }
 
 // hop sends a chat request as another gateway would: hop INSTANCE DOMAIN CLASS
-// CALLER REVISION MODEL. It is for forged and replayed headers.
+// CALLER REVISION MODEL. Scripts use it to forge and replay headers.
 func hop(d *deployment, args []string) (string, error) {
 	const count = 6
 	if len(args) != count || d.instances[args[0]] == nil {
@@ -288,11 +288,11 @@
 	return fmt.Sprintf("status=%d outcome=%s body=%s", response.StatusCode, response.Header.Get(header.Outcome), answer), err
 }
 
-// askBound bounds a request of a script.
+// askBound bounds one request of a script.
 const askBound = 30 * time.Second
 
-// ask sends a chat request and says what became of it: ask CALLER INSTANCE MODEL
-// TOKENS PROMPT.
+// ask sends a chat request and prints its result: ask CALLER INSTANCE MODEL TOKENS
+// PROMPT.
 func ask(d *deployment, args []string) (string, error) {
 	answer, err := chat(context.Background(), d, args, nil)
 	if err != nil {
@@ -301,9 +301,9 @@
 	return describe(answer)
 }
 
-// call calls a plain service: call CALLER INSTANCE METHOD PATH [BODY [KEY]].
-// KEY "new" asks the instance for a key's beginning; @NAME is a key that the
-// verb key made.
+// call sends a request to a service: call CALLER INSTANCE METHOD PATH [BODY [KEY]].
+// KEY "new" creates a key with the instance's prefix; @NAME is a key that the verb
+// key created.
 func call(d *deployment, args []string) (string, error) {
 	const least = 4
 	if len(args) < least || d.instances[args[1]] == nil {
