--- a/test/scenario/random_schedule_test.go
+++ b/test/scenario/random_schedule_test.go
@@ -170,8 +170,9 @@
 // link returns the resource name of the link between two places, in both directions.
 func link(a, b string) string { return min(a, b) + "-" + max(a, b) }
 
-// isolate partitions a failure domain from the platform and the others, and reserves
-// all its resources so that no other fault occurs there at the same time.
+// isolate partitions a failure domain from the platform and the others. It reserves
+// all its resources, from settleFirst before the checked interval, so that no other
+// fault affects the domain.
 func (s *scheduler) isolate() *fault {
 	domain := pick(s, s.topology.domains)
 	f := &fault{kind: "isolate", length: settleFirst + isolation, holds: s.topology.held(domain), alone: domain}
@@ -234,7 +235,7 @@
 	return f
 }
 
-// change adds an operator's line and, if it has an effect to undo, its inverse.
+// change adds an operator's line and, for most kinds, the line that reverts it.
 func (s *scheduler) change(f *fault) {
 	switch s.IntN(5) {
 	case 0:
