--- a/test/scenario/deployment_test.go
+++ b/test/scenario/deployment_test.go
@@ -21,14 +21,14 @@
 const (
 	firstNet = 20
 	lastNet  = 250
-	// holderPort on 127.N.255.254 is the lock of the test that uses net N.
-	holderPort = 7999
+	// reservationPort on 127.N.255.254 is the lock of the test that uses net N.
+	reservationPort = 7999
 )
 
 // Interval and timeout of polling a condition.
 const (
-	pollEvery = 50 * time.Millisecond
-	pollBound = 20 * time.Second
+	pollInterval = 50 * time.Millisecond
+	pollTimeout  = 20 * time.Second
 )
 
 var (
@@ -83,7 +83,7 @@
 
 func reserveNet() (int, net.Listener, error) {
 	for number := firstNet; number <= lastNet; number++ {
-		holder, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", number, holderPort))
+		holder, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", number, reservationPort))
 		if err == nil {
 			return number, holder, nil
 		}
@@ -144,13 +144,13 @@
 	if err != nil {
 		return err
 	}
-	for _, one := range found {
-		if err := one.start(); err != nil {
+	for _, p := range found {
+		if err := p.start(); err != nil {
 			return err
 		}
 	}
-	for _, one := range found {
-		if err := d.awaitAnswer(one); err != nil {
+	for _, p := range found {
+		if err := d.awaitAnswer(p); err != nil {
 			return err
 		}
 	}
@@ -158,11 +158,11 @@
 }
 
 // health returns the URL of a process's health check.
-func (d *deployment) health(one *process) string {
-	if one.admin != "" {
-		return "http://" + one.admin + "/healthz"
+func (d *deployment) health(p *process) string {
+	if p.admin != "" {
+		return "http://" + p.admin + "/healthz"
 	}
-	owner, program, _ := strings.Cut(one.name, "/")
+	owner, program, _ := strings.Cut(p.name, "/")
 	switch program {
 	case "gateway":
 		return "http://" + d.instances[owner].Gateway.Callers + "/healthz"
@@ -173,21 +173,21 @@
 	}
 }
 
-func (d *deployment) awaitAnswer(one *process) error {
-	url := d.health(one)
-	return poll(pollBound, func() error {
-		if !one.running() {
-			return fmt.Errorf("%s: %w: %w", one.name, errNotRunning, one.failure)
+func (d *deployment) awaitAnswer(p *process) error {
+	url := d.health(p)
+	return poll(pollTimeout, func() error {
+		if !p.running() {
+			return fmt.Errorf("%s: %w: %w", p.name, errNotRunning, p.failure)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		if err != nil {
-			return fmt.Errorf("%s: %w", one.name, err)
+			return fmt.Errorf("%s: %w", p.name, err)
 		}
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
-			return fmt.Errorf("%s: %w: %w", one.name, errNotReady, err)
+			return fmt.Errorf("%s: %w: %w", p.name, errNotReady, err)
 		}
 		return response.Body.Close()
 	})
@@ -196,7 +196,7 @@
 // poll repeats a condition until it returns nil, or returns its last error on timeout.
 func poll(bound time.Duration, condition func() error) error {
 	deadline := time.After(bound)
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		err := condition()
@@ -213,11 +213,11 @@
 
 // close kills the running processes and releases the net.
 func (d *deployment) close() {
-	for _, one := range d.loads {
-		one.cancel()
+	for _, running := range d.loads {
+		running.cancel()
 	}
-	for _, one := range d.processes {
-		_ = one.kill()
+	for _, running := range d.processes {
+		_ = running.kill()
 	}
 	_ = d.holder.Close()
 	<-deploymentSlots
@@ -227,12 +227,12 @@
 func (d *deployment) showLogs() string {
 	const tail = 3000
 	var text strings.Builder
-	for _, one := range d.processes {
-		data, _ := os.ReadFile(one.log)
+	for _, p := range d.processes {
+		data, _ := os.ReadFile(p.log)
 		if len(data) > tail {
 			data = data[len(data)-tail:]
 		}
-		fmt.Fprintf(&text, "--- %s\n%s", one.name, data)
+		fmt.Fprintf(&text, "--- %s\n%s", p.name, data)
 	}
 	return text.String()
 }
--- a/test/scenario/input_test.go
+++ b/test/scenario/input_test.go
@@ -26,16 +26,16 @@
 	// nonsenseSeed fixes the random bytes.
 	nonsenseSeed = 7
 	nonsenseSize = 64 << 10
-	// slowEvery is the interval between bytes on slow connections.
-	slowEvery = 250 * time.Millisecond
-	// sizeMark begins an argument that is replaced by that many bytes.
-	sizeMark = "size:"
-	// shownBody bounds the part of a body that is printed.
-	shownBody = 400
+	// slowInterval is the interval between bytes on slow connections.
+	slowInterval = 250 * time.Millisecond
+	// sizePrefix begins an argument that is replaced by that many bytes.
+	sizePrefix = "size:"
+	// maxShownBody bounds the part of a body that is printed.
+	maxShownBody = 400
 )
 
-// doors returns an instance's listen addresses by their names in scripts.
-func (d *deployment) doors(instance string) map[string]string {
+// listeners returns an instance's listen addresses by their names in scripts.
+func (d *deployment) listeners(instance string) map[string]string {
 	found := d.instances[instance]
 	if found == nil {
 		return nil
@@ -46,10 +46,10 @@
 	}
 }
 
-// sized returns N bytes for size:N, and any other text unchanged.
-func sized(text string) string {
-	count, err := strconv.Atoi(strings.TrimPrefix(text, sizeMark))
-	if err != nil || !strings.HasPrefix(text, sizeMark) {
+// expandSize returns N bytes for size:N, and any other text unchanged.
+func expandSize(text string) string {
+	count, err := strconv.Atoi(strings.TrimPrefix(text, sizePrefix))
+	if err != nil || !strings.HasPrefix(text, sizePrefix) {
 		return text
 	}
 	return strings.Repeat("x", count)
@@ -59,25 +59,25 @@
 // BODY is a file of the script, size:N, literal text, or - for none.
 func web(d *deployment, args []string) (string, error) {
 	const least = 5
-	if len(args) < least || d.doors(args[0])[args[1]] == "" {
+	if len(args) < least || d.listeners(args[0])[args[1]] == "" {
 		return "", errUsage
 	}
-	body := []byte(sized(args[4]))
+	body := []byte(expandSize(args[4]))
 	if data, err := os.ReadFile(d.file(args[4])); err == nil {
 		body = data
 	} else if args[4] == "-" {
 		body = nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askBound)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	url := "http://" + d.doors(args[0])[args[1]] + args[3]
+	url := "http://" + d.listeners(args[0])[args[1]] + args[3]
 	request, err := http.NewRequestWithContext(ctx, args[2], url, bytes.NewReader(body))
 	if err != nil {
 		return "", fmt.Errorf("web: %w", err)
 	}
 	for _, field := range args[least:] {
 		name, value, _ := strings.Cut(field, "=")
-		request.Header.Set(name, sized(value))
+		request.Header.Set(name, expandSize(value))
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -104,7 +104,7 @@
 		kind = refusal.Error.Type + "/" + refusal.Error.Outcome
 	}
 	return fmt.Sprintf("status=%d error=%s verdict=%s body=%s", response.StatusCode, kind,
-		response.Header.Get(header.Verdict), body[:min(len(body), shownBody)]), nil
+		response.Header.Get(header.Verdict), body[:min(len(body), maxShownBody)]), nil
 }
 
 // nonsense sends malformed input to all listeners of an instance and counts the
@@ -127,10 +127,10 @@
 		[]byte("GET /\x00 HTTP/9.9\r\n\r\n\r\n"),
 	}
 	sent, ended := 0, 0
-	for _, address := range d.doors(args[0]) {
+	for _, address := range d.listeners(args[0]) {
 		for _, payload := range payloads {
 			sent++
-			if err := throw(address, payload); err != nil {
+			if err := sendRaw(address, payload); err != nil {
 				return "", fmt.Errorf("nonsense at %s: %w", address, err)
 			}
 			ended++
@@ -139,14 +139,14 @@
 	return fmt.Sprintf("sent=%d ended=%d", sent, ended), nil
 }
 
-// throw sends bytes and waits until the server closes the connection.
-func throw(address string, payload []byte) error {
+// sendRaw sends bytes and waits until the server closes the connection.
+func sendRaw(address string, payload []byte) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return fmt.Errorf("throw: %w", err)
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(askBound))
+	_ = conn.SetDeadline(time.Now().Add(requestTimeout))
 	if _, err := conn.Write(payload); err == nil {
 		_ = conn.(*net.TCPConn).CloseWrite()
 	}
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// slowSet is a set of connections that send one byte per slowEvery.
+// slowSet is a set of connections that send one byte per slowInterval.
 type slowSet struct{ open atomic.Int64 }
 
 // slow opens a set of slow connections, or prints how many of an existing set are
@@ -168,7 +168,7 @@
 		return fmt.Sprintf("open=%d", set.open.Load()), nil
 	}
 	const all = 5
-	if len(args) != all || d.doors(args[1])[args[2]] == "" {
+	if len(args) != all || d.listeners(args[1])[args[2]] == "" {
 		return "", errUsage
 	}
 	begin, err := os.ReadFile(d.file(args[4]))
@@ -183,21 +183,21 @@
 	set := new(slowSet)
 	d.slow[args[0]] = set
 	for range count {
-		conn, err := net.Dial("tcp", d.doors(args[1])[args[2]])
+		conn, err := net.Dial("tcp", d.listeners(args[1])[args[2]])
 		if err != nil {
 			return "", fmt.Errorf("slow: %w", err)
 		}
 		set.open.Add(1)
-		go set.dribble(conn, begin)
+		go set.sendSlowly(conn, begin)
 	}
 	return fmt.Sprintf("open=%d", count), nil
 }
 
-// dribble sends until the server closes the connection.
-func (s *slowSet) dribble(conn net.Conn, begin []byte) {
+// sendSlowly sends until the server closes the connection.
+func (s *slowSet) sendSlowly(conn net.Conn, begin []byte) {
 	defer s.open.Add(-1)
 	defer func() { _ = conn.Close() }()
-	ticker := time.NewTicker(slowEvery)
+	ticker := time.NewTicker(slowInterval)
 	defer ticker.Stop()
 	for _, err := conn.Write(begin); err == nil; _, err = conn.Write([]byte("a")) {
 		<-ticker.C
@@ -207,9 +207,9 @@
 // pids prints the running processes and their process IDs.
 func pids(d *deployment, _ []string) (string, error) {
 	var lines []string
-	for name, one := range d.processes {
-		if one.running() {
-			lines = append(lines, fmt.Sprintf("%s=%d", name, one.command.Process.Pid))
+	for name, p := range d.processes {
+		if p.running() {
+			lines = append(lines, fmt.Sprintf("%s=%d", name, p.command.Process.Pid))
 		}
 	}
 	slices.Sort(lines)
@@ -223,7 +223,7 @@
 	if len(args) == 0 {
 		return "", errUsage
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), exitBound)
+	ctx, cancel := context.WithTimeout(context.Background(), exitTimeout)
 	defer cancel()
 	for i, arg := range args {
 		if instance, ok := d.instances[strings.TrimPrefix(arg, "@")]; ok && arg[0] == '@' {
--- a/test/scenario/keys_test.go
+++ b/test/scenario/keys_test.go
@@ -13,8 +13,8 @@
 
 var errNoKey = errors.New("no such key")
 
-// keyMark begins a reference to a key that the verb key created.
-const keyMark = "@"
+// keyPrefix begins a reference to a key that the verb key created.
+const keyPrefix = "@"
 
 // newKey creates a key of an instance and stores it: key NAME CALLER INSTANCE.
 func newKey(d *deployment, args []string) (string, error) {
@@ -22,7 +22,7 @@
 	if len(args) != count || d.instances[args[2]] == nil {
 		return "", errUsage
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askBound)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	list, err := client.New("key-"+args[1], nil).Instances(ctx, d.instances[args[2]].Gateway.Callers)
 	if err != nil {
@@ -34,7 +34,7 @@
 
 // keyNamed returns the key stored as NAME for @NAME, and any other argument unchanged.
 func (d *deployment) keyNamed(argument string) (string, error) {
-	name, named := strings.CutPrefix(argument, keyMark)
+	name, named := strings.CutPrefix(argument, keyPrefix)
 	if !named {
 		return argument, nil
 	}
--- a/test/scenario/leaving_test.go
+++ b/test/scenario/leaving_test.go
@@ -28,7 +28,7 @@
 	if len(args) != count || d.moments[args[1]].IsZero() {
 		return "", errUsage
 	}
-	entries, err := listed[journal.Entry](d, "journal")
+	entries, err := adminEntries[journal.Entry](d, "journal")
 	if err != nil {
 		return "", err
 	}
--- a/test/scenario/observe_test.go
+++ b/test/scenario/observe_test.go
@@ -19,8 +19,8 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// healthBound bounds one readiness or metrics request.
-const healthBound = 2 * time.Second
+// healthTimeout bounds one readiness or metrics request.
+const healthTimeout = 2 * time.Second
 
 // ready prints the readiness report of an instance's gateway: ready INSTANCE.
 func ready(d *deployment, args []string) (string, error) {
@@ -31,7 +31,7 @@
 }
 
 func get(url string) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), healthBound)
+	ctx, cancel := context.WithTimeout(context.Background(), healthTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -73,22 +73,22 @@
 		if !strings.Contains(text, `"serving"`) {
 			return fmt.Errorf("%s: %w: %s", name, errNotReady, text)
 		}
-		if err := d.listsAll(name); err != nil {
+		if err := d.listsAllInstances(name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// roamers names a caller of each deployment that is permitted in every region.
-var roamers = map[string]string{"wellness": "clinic-review", "minibar": "chung-restock"}
+// allRegionCallers names a caller of each deployment that is permitted in every region.
+var allRegionCallers = map[string]string{"wellness": "clinic-review", "minibar": "chung-restock"}
 
-// listsAll checks that a gateway lists every instance. A gateway that has just
+// listsAllInstances checks that a gateway lists every instance. A gateway that has just
 // started knows only its own failure domain.
-func (d *deployment) listsAll(name string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), healthBound)
+func (d *deployment) listsAllInstances(name string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), healthTimeout)
 	defer cancel()
-	caller := client.New("key-"+roamers[d.name], nil)
+	caller := client.New("key-"+allRegionCallers[d.name], nil)
 	list, err := caller.Instances(ctx, d.instances[name].Gateway.Callers)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// listed decodes the JSON lines of an answer of the stand-in's admin interface.
-func listed[T any](d *deployment, command ...string) ([]T, error) {
+// adminEntries decodes the JSON lines of an answer of the stand-in's admin interface.
+func adminEntries[T any](d *deployment, command ...string) ([]T, error) {
 	text, err := control(d, command)
 	if err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 // ran counts the runs at all upstreams or at one: ran [UPSTREAM]. It prints the runs
 // of each call, and the number of idempotency keys that ran more than once.
 func ran(d *deployment, args []string) (string, error) {
-	entries, err := listed[journal.Entry](d, append([]string{"journal"}, args...)...)
+	entries, err := adminEntries[journal.Entry](d, append([]string{"journal"}, args...)...)
 	if err != nil {
 		return "", err
 	}
@@ -153,7 +153,7 @@
 // outside counts the requests that upstreams processed for callers not permitted in
 // the upstream's region by the planned declaration.
 func outside(d *deployment, _ []string) (string, error) {
-	counts, err := listed[journal.Count](d, "processed")
+	counts, err := adminEntries[journal.Count](d, "processed")
 	if err != nil {
 		return "", err
 	}
@@ -222,8 +222,8 @@
 		return "", fmt.Errorf("logged: %w", err)
 	}
 	total := 0
-	for _, one := range found {
-		data, err := os.ReadFile(one.log)
+	for _, p := range found {
+		data, err := os.ReadFile(p.log)
 		if err != nil {
 			return "", fmt.Errorf("logged: %w", err)
 		}
--- a/test/scenario/orders_test.go
+++ b/test/scenario/orders_test.go
@@ -15,8 +15,8 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// errNoHolder means that no agent of the domain has acquired the order lease.
-var errNoHolder = errors.New("nobody has taken the lease")
+// errNoLeaseHolder means that no agent of the domain has acquired the order lease.
+var errNoLeaseHolder = errors.New("nobody has taken the lease")
 
 var leaseTaken = regexp.MustCompile(`event=order-lease-taken .*revision=([0-9]+)`)
 
@@ -32,20 +32,20 @@
 		return "", err
 	}
 	newest := -1
-	for _, one := range found {
-		data, err := os.ReadFile(one.log)
+	for _, p := range found {
+		data, err := os.ReadFile(p.log)
 		if err != nil {
 			return "", fmt.Errorf("holder: %w", err)
 		}
 		for _, match := range leaseTaken.FindAllSubmatch(data, -1) {
 			revision, err := strconv.Atoi(string(match[1]))
 			if err == nil && revision > newest {
-				newest, d.processes[args[0]] = revision, one
+				newest, d.processes[args[0]] = revision, p
 			}
 		}
 	}
 	if newest < 0 {
-		return "", errNoHolder
+		return "", errNoLeaseHolder
 	}
 	return "holder=" + d.processes[args[0]].name, nil
 }
@@ -59,7 +59,7 @@
 	if len(args) != 1 {
 		return "", errUsage
 	}
-	entries, err := listed[journal.Entry](d, "journal")
+	entries, err := adminEntries[journal.Entry](d, "journal")
 	if err != nil {
 		return "", err
 	}
--- a/test/scenario/process_test.go
+++ b/test/scenario/process_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// exitBound bounds the exit of a process after SIGTERM, and short-lived programs.
-const exitBound = 60 * time.Second
+// exitTimeout bounds the exit of a process after SIGTERM, and short-lived programs.
+const exitTimeout = 60 * time.Second
 
 var (
 	errRunning    = errors.New("the process runs already")
@@ -33,7 +33,7 @@
 	log string
 
 	command *exec.Cmd
-	ended   chan struct{}
+	exited  chan struct{}
 	failure error
 }
 
@@ -52,20 +52,20 @@
 	if err := p.command.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
-	p.ended = make(chan struct{})
+	p.exited = make(chan struct{})
 	go func() {
 		p.failure = p.command.Wait()
-		close(p.ended)
+		close(p.exited)
 	}()
 	return nil
 }
 
 func (p *process) running() bool {
-	if p.ended == nil {
+	if p.exited == nil {
 		return false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -88,7 +88,7 @@
 	if err := p.signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	return poll(pollBound, p.isFrozen)
+	return poll(pollTimeout, p.isFrozen)
 }
 
 func (p *process) isFrozen() error {
@@ -117,7 +117,7 @@
 	if err := p.signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	<-p.ended
+	<-p.exited
 	return nil
 }
 
@@ -131,8 +131,8 @@
 
 func (p *process) awaitExit() error {
 	select {
-	case <-p.ended:
-	case <-time.After(exitBound):
+	case <-p.exited:
+	case <-time.After(exitTimeout):
 		return fmt.Errorf("%s: %w", p.name, errNoExit)
 	}
 	if p.failure != nil {
--- a/test/scenario/random_callers_test.go
+++ b/test/scenario/random_callers_test.go
@@ -29,15 +29,15 @@
 	exportPath    = "/sleeplog/exports/night"
 )
 
-// homes maps the sending callers to the failure domain of their seed addresses. The
-// residents' requests must stay in that domain.
-var homes = map[string]string{
+// callerDomains maps the sending callers to the failure domain of their seed addresses.
+// The residents' requests must stay in that domain.
+var callerDomains = map[string]string{
 	"residents-app": "kalamaria-hall", "larisa-residents": "larisa-hall", "peristeri-residents": "peristeri-hall",
 	"clinic-review": "larisa-hall", "shift-workers": "kalamaria-hall",
 }
 
-// senders is the order in which callers are drawn.
-var senders = []string{"residents-app", "larisa-residents", "peristeri-residents", "clinic-review", "shift-workers"}
+// callerNames is the order in which callers are drawn.
+var callerNames = []string{"residents-app", "larisa-residents", "peristeri-residents", "clinic-review", "shift-workers"}
 
 // errWrongContent reports an answer that does not match its request.
 var errWrongContent = errors.New("the answer belongs to another request or is not whole")
@@ -48,15 +48,15 @@
 	body                          []byte
 	chat                          *client.ChatRequest
 	deadline                      time.Duration
-	// leaves is the time after which the caller cancels; zero for never.
-	leaves time.Duration
-	// again is the delay of a repeat under the same key through another instance;
+	// cancelAfter is the time after which the caller cancels; zero for never.
+	cancelAfter time.Duration
+	// repeatAfter is the delay of a repeat under the same key through another instance;
 	// negative for none.
-	again time.Duration
+	repeatAfter time.Duration
 }
 
-// told is one attempt of a request and its result.
-type told struct {
+// attempt is one attempt of a request and its result.
+type attempt struct {
 	*request
 	// id is the request ID of this attempt; each attempt under a key has its own.
 	id     string
@@ -64,30 +64,30 @@
 	interval
 	// gateway is the gateway address to which the caller connected last.
 	gateway string
-	// followed is true if the caller followed the instance list.
-	followed bool
-	// gone is true if the caller cancelled the request or ran into its timeout.
-	gone bool
-	// wrong is the mismatch of the content, or nil.
-	wrong error
+	// followsList is true if the caller followed the instance list.
+	followsList bool
+	// cancelled is true if the caller cancelled the request or ran into its timeout.
+	cancelled bool
+	// contentErr is the mismatch of the content, or nil.
+	contentErr error
 }
 
-// crowd sends the load of the random run and records the result of each attempt.
-type crowd struct {
+// callerLoad sends the load of the random run and records the result of each attempt.
+type callerLoad struct {
 	seed      uint64
 	followers map[string]*client.Follower
 	clients   map[string]*client.Client
 	addresses []string
 
-	mu   sync.Mutex
-	told []*told
-	sent sync.WaitGroup
+	mu       sync.Mutex
+	attempts []*attempt
+	sent     sync.WaitGroup
 }
 
-func newCrowd(d *deployment, seed uint64) *crowd {
-	c := &crowd{seed: seed, followers: make(map[string]*client.Follower), clients: make(map[string]*client.Client)}
+func newCallerLoad(d *deployment, seed uint64) *callerLoad {
+	c := &callerLoad{seed: seed, followers: make(map[string]*client.Follower), clients: make(map[string]*client.Client)}
 	seeds := load.SeedsByDomain(d.instances)
-	for caller, domain := range homes {
+	for caller, domain := range callerDomains {
 		c.clients[caller] = client.New("key-"+caller, nil)
 		c.followers[caller] = client.NewFollower(c.clients[caller], seeds[domain])
 	}
@@ -99,7 +99,7 @@
 
 // run sends requests at times drawn in advance until ctx is cancelled, and waits for
 // every answer.
-func (c *crowd) run(ctx context.Context, length time.Duration) {
+func (c *callerLoad) run(ctx context.Context, length time.Duration) {
 	source := rand.New(rand.NewPCG(c.seed, 1))
 	begin := time.Now()
 	for number, due := range load.Arrivals(c.seed, randomRate, length) {
@@ -115,7 +115,7 @@
 
 // draw returns a random request.
 func draw(source *rand.Rand, number int) *request {
-	r := &request{id: fmt.Sprintf("r%d", number), caller: senders[source.IntN(len(senders))], again: -1}
+	r := &request{id: fmt.Sprintf("r%d", number), caller: callerNames[source.IntN(len(callerNames))], repeatAfter: -1}
 	switch roll := source.IntN(10); {
 	case roll < 5:
 		r.chat = &client.ChatRequest{Model: "lilac-nurse", MaxTokens: 4 + source.IntN(40)}
@@ -127,12 +127,12 @@
 			r.deadline = 4 * time.Second
 		}
 		if source.IntN(12) == 0 {
-			r.leaves = time.Duration(50+source.IntN(500)) * time.Millisecond
+			r.cancelAfter = time.Duration(50+source.IntN(500)) * time.Millisecond
 		}
 	case roll < 9:
 		r.method, r.path = http.MethodPost, uploadPath
 		r.body = fmt.Appendf(nil, `{"night":%d}`, source.Uint64())
-		r.keyed(source)
+		r.chooseKey(source)
 	default:
 		r.method, r.path = http.MethodGet, exportPath
 	}
@@ -145,8 +145,8 @@
 	opaqueKey = "opaque-"
 )
 
-// keyed chooses the kind of key and a repeat under it.
-func (r *request) keyed(source *rand.Rand) {
+// chooseKey draws the kind of key and a repeat under it.
+func (r *request) chooseKey(source *rand.Rand) {
 	switch roll := source.IntN(10); {
 	case roll < 1:
 		return
@@ -157,15 +157,15 @@
 	}
 	switch source.IntN(3) {
 	case 0:
-		r.again = 0
+		r.repeatAfter = 0
 	case 1:
-		r.again = time.Duration(100+source.IntN(6000)) * time.Millisecond
+		r.repeatAfter = time.Duration(100+source.IntN(6000)) * time.Millisecond
 	}
 }
 
 // send sends a request along the instance list and, if drawn, a repeat under its key
 // through another instance.
-func (c *crowd) send(r *request, other string) {
+func (c *callerLoad) send(r *request, other string) {
 	ctx, cancel := context.WithTimeout(context.Background(), randomTimeout)
 	defer cancel()
 	if r.key == systemKey {
@@ -175,21 +175,21 @@
 		}
 		r.key = key
 	}
-	if r.again >= 0 {
+	if r.repeatAfter >= 0 {
 		c.sent.Go(func() {
-			clock.Sleep(context.Background(), r.again)
-			c.attempt(&told{request: r, id: r.id + "-again"}, other)
+			clock.Sleep(context.Background(), r.repeatAfter)
+			c.sendAttempt(&attempt{request: r, id: r.id + "-again"}, other)
 		})
 	}
-	c.attempt(&told{request: r, id: r.id, followed: true}, "")
+	c.sendAttempt(&attempt{request: r, id: r.id, followsList: true}, "")
 }
 
-// attempt sends one attempt, to an address or along the instance list, and records
+// sendAttempt sends one attempt, to an address or along the instance list, and records
 // the answer.
-func (c *crowd) attempt(one *told, address string) {
+func (c *callerLoad) sendAttempt(one *attempt, address string) {
 	limit := randomTimeout
-	if one.leaves > 0 {
-		limit = one.leaves
+	if one.cancelAfter > 0 {
+		limit = one.cancelAfter
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -201,21 +201,21 @@
 	switch {
 	case one.chat != nil:
 		one.answer = c.followers[one.caller].Chat(ctx, *one.chat, options, nil)
-	case one.followed:
+	case one.followsList:
 		one.answer = c.followers[one.caller].Call(ctx, one.method, one.path, one.body, options)
 	default:
 		one.answer = c.clients[one.caller].Call(ctx, address, one.method, one.path, one.body, options)
 	}
 	one.until = time.Now()
-	one.gone = ctx.Err() != nil
-	one.wrong = one.check()
+	one.cancelled = ctx.Err() != nil
+	one.contentErr = one.check()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.told = append(c.told, one)
+	c.attempts = append(c.attempts, one)
 }
 
 // check compares a complete answer with the one expected for its request.
-func (t *told) check() error {
+func (t *attempt) check() error {
 	if t.answer.Outcome != outcome.Complete {
 		return nil
 	}
@@ -237,7 +237,7 @@
 	return nil
 }
 
-func (t *told) checkChat() error {
+func (t *attempt) checkChat() error {
 	messages := make([]prefix.Message, 0, len(t.chat.Messages))
 	for _, message := range t.chat.Messages {
 		messages = append(messages, prefix.Message(message))
--- a/test/scenario/random_verdict_test.go
+++ b/test/scenario/random_checks_test.go
@@ -17,22 +17,22 @@
 
 // evidence is the input of the checks and their results.
 type evidence struct {
-	d       *deployment
-	entries []journal.Entry
-	hops    []hopLine
-	told    []*told
-	past    history
-	watcher *watcher
-	faults  *disturber
+	d        *deployment
+	entries  []journal.Entry
+	hops     []hopLine
+	attempts []*attempt
+	past     history
+	watcher  *watcher
+	faults   *faultInjector
 	// gateways lists the names of gateway processes by failure domain.
 	gateways map[string][]string
 
-	wrong  []string
-	counts []string
+	violations []string
+	counts     []string
 }
 
 func (e *evidence) fail(promise, format string, args ...any) {
-	e.wrong = append(e.wrong, promise+": "+fmt.Sprintf(format, args...))
+	e.violations = append(e.violations, promise+": "+fmt.Sprintf(format, args...))
 }
 
 func (e *evidence) count(format string, args ...any) {
@@ -46,7 +46,7 @@
 	e.checkIsolation()
 	e.checkAnswers()
 	e.checkNotRun()
-	e.checkOnce()
+	e.checkAtMostOnce()
 	e.checkShutdown()
 	e.checkRevisions()
 	e.checkVerdicts()
@@ -67,14 +67,14 @@
 			continue
 		}
 		regions++
-		if !e.past.any(low, high, func(f inForce) bool { return f.permitted[entry.Caller+" "+entry.Domain] }) {
+		if !e.past.any(low, high, func(f revisionState) bool { return f.permitted[entry.Caller+" "+entry.Domain] }) {
 			e.fail("region", "%s ran at %s for %s, forbidden in revisions %d to %d", entry.RequestID, entry.Upstream, entry.Caller, low, high)
 		}
 		low, high, ok = e.watcher.between(e.gateways[entry.Domain], entry.Started.Add(-leaveBound), entry.Started)
-		if ok && e.past.any(low, high, func(f inForce) bool { return f.anyDrained() }) {
+		if ok && e.past.any(low, high, func(f revisionState) bool { return f.anyDrained() }) {
 			drains++
 		}
-		if ok && !e.past.any(low, high, func(f inForce) bool { return !f.drained[entry.Upstream] }) {
+		if ok && !e.past.any(low, high, func(f revisionState) bool { return !f.drained[entry.Upstream] }) {
 			e.fail("leaving", "%s began at %s, drained in revisions %d to %d", entry.RequestID, entry.Upstream, low, high)
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 	for _, entry := range e.entries {
 		domain, known := entered[entry.RequestID]
-		if !known || domain == entry.Domain || reached[entry.RequestID+" "+entry.Domain] || e.endedNear(entry.Domain, entry.Started) {
+		if !known || domain == entry.Domain || reached[entry.RequestID+" "+entry.Domain] || e.killedNear(entry.Domain, entry.Started) {
 			continue
 		}
 		e.fail("loop", "%s entered at %s and ran at %s without a hop there", entry.RequestID, domain, entry.Domain)
@@ -112,9 +112,9 @@
 	e.count("loop: %d hops held against where their requests entered", forwarded)
 }
 
-// endedNear returns whether a gateway of the domain was killed within randomTimeout,
+// killedNear returns whether a gateway of the domain was killed within randomTimeout,
 // so that its log may lack the request.
-func (e *evidence) endedNear(domain string, from time.Time) bool {
+func (e *evidence) killedNear(domain string, from time.Time) bool {
 	for _, name := range e.gateways[domain] {
 		for _, end := range e.faults.killed[name] {
 			if end.overlaps(from, from.Add(randomTimeout)) {
@@ -128,27 +128,27 @@
 // checkIsolation checks that residents' requests completed while their failure domain
 // was partitioned and had no other fault.
 func (e *evidence) checkIsolation() {
-	asked := 0
-	for _, one := range e.told {
-		domain := homes[one.caller]
-		if !strings.Contains(one.caller, "resident") || !one.followed || one.gone {
+	checked := 0
+	for _, one := range e.attempts {
+		domain := callerDomains[one.caller]
+		if !strings.Contains(one.caller, "resident") || !one.followsList || one.cancelled {
 			continue
 		}
-		for _, alone := range e.faults.alone[domain] {
-			if one.from.Before(alone.from) || one.until.After(alone.until) || strings.HasPrefix(one.key, opaqueKey) {
+		for _, isolated := range e.faults.isolated[domain] {
+			if one.from.Before(isolated.from) || one.until.After(isolated.until) || strings.HasPrefix(one.key, opaqueKey) {
 				continue // opaque keys need the platform
 			}
-			asked++
-			inProgress := one.again == 0 && one.answer.Refusal.Type == outcome.ReasonKeyInProgress
+			checked++
+			inProgress := one.repeatAfter == 0 && one.answer.Refusal.Type == outcome.ReasonKeyInProgress
 			if one.answer.Outcome != outcome.Complete && !inProgress {
-				e.fail("isolation", "%s %s in %s: %s", one.caller, one.id, domain, describeTold(one))
+				e.fail("isolation", "%s %s in %s: %s", one.caller, one.id, domain, describeAttempt(one))
 			}
 		}
 	}
-	e.count("isolation: %d requests in cut-off domains", asked)
+	e.count("isolation: %d requests in cut-off domains", checked)
 }
 
-func describeTold(one *told) string {
+func describeAttempt(one *attempt) string {
 	return fmt.Sprintf("%s status %d %s %v (sent %s, took %v)", one.answer.Outcome, one.answer.Status, one.answer.Refusal.Type, one.answer.Err,
 		one.from.Format(time.StampMilli), one.until.Sub(one.from).Round(time.Millisecond))
 }
@@ -156,14 +156,14 @@
 // checkAnswers checks that each complete answer matches its request.
 func (e *evidence) checkAnswers() {
 	ends := make(map[string]int)
-	for _, one := range e.told {
+	for _, one := range e.attempts {
 		end := string(one.answer.Outcome)
-		if one.gone {
+		if one.cancelled {
 			end = "given up by the caller"
 		}
 		ends[strings.TrimSpace(end+" "+string(one.answer.Refusal.Type))]++
-		if one.wrong != nil {
-			e.fail("whole", "%s %s: %v", one.caller, one.id, one.wrong)
+		if one.contentErr != nil {
+			e.fail("whole", "%s %s: %v", one.caller, one.id, one.contentErr)
 		}
 	}
 	e.count("whole: each complete answer compared with what it must be; ends: %v", ends)
@@ -172,32 +172,32 @@
 // checkNotRun checks each "not run" outcome against the journal: of gateways by
 // request ID, and of callers for each attempt.
 func (e *evidence) checkNotRun() {
-	ranTry, ranRequest := make(map[string]bool), make(map[string]bool)
+	ranAttempt, ranRequest := make(map[string]bool), make(map[string]bool)
 	for index := range e.entries {
-		ranTry[e.entries[index].RequestID] = true
+		ranAttempt[e.entries[index].RequestID] = true
 		ranRequest[e.entries[index].Caller+" "+ownID(&e.entries[index])] = true
 	}
-	said := 0
+	reported := 0
 	for _, hop := range e.hops {
 		if hop.origin != "" || hop.outcome != string(outcome.NotRun) {
 			continue
 		}
-		said++
-		if ranTry[hop.request] {
+		reported++
+		if ranAttempt[hop.request] {
 			e.fail("not-run", "%s was said not to have run, and ran", hop.request)
 		}
 	}
-	for _, one := range e.told {
+	for _, one := range e.attempts {
 		if one.answer.Outcome == outcome.NotRun && ranRequest[one.caller+" "+one.id] {
-			e.fail("not-run", "%s %s was told %s, and ran", one.caller, one.id, describeTold(one))
+			e.fail("not-run", "%s %s was told %s, and ran", one.caller, one.id, describeAttempt(one))
 		}
 	}
-	e.count("not-run: said %d times by gateways, each compared with the journal", said)
+	e.count("not-run: said %d times by gateways, each compared with the journal", reported)
 }
 
-// checkOnce compares the runs of each key, and of each upload without one, with the
-// outcomes of its attempts.
-func (e *evidence) checkOnce() {
+// checkAtMostOnce compares the runs of each key, and of each upload without one, with
+// the outcomes of its attempts.
+func (e *evidence) checkAtMostOnce() {
 	runs := make(map[string][]journal.Entry)
 	for index := range e.entries {
 		entry := e.entries[index]
@@ -209,8 +209,8 @@
 			runs[entry.Caller+" "+ownID(&entry)] = append(runs[entry.Caller+" "+ownID(&entry)], entry)
 		}
 	}
-	tries := make(map[string][]*told)
-	for _, one := range e.told {
+	attempts := make(map[string][]*attempt)
+	for _, one := range e.attempts {
 		if one.path != uploadPath {
 			continue
 		}
@@ -218,23 +218,23 @@
 		if name == "" {
 			name = one.caller + " " + one.id
 		}
-		tries[name] = append(tries[name], one)
+		attempts[name] = append(attempts[name], one)
 	}
-	for name, all := range tries {
-		e.checkTries(name, runs[name], all)
+	for name, all := range attempts {
+		e.checkAttempts(name, runs[name], all)
 	}
-	e.count("once: %d uploads, each with its tries, held against its runs", len(tries))
+	e.count("once: %d uploads, each with its tries, held against its runs", len(attempts))
 }
 
-func (e *evidence) checkTries(name string, runs []journal.Entry, tries []*told) {
+func (e *evidence) checkAttempts(name string, runs []journal.Entry, attempts []*attempt) {
 	if len(runs) > 1 {
-		e.fail("once", "%s ran %d times: %s", name, len(runs), describeTries(tries))
+		e.fail("once", "%s ran %d times: %s", name, len(runs), describeAttempts(attempts))
 	}
 	body := ""
-	for _, one := range tries {
+	for _, one := range attempts {
 		complete := one.answer.Outcome == outcome.Complete
 		if complete && len(runs) == 0 {
-			e.fail("once", "%s was told complete and did not run: %s", name, describeTries(tries))
+			e.fail("once", "%s was told complete and did not run: %s", name, describeAttempts(attempts))
 		}
 		if complete && body != "" && body != string(one.answer.Body) {
 			e.fail("once", "%s got two answers: %s and %s", name, body, one.answer.Body)
@@ -244,9 +244,9 @@
 		}
 		// A repeat to a single address that could not be reached has no gateway's
 		// answer, so its outcome does not cover the other attempts under the key.
-		said := one.answer.Status != 0 || one.followed
-		if said && one.answer.Outcome == outcome.NotRun && len(runs) > 0 && ranBefore(runs[0].Started, one, tries) {
-			e.fail("not-run", "key %s ran at %s: %s", name, runs[0].Started.Format(time.StampMilli), describeTries(tries))
+		reported := one.answer.Status != 0 || one.followsList
+		if reported && one.answer.Outcome == outcome.NotRun && len(runs) > 0 && ranBefore(runs[0].Started, one, attempts) {
+			e.fail("not-run", "key %s ran at %s: %s", name, runs[0].Started.Format(time.StampMilli), describeAttempts(attempts))
 		}
 	}
 }
@@ -254,8 +254,8 @@
 // ranBefore returns whether a run contradicts the "not run" outcome of an attempt: it
 // started before the attempt ended. If another attempt overlapped, the run may be that
 // one's, so only a run before the start of the attempt counts.
-func ranBefore(began time.Time, one *told, tries []*told) bool {
-	for _, other := range tries {
+func ranBefore(began time.Time, one *attempt, attempts []*attempt) bool {
+	for _, other := range attempts {
 		if other != one && other.overlaps(one.from, one.until) {
 			return began.Before(one.from)
 		}
@@ -263,10 +263,10 @@
 	return began.Before(one.until)
 }
 
-func describeTries(tries []*told) string {
+func describeAttempts(attempts []*attempt) string {
 	var texts []string
-	for _, one := range tries {
-		texts = append(texts, one.id+" "+describeTold(one))
+	for _, one := range attempts {
+		texts = append(texts, one.id+" "+describeAttempt(one))
 	}
 	return strings.Join(texts, "; ")
 }
@@ -279,8 +279,8 @@
 		names[instance.Gateway.Callers] = name + "/gateway"
 	}
 	broken, stops := 0, 0
-	for _, one := range e.told {
-		if !cutOff(one) {
+	for _, one := range e.attempts {
+		if !connectionBroke(one) {
 			continue
 		}
 		broken++
@@ -289,7 +289,7 @@
 			killed = killed || end.overlaps(one.from, one.until)
 		}
 		if !killed {
-			e.fail("shutdown", "%s at %s was cut though the gateway was not killed: %s", one.id, names[one.gateway], describeTold(one))
+			e.fail("shutdown", "%s at %s was cut though the gateway was not killed: %s", one.id, names[one.gateway], describeAttempt(one))
 		}
 	}
 	for _, ends := range e.faults.stopped {
@@ -298,10 +298,10 @@
 	e.count("shutdown: %d processes stopped gracefully; %d connections broke, each looked for among the kills", stops, broken)
 }
 
-// cutOff returns whether the connection to a gateway broke during an attempt.
-func cutOff(one *told) bool {
+// connectionBroke returns whether the connection to a gateway broke during an attempt.
+func connectionBroke(one *attempt) bool {
 	answer := one.answer
-	if one.gone || answer.Err == nil || answer.Outcome != outcome.Unknown || errors.Is(answer.Err, client.ErrBrokenStream) {
+	if one.cancelled || answer.Err == nil || answer.Outcome != outcome.Unknown || errors.Is(answer.Err, client.ErrBrokenStream) {
 		return false
 	}
 	return answer.Refusal.Type == ""
@@ -309,16 +309,16 @@
 
 // checkRevisions checks that no process went back to an older revision.
 func (e *evidence) checkRevisions() {
-	asked := 0
+	checked := 0
 	for name, samples := range e.watcher.samples {
 		for index, one := range samples {
-			asked++
+			checked++
 			if index > 0 && one.start == samples[index-1].start && one.revision < samples[index-1].revision {
 				e.fail("configuration", "%s went from revision %d to %d", name, samples[index-1].revision, one.revision)
 			}
 		}
 	}
-	e.count("configuration: %d answers of revisions, in order at each process", asked)
+	e.count("configuration: %d answers of revisions, in order at each process", checked)
 }
 
 // checkVerdicts compares the replies to operators with the audit trail.
@@ -327,29 +327,29 @@
 	for _, one := range e.past[min(2, len(e.past)):] {
 		accepted[one.line]++
 	}
-	said := make(map[string]int)
+	reported := make(map[string]int)
 	states := make(map[string]int)
-	for _, one := range e.faults.sayings {
+	for _, one := range e.faults.commands {
 		read := readVerdict(one.text)
-		if read.open {
-			read = e.settle(one)
+		if read.undecided {
+			read = e.resolve(one)
 		}
 		line := strings.TrimSuffix(one.line, " !")
 		switch {
-		case read.open:
+		case read.undecided:
 			states["open"]++
 			e.fail("configuration", "still open after healing: %s: %q", one.line, one.text)
 		case read.refused:
 			states["refused"]++
 		default:
 			states["accepted"]++
-			said[line]++
+			reported[line]++
 			e.checkAccepted(line, one, read)
 		}
 	}
 	for line, times := range accepted {
-		if said[line] != times {
-			e.fail("configuration", "%q is %d times in the audit trail, told %d times", line, times, said[line])
+		if reported[line] != times {
+			e.fail("configuration", "%q is %d times in the audit trail, told %d times", line, times, reported[line])
 		}
 	}
 	e.count("configuration: %d changes told accepted and %d told refused, held against the audit trail of %d revisions", states["accepted"], states["refused"], len(e.past)-1)
@@ -358,7 +358,7 @@
 // checkAccepted compares an accepted change with the audit trail. A change reported in
 // force everywhere must stay so at each process that has a configuration, including
 // processes started later.
-func (e *evidence) checkAccepted(line string, one saying, read verdict) {
+func (e *evidence) checkAccepted(line string, one operatorCommand, read verdict) {
 	if read.revision >= len(e.past) || e.past[read.revision].line != line {
 		e.fail("configuration", "%q was told revision %d, which is not it", line, read.revision)
 	}
@@ -374,11 +374,11 @@
 	}
 }
 
-// settle queries the result of a change whose reply reported none.
-func (e *evidence) settle(one saying) verdict {
+// resolve queries the result of a change whose reply reported none.
+func (e *evidence) resolve(one operatorCommand) verdict {
 	match := identityText.FindStringSubmatch(one.text)
 	if match == nil {
-		return verdict{open: true}
+		return verdict{undecided: true}
 	}
 	text, _ := operate(e.d, []string{"why", match[1]})
 	read := readVerdict(text)
@@ -388,6 +388,6 @@
 
 // report returns the counts and the violations as text.
 func (e *evidence) report() string {
-	sort.Strings(e.wrong)
-	return strings.Join(e.counts, "\n") + "\n" + strings.Join(e.wrong, "\n")
+	sort.Strings(e.violations)
+	return strings.Join(e.counts, "\n") + "\n" + strings.Join(e.violations, "\n")
 }
--- a/test/scenario/random_faults_test.go
+++ b/test/scenario/random_faults_test.go
@@ -21,48 +21,48 @@
 	return i.from.Before(until) && from.Before(i.until)
 }
 
-// saying is an operator's command line and the reply.
-type saying struct {
+// operatorCommand is an operator's command line and the reply.
+type operatorCommand struct {
 	line string
 	interval
 	text string
 	err  error
 }
 
-// disturber carries out a schedule of faults and records its actions.
-type disturber struct {
+// faultInjector carries out a schedule of faults and records its actions.
+type faultInjector struct {
 	d *deployment
-	// holds has a mutex for each resource that faults use exclusively.
-	holds map[string]*sync.Mutex
+	// resources has a mutex for each resource that faults use exclusively.
+	resources map[string]*sync.Mutex
 	// restart is called with processes that are about to end or have started.
 	restart func(found []*process)
 
 	mu sync.Mutex
 	// killed and stopped hold the intervals around SIGKILL and SIGTERM, by process.
 	killed, stopped map[string][]interval
-	// alone holds the intervals in which a failure domain was partitioned and had no
+	// isolated holds the intervals in which a failure domain was partitioned and had no
 	// other fault.
-	alone    map[string][]interval
-	sayings  []saying
+	isolated map[string][]interval
+	commands []operatorCommand
 	problems []string
-	notes    []string
+	actions  []string
 }
 
-func newDisturber(d *deployment, faults []*fault) *disturber {
-	x := &disturber{
-		d: d, holds: make(map[string]*sync.Mutex), killed: make(map[string][]interval),
-		stopped: make(map[string][]interval), alone: make(map[string][]interval),
+func newFaultInjector(d *deployment, faults []*fault) *faultInjector {
+	x := &faultInjector{
+		d: d, resources: make(map[string]*sync.Mutex), killed: make(map[string][]interval),
+		stopped: make(map[string][]interval), isolated: make(map[string][]interval),
 	}
 	for _, f := range faults {
-		for _, name := range f.holds {
-			x.holds[name] = &sync.Mutex{}
+		for _, name := range f.resources {
+			x.resources[name] = &sync.Mutex{}
 		}
 	}
 	return x
 }
 
 // run carries out the faults at their times and returns when all are reverted.
-func (x *disturber) run(ctx context.Context, faults []*fault) {
+func (x *faultInjector) run(ctx context.Context, faults []*fault) {
 	begin := time.Now()
 	var running sync.WaitGroup
 	for _, f := range faults {
@@ -74,35 +74,35 @@
 	running.Wait()
 }
 
-func (x *disturber) carryOut(ctx context.Context, f *fault) {
-	held := slices.Compact(slices.Sorted(slices.Values(f.holds)))
+func (x *faultInjector) carryOut(ctx context.Context, f *fault) {
+	held := slices.Compact(slices.Sorted(slices.Values(f.resources)))
 	for _, name := range held {
-		x.holds[name].Lock()
-		defer x.holds[name].Unlock()
+		x.resources[name].Lock()
+		defer x.resources[name].Unlock()
 	}
 	begun := time.Now()
 	x.begin(f)
 	clock.Sleep(ctx, f.length)
-	if f.alone != "" {
-		x.note(func() {
-			x.alone[f.alone] = append(x.alone[f.alone], interval{begun.Add(settleFirst), time.Now()})
+	if f.isolated != "" {
+		x.locked(func() {
+			x.isolated[f.isolated] = append(x.isolated[f.isolated], interval{begun.Add(settleTime), time.Now()})
 		})
 	}
-	for _, line := range f.mend {
-		x.mend(line, f)
+	for _, line := range f.revert {
+		x.revert(line, f)
 	}
 }
 
-// mend executes a line that reverts a fault. It repeats an operator's line until it
+// revert executes a line that reverts a fault. It repeats an operator's line until it
 // is accepted, since the platform may be unreachable.
-func (x *disturber) mend(line string, f *fault) {
+func (x *faultInjector) revert(line string, f *fault) {
 	change, operators := strings.CutPrefix(line, "run ")
 	if !operators {
 		x.do(line, f)
 		return
 	}
-	_ = poll(pollBound, func() error {
-		text := x.say(change, f.through)
+	_ = poll(pollTimeout, func() error {
+		text := x.runCommand(change, f.through)
 		if readVerdict(text).revision > 0 || strings.Contains(text, "nothing to do") {
 			return nil
 		}
@@ -111,7 +111,7 @@
 }
 
 // begin starts a fault. Operators' lines run concurrently.
-func (x *disturber) begin(f *fault) {
+func (x *faultInjector) begin(f *fault) {
 	var racing sync.WaitGroup
 	for _, line := range f.begin {
 		if f.kind == "operators" {
@@ -124,28 +124,28 @@
 }
 
 // do executes one line.
-func (x *disturber) do(line string, f *fault) {
+func (x *faultInjector) do(line string, f *fault) {
 	fields := strings.Fields(line)
 	name, args := fields[0], fields[1:]
 	if name == "run" {
-		x.say(strings.Join(args, " "), f.through)
+		x.runCommand(strings.Join(args, " "), f.through)
 		return
 	}
 	from := time.Now()
 	switch name {
 	case "sigkill":
-		x.noteEnd(x.killed, args[0], from)
+		x.recordEnd(x.killed, args[0], from)
 	case "sigterm":
-		x.noteEnd(x.stopped, args[0], from)
+		x.recordEnd(x.stopped, args[0], from)
 	case "start":
-		defer x.noteStart(args[0])
+		defer x.recordStart(args[0])
 	}
-	text, err := table()[name](x.d, args)
+	text, err := verbTable()[name](x.d, args)
 	if err != nil {
-		x.note(func() { x.problems = append(x.problems, fmt.Sprintf("%s: %v: %s", line, err, text)) })
+		x.locked(func() { x.problems = append(x.problems, fmt.Sprintf("%s: %v: %s", line, err, text)) })
 	}
-	x.note(func() {
-		x.notes = append(x.notes, fmt.Sprintf("%s %s (%v)", from.Format(time.StampMilli), line, time.Since(from).Round(time.Millisecond)))
+	x.locked(func() {
+		x.actions = append(x.actions, fmt.Sprintf("%s %s (%v)", from.Format(time.StampMilli), line, time.Since(from).Round(time.Millisecond)))
 	})
 }
 
@@ -153,34 +153,34 @@
 // connection may be due to the signal.
 const endMargin = 2 * time.Second
 
-func (x *disturber) noteEnd(into map[string][]interval, target string, from time.Time) {
+func (x *faultInjector) recordEnd(into map[string][]interval, target string, from time.Time) {
 	found, err := x.d.find(target)
 	if err != nil {
 		return
 	}
 	x.restart(found)
-	x.note(func() {
+	x.locked(func() {
 		for _, one := range found {
 			into[one.name] = append(into[one.name], interval{from, from.Add(endMargin)})
 		}
 	})
 }
 
-func (x *disturber) noteStart(target string) {
+func (x *faultInjector) recordStart(target string) {
 	if found, err := x.d.find(target); err == nil {
 		x.restart(found)
 	}
 }
 
-func (x *disturber) note(change func()) {
+func (x *faultInjector) locked(change func()) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	change()
 }
 
-// say sends an operator's line and records the reply.
-func (x *disturber) say(line, through string) string {
-	one := saying{line: line}
+// runCommand sends an operator's line and records the reply.
+func (x *faultInjector) runCommand(line, through string) string {
+	one := operatorCommand{line: line}
 	one.from = time.Now()
 	if through != "" {
 		one.text, one.err = operate(x.d, []string{through + ":", line})
@@ -188,9 +188,9 @@
 		one.text, one.err = operate(x.d, []string{line})
 	}
 	one.until = time.Now()
-	x.note(func() {
-		x.sayings = append(x.sayings, one)
-		x.notes = append(x.notes, fmt.Sprintf("%s %s: %q", one.from.Format(time.StampMilli), line, one.text))
+	x.locked(func() {
+		x.commands = append(x.commands, one)
+		x.actions = append(x.actions, fmt.Sprintf("%s %s: %q", one.from.Format(time.StampMilli), line, one.text))
 	})
 	return one.text
 }
@@ -211,7 +211,7 @@
 	// everywhere is true if the reply reported it in force on all instances.
 	everywhere bool
 	// refused is true if the reply reported a refusal, open if it reported neither.
-	refused, open bool
+	refused, undecided bool
 }
 
 // readVerdict parses a reply.
@@ -227,12 +227,12 @@
 	if refusedText.MatchString(text) || unsentText.MatchString(text) {
 		return verdict{refused: true}
 	}
-	return verdict{open: true}
+	return verdict{undecided: true}
 }
 
 // heal reverts every fault and waits until each instance serves and has the newest
 // revision.
-func (x *disturber) heal(t *topology) error {
+func (x *faultInjector) heal(t *topology) error {
 	for _, domain := range t.domains {
 		for _, other := range append([]string{"platform"}, t.domains...) {
 			if other != domain {
@@ -250,10 +250,10 @@
 	for _, name := range t.all(t.services) {
 		x.do("ctl service "+name+" ok", nil)
 	}
-	if err := poll(pollBound, x.d.allServing); err != nil {
+	if err := poll(pollTimeout, x.d.allServing); err != nil {
 		return err
 	}
-	return poll(pollBound, func() error {
+	return poll(pollTimeout, func() error {
 		text, err := operate(x.d, []string{"st"})
 		if match := acceptedText.FindStringSubmatch(text); match == nil || match[2] != match[3] {
 			return fmt.Errorf("%w: st says %s (%w)", errNotReady, text, err)
--- a/test/scenario/random_history_test.go
+++ b/test/scenario/random_history_test.go
@@ -11,8 +11,8 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// inForce is the part of one revision that the checks use.
-type inForce struct {
+// revisionState is the part of one revision that the checks use.
+type revisionState struct {
 	// line is the operator's line in the audit trail.
 	line string
 	// permitted is keyed by "CALLER DOMAIN", drained by upstream name.
@@ -20,7 +20,7 @@
 }
 
 // history holds every revision by its number; index 0 is unused.
-type history []inForce
+type history []revisionState
 
 // readHistory reads the audit trail up to a revision with the command why, and
 // derives the state of each revision from the declaration that was applied first.
@@ -33,7 +33,7 @@
 	for _, instance := range d.instances {
 		domains[instance.Region] = instance.Domain
 	}
-	now := inForce{permitted: make(map[string]bool), drained: make(map[string]bool)}
+	now := revisionState{permitted: make(map[string]bool), drained: make(map[string]bool)}
 	for caller, permitted := range first {
 		for domain := range permitted {
 			now.permitted[caller+" "+domain] = true
@@ -53,8 +53,8 @@
 }
 
 // after returns the state after an operator's line.
-func (f inForce) after(line string, domains map[string]string) inForce {
-	next := inForce{line: line, permitted: maps.Clone(f.permitted), drained: maps.Clone(f.drained)}
+func (f revisionState) after(line string, domains map[string]string) revisionState {
+	next := revisionState{line: line, permitted: maps.Clone(f.permitted), drained: maps.Clone(f.drained)}
 	words := strings.Fields(line)
 	switch words[0] {
 	case "permit", "forbid":
@@ -66,7 +66,7 @@
 }
 
 // anyDrained returns whether some upstream is drained.
-func (f inForce) anyDrained() bool {
+func (f revisionState) anyDrained() bool {
 	for _, drained := range f.drained {
 		if drained {
 			return true
@@ -76,7 +76,7 @@
 }
 
 // any returns whether a predicate held in one of the revisions from low to high.
-func (h history) any(low, high int, held func(inForce) bool) bool {
+func (h history) any(low, high int, held func(revisionState) bool) bool {
 	for revision := max(low, 1); revision <= high && revision < len(h); revision++ {
 		if held(h[revision]) {
 			return true
--- a/test/scenario/random_schedule_test.go
+++ b/test/scenario/random_schedule_test.go
@@ -13,31 +13,31 @@
 
 // Durations in the schedule.
 const (
-	meanGap     = 900 * time.Millisecond
-	shortest    = 300 * time.Millisecond
-	longest     = 6 * time.Second
-	isolation   = 8 * time.Second
-	settleFirst = 4 * time.Second
-	// changeLasts is the least time until operators revert a change. It leaves time
+	meanGap    = 900 * time.Millisecond
+	shortest   = 300 * time.Millisecond
+	longest    = 6 * time.Second
+	isolation  = 8 * time.Second
+	settleTime = 4 * time.Second
+	// changeDuration is the least time until operators revert a change. It leaves time
 	// for a drain to be in force everywhere and for leaveBound to pass.
-	changeLasts = 9 * time.Second
+	changeDuration = 9 * time.Second
 )
 
-// fault is one fault with the script lines that start and revert it. holds names the
-// resources that it uses exclusively, such as processes.
+// fault is one fault with the script lines that start and revert it. resources
+// names what it uses exclusively, such as processes.
 type fault struct {
-	at, length  time.Duration
-	kind        string
-	begin, mend []string
-	holds       []string
-	// alone is the failure domain that is partitioned without any other fault.
-	alone string
+	at, length    time.Duration
+	kind          string
+	begin, revert []string
+	resources     []string
+	// isolated is the failure domain that is partitioned without any other fault.
+	isolated string
 	// through is the instance that receives operators' lines; empty for any.
 	through string
 }
 
 func (f *fault) String() string {
-	return fmt.Sprintf("%6.1fs %-9s %s | %s", f.at.Seconds(), f.kind, strings.Join(f.begin, "; "), strings.Join(f.mend, "; "))
+	return fmt.Sprintf("%6.1fs %-9s %s | %s", f.at.Seconds(), f.kind, strings.Join(f.begin, "; "), strings.Join(f.revert, "; "))
 }
 
 // topology lists the targets of faults.
@@ -55,8 +55,8 @@
 	return names
 }
 
-// held lists the resources of a failure domain that faults can use exclusively.
-func (t *topology) held(domain string) []string {
+// domainResources lists what faults of a failure domain can use exclusively.
+func (t *topology) domainResources(domain string) []string {
 	var names []string
 	for _, instance := range t.instances[domain] {
 		names = append(names, instance+"/gateway", instance+"/agent")
@@ -99,10 +99,10 @@
 // place sets the start of a fault to now, or to when its resources are available.
 func (s *scheduler) place(f *fault) *fault {
 	f.at = s.now
-	for _, name := range f.holds {
+	for _, name := range f.resources {
 		f.at = max(f.at, s.free[name])
 	}
-	for _, name := range f.holds {
+	for _, name := range f.resources {
 		s.free[name] = f.at + f.length
 	}
 	return f
@@ -140,12 +140,12 @@
 func (s *scheduler) process() *fault {
 	instance := pick(s, s.topology.all(s.topology.instances))
 	target := instance + pick(s, []string{"", "/gateway", "/agent"})
-	f := &fault{kind: "process", length: s.length(), holds: []string{target}}
+	f := &fault{kind: "process", length: s.length(), resources: []string{target}}
 	if target == instance {
-		f.holds = []string{instance + "/gateway", instance + "/agent"}
+		f.resources = []string{instance + "/gateway", instance + "/agent"}
 	}
 	verbs := pick(s, [][2]string{{"sigkill", "start"}, {"sigterm", "start"}, {"freeze", "thaw"}})
-	f.begin, f.mend = []string{verbs[0] + " " + target}, []string{verbs[1] + " " + target}
+	f.begin, f.revert = []string{verbs[0] + " " + target}, []string{verbs[1] + " " + target}
 	return f
 }
 
@@ -156,14 +156,14 @@
 	if from == to {
 		to = "platform"
 	}
-	way := pick(s, []string{"", " both"})
-	if way == "" && s.IntN(2) == 0 {
+	direction := pick(s, []string{"", " both"})
+	if direction == "" && s.IntN(2) == 0 {
 		from, to = to, from
 	}
 	reset := pick(s, []string{"", "", " reset"})
 	return &fault{
-		kind: "link", length: s.length(), holds: []string{link(from, to)},
-		begin: []string{"ctl cut " + from + " " + to + way + reset}, mend: []string{"ctl heal " + from + " " + to + way},
+		kind: "link", length: s.length(), resources: []string{link(from, to)},
+		begin: []string{"ctl cut " + from + " " + to + direction + reset}, revert: []string{"ctl heal " + from + " " + to + direction},
 	}
 }
 
@@ -171,37 +171,37 @@
 func link(a, b string) string { return min(a, b) + "-" + max(a, b) }
 
 // isolate partitions a failure domain from the platform and the others. It reserves
-// all its resources, from settleFirst before the checked interval, so that no other
+// all its resources, from settleTime before the checked interval, so that no other
 // fault affects the domain.
 func (s *scheduler) isolate() *fault {
 	domain := pick(s, s.topology.domains)
-	f := &fault{kind: "isolate", length: settleFirst + isolation, holds: s.topology.held(domain), alone: domain}
+	f := &fault{kind: "isolate", length: settleTime + isolation, resources: s.topology.domainResources(domain), isolated: domain}
 	for _, other := range append([]string{"platform"}, s.topology.domains...) {
 		if other == domain {
 			continue
 		}
-		f.holds = append(f.holds, link(domain, other))
+		f.resources = append(f.resources, link(domain, other))
 		f.begin = append(f.begin, "ctl cut "+domain+" "+other+" both")
-		f.mend = append(f.mend, "ctl heal "+domain+" "+other+" both")
+		f.revert = append(f.revert, "ctl heal "+domain+" "+other+" both")
 	}
 	return f
 }
 
 func (s *scheduler) keyValue() *fault {
-	f := &fault{kind: "kv", length: s.length(), holds: []string{"kv"}, mend: []string{"ctl kv up", "ctl kv slow 0", "ctl kv lose-answers 0"}}
+	f := &fault{kind: "kv", length: s.length(), resources: []string{"kv"}, revert: []string{"ctl kv up", "ctl kv slow 0", "ctl kv lose-answers 0"}}
 	f.begin = []string{"ctl kv " + pick(s, []string{"down", "slow 400", "slow 1500", "lose-answers 1", "lose-answers 3", "compact"})}
 	return f
 }
 
 func (s *scheduler) list() *fault {
-	f := &fault{kind: "list", length: s.length(), holds: []string{"list"}}
+	f := &fault{kind: "list", length: s.length(), resources: []string{"list"}}
 	if s.IntN(2) == 0 {
-		f.begin, f.mend = []string{"ctl list lag 9000"}, []string{"ctl list lag 3000"}
+		f.begin, f.revert = []string{"ctl list lag 9000"}, []string{"ctl list lag 3000"}
 		return f
 	}
 	target := pick(s, s.topology.all(s.topology.engines))
-	f.holds = append(f.holds, target)
-	f.begin, f.mend = []string{"ctl list leaving " + target}, []string{"ctl list staying " + target}
+	f.resources = append(f.resources, target)
+	f.begin, f.revert = []string{"ctl list leaving " + target}, []string{"ctl list staying " + target}
 	return f
 }
 
@@ -209,8 +209,8 @@
 	target := pick(s, s.topology.all(s.topology.engines))
 	switches := []string{"slow 8", "fail 5", "refuse 5", "die-after 0", "die-after 3", "stall 2", "cross", "truncate", "leave", "lie", "no-resume", "forget"}
 	return &fault{
-		kind: "engine", length: s.length(), holds: []string{target},
-		begin: []string{"ctl engine " + target + " " + pick(s, switches)}, mend: []string{"ctl engine " + target + " ok"},
+		kind: "engine", length: s.length(), resources: []string{target},
+		begin: []string{"ctl engine " + target + " " + pick(s, switches)}, revert: []string{"ctl engine " + target + " ok"},
 	}
 }
 
@@ -218,14 +218,14 @@
 	target := pick(s, s.topology.all(s.topology.services))
 	switches := []string{"slow 900", "fail 3", "refuse 5", "die 3", "stall 1", "leave"}
 	return &fault{
-		kind: "service", length: s.length(), holds: []string{target},
-		begin: []string{"ctl service " + target + " " + pick(s, switches)}, mend: []string{"ctl service " + target + " ok"},
+		kind: "service", length: s.length(), resources: []string{target},
+		begin: []string{"ctl service " + target + " " + pick(s, switches)}, revert: []string{"ctl service " + target + " ok"},
 	}
 }
 
 // operators makes one change, or two concurrent ones, through one or any instance.
 func (s *scheduler) operators() *fault {
-	f := &fault{kind: "operators", length: changeLasts + s.length()}
+	f := &fault{kind: "operators", length: changeDuration + s.length()}
 	for range 1 + s.IntN(2) {
 		s.change(f)
 	}
@@ -240,10 +240,10 @@
 	switch s.IntN(5) {
 	case 0:
 		f.begin = append(f.begin, "run forbid clinic-review "+pick(s, []string{"attiki", "makedonia"}))
-		f.mend = append(f.mend, strings.Replace(f.begin[len(f.begin)-1], "forbid", "permit", 1))
+		f.revert = append(f.revert, strings.Replace(f.begin[len(f.begin)-1], "forbid", "permit", 1))
 	case 1:
 		f.begin = append(f.begin, "run permit shift-workers attiki")
-		f.mend = append(f.mend, "run forbid shift-workers attiki")
+		f.revert = append(f.revert, "run forbid shift-workers attiki")
 	case 2:
 		regions := pick(s, []string{"thessalia>attiki", "makedonia>thessalia", "attiki>makedonia"})
 		f.begin = append(f.begin, fmt.Sprintf("run spill %s %d%%", regions, s.IntN(100)))
@@ -251,7 +251,7 @@
 		f.begin = append(f.begin, fmt.Sprintf("run ver lilac-nurse v1 %d%%", 100)) // refused, since it changes nothing
 	default:
 		target := pick(s, append(s.topology.all(s.topology.engines), s.topology.all(s.topology.services)...))
-		f.holds = append(f.holds, target)
-		f.begin, f.mend = append(f.begin, "run drain "+target+" !"), append(f.mend, "run undrain "+target)
+		f.resources = append(f.resources, target)
+		f.begin, f.revert = append(f.begin, "run drain "+target+" !"), append(f.revert, "run undrain "+target)
 	}
 }
--- a/test/scenario/random_test.go
+++ b/test/scenario/random_test.go
@@ -33,59 +33,61 @@
 	is.NoErr(err)
 	defer d.close()
 	is.NoErr(bringUp(d))
-	parts := d.topology()
-	faults := newSchedule(*seedFlag, *faultsFlag, parts)
+	targets := d.topology()
+	faults := newSchedule(*seedFlag, *faultsFlag, targets)
 	t.Logf("seed %d, %d faults over %v", *seedFlag, len(faults), faults[len(faults)-1].at.Round(time.Second))
 
-	run := disturb(d, parts, faults)
-	e := &evidence{d: d, told: run.crowd.told, watcher: run.watcher, faults: run.disturber, gateways: d.gatewaysByDomain()}
+	run := runWithFaults(d, targets, faults)
+	e := &evidence{d: d, attempts: run.callerLoad.attempts, watcher: run.watcher, faults: run.faultInjector, gateways: d.gatewaysByDomain()}
 	is.NoErr(run.healed)
 	is.NoErr(e.collect())
 	e.check()
 	t.Logf("seed %d:\n%s", *seedFlag, e.report())
-	if len(e.wrong) > 0 || len(run.disturber.problems) > 0 {
-		t.Logf("problems:\n%s\nwhat was done:\n%s", strings.Join(run.disturber.problems, "\n"), strings.Join(run.disturber.notes, "\n"))
+	if len(e.violations) > 0 || len(run.faultInjector.problems) > 0 {
+		t.Logf("problems:\n%s\nwhat was done:\n%s", strings.Join(run.faultInjector.problems, "\n"), strings.Join(run.faultInjector.actions, "\n"))
 		keepLogs(t, d)
 	}
-	is.Equal(len(run.disturber.problems), 0) // every fault could be injected and reverted
-	is.Equal(len(e.wrong), 0)                // every guarantee held
+	is.Equal(len(run.faultInjector.problems), 0) // every fault could be injected and reverted
+	is.Equal(len(e.violations), 0)               // every guarantee held
 }
 
-// TestScheduleFollowsSeed checks that equal seeds give equal schedules and others not.
-func TestScheduleFollowsSeed(t *testing.T) {
+// TestScheduleDependsOnTheSeedAlone checks that schedules are equal for equal seeds
+// and differ for others.
+func TestScheduleDependsOnTheSeedAlone(t *testing.T) {
 	is := is.New(t)
-	parts := &topology{
+	targets := &topology{
 		domains:   []string{"north", "south"},
 		instances: map[string][]string{"north": {"n1", "n2"}, "south": {"s1"}},
 		engines:   map[string][]string{"north": {"e1"}, "south": {"e2"}},
 		services:  map[string][]string{"north": {"p1"}, "south": {"p2"}},
 	}
-	text := func(seed uint64) string { return fmt.Sprint(newSchedule(seed, 60, parts)) }
+	text := func(seed uint64) string { return fmt.Sprint(newSchedule(seed, 60, targets)) }
 	is.Equal(text(7), text(7))
 	is.True(text(7) != text(8))
 }
 
-// disturbance is the result of a run with faults.
-type disturbance struct {
-	crowd     *crowd
-	watcher   *watcher
-	disturber *disturber
-	healed    error
+// faultRun is the result of a run with faults.
+type faultRun struct {
+	callerLoad    *callerLoad
+	watcher       *watcher
+	faultInjector *faultInjector
+	healed        error
 }
 
-// disturb runs the faults under load, reverts them and waits for the last answers.
-func disturb(d *deployment, parts *topology, faults []*fault) *disturbance {
-	run := &disturbance{crowd: newCrowd(d, *seedFlag), watcher: newWatcher(d), disturber: newDisturber(d, faults)}
-	run.disturber.restart = run.watcher.restart
+// runWithFaults runs the faults under load, reverts them and waits for the last
+// answers.
+func runWithFaults(d *deployment, targets *topology, faults []*fault) *faultRun {
+	run := &faultRun{callerLoad: newCallerLoad(d, *seedFlag), watcher: newWatcher(d), faultInjector: newFaultInjector(d, faults)}
+	run.faultInjector.restart = run.watcher.restart
 	watching, stopWatching := context.WithCancel(context.Background())
 	sending, stopSending := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { run.watcher.run(watching) })
-	running.Go(func() { run.crowd.run(sending, time.Hour) })
-	run.disturber.run(context.Background(), faults)
-	run.healed = run.disturber.heal(parts)
+	running.Go(func() { run.callerLoad.run(sending, time.Hour) })
+	run.faultInjector.run(context.Background(), faults)
+	run.healed = run.faultInjector.heal(targets)
 	stopSending()
-	run.crowd.sent.Wait()
+	run.callerLoad.sent.Wait()
 	stopWatching()
 	running.Wait()
 	return run
@@ -96,20 +98,20 @@
 	if err := d.start("standin"); err != nil {
 		return err
 	}
-	if err := d.startApart(); err != nil {
+	if err := d.startSeparate(); err != nil {
 		return err
 	}
 	if err := d.start("all"); err != nil {
 		return err
 	}
-	err := poll(pollBound, func() error {
+	err := poll(pollTimeout, func() error {
 		_, err := applyFile(d, []string{d.file("declaration.yaml")})
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	return poll(pollBound, d.allServing)
+	return poll(pollTimeout, d.allServing)
 }
 
 // names returns the instances' names in order.
@@ -159,7 +161,7 @@
 // collect reads the journals, the logs and the audit trail.
 func (e *evidence) collect() error {
 	var err error
-	if e.entries, err = listed[journal.Entry](e.d, "journal"); err != nil {
+	if e.entries, err = adminEntries[journal.Entry](e.d, "journal"); err != nil {
 		return err
 	}
 	if e.hops, err = readHops(e.d); err != nil {
--- a/test/scenario/random_watch_test.go
+++ b/test/scenario/random_watch_test.go
@@ -9,8 +9,8 @@
 	"github.com/lilacweir/lilacweir/pkg/clock"
 )
 
-// watchEvery is the interval between readings of each process's revision.
-const watchEvery = 250 * time.Millisecond
+// watchInterval is the interval between readings of each process's revision.
+const watchInterval = 250 * time.Millisecond
 
 // sample is the revision that a process reported; the interval is that of the
 // request.
@@ -45,7 +45,7 @@
 }
 
 func (w *watcher) watch(ctx context.Context, process, url string) {
-	for clock.Sleep(ctx, watchEvery) {
+	for clock.Sleep(ctx, watchInterval) {
 		before := w.started(process)
 		if before%2 == 1 {
 			continue
@@ -53,14 +53,14 @@
 		from := time.Now()
 		text, err := get(url)
 		until := time.Now()
-		var said struct {
+		var reply struct {
 			Revision int `json:"revision"`
 		}
-		if err != nil || json.Unmarshal([]byte(text), &said) != nil || w.started(process) != before {
+		if err != nil || json.Unmarshal([]byte(text), &reply) != nil || w.started(process) != before {
 			continue
 		}
 		w.mu.Lock()
-		w.samples[process] = append(w.samples[process], sample{interval{from, until}, before, said.Revision})
+		w.samples[process] = append(w.samples[process], sample{interval{from, until}, before, reply.Revision})
 		w.mu.Unlock()
 	}
 }
--- a/test/scenario/security_test.go
+++ b/test/scenario/security_test.go
@@ -14,8 +14,8 @@
 	"github.com/lilacweir/lilacweir/pkg/settings"
 )
 
-// knockBound bounds one connection attempt.
-const knockBound = 5 * time.Second
+// connectTimeout bounds one connection attempt.
+const connectTimeout = 5 * time.Second
 
 // securityKey begins the security block, the last of the planned settings.
 const securityKey = "security:\n"
@@ -130,7 +130,7 @@
 	if len(args) < all-1 || d.instances[args[0]] == nil {
 		return "", errUsage
 	}
-	dial := func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, knockBound) }
+	dial := func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, connectTimeout) }
 	if len(args) == all {
 		security := d.material(args[1], args[2])
 		certificate, err := tls.LoadX509KeyPair(security.Certificate, security.Key)
@@ -139,27 +139,27 @@
 		}
 		config := &tls.Config{Certificates: []tls.Certificate{certificate}, InsecureSkipVerify: true}
 		dial = func(address string) (net.Conn, error) {
-			return tls.DialWithDialer(&net.Dialer{Timeout: knockBound}, "tcp", address, config)
+			return tls.DialWithDialer(&net.Dialer{Timeout: connectTimeout}, "tcp", address, config)
 		}
 	}
 	var parts []string
-	for _, door := range []string{"peers", "control", "mesh"} {
+	for _, listener := range []string{"peers", "control", "mesh"} {
 		try := askService
-		if door == "peers" {
+		if listener == "peers" {
 			try = askHealth
 		}
-		conn, err := dial(d.doors(args[0])[door])
-		parts = append(parts, door+"="+letIn(conn, err, try))
+		conn, err := dial(d.listeners(args[0])[listener])
+		parts = append(parts, listener+"="+tryConnection(conn, err, try))
 	}
 	return strings.Join(parts, " "), nil
 }
 
-func letIn(conn net.Conn, err error, try func(net.Conn) bool) string {
+func tryConnection(conn net.Conn, err error, try func(net.Conn) bool) string {
 	if err != nil {
 		return "out"
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(knockBound))
+	_ = conn.SetDeadline(time.Now().Add(connectTimeout))
 	if try(conn) {
 		return "in"
 	}
--- a/test/scenario/stream_test.go
+++ b/test/scenario/stream_test.go
@@ -46,7 +46,7 @@
 	if _, err := fmt.Sscan(args[3], &tokens); err != nil {
 		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, askBound)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	request := client.ChatRequest{Model: args[2], MaxTokens: tokens, Messages: []client.Message{{Role: "user", Content: args[4]}}}
 	caller := client.New("key-"+args[0], nil)
--- a/test/scenario/apart_test.go
+++ b/test/scenario/upstream_process_test.go
@@ -8,12 +8,12 @@
 	"github.com/lilacweir/lilacweir/pkg/client"
 )
 
-// apartPort is the first admin port of upstreams with a process of their own.
-const apartPort = 7100
+// separatePort is the first admin port of upstreams with a process of their own.
+const separatePort = 7100
 
-// apart runs the named upstreams in one process each, so that a script can kill it.
-// The process has the upstream's name, and its journal is lost when it exits.
-func (d *deployment) apart(names []string) error {
+// runSeparately runs the named upstreams in one process each, so that a script can kill
+// it. The process has the upstream's name, and its journal is lost when it exits.
+func (d *deployment) runSeparately(names []string) error {
 	if len(names) == 0 {
 		return nil
 	}
@@ -25,9 +25,9 @@
 	for index, name := range names {
 		own[name] = true
 		d.add(name, "lilacweir-standin", "standin.yaml")
-		one := d.processes[name]
-		one.admin = fmt.Sprintf("127.%d.0.1:%d", d.number, apartPort+index)
-		one.args = append(one.args, "--only", "upstreams", "--upstream", name, "--admin", one.admin)
+		p := d.processes[name]
+		p.admin = fmt.Sprintf("127.%d.0.1:%d", d.number, separatePort+index)
+		p.args = append(p.args, "--only", "upstreams", "--upstream", name, "--admin", p.admin)
 	}
 	rest := d.processes["standin"]
 	for _, upstream := range declaration.Upstreams {
@@ -38,10 +38,10 @@
 	return nil
 }
 
-// startApart starts the upstreams with a process of their own.
-func (d *deployment) startApart() error {
-	for name, one := range d.processes {
-		if one.admin == "" {
+// startSeparate starts the upstreams with a process of their own.
+func (d *deployment) startSeparate() error {
+	for name, p := range d.processes {
+		if p.admin == "" {
 			continue
 		}
 		if err := d.start(name); err != nil {
--- a/test/scenario/verbs_test.go
+++ b/test/scenario/verbs_test.go
@@ -32,16 +32,16 @@
 	errSucceeded   = errors.New("succeeded against expectation")
 )
 
-// table returns the verbs. sigkill and sigterm are so named because kill and stop are
+// verbTable returns the verbs. sigkill and sigterm are so named because kill and stop are
 // commands of testscript.
-func table() map[string]verb {
+func verbTable() map[string]verb {
 	return map[string]verb{
-		"start":    each(func(d *deployment, name string) error { return d.start(name) }),
-		"sigkill":  together((*process).kill),
-		"sigterm":  together((*process).stop),
-		"freeze":   together((*process).freeze),
-		"thaw":     together(func(p *process) error { return p.signal(syscall.SIGCONT) }),
-		"replace":  each(replace),
+		"start":    forEach(func(d *deployment, name string) error { return d.start(name) }),
+		"sigkill":  concurrently((*process).kill),
+		"sigterm":  concurrently((*process).stop),
+		"freeze":   concurrently((*process).freeze),
+		"thaw":     concurrently(func(p *process) error { return p.signal(syscall.SIGCONT) }),
+		"replace":  forEach(replace),
 		"ctl":      control,
 		"run":      operate,
 		"apply":    applyFile,
@@ -89,7 +89,7 @@
 		"deploy": func(ts *testscript.TestScript, _ bool, args []string) { deploy(ts, args) },
 		"expect": expect,
 	}
-	for name, run := range table() {
+	for name, run := range verbTable() {
 		commands[name] = func(ts *testscript.TestScript, neg bool, args []string) {
 			text, err := run(current(ts), args)
 			_, _ = fmt.Fprintln(ts.Stdout(), text)
@@ -123,7 +123,7 @@
 	work := ts.Getenv("WORK")
 	d, err := plan(args[0], work)
 	ts.Check(err)
-	ts.Check(d.apart(args[1:]))
+	ts.Check(d.runSeparately(args[1:]))
 	deployments.Store(work, d)
 	ts.Defer(func() {
 		deployments.Delete(work)
@@ -142,14 +142,14 @@
 // expect repeats a verb until its output matches, or with ! until it does not: expect
 // REGEXP VERB ARGS.
 func expect(ts *testscript.TestScript, neg bool, args []string) {
-	if len(args) < 2 || table()[args[1]] == nil {
+	if len(args) < 2 || verbTable()[args[1]] == nil {
 		ts.Check(errUsage)
 	}
 	pattern, err := regexp.Compile("(?m)" + args[0])
 	ts.Check(err)
 	d := current(ts)
-	ts.Check(poll(pollBound, func() error {
-		text, err := table()[args[1]](d, args[2:])
+	ts.Check(poll(pollTimeout, func() error {
+		text, err := verbTable()[args[1]](d, args[2:])
 		if pattern.MatchString(text) != neg {
 			return nil
 		}
@@ -157,8 +157,8 @@
 	}))
 }
 
-// each applies an action to every given name in turn.
-func each(action func(d *deployment, name string) error) verb {
+// forEach applies an action to every given name in turn.
+func forEach(action func(d *deployment, name string) error) verb {
 	return func(d *deployment, args []string) (string, error) {
 		for _, name := range args {
 			if err := action(d, name); err != nil {
@@ -169,8 +169,8 @@
 	}
 }
 
-// together applies an action to the processes of all given names concurrently.
-func together(action func(*process) error) verb {
+// concurrently applies an action to the processes of all given names in parallel.
+func concurrently(action func(*process) error) verb {
 	return func(d *deployment, args []string) (string, error) {
 		var found []*process
 		for _, name := range args {
@@ -182,8 +182,8 @@
 		}
 		failures := make([]error, len(found))
 		var running sync.WaitGroup
-		for index, one := range found {
-			running.Go(func() { failures[index] = action(one) })
+		for index, p := range found {
+			running.Go(func() { failures[index] = action(p) })
 		}
 		running.Wait()
 		return "", errors.Join(failures...)
@@ -191,7 +191,7 @@
 }
 
 func replace(d *deployment, name string) error {
-	if _, err := together((*process).kill)(d, []string{name}); err != nil {
+	if _, err := concurrently((*process).kill)(d, []string{name}); err != nil {
 		return err
 	}
 	return d.start(name)
@@ -241,7 +241,7 @@
 
 // exec runs one of the short-lived programs with the operator's key.
 func (d *deployment) exec(args ...string) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), exitBound)
+	ctx, cancel := context.WithTimeout(context.Background(), exitTimeout)
 	defer cancel()
 	command := exec.CommandContext(ctx, d.binary(args[0]), args[1:]...)
 	command.Env = append(os.Environ(), "LILACWEIR_KEY="+d.operatorKey())
@@ -266,7 +266,7 @@
 	if len(args) != count || d.instances[args[0]] == nil {
 		return "", errUsage
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askBound)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	body := fmt.Sprintf(`{"model":%q,"max_tokens":2,"stream":true,"messages":[{"role":"user","content":"hop"}]}`, args[5])
 	url := "http://" + d.instances[args[0]].Gateway.Peers + client.ChatPath
@@ -288,8 +288,8 @@
 	return fmt.Sprintf("status=%d outcome=%s body=%s", response.StatusCode, response.Header.Get(header.Outcome), answer), err
 }
 
-// askBound bounds one request of a script.
-const askBound = 30 * time.Second
+// requestTimeout bounds one request of a script.
+const requestTimeout = 30 * time.Second
 
 // ask sends a chat request and prints its result: ask CALLER INSTANCE MODEL TOKENS
 // PROMPT.
@@ -310,7 +310,7 @@
 		return "", errUsage
 	}
 	args = append(args, "", "")
-	ctx, cancel := context.WithTimeout(context.Background(), askBound)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	caller := client.New("key-"+args[0], nil)
 	gateway := d.instances[args[1]].Gateway.Callers
