--- a/test/scenario/orders_test.go
+++ b/test/scenario/orders_test.go
@@ -16,7 +16,7 @@
 )
 
 // errNoLeaseHolder means that no agent of the domain has acquired the order lease.
-var errNoLeaseHolder = errors.New("nobody has taken the lease")
+var errNoLeaseHolder = errors.New("no agent has acquired the order lease")
 
 var leaseTaken = regexp.MustCompile(`event=order-lease-taken .*revision=([0-9]+)`)
 
--- a/test/scenario/process_test.go
+++ b/test/scenario/process_test.go
@@ -15,10 +15,10 @@
 const exitTimeout = 60 * time.Second
 
 var (
-	errRunning    = errors.New("the process runs already")
-	errNotRunning = errors.New("the process does not run")
-	errNoExit     = errors.New("the process did not end")
-	errNotFrozen  = errors.New("a thread still runs")
+	errRunning    = errors.New("the process is already running")
+	errNotRunning = errors.New("the process is not running")
+	errNoExit     = errors.New("the process did not exit in time")
+	errNotFrozen  = errors.New("a thread is still running")
 )
 
 // process is one program of a deployment, which may be started repeatedly.
--- a/test/scenario/random_callers_test.go
+++ b/test/scenario/random_callers_test.go
@@ -40,7 +40,7 @@
 var callerNames = []string{"residents-app", "larisa-residents", "peristeri-residents", "clinic-review", "shift-workers"}
 
 // errWrongContent reports an answer that does not match its request.
-var errWrongContent = errors.New("the answer belongs to another request or is not whole")
+var errWrongContent = errors.New("the answer is incomplete or belongs to another request")
 
 // request is one request of a caller, which may be repeated under its key.
 type request struct {
--- a/test/scenario/random_checks_test.go
+++ b/test/scenario/random_checks_test.go
@@ -63,7 +63,7 @@
 		}
 		low, high, ok := e.watcher.between(e.gateways[entry.Domain], entry.Started, entry.Started)
 		if !ok {
-			e.fail("region", "nothing known of %s at %s", entry.Domain, entry.Started)
+			e.fail("region", "no revision sample of %s at %s", entry.Domain, entry.Started)
 			continue
 		}
 		regions++
@@ -75,10 +75,10 @@
 			drains++
 		}
 		if ok && !e.past.any(low, high, func(f revisionState) bool { return !f.drained[entry.Upstream] }) {
-			e.fail("leaving", "%s began at %s, drained in revisions %d to %d", entry.RequestID, entry.Upstream, low, high)
+			e.fail("leaving", "%s started at %s, which was drained in revisions %d to %d", entry.RequestID, entry.Upstream, low, high)
 		}
 	}
-	e.count("region: %d runs held against permissions; leaving: %d of them while some revision had a drain", regions, drains)
+	e.count("region: %d runs checked against permissions; leaving: %d of them during a drain", regions, drains)
 }
 
 // checkHops checks that each forwarded request came from the failure domain that
@@ -99,7 +99,7 @@
 		forwarded++
 		reached[hop.request+" "+hop.domain] = true
 		if entry, known := entered[hop.request]; known && entry != hop.origin {
-			e.fail("loop", "%s entered at %s and came to %s from %s", hop.request, entry, hop.domain, hop.origin)
+			e.fail("loop", "%s entered at %s and was forwarded to %s by %s", hop.request, entry, hop.domain, hop.origin)
 		}
 	}
 	for _, entry := range e.entries {
@@ -109,7 +109,7 @@
 		}
 		e.fail("loop", "%s entered at %s and ran at %s without a hop there", entry.RequestID, domain, entry.Domain)
 	}
-	e.count("loop: %d hops held against where their requests entered", forwarded)
+	e.count("loop: %d hops checked against the entry domains of their requests", forwarded)
 }
 
 // killedNear returns whether a gateway of the domain was killed within randomTimeout,
@@ -145,7 +145,7 @@
 			}
 		}
 	}
-	e.count("isolation: %d requests in cut-off domains", checked)
+	e.count("isolation: %d requests in partitioned domains", checked)
 }
 
 func describeAttempt(one *attempt) string {
@@ -159,14 +159,14 @@
 	for _, one := range e.attempts {
 		end := string(one.answer.Outcome)
 		if one.cancelled {
-			end = "given up by the caller"
+			end = "cancelled by the caller"
 		}
 		ends[strings.TrimSpace(end+" "+string(one.answer.Refusal.Type))]++
 		if one.contentErr != nil {
 			e.fail("whole", "%s %s: %v", one.caller, one.id, one.contentErr)
 		}
 	}
-	e.count("whole: each complete answer compared with what it must be; ends: %v", ends)
+	e.count("whole: each complete answer compared with the expected one; results: %v", ends)
 }
 
 // checkNotRun checks each "not run" outcome against the journal: of gateways by
@@ -184,15 +184,15 @@
 		}
 		reported++
 		if ranAttempt[hop.request] {
-			e.fail("not-run", "%s was said not to have run, and ran", hop.request)
+			e.fail("not-run", "%s was reported as not run, but ran", hop.request)
 		}
 	}
 	for _, one := range e.attempts {
 		if one.answer.Outcome == outcome.NotRun && ranRequest[one.caller+" "+one.id] {
-			e.fail("not-run", "%s %s was told %s, and ran", one.caller, one.id, describeAttempt(one))
+			e.fail("not-run", "%s %s ended with %s, but ran", one.caller, one.id, describeAttempt(one))
 		}
 	}
-	e.count("not-run: said %d times by gateways, each compared with the journal", reported)
+	e.count("not-run: reported %d times by gateways, each compared with the journal", reported)
 }
 
 // checkAtMostOnce compares the runs of each key, and of each upload without one, with
@@ -223,7 +223,7 @@
 	for name, all := range attempts {
 		e.checkAttempts(name, runs[name], all)
 	}
-	e.count("once: %d uploads, each with its tries, held against its runs", len(attempts))
+	e.count("once: %d uploads, each with its attempts, compared with its runs", len(attempts))
 }
 
 func (e *evidence) checkAttempts(name string, runs []journal.Entry, attempts []*attempt) {
@@ -234,10 +234,10 @@
 	for _, one := range attempts {
 		complete := one.answer.Outcome == outcome.Complete
 		if complete && len(runs) == 0 {
-			e.fail("once", "%s was told complete and did not run: %s", name, describeAttempts(attempts))
+			e.fail("once", "%s was reported complete but did not run: %s", name, describeAttempts(attempts))
 		}
 		if complete && body != "" && body != string(one.answer.Body) {
-			e.fail("once", "%s got two answers: %s and %s", name, body, one.answer.Body)
+			e.fail("once", "%s received two different answers: %s and %s", name, body, one.answer.Body)
 		}
 		if complete {
 			body = string(one.answer.Body)
@@ -246,7 +246,7 @@
 		// answer, so its outcome does not cover the other attempts under the key.
 		reported := one.answer.Status != 0 || one.followsList
 		if reported && one.answer.Outcome == outcome.NotRun && len(runs) > 0 && ranBefore(runs[0].Started, one, attempts) {
-			e.fail("not-run", "key %s ran at %s: %s", name, runs[0].Started.Format(time.StampMilli), describeAttempts(attempts))
+			e.fail("not-run", "key %s was reported as not run, but ran at %s: %s", name, runs[0].Started.Format(time.StampMilli), describeAttempts(attempts))
 		}
 	}
 }
@@ -289,13 +289,13 @@
 			killed = killed || end.overlaps(one.from, one.until)
 		}
 		if !killed {
-			e.fail("shutdown", "%s at %s was cut though the gateway was not killed: %s", one.id, names[one.gateway], describeAttempt(one))
+			e.fail("shutdown", "the connection of %s to %s broke, but the gateway was not killed: %s", one.id, names[one.gateway], describeAttempt(one))
 		}
 	}
 	for _, ends := range e.faults.stopped {
 		stops += len(ends)
 	}
-	e.count("shutdown: %d processes stopped gracefully; %d connections broke, each looked for among the kills", stops, broken)
+	e.count("shutdown: %d processes stopped gracefully; %d broken connections compared with the kills", stops, broken)
 }
 
 // connectionBroke returns whether the connection to a gateway broke during an attempt.
@@ -314,11 +314,11 @@
 		for index, one := range samples {
 			checked++
 			if index > 0 && one.start == samples[index-1].start && one.revision < samples[index-1].revision {
-				e.fail("configuration", "%s went from revision %d to %d", name, samples[index-1].revision, one.revision)
+				e.fail("configuration", "%s went back from revision %d to %d", name, samples[index-1].revision, one.revision)
 			}
 		}
 	}
-	e.count("configuration: %d answers of revisions, in order at each process", checked)
+	e.count("configuration: %d revision samples checked for order at each process", checked)
 }
 
 // checkVerdicts compares the replies to operators with the audit trail.
@@ -338,7 +338,7 @@
 		switch {
 		case read.undecided:
 			states["open"]++
-			e.fail("configuration", "still open after healing: %s: %q", one.line, one.text)
+			e.fail("configuration", "result still unknown after healing: %s: %q", one.line, one.text)
 		case read.refused:
 			states["refused"]++
 		default:
@@ -349,10 +349,10 @@
 	}
 	for line, times := range accepted {
 		if reported[line] != times {
-			e.fail("configuration", "%q is %d times in the audit trail, told %d times", line, times, reported[line])
+			e.fail("configuration", "%q is %d times in the audit trail, but was reported accepted %d times", line, times, reported[line])
 		}
 	}
-	e.count("configuration: %d changes told accepted and %d told refused, held against the audit trail of %d revisions", states["accepted"], states["refused"], len(e.past)-1)
+	e.count("configuration: %d changes reported accepted and %d refused, compared with the audit trail of %d revisions", states["accepted"], states["refused"], len(e.past)-1)
 }
 
 // checkAccepted compares an accepted change with the audit trail. A change reported in
@@ -360,7 +360,7 @@
 // processes started later.
 func (e *evidence) checkAccepted(line string, one operatorCommand, read verdict) {
 	if read.revision >= len(e.past) || e.past[read.revision].line != line {
-		e.fail("configuration", "%q was told revision %d, which is not it", line, read.revision)
+		e.fail("configuration", "%q was reported as revision %d, which is another change", line, read.revision)
 	}
 	if !read.everywhere {
 		return
@@ -368,7 +368,7 @@
 	for name, samples := range e.watcher.samples {
 		for _, later := range samples {
 			if later.from.After(one.until) && later.revision > 0 && later.revision < read.revision {
-				e.fail("configuration", "%d was told to be in force everywhere, and %s had %d", read.revision, name, later.revision)
+				e.fail("configuration", "revision %d was reported in force everywhere, but %s had %d", read.revision, name, later.revision)
 			}
 		}
 	}
--- a/test/scenario/random_faults_test.go
+++ b/test/scenario/random_faults_test.go
@@ -210,7 +210,8 @@
 	revision int
 	// everywhere is true if the reply reported it in force on all instances.
 	everywhere bool
-	// refused is true if the reply reported a refusal, open if it reported neither.
+	// refused is true if the reply reported a refusal, undecided if it
+	// reported no result.
 	refused, undecided bool
 }
 
@@ -256,7 +257,7 @@
 	return poll(pollTimeout, func() error {
 		text, err := operate(x.d, []string{"st"})
 		if match := acceptedText.FindStringSubmatch(text); match == nil || match[2] != match[3] {
-			return fmt.Errorf("%w: st says %s (%w)", errNotReady, text, err)
+			return fmt.Errorf("%w: st reports %s (%w)", errNotReady, text, err)
 		}
 		return nil
 	})
--- a/test/scenario/verbs_test.go
+++ b/test/scenario/verbs_test.go
@@ -26,10 +26,10 @@
 
 var (
 	errUsage       = errors.New("wrong arguments")
-	errNotComplete = errors.New("the answer is not complete")
+	errNotComplete = errors.New("the answer is incomplete")
 	errNoMatch     = errors.New("no match")
-	errNoPlan      = errors.New("no deployment yet")
-	errSucceeded   = errors.New("succeeded against expectation")
+	errNoPlan      = errors.New("no deployment has been planned")
+	errSucceeded   = errors.New("succeeded but was expected to fail")
 )
 
 // verbTable returns the verbs. sigkill and sigterm are so named because kill and stop are
