--- a/pkg/load/decide/day.go
+++ b/pkg/load/decide/day.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// hoursOfDay is the number of hours that a day has, however short each is.
-const hoursOfDay = 24
+// hoursPerDay is the number of hours in a day; Day.Hour is the length of each.
+const hoursPerDay = 24
 
-// Day is a day's course in regions whose peaks are offset, with time compressed.
+// Day describes the load of a day in regions with offset peaks, in compressed time.
 type Day struct {
-	// Hour is the virtual time that stands for an hour.
+	// Hour is the virtual time that represents an hour.
 	Hour time.Duration
-	// Peak is the highest load, a part of a region's capacity.
+	// Peak is the highest load as a fraction of a region's capacity.
 	Peak float64
-	// PeakToTrough is the highest load over the lowest.
+	// PeakToTrough is the ratio of the highest load to the lowest.
 	PeakToTrough float64
-	// Offset is by how many hours each region's peak is later than the one before.
+	// Offset is the delay in hours of each region's peak after the previous region's.
 	Offset float64
-	// Lose takes all engines from the first region from an hour before its peak
+	// Lose takes down all engines of the first region from an hour before its peak
 	// until an hour after it; they return with cold caches.
 	Lose bool
 }
 
-// The first region's peak, and when it is lost, in hours.
+// Peak of the first region, and the start and end of its outage, in hours.
 const (
-	peakHour           = hoursOfDay / 2
-	lostFrom, lostUpto = peakHour - 1, peakHour + 1
+	peakHour             = hoursPerDay / 2
+	outageFrom, outageTo = peakHour - 1, peakHour + 1
 )
 
-// level is the load of a region at a time since the start of the day, a part of its
-// capacity: a cosine between trough and peak.
+// level returns the load of a region as a fraction of its capacity, at a time since
+// the start of the day. It follows a cosine between trough and peak.
 func (d Day) level(failureDomain int, at time.Duration) float64 {
 	trough := d.Peak / d.PeakToTrough
 	hour := float64(at)/float64(d.Hour) - d.Offset*float64(failureDomain)
-	return trough + (d.Peak-trough)*(1-math.Cos(2*math.Pi*hour/hoursOfDay))/2
+	return trough + (d.Peak-trough)*(1-math.Cos(2*math.Pi*hour/hoursPerDay))/2
 }
 
 func (d Day) check() error {
@@ -46,32 +46,34 @@
 	return nil
 }
 
-// hours are the phases of a day.
+// hours returns one phase for each hour of the day.
 func (d Day) hours() []phase {
-	out := make([]phase, hoursOfDay)
+	out := make([]phase, hoursPerDay)
 	for i := range out {
 		out[i] = phase{fmt.Sprint(i), time.Duration(i) * d.Hour, time.Duration(i+1) * d.Hour}
 	}
 	return out
 }
 
-// daySeries is one variant's days.
+// daySeries is the results of one variant.
 type daySeries struct {
 	name string
 	runs []dayResult
 }
 
-// dayResult is one day: all regions together and the first one, by hour.
+// dayResult is the result of one day by hour, for all regions together and for the
+// first alone.
 type dayResult struct {
 	all, first spillResult
-	// queue is how many requests waited in the first region, one sample a second.
+	// queue is the number of requests waiting in the first region, one sample per
+	// queueInterval.
 	queue []int
 }
 
-// queueInterval is how often the queue is looked at.
+// queueInterval is the interval between samples of the queue.
 const queueInterval = time.Second
 
-// RunDay compares ways to send work to other regions over a day, and writes tables.
+// RunDay compares the spill variants over a day and writes tables to w.
 func RunDay(w io.Writer, o Options) error {
 	days, capacity, err := measureDays(&o)
 	if err != nil {
@@ -93,7 +95,7 @@
 	o.FailureDomains = 1
 	capacity := capacityOf(*o, mix, policies[0])
 	o.FailureDomains = failureDomains
-	o.Length = hoursOfDay * o.Day.Hour
+	o.Length = hoursPerDay * o.Day.Hour
 	days := make([]daySeries, len(variants))
 	for pair := range o.Pairs {
 		for i := range variants {
@@ -107,11 +109,11 @@
 
 func runDay(o Options, m *mix, v variant, capacity float64, seed uint64) dayResult {
 	s := newRegions(o, m, v, seed)
-	s.offer(seed, o.Day.Peak*capacity, func(failureDomain int) func(time.Duration) float64 {
+	s.addArrivals(seed, o.Day.Peak*capacity, func(failureDomain int) func(time.Duration) float64 {
 		return func(at time.Duration) float64 { return capacity * o.Day.level(failureDomain, at-warmUp) }
 	})
 	if o.Day.Lose {
-		s.lose(s.failureDomains[0].engines, warmUp+lostFrom*o.Day.Hour, warmUp+lostUpto*o.Day.Hour)
+		s.takeDown(s.failureDomains[0].engines, warmUp+outageFrom*o.Day.Hour, warmUp+outageTo*o.Day.Hour)
 	}
 	var out dayResult
 	s.After(warmUp, func() {
@@ -123,30 +125,30 @@
 	return out
 }
 
-// waiting counts the requests that wait in a failure domain, at gateways and at engines.
-func (h *failureDomain) waiting() int {
+// waiting counts the requests queued in a failure domain, at gateways and engines.
+func (fd *failureDomain) waiting() int {
 	total := 0
-	for _, g := range h.gateways {
+	for _, g := range fd.gateways {
 		total += len(g.waiting)
 	}
-	for _, e := range h.engines {
+	for _, e := range fd.engines {
 		total += len(e.queue)
 	}
 	return total
 }
 
-// lose takes engines away for a while; they return with cold caches.
-func (s *simulation) lose(engines []*engine, from, to time.Duration) {
+// takeDown takes engines down between two times; they return with cold caches.
+func (s *simulation) takeDown(engines []*engine, from, to time.Duration) {
 	s.After(from, func() {
 		for _, e := range engines {
 			e.lost = true
-			e.note(s)
+			e.recordLoad(s)
 		}
 	})
 	s.After(to, func() {
 		for _, e := range engines {
 			e.lost = false
-			e.note(s)
+			e.recordLoad(s)
 			e.cache = newCache()
 		}
 	})
--- a/pkg/load/decide/decide_test.go
+++ b/pkg/load/decide/decide_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestTableHasEveryPolicy(t *testing.T) {
+func TestTableListsEveryPolicy(t *testing.T) {
 	is := is.New(t)
 	var table bytes.Buffer
 	is.NoErr(Run(&table, small()))
@@ -39,7 +39,7 @@
 	is.Equal(tables[0].String(), tables[1].String())
 }
 
-func TestUnknownMixIsNamed(t *testing.T) {
+func TestRunReportsAnUnknownMix(t *testing.T) {
 	is := is.New(t)
 	o := small()
 	o.Mix = "nonesuch"
@@ -48,23 +48,23 @@
 	is.Equal(wrong.Value, "nonesuch")
 }
 
-// Every request is served or refused, none is lost in the model.
-func TestEveryRequestEnds(t *testing.T) {
+// Guards against requests that the model loses, neither served nor refused.
+func TestEveryRequestIsServedOrRefused(t *testing.T) {
 	is := is.New(t)
 	o := small()
 	mix, err := mixOf(o.Mix)
 	is.NoErr(err)
 	for _, p := range policies {
 		run := newSimulation(o, mix, p, 60, o.Seed).measure()
-		is.True(run.refusals > 0) // it is far beyond capacity
+		is.True(run.refusals > 0) // the rate is far above capacity
 		is.Equal(run.offered, run.served+run.refusals)
 	}
 }
 
-func TestFairness(t *testing.T) {
+func TestFairnessDropsWhenOneCallerTakesMore(t *testing.T) {
 	is := is.New(t)
 	demand := map[string]float64{"greedy": 100, "a": 10, "b": 10}
 	is.Equal(fairness(demand, map[string]float64{"greedy": 20, "a": 10, "b": 10}), 1.0)
 	taken := fairness(demand, map[string]float64{"greedy": 38, "a": 1, "b": 1})
-	is.True(taken < 0.5) // one took what the others asked for
+	is.True(taken < 0.5) // one caller took the share of the others
 }
--- a/pkg/load/print.go
+++ b/pkg/load/print.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// columns are the headings of a report; times are in milliseconds.
+// columns holds the headings of a report; times are in milliseconds.
 var columns = []string{
 	"item", "sent", "complete", "not-run", "unknown", "away%",
 	"first p50", "first p95", "first p99", "between p95", "whole p50", "whole p95", "whole p99",
@@ -20,19 +20,19 @@
 func (t *Tally) row() []string {
 	return []string{
 		t.Item, strconv.Itoa(t.Sent), strconv.Itoa(t.Complete), strconv.Itoa(t.NotRun), strconv.Itoa(t.Unknown),
-		fmt.Sprintf("%.1f", t.AwayPercent()),
+		fmt.Sprintf("%.1f", t.RemotePercent()),
 		quantile(t.FirstToken, 50), quantile(t.FirstToken, 95), quantile(t.FirstToken, 99),
 		quantile(t.BetweenTokens, 95),
 		quantile(t.Whole, 50), quantile(t.Whole, 95), quantile(t.Whole, 99),
 	}
 }
 
-// AwayPercent is the share of all requests that another region answered.
-func (t *Tally) AwayPercent() float64 {
+// RemotePercent returns the percentage of requests answered by another region.
+func (t *Tally) RemotePercent() float64 {
 	if t.Sent == 0 {
 		return 0
 	}
-	return 100 * float64(t.Away) / float64(t.Sent)
+	return 100 * float64(t.Remote) / float64(t.Sent)
 }
 
 // absent stands for a value that was not measured.
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("%.2f", float64(histogram.ValueAtQuantile(percent))/1000)
 }
 
-// rows returns the whole report.
+// rows returns the headings and the rows of the items, the total and the callers.
 func (r *Report) rows() [][]string {
 	rows := [][]string{columns}
 	for _, tally := range r.Items {
@@ -77,23 +77,23 @@
 	return r.writeReasons(out)
 }
 
-// writeReasons counts why requests did not end complete.
+// writeReasons writes how often each reason kept a request from completing.
 func (r *Report) writeReasons(out io.Writer) error {
 	type cause struct{ outcome, reason string }
 	counts := make(map[cause]int)
 	var order []cause
-	for _, ending := range r.Endings {
-		one := cause{string(ending.Outcome), string(ending.Reason)}
-		if one.reason == "" && ending.Err != nil {
-			one.reason = ending.Err.Error()
+	for _, failure := range r.Failures {
+		key := cause{string(failure.Outcome), string(failure.Reason)}
+		if key.reason == "" && failure.Err != nil {
+			key.reason = failure.Err.Error()
 		}
-		if counts[one] == 0 {
-			order = append(order, one)
+		if counts[key] == 0 {
+			order = append(order, key)
 		}
-		counts[one]++
+		counts[key]++
 	}
-	for _, one := range order {
-		if _, err := fmt.Fprintf(out, "%d %s: %s\n", counts[one], one.outcome, one.reason); err != nil {
+	for _, key := range order {
+		if _, err := fmt.Fprintf(out, "%d %s: %s\n", counts[key], key.outcome, key.reason); err != nil {
 			return fmt.Errorf("write report: %w", err)
 		}
 	}
--- a/pkg/load/report.go
+++ b/pkg/load/report.go
@@ -10,20 +10,20 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// Range and precision of the histograms, in microseconds and digits.
+// Range of the histograms in microseconds, and their precision in decimal digits.
 const (
 	lowest  = 1
 	highest = int64(5 * time.Minute / time.Microsecond)
 	digits  = 3
 )
 
-// Tally is what was measured of one kind of request.
+// Tally is the measurements of one kind of request, or of one caller.
 type Tally struct {
 	Item string
-	// Sent counts requests; the outcomes add up to it.
+	// Sent counts requests and is the sum of the three outcomes.
 	Sent, Complete, NotRun, Unknown int
-	// Away counts the answers that came from another region than the caller's home.
-	Away int
+	// Remote counts the answers that came from another region than the caller's home.
+	Remote int
 	// Chunks counts stream chunks.
 	Chunks int
 	// FirstToken, BetweenTokens and Whole are in microseconds. FirstToken and
@@ -45,36 +45,36 @@
 	t.Complete += other.Complete
 	t.NotRun += other.NotRun
 	t.Unknown += other.Unknown
-	t.Away += other.Away
+	t.Remote += other.Remote
 	t.Chunks += other.Chunks
 	t.FirstToken.Merge(other.FirstToken)
 	t.BetweenTokens.Merge(other.BetweenTokens)
 	t.Whole.Merge(other.Whole)
 }
 
-// Ending describes a request that did not end complete.
-type Ending struct {
+// Failure describes a request whose outcome was not complete.
+type Failure struct {
 	Item, Caller, RequestID string
 	Outcome                 outcome.Outcome
 	Reason                  outcome.Reason
 	Err                     error
 }
 
-// maxEndings bounds how many endings a report keeps.
-const maxEndings = 1000
+// maxFailures bounds the failures that a report retains.
+const maxFailures = 1000
 
-// Report is what was measured of a run.
+// Report is the result of a Run.
 type Report struct {
 	mu sync.Mutex
 	// Items holds a tally for each kind of request, in the mix's order.
 	Items []*Tally
 	// ByCaller holds a tally for each caller, in the mix's order.
 	ByCaller []*Tally
-	// Endings describes the requests that did not end complete, the first 1000.
-	Endings []Ending
-	// Cost is what upstreams spent; nil when it was not read.
+	// Failures describes the first maxFailures requests that were not complete.
+	Failures []Failure
+	// Cost is the work of the upstreams; nil if it was not read.
 	Cost *Cost
-	// Elapsed is how long the run took.
+	// Elapsed is the duration of the run.
 	Elapsed time.Duration
 }
 
@@ -89,7 +89,7 @@
 	return report
 }
 
-// Total adds up the items.
+// Total returns the sum of the items.
 func (r *Report) Total() *Tally {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,48 +100,48 @@
 	return total
 }
 
-// sample is what was measured of one request.
+// sample is the measurements of one request.
 type sample struct {
 	request request
 	answer  *client.Answer
-	away    bool
+	remote  bool
 	first   time.Duration
 	gaps    []time.Duration
 	whole   time.Duration
 }
 
-func (r *Report) add(one *sample) {
+func (r *Report) add(s *sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, tally := range r.Items {
-		if tally.Item == one.request.item.Name {
-			tally.add(one)
+		if tally.Item == s.request.item.Name {
+			tally.add(s)
 		}
 	}
 	for _, tally := range r.ByCaller {
-		if tally.Item == one.request.caller {
-			tally.add(one)
+		if tally.Item == s.request.caller {
+			tally.add(s)
 		}
 	}
-	if one.answer.Outcome != outcome.Complete && len(r.Endings) < maxEndings {
-		r.Endings = append(r.Endings, endingOf(one))
+	if s.answer.Outcome != outcome.Complete && len(r.Failures) < maxFailures {
+		r.Failures = append(r.Failures, failureOf(s))
 	}
 }
 
-func endingOf(one *sample) Ending {
-	return Ending{
-		Item: one.request.item.Name, Caller: one.request.caller, RequestID: one.answer.RequestID,
-		Outcome: one.answer.Outcome, Reason: one.answer.Refusal.Type, Err: one.answer.Err,
+func failureOf(s *sample) Failure {
+	return Failure{
+		Item: s.request.item.Name, Caller: s.request.caller, RequestID: s.answer.RequestID,
+		Outcome: s.answer.Outcome, Reason: s.answer.Refusal.Type, Err: s.answer.Err,
 	}
 }
 
-func (t *Tally) add(one *sample) {
+func (t *Tally) add(s *sample) {
 	t.Sent++
-	t.Chunks += one.answer.Chunks
-	if one.away {
-		t.Away++
+	t.Chunks += s.answer.Chunks
+	if s.remote {
+		t.Remote++
 	}
-	switch one.answer.Outcome {
+	switch s.answer.Outcome {
 	case outcome.Complete:
 		t.Complete++
 	case outcome.NotRun:
@@ -151,16 +151,16 @@
 		t.Unknown++
 		return
 	}
-	record(t.Whole, one.whole)
-	if one.first > 0 {
-		record(t.FirstToken, one.first)
+	record(t.Whole, s.whole)
+	if s.first > 0 {
+		record(t.FirstToken, s.first)
 	}
-	for _, gap := range one.gaps {
+	for _, gap := range s.gaps {
 		record(t.BetweenTokens, gap)
 	}
 }
 
-// record puts a duration into a histogram, held to its range.
+// record adds a duration to a histogram, clamped to its range.
 func record(histogram *hdrhistogram.Histogram, value time.Duration) {
 	_ = histogram.RecordValue(min(max(value.Microseconds(), lowest), highest))
 }
--- a/test/scenario/deployment_test.go
+++ b/test/scenario/deployment_test.go
@@ -17,19 +17,18 @@
 	"github.com/lilacweir/lilacweir/pkg/settings"
 )
 
-// Loopback nets for tests: 127.N.0.0/16. The nets of the checked-in
-// deployments lie below.
+// Loopback nets for tests: 127.N.0.0/16. The checked-in deployments use lower nets.
 const (
 	firstNet = 20
 	lastNet  = 250
-	// holderPort is held on 127.N.255.254 by the test that uses net N.
-	holderPort = 7999
+	// reservationPort on 127.N.255.254 is the lock of the test that uses net N.
+	reservationPort = 7999
 )
 
-// pollEvery and pollBound are the pace and the bound of waiting on a condition.
+// Interval and timeout of polling a condition.
 const (
-	pollEvery = 50 * time.Millisecond
-	pollBound = 20 * time.Second
+	pollInterval = 50 * time.Millisecond
+	pollTimeout  = 20 * time.Second
 )
 
 var (
@@ -49,7 +48,7 @@
 	loads     map[string]*backgroundLoad
 	calls     map[string]*backgroundCall
 	chats     map[string]*backgroundChat
-	// keys holds idempotency keys by the names that a script gave them.
+	// keys maps script names to idempotency keys.
 	keys    map[string]string
 	moments map[string]time.Time
 	slow    map[string]*slowSet
@@ -84,7 +83,7 @@
 
 func reserveNet() (int, net.Listener, error) {
 	for number := firstNet; number <= lastNet; number++ {
-		holder, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", number, holderPort))
+		holder, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", number, reservationPort))
 		if err == nil {
 			return number, holder, nil
 		}
@@ -98,7 +97,7 @@
 
 func (d *deployment) admin() string { return fmt.Sprintf("127.%d.0.1:7000", d.number) }
 
-// readSettings makes a process for each program of each instance.
+// readSettings adds a process for each program of each instance.
 func (d *deployment) readSettings() error {
 	instances, err := load.ReadInstances(d.directory)
 	if err != nil {
@@ -120,8 +119,8 @@
 	}
 }
 
-// find returns the processes that a name stands for: one program, both of an
-// instance, all of a failure domain's instances, or "all" for every instance's.
+// find returns the processes that a name selects: one program, both of an instance,
+// those of a failure domain's instances, or with "all" those of every instance.
 func (d *deployment) find(name string) ([]*process, error) {
 	var found []*process
 	for key, candidate := range d.processes {
@@ -139,31 +138,31 @@
 	return found, nil
 }
 
-// start starts processes and waits until each answers.
+// start starts processes and waits until each is healthy.
 func (d *deployment) start(name string) error {
 	found, err := d.find(name)
 	if err != nil {
 		return err
 	}
-	for _, one := range found {
-		if err := one.start(); err != nil {
+	for _, p := range found {
+		if err := p.start(); err != nil {
 			return err
 		}
 	}
-	for _, one := range found {
-		if err := d.awaitAnswer(one); err != nil {
+	for _, p := range found {
+		if err := d.awaitAnswer(p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// health is the address at which a process answers for its health.
-func (d *deployment) health(one *process) string {
-	if one.admin != "" {
-		return "http://" + one.admin + "/healthz"
+// health returns the URL of a process's health check.
+func (d *deployment) health(p *process) string {
+	if p.admin != "" {
+		return "http://" + p.admin + "/healthz"
 	}
-	owner, program, _ := strings.Cut(one.name, "/")
+	owner, program, _ := strings.Cut(p.name, "/")
 	switch program {
 	case "gateway":
 		return "http://" + d.instances[owner].Gateway.Callers + "/healthz"
@@ -174,30 +173,30 @@
 	}
 }
 
-func (d *deployment) awaitAnswer(one *process) error {
-	url := d.health(one)
-	return poll(pollBound, func() error {
-		if !one.running() {
-			return fmt.Errorf("%s: %w: %w", one.name, errNotRunning, one.failure)
+func (d *deployment) awaitAnswer(p *process) error {
+	url := d.health(p)
+	return poll(pollTimeout, func() error {
+		if !p.running() {
+			return fmt.Errorf("%s: %w: %w", p.name, errNotRunning, p.failure)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		if err != nil {
-			return fmt.Errorf("%s: %w", one.name, err)
+			return fmt.Errorf("%s: %w", p.name, err)
 		}
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
-			return fmt.Errorf("%s: %w: %w", one.name, errNotReady, err)
+			return fmt.Errorf("%s: %w: %w", p.name, errNotReady, err)
 		}
 		return response.Body.Close()
 	})
 }
 
-// poll repeats a condition until it holds, and returns its last failure.
+// poll repeats a condition until it returns nil, or returns its last error on timeout.
 func poll(bound time.Duration, condition func() error) error {
 	deadline := time.After(bound)
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		err := condition()
@@ -212,28 +211,28 @@
 	}
 }
 
-// close ends what still runs and gives the net back.
+// close kills the running processes and releases the net.
 func (d *deployment) close() {
-	for _, one := range d.loads {
-		one.cancel()
+	for _, running := range d.loads {
+		running.cancel()
 	}
-	for _, one := range d.processes {
-		_ = one.kill()
+	for _, running := range d.processes {
+		_ = running.kill()
 	}
 	_ = d.holder.Close()
 	<-deploymentSlots
 }
 
-// showLogs returns the end of each process's log, for a failed script.
+// showLogs returns the tail of each process's log, for failed scripts.
 func (d *deployment) showLogs() string {
 	const tail = 3000
 	var text strings.Builder
-	for _, one := range d.processes {
-		data, _ := os.ReadFile(one.log)
+	for _, p := range d.processes {
+		data, _ := os.ReadFile(p.log)
 		if len(data) > tail {
 			data = data[len(data)-tail:]
 		}
-		fmt.Fprintf(&text, "--- %s\n%s", one.name, data)
+		fmt.Fprintf(&text, "--- %s\n%s", p.name, data)
 	}
 	return text.String()
 }
--- a/test/scenario/input_test.go
+++ b/test/scenario/input_test.go
@@ -21,21 +21,21 @@
 	"github.com/lilacweir/lilacweir/pkg/header"
 )
 
-// Bounds of what the verbs of bad input send.
+// Parameters of the bad-input verbs.
 const (
-	// nonsenseSeed makes the random bytes the same in every run.
+	// nonsenseSeed fixes the random bytes.
 	nonsenseSeed = 7
 	nonsenseSize = 64 << 10
-	// slowEvery is the pace of slow connections, a byte each.
-	slowEvery = 250 * time.Millisecond
-	// sizeMark starts a text that stands for so many bytes.
-	sizeMark = "size:"
-	// shownBody bounds what a script sees of a body.
-	shownBody = 400
+	// slowInterval is the interval between bytes on slow connections.
+	slowInterval = 250 * time.Millisecond
+	// sizePrefix begins an argument that is replaced by that many bytes.
+	sizePrefix = "size:"
+	// maxShownBody bounds the part of a body that is printed.
+	maxShownBody = 400
 )
 
-// doors lists an instance's addresses by the names that scripts use.
-func (d *deployment) doors(instance string) map[string]string {
+// listeners returns an instance's listen addresses by their names in scripts.
+func (d *deployment) listeners(instance string) map[string]string {
 	found := d.instances[instance]
 	if found == nil {
 		return nil
@@ -46,38 +46,38 @@
 	}
 }
 
-// sized returns the text itself, or as many bytes as size:N says.
-func sized(text string) string {
-	count, err := strconv.Atoi(strings.TrimPrefix(text, sizeMark))
-	if err != nil || !strings.HasPrefix(text, sizeMark) {
+// expandSize returns N bytes for size:N, and any other text unchanged.
+func expandSize(text string) string {
+	count, err := strconv.Atoi(strings.TrimPrefix(text, sizePrefix))
+	if err != nil || !strings.HasPrefix(text, sizePrefix) {
 		return text
 	}
 	return strings.Repeat("x", count)
 }
 
-// web sends an HTTP request: web INSTANCE DOOR METHOD PATH BODY [HEADER=VALUE …].
-// BODY is a file of the script, size:N, or - for none.
+// web sends an HTTP request: web INSTANCE LISTENER METHOD PATH BODY [HEADER=VALUE …].
+// BODY is a file of the script, size:N, literal text, or - for none.
 func web(d *deployment, args []string) (string, error) {
 	const least = 5
-	if len(args) < least || d.doors(args[0])[args[1]] == "" {
+	if len(args) < least || d.listeners(args[0])[args[1]] == "" {
 		return "", errUsage
 	}
-	body := []byte(sized(args[4]))
+	body := []byte(expandSize(args[4]))
 	if data, err := os.ReadFile(d.file(args[4])); err == nil {
 		body = data
 	} else if args[4] == "-" {
 		body = nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askBound)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	url := "http://" + d.doors(args[0])[args[1]] + args[3]
+	url := "http://" + d.listeners(args[0])[args[1]] + args[3]
 	request, err := http.NewRequestWithContext(ctx, args[2], url, bytes.NewReader(body))
 	if err != nil {
 		return "", fmt.Errorf("web: %w", err)
 	}
 	for _, field := range args[least:] {
 		name, value, _ := strings.Cut(field, "=")
-		request.Header.Set(name, sized(value))
+		request.Header.Set(name, expandSize(value))
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -87,7 +87,7 @@
 	return describeResponse(response)
 }
 
-// describeResponse says what a response holds, and how many typed errors.
+// describeResponse formats the status, typed error, verdict and body of a response.
 func describeResponse(response *http.Response) (string, error) {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -104,11 +104,11 @@
 		kind = refusal.Error.Type + "/" + refusal.Error.Outcome
 	}
 	return fmt.Sprintf("status=%d error=%s verdict=%s body=%s", response.StatusCode, kind,
-		response.Header.Get(header.Verdict), body[:min(len(body), shownBody)]), nil
+		response.Header.Get(header.Verdict), body[:min(len(body), maxShownBody)]), nil
 }
 
-// nonsense sends bytes that are no request of any kind to all of an instance's
-// doors, and counts the connections that the instance ended: nonsense INSTANCE.
+// nonsense sends malformed input to all listeners of an instance and counts the
+// connections that the instance closed: nonsense INSTANCE.
 func nonsense(d *deployment, args []string) (string, error) {
 	if len(args) != 1 || d.instances[args[0]] == nil {
 		return "", errUsage
@@ -121,16 +121,16 @@
 	payloads := [][]byte{
 		random,
 		nil,
-		{0xf8, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01}, // a gob frame of eight exabytes
-		{0x16, 0x03, 0x01, 0x02, 0x00, 0x01, 0x00},                   // half a TLS handshake
+		{0xf8, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01}, // a gob message of eight exabytes
+		{0x16, 0x03, 0x01, 0x02, 0x00, 0x01, 0x00},                   // a truncated TLS handshake
 		[]byte("POST /v1/command HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n"),
 		[]byte("GET /\x00 HTTP/9.9\r\n\r\n\r\n"),
 	}
 	sent, ended := 0, 0
-	for _, address := range d.doors(args[0]) {
+	for _, address := range d.listeners(args[0]) {
 		for _, payload := range payloads {
 			sent++
-			if err := throw(address, payload); err != nil {
+			if err := sendRaw(address, payload); err != nil {
 				return "", fmt.Errorf("nonsense at %s: %w", address, err)
 			}
 			ended++
@@ -139,14 +139,14 @@
 	return fmt.Sprintf("sent=%d ended=%d", sent, ended), nil
 }
 
-// throw sends bytes and waits until the other side has ended the connection.
-func throw(address string, payload []byte) error {
+// sendRaw sends bytes and waits until the server closes the connection.
+func sendRaw(address string, payload []byte) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return fmt.Errorf("throw: %w", err)
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(askBound))
+	_ = conn.SetDeadline(time.Now().Add(requestTimeout))
 	if _, err := conn.Write(payload); err == nil {
 		_ = conn.(*net.TCPConn).CloseWrite()
 	}
@@ -157,17 +157,18 @@
 	return nil
 }
 
-// slowSet is a set of connections that send a byte from time to time.
+// slowSet is a set of connections that send one byte per slowInterval.
 type slowSet struct{ open atomic.Int64 }
 
-// slow opens slow connections, and says how many are still open when the set is
-// there already: slow NAME INSTANCE DOOR COUNT FILE. FILE holds how each begins.
+// slow opens a set of slow connections, or prints how many of an existing set are
+// still open: slow NAME INSTANCE LISTENER COUNT FILE. FILE holds the bytes that each
+// connection sends first.
 func slow(d *deployment, args []string) (string, error) {
 	if set := d.slow[args[0]]; set != nil {
 		return fmt.Sprintf("open=%d", set.open.Load()), nil
 	}
 	const all = 5
-	if len(args) != all || d.doors(args[1])[args[2]] == "" {
+	if len(args) != all || d.listeners(args[1])[args[2]] == "" {
 		return "", errUsage
 	}
 	begin, err := os.ReadFile(d.file(args[4]))
@@ -182,46 +183,47 @@
 	set := new(slowSet)
 	d.slow[args[0]] = set
 	for range count {
-		conn, err := net.Dial("tcp", d.doors(args[1])[args[2]])
+		conn, err := net.Dial("tcp", d.listeners(args[1])[args[2]])
 		if err != nil {
 			return "", fmt.Errorf("slow: %w", err)
 		}
 		set.open.Add(1)
-		go set.dribble(conn, begin)
+		go set.sendSlowly(conn, begin)
 	}
 	return fmt.Sprintf("open=%d", count), nil
 }
 
-// dribble sends until the other side ends the connection.
-func (s *slowSet) dribble(conn net.Conn, begin []byte) {
+// sendSlowly sends until the server closes the connection.
+func (s *slowSet) sendSlowly(conn net.Conn, begin []byte) {
 	defer s.open.Add(-1)
 	defer func() { _ = conn.Close() }()
-	ticker := time.NewTicker(slowEvery)
+	ticker := time.NewTicker(slowInterval)
 	defer ticker.Stop()
 	for _, err := conn.Write(begin); err == nil; _, err = conn.Write([]byte("a")) {
 		<-ticker.C
 	}
 }
 
-// pids lists the processes that run, with their IDs.
+// pids prints the running processes and their process IDs.
 func pids(d *deployment, _ []string) (string, error) {
 	var lines []string
-	for name, one := range d.processes {
-		if one.running() {
-			lines = append(lines, fmt.Sprintf("%s=%d", name, one.command.Process.Pid))
+	for name, p := range d.processes {
+		if p.running() {
+			lines = append(lines, fmt.Sprintf("%s=%d", name, p.command.Process.Pid))
 		}
 	}
 	slices.Sort(lines)
 	return strings.Join(lines, "\n"), nil
 }
 
-// program runs one of the short-lived programs where the script's files are, and
-// says its exit code: program NAME ARGS.
+// program runs a short-lived program in the script's directory and prints its exit
+// code and output: program NAME ARGS. An argument @INSTANCE is replaced by the
+// instance's address for callers.
 func program(d *deployment, args []string) (string, error) {
 	if len(args) == 0 {
 		return "", errUsage
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), exitBound)
+	ctx, cancel := context.WithTimeout(context.Background(), exitTimeout)
 	defer cancel()
 	for i, arg := range args {
 		if instance, ok := d.instances[strings.TrimPrefix(arg, "@")]; ok && arg[0] == '@' {
--- a/test/scenario/random_callers_test.go
+++ b/test/scenario/random_callers_test.go
@@ -29,65 +29,65 @@
 	exportPath    = "/sleeplog/exports/night"
 )
 
-// homes lists the callers that send and the failure domain that each asks first.
-// The residents' data stays in that domain.
-var homes = map[string]string{
+// callerDomains maps the sending callers to the failure domain of their seed addresses.
+// The residents' requests must stay in that domain.
+var callerDomains = map[string]string{
 	"residents-app": "kalamaria-hall", "larisa-residents": "larisa-hall", "peristeri-residents": "peristeri-hall",
 	"clinic-review": "larisa-hall", "shift-workers": "kalamaria-hall",
 }
 
-// senders is the order in which callers are drawn.
-var senders = []string{"residents-app", "larisa-residents", "peristeri-residents", "clinic-review", "shift-workers"}
+// callerNames is the order in which callers are drawn.
+var callerNames = []string{"residents-app", "larisa-residents", "peristeri-residents", "clinic-review", "shift-workers"}
 
-// errWrongContent is an answer that is not the one to the request.
-var errWrongContent = errors.New("the answer belongs to another request or is not whole")
+// errWrongContent reports an answer that does not match its request.
+var errWrongContent = errors.New("the answer is incomplete or belongs to another request")
 
-// request is one request of a caller, which may be sent again under its key.
+// request is one request of a caller, which may be repeated under its key.
 type request struct {
 	id, caller, method, path, key string
 	body                          []byte
 	chat                          *client.ChatRequest
 	deadline                      time.Duration
-	// leaves says after how long the caller goes away; zero for never.
-	leaves time.Duration
-	// again says when the key is sent again through another instance; zero for
-	// at once, negative for not at all.
-	again time.Duration
+	// cancelAfter is the time after which the caller cancels; zero for never.
+	cancelAfter time.Duration
+	// repeatAfter is the delay of a repeat under the same key through another instance;
+	// negative for none.
+	repeatAfter time.Duration
 }
 
-// told is one request and what its caller was told.
-type told struct {
+// attempt is one attempt of a request and its result.
+type attempt struct {
 	*request
-	// id names this try; tries of a key have different ones.
+	// id is the request ID of this attempt; each attempt under a key has its own.
 	id     string
 	answer *client.Answer
 	interval
-	// gateway is the callers' address that the caller spoke to last.
+	// gateway is the gateway address to which the caller connected last.
 	gateway string
-	// followed says that the caller kept to the instance list.
-	followed bool
-	// gone says that the caller ended the request itself.
-	gone bool
-	// wrong says what is wrong with the content.
-	wrong error
+	// followsList is true if the caller followed the instance list.
+	followsList bool
+	// cancelled is true if the caller cancelled the request or ran into its timeout.
+	cancelled bool
+	// contentErr is the mismatch of the content, or nil.
+	contentErr error
 }
 
-// crowd sends the load of the random run and keeps what its callers were told.
-type crowd struct {
+// callerLoad sends the load of the random run and records the result of each attempt.
+type callerLoad struct {
 	seed      uint64
 	followers map[string]*client.Follower
 	clients   map[string]*client.Client
 	addresses []string
 
-	mu   sync.Mutex
-	told []*told
-	sent sync.WaitGroup
+	mu       sync.Mutex
+	attempts []*attempt
+	sent     sync.WaitGroup
 }
 
-func newCrowd(d *deployment, seed uint64) *crowd {
-	c := &crowd{seed: seed, followers: make(map[string]*client.Follower), clients: make(map[string]*client.Client)}
+func newCallerLoad(d *deployment, seed uint64) *callerLoad {
+	c := &callerLoad{seed: seed, followers: make(map[string]*client.Follower), clients: make(map[string]*client.Client)}
 	seeds := load.SeedsByDomain(d.instances)
-	for caller, domain := range homes {
+	for caller, domain := range callerDomains {
 		c.clients[caller] = client.New("key-"+caller, nil)
 		c.followers[caller] = client.NewFollower(c.clients[caller], seeds[domain])
 	}
@@ -97,9 +97,9 @@
 	return c
 }
 
-// run sends requests at times that were drawn beforehand until ctx ends, and
-// waits for every answer.
-func (c *crowd) run(ctx context.Context, length time.Duration) {
+// run sends requests at times drawn in advance until ctx is cancelled, and waits for
+// every answer.
+func (c *callerLoad) run(ctx context.Context, length time.Duration) {
 	source := rand.New(rand.NewPCG(c.seed, 1))
 	begin := time.Now()
 	for number, due := range load.Arrivals(c.seed, randomRate, length) {
@@ -113,9 +113,9 @@
 	c.sent.Wait()
 }
 
-// draw makes a request.
+// draw returns a random request.
 func draw(source *rand.Rand, number int) *request {
-	r := &request{id: fmt.Sprintf("r%d", number), caller: senders[source.IntN(len(senders))], again: -1}
+	r := &request{id: fmt.Sprintf("r%d", number), caller: callerNames[source.IntN(len(callerNames))], repeatAfter: -1}
 	switch roll := source.IntN(10); {
 	case roll < 5:
 		r.chat = &client.ChatRequest{Model: "lilac-nurse", MaxTokens: 4 + source.IntN(40)}
@@ -127,26 +127,26 @@
 			r.deadline = 4 * time.Second
 		}
 		if source.IntN(12) == 0 {
-			r.leaves = time.Duration(50+source.IntN(500)) * time.Millisecond
+			r.cancelAfter = time.Duration(50+source.IntN(500)) * time.Millisecond
 		}
 	case roll < 9:
 		r.method, r.path = http.MethodPost, uploadPath
 		r.body = fmt.Appendf(nil, `{"night":%d}`, source.Uint64())
-		r.keyed(source)
+		r.chooseKey(source)
 	default:
 		r.method, r.path = http.MethodGet, exportPath
 	}
 	return r
 }
 
-// Marks of a key before it is made: from the system, or the caller's own.
+// Placeholder for a key that the system generates, and prefix of a caller's own key.
 const (
 	systemKey = "system"
 	opaqueKey = "opaque-"
 )
 
-// keyed decides on a key and on repeats under it.
-func (r *request) keyed(source *rand.Rand) {
+// chooseKey draws the kind of key and a repeat under it.
+func (r *request) chooseKey(source *rand.Rand) {
 	switch roll := source.IntN(10); {
 	case roll < 1:
 		return
@@ -157,39 +157,39 @@
 	}
 	switch source.IntN(3) {
 	case 0:
-		r.again = 0
+		r.repeatAfter = 0
 	case 1:
-		r.again = time.Duration(100+source.IntN(6000)) * time.Millisecond
+		r.repeatAfter = time.Duration(100+source.IntN(6000)) * time.Millisecond
 	}
 }
 
-// send sends a request by the instance list and, if it is to be, its key again
+// send sends a request along the instance list and, if drawn, a repeat under its key
 // through another instance.
-func (c *crowd) send(r *request, other string) {
+func (c *callerLoad) send(r *request, other string) {
 	ctx, cancel := context.WithTimeout(context.Background(), randomTimeout)
 	defer cancel()
 	if r.key == systemKey {
 		key, err := c.followers[r.caller].NewKey(ctx)
 		if err != nil {
-			return // no gateway answers: nothing was sent
+			return // no gateway answered, so nothing was sent
 		}
 		r.key = key
 	}
-	if r.again >= 0 {
+	if r.repeatAfter >= 0 {
 		c.sent.Go(func() {
-			clock.Sleep(context.Background(), r.again)
-			c.attempt(&told{request: r, id: r.id + "-again"}, other)
+			clock.Sleep(context.Background(), r.repeatAfter)
+			c.sendAttempt(&attempt{request: r, id: r.id + "-again"}, other)
 		})
 	}
-	c.attempt(&told{request: r, id: r.id, followed: true}, "")
+	c.sendAttempt(&attempt{request: r, id: r.id, followsList: true}, "")
 }
 
-// attempt sends one try, to an address or by the instance list, and keeps the
-// answer.
-func (c *crowd) attempt(one *told, address string) {
+// sendAttempt sends one attempt, to an address or along the instance list, and records
+// the answer.
+func (c *callerLoad) sendAttempt(one *attempt, address string) {
 	limit := randomTimeout
-	if one.leaves > 0 {
-		limit = one.leaves
+	if one.cancelAfter > 0 {
+		limit = one.cancelAfter
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -201,21 +201,21 @@
 	switch {
 	case one.chat != nil:
 		one.answer = c.followers[one.caller].Chat(ctx, *one.chat, options, nil)
-	case one.followed:
+	case one.followsList:
 		one.answer = c.followers[one.caller].Call(ctx, one.method, one.path, one.body, options)
 	default:
 		one.answer = c.clients[one.caller].Call(ctx, address, one.method, one.path, one.body, options)
 	}
 	one.until = time.Now()
-	one.gone = ctx.Err() != nil
-	one.wrong = one.check()
+	one.cancelled = ctx.Err() != nil
+	one.contentErr = one.check()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.told = append(c.told, one)
+	c.attempts = append(c.attempts, one)
 }
 
-// check compares a complete answer with what its request has to get.
-func (t *told) check() error {
+// check compares a complete answer with the one expected for its request.
+func (t *attempt) check() error {
 	if t.answer.Outcome != outcome.Complete {
 		return nil
 	}
@@ -223,13 +223,13 @@
 		return t.checkChat()
 	}
 	if t.answer.Status >= http.StatusInternalServerError {
-		return nil // the service's own error, which is passed on as it is
+		return nil // the service's own error, which is passed through
 	}
 	var body service.Answer
 	if err := json.Unmarshal(t.answer.Body, &body); err != nil {
 		return fmt.Errorf("%w: %w", errWrongContent, err)
 	}
-	// A repeat is given the first run's answer, which names that run.
+	// A repeat receives the answer of the first run, which contains that run's ID.
 	mine := strings.HasPrefix(body.RequestID, t.caller+"~"+t.request.id+"~") || strings.HasPrefix(body.RequestID, t.caller+"~"+t.request.id+"-again~")
 	if !mine || body.Bytes != int64(len(t.body)) || body.Method != t.method {
 		return fmt.Errorf("%w: %s", errWrongContent, t.answer.Body)
@@ -237,7 +237,7 @@
 	return nil
 }
 
-func (t *told) checkChat() error {
+func (t *attempt) checkChat() error {
 	messages := make([]prefix.Message, 0, len(t.chat.Messages))
 	for _, message := range t.chat.Messages {
 		messages = append(messages, prefix.Message(message))
--- a/test/scenario/random_test.go
+++ b/test/scenario/random_test.go
@@ -17,75 +17,77 @@
 	"github.com/lilacweir/lilacweir/pkg/standin/journal"
 )
 
-// The random run's seed and number of faults; the same seed gives the same
-// schedule and the same requests.
+// Seed and number of faults of the random run. The same seed gives the same schedule
+// and the same requests.
 var (
 	seedFlag   = flag.Uint64("seed", 2406, "seed of TestRandom")
 	faultsFlag = flag.Int("faults", 24, "number of faults of TestRandom")
 )
 
-// TestRandom disturbs one deployment by mixed faults while callers send open-loop
-// load, heals everything, and compares what callers and operators were told with
-// the journals, for each promise.
+// TestRandom injects mixed faults into one deployment under open-loop load, reverts
+// them, and checks the replies to callers and operators against the journals, for each
+// guarantee.
 func TestRandom(t *testing.T) {
 	is := is.New(t)
 	d, err := plan("wellness", t.TempDir())
 	is.NoErr(err)
 	defer d.close()
 	is.NoErr(bringUp(d))
-	parts := d.topology()
-	faults := newSchedule(*seedFlag, *faultsFlag, parts)
+	targets := d.topology()
+	faults := newSchedule(*seedFlag, *faultsFlag, targets)
 	t.Logf("seed %d, %d faults over %v", *seedFlag, len(faults), faults[len(faults)-1].at.Round(time.Second))
 
-	run := disturb(d, parts, faults)
-	e := &evidence{d: d, told: run.crowd.told, watcher: run.watcher, faults: run.disturber, gateways: d.gatewaysByDomain()}
+	run := runWithFaults(d, targets, faults)
+	e := &evidence{d: d, attempts: run.callerLoad.attempts, watcher: run.watcher, faults: run.faultInjector, gateways: d.gatewaysByDomain()}
 	is.NoErr(run.healed)
 	is.NoErr(e.collect())
 	e.check()
 	t.Logf("seed %d:\n%s", *seedFlag, e.report())
-	if len(e.wrong) > 0 || len(run.disturber.problems) > 0 {
-		t.Logf("problems:\n%s\nwhat was done:\n%s", strings.Join(run.disturber.problems, "\n"), strings.Join(run.disturber.notes, "\n"))
+	if len(e.violations) > 0 || len(run.faultInjector.problems) > 0 {
+		t.Logf("problems:\n%s\nwhat was done:\n%s", strings.Join(run.faultInjector.problems, "\n"), strings.Join(run.faultInjector.actions, "\n"))
 		keepLogs(t, d)
 	}
-	is.Equal(len(run.disturber.problems), 0) // every fault could be brought about and mended
-	is.Equal(len(e.wrong), 0)                // every promise held
+	is.Equal(len(run.faultInjector.problems), 0) // every fault could be injected and reverted
+	is.Equal(len(e.violations), 0)               // every guarantee held
 }
 
-// TestScheduleFollowsSeed: the schedule depends on the seed alone.
-func TestScheduleFollowsSeed(t *testing.T) {
+// TestScheduleDependsOnTheSeedAlone checks that schedules are equal for equal seeds
+// and differ for others.
+func TestScheduleDependsOnTheSeedAlone(t *testing.T) {
 	is := is.New(t)
-	parts := &topology{
+	targets := &topology{
 		domains:   []string{"north", "south"},
 		instances: map[string][]string{"north": {"n1", "n2"}, "south": {"s1"}},
 		engines:   map[string][]string{"north": {"e1"}, "south": {"e2"}},
 		services:  map[string][]string{"north": {"p1"}, "south": {"p2"}},
 	}
-	text := func(seed uint64) string { return fmt.Sprint(newSchedule(seed, 60, parts)) }
+	text := func(seed uint64) string { return fmt.Sprint(newSchedule(seed, 60, targets)) }
 	is.Equal(text(7), text(7))
 	is.True(text(7) != text(8))
 }
 
-// disturbance is what a run left behind.
-type disturbance struct {
-	crowd     *crowd
-	watcher   *watcher
-	disturber *disturber
-	healed    error
+// faultRun is the result of a run with faults.
+type faultRun struct {
+	callerLoad    *callerLoad
+	watcher       *watcher
+	faultInjector *faultInjector
+	healed        error
 }
 
-// disturb runs the faults under load, heals, and waits for the last answers.
-func disturb(d *deployment, parts *topology, faults []*fault) *disturbance {
-	run := &disturbance{crowd: newCrowd(d, *seedFlag), watcher: newWatcher(d), disturber: newDisturber(d, faults)}
-	run.disturber.restart = run.watcher.restart
+// runWithFaults runs the faults under load, reverts them and waits for the last
+// answers.
+func runWithFaults(d *deployment, targets *topology, faults []*fault) *faultRun {
+	run := &faultRun{callerLoad: newCallerLoad(d, *seedFlag), watcher: newWatcher(d), faultInjector: newFaultInjector(d, faults)}
+	run.faultInjector.restart = run.watcher.restart
 	watching, stopWatching := context.WithCancel(context.Background())
 	sending, stopSending := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { run.watcher.run(watching) })
-	running.Go(func() { run.crowd.run(sending, time.Hour) })
-	run.disturber.run(context.Background(), faults)
-	run.healed = run.disturber.heal(parts)
+	running.Go(func() { run.callerLoad.run(sending, time.Hour) })
+	run.faultInjector.run(context.Background(), faults)
+	run.healed = run.faultInjector.heal(targets)
 	stopSending()
-	run.crowd.sent.Wait()
+	run.callerLoad.sent.Wait()
 	stopWatching()
 	running.Wait()
 	return run
@@ -96,23 +98,23 @@
 	if err := d.start("standin"); err != nil {
 		return err
 	}
-	if err := d.startApart(); err != nil {
+	if err := d.startSeparate(); err != nil {
 		return err
 	}
 	if err := d.start("all"); err != nil {
 		return err
 	}
-	err := poll(pollBound, func() error {
+	err := poll(pollTimeout, func() error {
 		_, err := applyFile(d, []string{d.file("declaration.yaml")})
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	return poll(pollBound, d.allServing)
+	return poll(pollTimeout, d.allServing)
 }
 
-// names lists the instances in order.
+// names returns the instances' names in order.
 func (d *deployment) names() []string {
 	var names []string
 	for name := range d.instances {
@@ -131,7 +133,7 @@
 	return gateways
 }
 
-// topology lists what can be disturbed.
+// topology returns the possible targets of faults.
 func (d *deployment) topology() *topology {
 	t := &topology{instances: make(map[string][]string), engines: make(map[string][]string), services: make(map[string][]string)}
 	for _, name := range d.names() {
@@ -159,7 +161,7 @@
 // collect reads the journals, the logs and the audit trail.
 func (e *evidence) collect() error {
 	var err error
-	if e.entries, err = listed[journal.Entry](e.d, "journal"); err != nil {
+	if e.entries, err = adminEntries[journal.Entry](e.d, "journal"); err != nil {
 		return err
 	}
 	if e.hops, err = readHops(e.d); err != nil {
@@ -173,7 +175,7 @@
 	return err
 }
 
-// lastRevision is the one that every instance names.
+// lastRevision returns the revision that every instance reports in force everywhere.
 func (e *evidence) lastRevision() (int, error) {
 	last := 0
 	for _, name := range e.d.names() {
@@ -187,7 +189,7 @@
 	return last, nil
 }
 
-// keepLogs copies the processes' logs to where LILACWEIR_KEEP_LOGS says, if it does.
+// keepLogs copies the processes' logs to the directory in LILACWEIR_KEEP_LOGS, if set.
 func keepLogs(t *testing.T, d *deployment) {
 	directory := os.Getenv("LILACWEIR_KEEP_LOGS")
 	if directory == "" {
--- a/test/scenario/verbs_test.go
+++ b/test/scenario/verbs_test.go
@@ -21,27 +21,27 @@
 	"github.com/lilacweir/lilacweir/pkg/outcome"
 )
 
-// verb does one thing to a deployment and returns what it has to say.
+// verb executes a script command on a deployment and returns its output.
 type verb func(d *deployment, args []string) (string, error)
 
 var (
 	errUsage       = errors.New("wrong arguments")
-	errNotComplete = errors.New("the answer is not complete")
+	errNotComplete = errors.New("the answer is incomplete")
 	errNoMatch     = errors.New("no match")
-	errNoPlan      = errors.New("no deployment yet")
-	errSucceeded   = errors.New("succeeded against expectation")
+	errNoPlan      = errors.New("no deployment has been planned")
+	errSucceeded   = errors.New("succeeded but was expected to fail")
 )
 
-// table lists the verbs. kill and stop are words of testscript, hence sigkill
-// and sigterm.
-func table() map[string]verb {
+// verbTable returns the verbs. sigkill and sigterm are so named because kill and stop are
+// commands of testscript.
+func verbTable() map[string]verb {
 	return map[string]verb{
-		"start":    each(func(d *deployment, name string) error { return d.start(name) }),
-		"sigkill":  together((*process).kill),
-		"sigterm":  together((*process).stop),
-		"freeze":   together((*process).freeze),
-		"thaw":     together(func(p *process) error { return p.signal(syscall.SIGCONT) }),
-		"replace":  each(replace),
+		"start":    forEach(func(d *deployment, name string) error { return d.start(name) }),
+		"sigkill":  concurrently((*process).kill),
+		"sigterm":  concurrently((*process).stop),
+		"freeze":   concurrently((*process).freeze),
+		"thaw":     concurrently(func(p *process) error { return p.signal(syscall.SIGCONT) }),
+		"replace":  forEach(replace),
 		"ctl":      control,
 		"run":      operate,
 		"apply":    applyFile,
@@ -81,15 +81,15 @@
 	}
 }
 
-// verbs returns the commands that scripts use: the table's, plan and deploy
-// which make the deployment, and expect.
+// verbs returns the script commands: the table's, plan and deploy, which create the
+// deployment, and expect.
 func verbs() map[string]func(*testscript.TestScript, bool, []string) {
 	commands := map[string]func(*testscript.TestScript, bool, []string){
 		"plan":   func(ts *testscript.TestScript, _ bool, args []string) { planFor(ts, args) },
 		"deploy": func(ts *testscript.TestScript, _ bool, args []string) { deploy(ts, args) },
 		"expect": expect,
 	}
-	for name, run := range table() {
+	for name, run := range verbTable() {
 		commands[name] = func(ts *testscript.TestScript, neg bool, args []string) {
 			text, err := run(current(ts), args)
 			_, _ = fmt.Fprintln(ts.Stdout(), text)
@@ -123,7 +123,7 @@
 	work := ts.Getenv("WORK")
 	d, err := plan(args[0], work)
 	ts.Check(err)
-	ts.Check(d.apart(args[1:]))
+	ts.Check(d.runSeparately(args[1:]))
 	deployments.Store(work, d)
 	ts.Defer(func() {
 		deployments.Delete(work)
@@ -133,24 +133,23 @@
 	return d
 }
 
-// deploy plans for a deployment, with the upstreams that are named run apart; it
-// starts everything, applies the declaration and waits until it
-// is in force everywhere.
+// deploy plans a deployment, with one process each for the named upstreams, starts
+// everything, applies the declaration and waits until it is in force everywhere.
 func deploy(ts *testscript.TestScript, args []string) {
 	ts.Check(bringUp(planFor(ts, args)))
 }
 
-// expect repeats a verb until what it says matches: expect REGEXP VERB ARGS.
-// With !, until it does not.
+// expect repeats a verb until its output matches, or with ! until it does not: expect
+// REGEXP VERB ARGS.
 func expect(ts *testscript.TestScript, neg bool, args []string) {
-	if len(args) < 2 || table()[args[1]] == nil {
+	if len(args) < 2 || verbTable()[args[1]] == nil {
 		ts.Check(errUsage)
 	}
 	pattern, err := regexp.Compile("(?m)" + args[0])
 	ts.Check(err)
 	d := current(ts)
-	ts.Check(poll(pollBound, func() error {
-		text, err := table()[args[1]](d, args[2:])
+	ts.Check(poll(pollTimeout, func() error {
+		text, err := verbTable()[args[1]](d, args[2:])
 		if pattern.MatchString(text) != neg {
 			return nil
 		}
@@ -158,8 +157,8 @@
 	}))
 }
 
-// each applies an action to every name given.
-func each(action func(d *deployment, name string) error) verb {
+// forEach applies an action to every given name in turn.
+func forEach(action func(d *deployment, name string) error) verb {
 	return func(d *deployment, args []string) (string, error) {
 		for _, name := range args {
 			if err := action(d, name); err != nil {
@@ -170,8 +169,8 @@
 	}
 }
 
-// together acts on all processes of all names at once.
-func together(action func(*process) error) verb {
+// concurrently applies an action to the processes of all given names in parallel.
+func concurrently(action func(*process) error) verb {
 	return func(d *deployment, args []string) (string, error) {
 		var found []*process
 		for _, name := range args {
@@ -183,8 +182,8 @@
 		}
 		failures := make([]error, len(found))
 		var running sync.WaitGroup
-		for index, one := range found {
-			running.Go(func() { failures[index] = action(one) })
+		for index, p := range found {
+			running.Go(func() { failures[index] = action(p) })
 		}
 		running.Wait()
 		return "", errors.Join(failures...)
@@ -192,13 +191,13 @@
 }
 
 func replace(d *deployment, name string) error {
-	if _, err := together((*process).kill)(d, []string{name}); err != nil {
+	if _, err := concurrently((*process).kill)(d, []string{name}); err != nil {
 		return err
 	}
 	return d.start(name)
 }
 
-// control asks the stand-in's admin: ctl VERB ARGS.
+// control sends a command to the stand-in's admin interface: ctl VERB ARGS.
 func control(d *deployment, args []string) (string, error) {
 	return d.exec(append([]string{"lilacweir-standin", "ctl", d.admin()}, args...)...)
 }
@@ -224,7 +223,8 @@
 	return d.exec("lilacweir", "apply", "-c", d.file("operator.yaml"), file)
 }
 
-// race sends lines through different instances at once: race INSTANCE LINE INSTANCE LINE.
+// race sends lines through different instances concurrently: race INSTANCE LINE
+// INSTANCE LINE.
 func race(d *deployment, args []string) (string, error) {
 	const pair = 2
 	replies := make([]string, len(args)/pair)
@@ -241,7 +241,7 @@
 
 // exec runs one of the short-lived programs with the operator's key.
 func (d *deployment) exec(args ...string) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), exitBound)
+	ctx, cancel := context.WithTimeout(context.Background(), exitTimeout)
 	defer cancel()
 	command := exec.CommandContext(ctx, d.binary(args[0]), args[1:]...)
 	command.Env = append(os.Environ(), "LILACWEIR_KEY="+d.operatorKey())
@@ -253,20 +253,20 @@
 	return text, nil
 }
 
-// operatorKey is the key of the deployment's operator; see the key rule of
-// deployments of stand-ins.
+// operatorKey returns the key of the deployment's operator, which deployments of
+// stand-ins derive from the name.
 func (d *deployment) operatorKey() string {
 	return map[string]string{"wellness": "key-eleni", "minibar": "key-linh"}[d.name]
 }
 
 // hop sends a chat request as another gateway would: hop INSTANCE DOMAIN CLASS
-// CALLER REVISION MODEL. It is for forged and replayed headers.
+// CALLER REVISION MODEL. Scripts use it to forge and replay headers.
 func hop(d *deployment, args []string) (string, error) {
 	const count = 6
 	if len(args) != count || d.instances[args[0]] == nil {
 		return "", errUsage
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askBound)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	body := fmt.Sprintf(`{"model":%q,"max_tokens":2,"stream":true,"messages":[{"role":"user","content":"hop"}]}`, args[5])
 	url := "http://" + d.instances[args[0]].Gateway.Peers + client.ChatPath
@@ -288,11 +288,11 @@
 	return fmt.Sprintf("status=%d outcome=%s body=%s", response.StatusCode, response.Header.Get(header.Outcome), answer), err
 }
 
-// askBound bounds a request of a script.
-const askBound = 30 * time.Second
+// requestTimeout bounds one request of a script.
+const requestTimeout = 30 * time.Second
 
-// ask sends a chat request and says what became of it: ask CALLER INSTANCE MODEL
-// TOKENS PROMPT.
+// ask sends a chat request and prints its result: ask CALLER INSTANCE MODEL TOKENS
+// PROMPT.
 func ask(d *deployment, args []string) (string, error) {
 	answer, err := chat(context.Background(), d, args, nil)
 	if err != nil {
@@ -301,16 +301,16 @@
 	return describe(answer)
 }
 
-// call calls a plain service: call CALLER INSTANCE METHOD PATH [BODY [KEY]].
-// KEY "new" asks the instance for a key's beginning; @NAME is a key that the
-// verb key made.
+// call sends a request to a service: call CALLER INSTANCE METHOD PATH [BODY [KEY]].
+// KEY "new" creates a key with the instance's prefix; @NAME is a key that the verb
+// key created.
 func call(d *deployment, args []string) (string, error) {
 	const least = 4
 	if len(args) < least || d.instances[args[1]] == nil {
 		return "", errUsage
 	}
 	args = append(args, "", "")
-	ctx, cancel := context.WithTimeout(context.Background(), askBound)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	caller := client.New("key-"+args[0], nil)
 	gateway := d.instances[args[1]].Gateway.Callers
