--- a/pkg/edge/backoff_test.go
+++ b/pkg/edge/backoff_test.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// TestBackoffConcernsOnlyTheRejectedInstance guards against losing the requests of all instances.
+// TestBackoffConcernsOnlyTheRejectedInstance guards against an upstream that rejects one instance
+// and loses the requests of all.
 func TestBackoffConcernsOnlyTheRejectedInstance(t *testing.T) {
 	runSimulation(t, 2, chatRoute, threeRegions, func(s *simulation) {
 		s.sendLoad(100, 2*time.Second)
@@ -127,7 +128,7 @@
 }
 
 // TestRestartedUpstreamAtTheSameAddressIsNotBackingOff guards against applying a backoff to an
-// address.
+// address instead of a process.
 func TestRestartedUpstreamAtTheSameAddressIsNotBackingOff(t *testing.T) {
 	runSimulation(t, 5, chatRoute, []simRegion{{"north", 3, 3}}, func(s *simulation) {
 		s.engines[0].rejectRequests(500*time.Millisecond, 5*time.Minute, "")
@@ -141,7 +142,8 @@
 	})
 }
 
-// TestUpstreamInBackoffGetsNoStatusQuery covers the causes of status queries.
+// TestUpstreamInBackoffGetsNoStatusQuery guards against status queries, whatever their cause, to an
+// upstream that wants no requests.
 func TestUpstreamInBackoffGetsNoStatusQuery(t *testing.T) {
 	const backoff = 300 * time.Millisecond
 	for name, cause := range map[string]func(h *harness, known *fleet.Upstream){
--- a/pkg/edge/cold.go
+++ b/pkg/edge/cold.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// isPartitioned reports whether there was no recent contact with the store or another region. An
-// instance that has never received a report of another region cannot know.
+// isPartitioned reports whether there was recent contact with neither the store nor another region.
+// An instance that has never received a report of another region cannot know.
 func (e *Edge) isPartitioned(now time.Time) bool {
 	lastRemote := e.gossip.View().Load().OtherRegionHeardAt()
 	return !lastRemote.IsZero() && now.Sub(lastRemote) > partitionedAfter && now.Sub(e.store.Reached()) > partitionedAfter
--- a/pkg/edge/crash_probe.go
+++ b/pkg/edge/crash_probe.go
@@ -75,7 +75,7 @@
 	return probe.suspects
 }
 
-// sweep deletes probes that finished crashRetention ago.
+// sweep deletes probes that finished more than crashRetention ago.
 func (q *crashProbes) sweep(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/pkg/edge/dialect.go
+++ b/pkg/edge/dialect.go
@@ -51,7 +51,7 @@
 	NotRun bool
 	// Proven is true if the server has signed the answer as its own.
 	Proven bool
-	// RetryAfter is the time after which the server asks to return, zero if it is not given.
+	// RetryAfter is the time after which the server accepts a retry, zero if it is not given.
 	// BackingOff is true if the server rejected the request and asks this instance to send
 	// nothing until then.
 	RetryAfter time.Duration
--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -1,8 +1,8 @@
-// Package edge implements one instance of the gateway for declared HTTP routes: it forwards
-// callers' requests unchanged to an upstream that was discovered through the platform's store, or
-// to an instance of another region, and passes the answer on.
+// Package edge implements one instance of the gateway for declared HTTP routes: it accepts callers'
+// requests as they are, forwards them to an upstream that was discovered through the platform's
+// store, or to an instance of another region, and passes the answer on.
 //
-// Guarantees: a request that may not be repeated is sent only once after its first byte was sent,
+// Guarantees: a request that may not be repeated is not sent again once its first byte was sent,
 // unless the server states that it did not run it. "Not run" is reported only if it is true. An
 // answer is passed on complete or visibly broken. A request is forwarded to another region at
 // most once on its path. The configuration never reverts to an older version.
@@ -127,8 +127,8 @@
 	upstreamDial = 250 * time.Millisecond
 	// peerDial bounds the dialling of an instance in another region.
 	peerDial = 500 * time.Millisecond
-	// keepAliveIdle, keepAliveInterval and keepAliveCount detect broken connections within about
-	// three seconds.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect connections that fail silently
+	// within about three seconds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
--- a/pkg/edge/edge_test.go
+++ b/pkg/edge/edge_test.go
@@ -423,7 +423,7 @@
 	h.is.True(backingOff || u.arrivals.Load() == 10)
 }
 
-// TestFailingUpstreamsAreEjected checks that the ejector's pools follow the fleet.
+// TestFailingUpstreamsAreEjected guards against ejector pools that do not follow the fleet.
 func TestFailingUpstreamsAreEjected(t *testing.T) {
 	h := newHarness(t, safeRoute, newUpstream(t, resetConnection), newUpstream(t, respond(http.StatusOK, "ok")))
 	h.edge.setPools(h.edge.board.Fleet.Load(), map[string]bool{})
--- a/pkg/edge/handler.go
+++ b/pkg/edge/handler.go
@@ -26,7 +26,7 @@
 const noConfigurationRetry = 300 * time.Millisecond
 
 // storeLostRetry replaces noConfigurationRetry while the store does not answer: outages last
-// seconds, and an early retry is wasted.
+// seconds, and a caller that returns too early has used up a retry.
 const storeLostRetry = 1200 * time.Millisecond
 
 // startRetry returns the Retry-After of an instance that cannot serve anything yet.
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// maxRequestTime bounds each request, also without a deadline of its caller or its route.
+// maxRequestTime bounds every request, including those without a deadline of their caller or route.
 const maxRequestTime = time.Minute
 
 // setDeadline sets the earliest of the caller's, the route's and the general bound.
--- a/pkg/edge/job.go
+++ b/pkg/edge/job.go
@@ -226,7 +226,8 @@
 	if chosen.peer == nil && chosen.survey.Best.Upstream == nil {
 		return nil, j.noUpstreamRefusal(permitted, &chosen.survey)
 	}
-	// A request that was sent before goes on: its caller prefers a late answer to none.
+	// A request that was sent before is not refused for being late: its caller prefers a late
+	// answer to none.
 	if chosen.peer == nil && chosen.survey.Best.Late && j.sends == 0 && j.overload.Refuses(query, world.Now) {
 		return nil, j.overloadRefusal(&chosen.survey)
 	}
--- a/pkg/edge/leaving_test.go
+++ b/pkg/edge/leaving_test.go
@@ -138,7 +138,7 @@
 }
 
 // TestRestartedUpstreamAtTheSameAddressIsNotLeaving guards against applying the report to an
-// address.
+// address instead of a process.
 func TestRestartedUpstreamAtTheSameAddressIsNotLeaving(t *testing.T) {
 	runSimulation(t, 6, chatRoute, []simRegion{{"north", 3, 3}}, func(s *simulation) {
 		s.engines[0].setLeaving()
--- a/pkg/edge/limit_simulation_test.go
+++ b/pkg/edge/limit_simulation_test.go
@@ -180,7 +180,7 @@
 }
 
 // TestRestartedUpstreamAtTheSameAddressIsNotLimited guards against applying a limit to an
-// address.
+// address: the next process there names none.
 func TestRestartedUpstreamAtTheSameAddressIsNotLimited(t *testing.T) {
 	runSimulation(t, 5, chatRoute, []simRegion{{"north", 3, 3}}, func(s *simulation) {
 		s.engines[0].setLimit("1")
--- a/pkg/edge/metrics.go
+++ b/pkg/edge/metrics.go
@@ -154,8 +154,8 @@
 	return count
 }
 
-// oldestReportMS returns the age in ms of the oldest report among live instances: an upper bound
-// of the age of the known loads of other instances.
+// oldestReportMS returns the age in ms of the oldest report among live instances. It shows how far
+// the known loads of other instances can be relied on.
 func (e *Edge) oldestReportMS() int64 {
 	oldest, now := int64(0), e.now()
 	if view := e.gossip.View().Load(); view != nil {
--- a/pkg/edge/poison_test.go
+++ b/pkg/edge/poison_test.go
@@ -135,8 +135,8 @@
 	})
 }
 
-// TestFingerprintCoversTheLargestBody guards against a fingerprint of a part of the body, or of
-// its chunks.
+// TestFingerprintCoversTheLargestBody guards against a fingerprint of a part of the body, or one
+// that depends on the chunks in which callers send it.
 func TestFingerprintCoversTheLargestBody(t *testing.T) {
 	runSimulation(t, 4, chatRoute, threeRegions, func(s *simulation) {
 		body := poison + strings.Repeat("x", 4<<20-len(poison))
@@ -180,8 +180,8 @@
 	})
 }
 
-// TestCommonRequestIsNotQuarantinedForCrashesByOthers guards against quarantining a request with
-// the same content from many callers because it is always running somewhere when an upstream
+// TestCommonRequestIsNotQuarantinedForCrashesByOthers guards against quarantining a request that
+// many callers send with the same content, because it is always running somewhere when an upstream
 // crashes.
 func TestCommonRequestIsNotQuarantinedForCrashesByOthers(t *testing.T) {
 	runSimulation(t, 6, chatRoute, threeRegions, func(s *simulation) {
@@ -200,7 +200,7 @@
 }
 
 // TestQuarantinesOutliveARestartOfAllInstances guards against running the request three more
-// times after an upgrade or a power loss.
+// times after an upgrade or a power loss, because no instance is left that knew the quarantine.
 func TestQuarantinesOutliveARestartOfAllInstances(t *testing.T) {
 	runSimulation(t, 7, chatRoute, threeRegions, func(s *simulation) {
 		s.runPoisonLoad(10*time.Second, 4)
--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -142,7 +142,7 @@
 
 // putQuarantine writes the record of a quarantine or of its clearing. It replaces only the known
 // record (nil if there is none), so that a write which the store applies late does not undo later
-// changes.
+// changes. Only a clearing after a restore of the store replaces any record.
 func (e *Edge) putQuarantine(ctx context.Context, write quarantineWrite, held bool, known *quarantine.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
--- a/pkg/edge/random_simulation_test.go
+++ b/pkg/edge/random_simulation_test.go
@@ -122,7 +122,8 @@
 	}
 }
 
-// changeEngineState makes an engine leave, to all instances, or ask for backoff.
+// changeEngineState makes an engine report to all instances that it is leaving, or ask for backoff,
+// or does nothing.
 func (r *randomSimulation) changeEngineState() {
 	e := r.engines[r.stateRandom.IntN(len(r.engines))]
 	switch r.stateRandom.IntN(3) {
@@ -136,8 +137,8 @@
 	}
 }
 
-// checkEngineStates checks that instances honoured reports of leaving and backoffs, unless they
-// have restarted since.
+// checkEngineStates checks that instances honoured reports of leaving and backoffs, unless an
+// instance was disturbed in the meantime.
 func (r *randomSimulation) checkEngineStates(t *testing.T) {
 	t.Helper()
 	for _, e := range r.engines {
--- a/pkg/edge/sim_engine_test.go
+++ b/pkg/edge/sim_engine_test.go
@@ -33,8 +33,8 @@
 	// instances in leavingTo (nil for all).
 	leaving   bool
 	leavingTo map[string]bool
-	// rejectFor is the time for which the engine rejects requests, from the first of them on,
-	// with a Retry-After of retryAfterSeconds, of the instance rejectedInstance (empty for all).
+	// rejectFor is the time, from the first such request on, for which the engine rejects requests
+	// of rejectedInstance (empty for all) with a Retry-After of retryAfterSeconds.
 	rejectFor         time.Duration
 	rejectFrom        time.Time
 	retryAfterSeconds float64
@@ -112,15 +112,16 @@
 	}
 }
 
-// firstLeavingReport returns the time of the first such report to an instance, zero if there is
-// none.
+// firstLeavingReport returns the time at which the engine first reported to an instance that it
+// is leaving, zero if it has not.
 func (e *simEngine) firstLeavingReport(instance string) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leavingReportedAt[instance]
 }
 
-// reportsLeaving reports whether the next answer to an instance is such a report.
+// reportsLeaving reports whether the next answer to an instance carries a leaving report, and
+// records the time of the first one.
 func (e *simEngine) reportsLeaving(instance string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/edge/sim_network_test.go
+++ b/pkg/edge/sim_network_test.go
@@ -197,7 +197,7 @@
 	return &halfConn{delay: delay, changed: make(chan struct{})}
 }
 
-// wakeReader requires s.mu.
+// wakeReader wakes the reader. The caller holds s.mu.
 func (s *halfConn) wakeReader() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/pkg/edge/simulation_test.go
+++ b/pkg/edge/simulation_test.go
@@ -265,7 +265,7 @@
 	s.discover()
 }
 
-// tearDown stops all processes and waits for them.
+// tearDown stops all processes and waits for them, also after a failed check.
 func (s *simulation) tearDown() {
 	s.running.Wait()
 	for _, i := range s.instances {
--- a/pkg/edge/start.go
+++ b/pkg/edge/start.go
@@ -13,7 +13,7 @@
 	// maxStartWait is the longest time for which a request waits for that information. An
 	// instance far from the store reads it 0.25 s after its start and receives reports of other
 	// regions 0.25 s later. Callers make one or two attempts, so after a restart of all instances
-	// the refusal would be their last.
+	// a refusal would use up their last one.
 	maxStartWait = 600 * time.Millisecond
 )
 
--- a/pkg/edge/stream_scenario_test.go
+++ b/pkg/edge/stream_scenario_test.go
@@ -41,8 +41,9 @@
 	stalledUntil time.Time
 }
 
-// Times of a streamScenario. An event of five tokens arrives every 22 ms if a step takes 4.4 ms.
-// An instance publishes its counts every 0.1 s, and the others receive them 60 ms later.
+// Times of a streamScenario. An event of five tokens arrives every 22 ms if a step takes 4.4 ms,
+// simulated as 20 ms. An instance publishes its counts every 0.1 s. The others receive them 60 ms
+// later, but not before the next round.
 const (
 	scenarioStep  = 10 * time.Millisecond
 	scenarioGap   = 20 * time.Millisecond
@@ -122,7 +123,7 @@
 // detection when the machines of a zone lose power or network and close no connection. Two of
 // eight engines fail so, with about forty streams each, at sixty instances of which many have no
 // stream there. Keep-alive probes take three seconds, in which each engine is sent a few hundred
-// requests. Preempted streams of the other engines make none of these unresponsive.
+// requests. Streams that the other engines preempt for a second make none of these unresponsive.
 func TestUnresponsiveEnginesOfADomainAreDetectedByAllInstancesWithinASecond(t *testing.T) {
 	for seed := range uint64(3) {
 		is := is.New(t)
--- a/pkg/edge/suspicion.go
+++ b/pkg/edge/suspicion.go
@@ -50,7 +50,7 @@
 	openSince time.Time
 	// settledAt is the time of the query whose answer confirmed the known start time.
 	settledAt time.Time
-	// queriedAt is the time of the last query. querying is true until it is answered.
+	// queriedAt is the time of the last query. querying is true while it runs.
 	queriedAt time.Time
 	querying  bool
 	// sent counts the requests that this instance has sent since the query whose answer confirmed
@@ -73,8 +73,8 @@
 	// answers although nothing is uncertain, zero if unlimited. If it is bounded, a report of a
 	// cold upstream makes the others of its failure domain uncertain.
 	maxUnconfirmed int
-	// queryInterval separates such queries. An upstream that does not answer them is assumed to
-	// be warm after warmUp.
+	// queryInterval separates the queries for such answers. An upstream that does not answer them
+	// is assumed to be warm after warmUp.
 	queryInterval, warmUp time.Duration
 	domain                string
 }
@@ -164,7 +164,7 @@
 }
 
 // beginQuery records that an upstream is being queried. It returns false if another query is
-// running. If it returns true the caller must call finishQuery.
+// running or the upstream has no record. If it returns true the caller must call finishQuery.
 func (s *suspicions) beginQuery(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/edge/uncertain_cold_test.go
+++ b/pkg/edge/uncertain_cold_test.go
@@ -109,7 +109,8 @@
 	})
 }
 
-// maxInASecond returns the largest number of times within one second. The times are in order.
+// maxInASecond returns the largest number of entries of at, in ascending order, that lie within
+// one second.
 func maxInASecond(at []time.Time) int {
 	most, first := 0, 0
 	for last := range at {
--- a/pkg/edge/unresponsive_test.go
+++ b/pkg/edge/unresponsive_test.go
@@ -24,7 +24,7 @@
 	is.True(!unresponsive(0, 5, peer.Load{Flowing: 1, Silent: 3}))
 }
 
-// TestStallTimeScalesWithTheUsualGap guards against marking engines with an event every 200 ms as
+// TestStallTimeScalesWithTheUsualGap guards against marking engines with an event every 150 ms as
 // unresponsive as early as those with one every 20 ms.
 func TestStallTimeScalesWithTheUsualGap(t *testing.T) {
 	is := is.New(t)
