--- a/pkg/steer/admit_test.go
+++ b/pkg/steer/admit_test.go
@@ -28,8 +28,8 @@
 
 func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// TestEstimatorLearnsTimeToFirstToken on engines faster and slower than the initial
-// estimate.
+// TestEstimatorLearnsTimeToFirstToken covers engines up to seven times faster and four
+// times slower than the initial estimate.
 func TestEstimatorLearnsTimeToFirstToken(t *testing.T) {
 	for _, perToken := range []float64{1.0 / 280, 1.0 / 70, 1.0 / 40, 1.0 / 10} {
 		t.Run(fmt.Sprint(perToken), func(t *testing.T) {
@@ -60,7 +60,8 @@
 	is.True(later.Factor("slow") < 2)
 }
 
-// TestFrozenEngineDoesNotSkewTheEstimate of the service's other engines.
+// TestFrozenEngineDoesNotSkewTheEstimate guards against one frozen engine that spoils the
+// estimate of the service's other engines.
 func TestFrozenEngineDoesNotSkewTheEstimate(t *testing.T) {
 	e := trainedEstimator(100, 0.02)
 	frozen := upstream("frozen", "llm", "north")
--- a/pkg/steer/overload.go
+++ b/pkg/steer/overload.go
@@ -24,8 +24,8 @@
 const (
 	// episodeGap is the time without a request that finds no capacity that ends an episode.
 	episodeGap = time.Second
-	// minRetryAfter is the least base of the time to a retry: what an engine needs to
-	// complete some tens of requests.
+	// minRetryAfter is the shortest overload assumed for the time to a retry: an engine
+	// needs that long to complete some tens of requests.
 	minRetryAfter = 400 * time.Millisecond
 	// maxRetryShare is the share of their remaining time that callers are willing to wait
 	// for a retry.
@@ -75,7 +75,7 @@
 
 // ReturnAfter returns after what time a refused caller should retry. An overload that has
 // lasted for some time is expected to last about as long again; callers are spread over
-// that time by a random number from 0 to 1, within maxRetryShare.
+// that time by a random number from 0 to 1, up to maxRetryShare of the time left to them.
 func ReturnAfter(lasted, left time.Duration, random float64) time.Duration {
 	wait := time.Duration((0.5 + random) * float64(max(minRetryAfter, lasted)))
 	return min(wait, time.Duration(maxRetryShare*float64(left)))
--- a/pkg/steer/overload_test.go
+++ b/pkg/steer/overload_test.go
@@ -21,8 +21,8 @@
 	is.True(!o.Refuses(req, began.Add(700*time.Millisecond+2*episodeGap)))
 }
 
-// TestReturnAfterSpreadsCallersOverTheExpectedOverload, up to the share of their remaining
-// time that they are willing to wait.
+// TestReturnAfterSpreadsCallersOverTheExpectedOverload also checks the bound, the share of
+// their remaining time that callers are willing to wait.
 func TestReturnAfterSpreadsCallersOverTheExpectedOverload(t *testing.T) {
 	is := is.New(t)
 	is.Equal(ReturnAfter(0, time.Minute, 0), minRetryAfter/2)
@@ -31,7 +31,8 @@
 	is.Equal(ReturnAfter(time.Minute, 3*time.Second, 0.5), time.Second)
 }
 
-// TestOnlyMoreUrgentRequestsContend, and only while they find no capacity.
+// TestOnlyMoreUrgentRequestsContend also checks that they do so only while they find no
+// capacity.
 func TestOnlyMoreUrgentRequestsContend(t *testing.T) {
 	is := is.New(t)
 	o := NewOverload()
--- a/pkg/steer/recent.go
+++ b/pkg/steer/recent.go
@@ -28,8 +28,8 @@
 	// cacheRetention is how long an upstream is assumed to cache a segment since its last
 	// use.
 	cacheRetention = 20 * time.Second
-	// minPublishedTokens is the least size in tokens of a segment with published
-	// placements: smaller ones are read sooner than published.
+	// minPublishedTokens is the least size in tokens of a segment to publish a placement
+	// of: an engine reads a smaller one before the report arrives.
 	minPublishedTokens = 1000
 	// publishFor is how long a placement is published: a few gossip rounds, so that a lost
 	// one does no harm.
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -81,9 +81,9 @@
 	// one ends. It is less than what an engine reads meanwhile, so that a short queue does
 	// not drive prompts away from the upstreams that cache their segments.
 	queuedPenalty = 500
-	// backlogWeight is the cost of an unread token at an upstream. Prompts count in full
-	// until their answer begins, when they are half read on average, and the reports are
-	// old.
+	// backlogWeight is the cost of an unread token at an upstream. It is below 1 because
+	// prompts count in full until their answer begins although they are half read on
+	// average, and because the reports are old.
 	backlogWeight = 0.3
 	// plainJitter is the largest relative random increase of the load of a plain service's
 	// upstream: reports are up to a gossip round old, and instances with the same reports
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestOnlyUsableUpstreamsOfTheRegionAreChosen over any state of the fleet.
+// TestOnlyUsableUpstreamsOfTheRegionAreChosen checks random states of the fleet.
 func TestOnlyUsableUpstreamsOfTheRegionAreChosen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		local := loads{}
@@ -96,7 +96,8 @@
 	})
 }
 
-// TestIndependentInstancesHashASegmentToOneUpstream, and segments spread over all of them.
+// TestIndependentInstancesHashASegmentToOneUpstream also checks that segments spread over
+// all upstreams.
 func TestIndependentInstancesHashASegmentToOneUpstream(t *testing.T) {
 	is := is.New(t)
 	var upstreams []fleet.Upstream
@@ -129,8 +130,8 @@
 	is.Equal(best.Source.ID, holder)
 }
 
-// TestUncachedSegmentGoesToItsHashedUpstream although that is busy: a holder that is only
-// assumed to cache the segment must not draw requests elsewhere as a source of copies.
+// TestUncachedSegmentGoesToItsHashedUpstream covers a busy upstream: it is only assumed to
+// cache the segment, so a copy from it must not count in favour of another upstream.
 func TestUncachedSegmentGoesToItsHashedUpstream(t *testing.T) {
 	is := is.New(t)
 	local := loads{}
@@ -192,7 +193,7 @@
 	is.Equal(forwarded(6, idle)["south"], 0)
 }
 
-// TestIdleUpstreamsAreAllUsed, also without any reports on them.
+// TestIdleUpstreamsAreAllUsed covers upstreams without any reports as well.
 func TestIdleUpstreamsAreAllUsed(t *testing.T) {
 	w := newSnapshot(loads{}, upstream("u0", "api", "north"), upstream("u1", "api", "north"), upstream("u2", "api", "north"))
 	used := map[string]int{}
