--- a/pkg/limit/departures.go
+++ b/pkg/limit/departures.go
@@ -99,7 +99,7 @@
 	d.byID.Store(&next)
 }
 
-// oldest returns the upstream that was learned oldest.
+// oldest returns the upstream that was learned first.
 func oldest(known map[string]departure) string {
 	found := ""
 	for upstream, each := range known {
--- a/pkg/limit/tracker.go
+++ b/pkg/limit/tracker.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// RequestBackoff records that an upstream requested no requests from this gateway for a
+// RequestBackoff records that an upstream asked this gateway to send it nothing for a
 // period.
 func (t *Tracker) RequestBackoff(upstream string, period time.Duration) {
 	t.entry(upstream).backoff.request(t.clock.Now(), period)
--- a/pkg/limit/window.go
+++ b/pkg/limit/window.go
@@ -123,8 +123,7 @@
 // the variation of network delays.
 const ColdWindow = 1100 * time.Millisecond
 
-// maxColdUpstreams is the number of upstreams with counts from which on old ones are
-// dropped.
+// maxColdUpstreams is the number of upstreams with counts at which old counts are dropped.
 const maxColdUpstreams = 256
 
 // NewColdShares returns ColdShares that have counted nothing.
