--- a/pkg/route/filter.go
+++ b/pkg/route/filter.go
@@ -6,7 +6,7 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// NotEjected excludes upstreams that are ejected because of failures.
+// NotEjected excludes upstreams that are ejected for failures or late answers.
 type NotEjected struct{}
 
 // Keep implements Filter.
