--- a/pkg/httproute/configuration_test.go
+++ b/pkg/httproute/configuration_test.go
@@ -93,8 +93,8 @@
 	is.True(older.Newer(nil))
 }
 
-// TestPermittedRoutesCountsTheRoutesOfAHost that a region may process, regardless of the
-// port.
+// TestPermittedRoutesCountsTheRoutesOfAHost checks that only routes that the region may
+// process count, regardless of the port.
 func TestPermittedRoutesCountsTheRoutesOfAHost(t *testing.T) {
 	is := is.New(t)
 	bound, free := route("bound", "a.example", "/x/"), route("free", "a.example", "/y/")
@@ -105,8 +105,8 @@
 	is.Equal(config.PermittedRoutes("b.example", "south"), 0)
 }
 
-// TestLessUrgentRoutesYieldToTheShortestMoreUrgentTarget among the routes that share a
-// service.
+// TestLessUrgentRoutesYieldToTheShortestMoreUrgentTarget checks that only routes that
+// share a service count.
 func TestLessUrgentRoutesYieldToTheShortestMoreUrgentTarget(t *testing.T) {
 	is := is.New(t)
 	ranked := func(name, prefix string, rank int, target time.Duration) httproute.Route {
--- a/pkg/httproute/route.go
+++ b/pkg/httproute/route.go
@@ -33,8 +33,8 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time to an answer, from the moment the request was read. If
-	// zero, only the caller's own deadline applies.
+	// Timeout is the longest time that a caller waits, from the moment the request was
+	// read. If zero, the route sets no bound.
 	Timeout time.Duration
 	// TargetLatency is the intended time to the answer, or to a stream's first event.
 	TargetLatency time.Duration
