--- a/pkg/quota/gate_test.go
+++ b/pkg/quota/gate_test.go
@@ -80,7 +80,7 @@
 }
 
 // TestOnlyTheLargestDemandsAreReported guards against reports that grow with the number of
-// callers.
+// callers. A caller that is not reported keeps its floor share.
 func TestOnlyTheLargestDemandsAreReported(t *testing.T) {
 	is := is.New(t)
 	gate := NewGate(clock.System{})
--- a/pkg/quota/split_test.go
+++ b/pkg/quota/split_test.go
@@ -150,9 +150,9 @@
 	}
 }
 
-// TestPartitionedDomainKeepsItsShare, and the others do not take it over; after PartitionHold
-// each side has the even share of its domains, and after the partition heals demand decides
-// again.
+// TestPartitionedDomainKeepsItsShare also checks that the others do not take it over, that
+// after PartitionHold each side has the even share of its domains, and that demand decides
+// again after the partition heals.
 func TestPartitionedDomainKeepsItsShare(t *testing.T) {
 	is := is.New(t)
 	w := newSimulation(func(int, int) int { return 1 })
