--- a/pkg/claim/routing.go
+++ b/pkg/claim/routing.go
@@ -11,8 +11,8 @@
 const maxRelays = 2
 
 // localDeciders returns the gateways of the own domain to query about a key. The
-// likely ones are the successor that the owner named and the owner itself; any of
-// the others may have adopted the key's origin.
+// likely ones are, in this order, the successor that the owner named and the owner
+// itself; any of the others may have adopted the key's origin.
 func (c *Coordinator) localDeciders(key Key) (first, others []Decider) {
 	instances := c.knownInstances(c.options.Self.Domain)
 	successor := successorOf(instances, key.Origin)
