--- a/pkg/relay/attempt.go
+++ b/pkg/relay/attempt.go
@@ -32,8 +32,8 @@
 	ctx         context.Context
 	connTracker connTracker
 	timer       *time.Timer
-	// idleLimit bounds the time without data from a target that sends keep-alives:
-	// until the head of its answer, and inside a stream.
+	// idleLimit is the idle timeout until the head of the answer and inside a stream,
+	// where peers send keep-alives.
 	idleLimit time.Duration
 	report    Report
 }
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -75,7 +75,7 @@
 
 // Bounds of connections to upstreams and peers.
 const (
-	// idleTimeout ends an attempt without data from its target.
+	// idleTimeout ends an attempt after this time without data from its target.
 	idleTimeout = 60 * time.Second
 	// streamIdleTimeout is shorter inside a stream: an engine that decodes at all sends
 	// several chunks per second, and the stream can resume on another upstream.
