--- a/pkg/order/order_test.go
+++ b/pkg/order/order_test.go
@@ -68,7 +68,7 @@
 	for name, test := range map[string]struct {
 		checks bool
 		faults callFaults
-		// took means that the disturbed order is executed, which is outOfOrder if a
+		// took means that the paused or delayed order is executed, outOfOrder that a
 		// newer one was executed before it.
 		took, outOfOrder bool
 	}{
