--- a/pkg/relay/client.go
+++ b/pkg/relay/client.go
@@ -22,8 +22,8 @@
 // uncertain.
 type Client struct {
 	upstreams, peers transports
-	// idle is the idle timeout, peerIdle that of a peer while it should send keep-
-	// alives.
+	// idle is the idle timeout, peerIdle that of a peer while it should send
+	// keep-alives.
 	idle, peerIdle time.Duration
 	cancels        chan struct{}
 }
