--- a/pkg/route/spill.go
+++ b/pkg/route/spill.go
@@ -45,8 +45,8 @@
 	}, true
 }
 
-// bestRemote returns the domain in which the request is predicted to end soonest, among
-// those that it may be sent to.
+// bestRemote returns the domain with the best score among those that the request may be
+// sent to and that can meet its deadline.
 func (t *Table) bestRemote(p *pool, req *Request, placement []string, here bool, now time.Time) (*remote, Estimate) {
 	var best *remote
 	var lowest Estimate
