--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -44,8 +44,8 @@
 	minRetryWait = 200 * time.Millisecond
 	maxRetryWait = 5 * time.Second
 	// partitionBurst bounds the balance of an instance that reaches few others, in multiples of
-	// the reachable share of the burst. The sides of a partition must not each spend a whole burst, but
-	// a region that is partitioned at its peak needs more than its share.
+	// the reachable share of the burst. The sides of a partition must not each spend a whole
+	// burst, but a region that is partitioned at its peak needs more than its share.
 	partitionBurst = 3
 	// debtCap bounds a negative balance, in multiples of the burst and a second's rate.
 	debtCap = 2
