--- a/pkg/admission/queue.go
+++ b/pkg/admission/queue.go
@@ -21,7 +21,7 @@
 	// sweepInterval is the time between checks of the queued requests' deadlines.
 	sweepInterval = 100 * time.Millisecond
 	// deadlineTolerance is the factor by which a queued request's predicted wait
-	// may exceed its deadline, since predictions fluctuate.
+	// may exceed the wait that its deadline allows, since predictions fluctuate.
 	deadlineTolerance = 1.25
 )
 
