--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -34,7 +34,7 @@
 	Route(request *Request) Route
 	// Permitted checks a choice against the configuration now in force.
 	Permitted(request *Request, choice *Choice) *outcome.Refusal
-	// Retry takes one retry from the budget for a request that may have run.
+	// Retry takes one retry from the budget; false if there is none left.
 	Retry() bool
 }
 
