--- a/pkg/order/term_state.go
+++ b/pkg/order/term_state.go
@@ -43,7 +43,8 @@
 // fence returns the fencing number of the last order sent.
 func (t *termState) fence() int64 { return t.revision<<sequenceBits | t.sent }
 
-// possiblyLoading returns the engines that may be loading without having confirmed it.
+// possiblyLoading returns the engines that may be loading after an order without a
+// clear reply.
 func (t *termState) possiblyLoading(now time.Time) map[string]bool {
 	recent := make(map[string]bool, len(t.unverified))
 	for name, sent := range t.unverified {
