--- a/pkg/limit/named.go
+++ b/pkg/limit/named.go
@@ -245,7 +245,8 @@
 	return reports
 }
 
-// isPublishTurn spreads the upstreams over the interval.
+// isPublishTurn reports whether an unchanged limit is to be published now. It spreads the
+// upstreams over the interval.
 func isPublishTurn(upstream string, now time.Time) bool {
 	phase := time.Duration(xxhash.Sum64String(upstream) % uint64(publishInterval))
 	return time.Duration(now.UnixNano()+int64(phase))%publishInterval < publishWindow
--- a/pkg/limit/tracker.go
+++ b/pkg/limit/tracker.go
@@ -23,7 +23,8 @@
 	// Holding is the mean time for which a request occupies a slot of the upstream; zero if
 	// not known yet.
 	Holding time.Duration
-	// Ejected is true while the upstream gets no requests because of failures.
+	// Ejected is true while the upstream gets no requests because of failures or late
+	// answers.
 	Ejected bool
 	// Backoff is how long the upstream gets no requests because it rejected some; zero if
 	// it may get them. RequestedBackoff is how much of that it has requested.
