--- a/pkg/peer/bench_test.go
+++ b/pkg/peer/bench_test.go
@@ -172,7 +172,8 @@
 	return placed
 }
 
-// BenchmarkRegistered lists the other instances of a deployment of 295.
+// BenchmarkRegistered lists the other instances of a deployment of 295, as several steps of a round
+// do.
 func BenchmarkRegistered(b *testing.B) {
 	g := newHub("hall-0", "region")
 	view := &fleet.View{}
--- a/pkg/peer/gossip_test.go
+++ b/pkg/peer/gossip_test.go
@@ -221,7 +221,8 @@
 	m.is.True(observer.view().Find("north-a-1").Leaving)
 }
 
-// TestStoreReplicaReachesInstancesWithoutTheStore by deltas, across domains and regions.
+// TestStoreReplicaReachesInstancesWithoutTheStore also checks that deltas suffice, across domains
+// and regions.
 func TestStoreReplicaReachesInstancesWithoutTheStore(t *testing.T) {
 	m := newMesh(t, 3, "north-a", "south-a")
 	setStore := func(revision int64, value string) {
@@ -392,7 +393,7 @@
 	m.is.True(rounds <= 2)
 }
 
-// TestUnreachableRegionIsAskedInEachRound, while a reachable one is asked in every third.
+// TestUnreachableRegionIsAskedInEachRound also checks that a reachable one is asked in every third.
 func TestUnreachableRegionIsAskedInEachRound(t *testing.T) {
 	m := newMesh(t, 1, "north-a")
 	g := m.nodes["north-a-0"].gossip
--- a/pkg/peer/state.go
+++ b/pkg/peer/state.go
@@ -47,7 +47,7 @@
 	Era, Held uint64
 	// Upstreams is its load at each upstream.
 	Upstreams []Load
-	// Placed holds where it sent large prompt prefixes in the last seconds.
+	// Placed holds where it sent large prompt segments in the last seconds.
 	Placed []Placement
 	// Used is the usage of the limited callers at this instance.
 	Used []quota.Usage
@@ -95,7 +95,7 @@
 	Era, Held uint64
 	// Upstreams sums their loads by upstream, only within the own region; Services by service.
 	Upstreams, Services []Load
-	// Placed holds where large prompt prefixes were sent in the last seconds.
+	// Placed holds where large prompt segments were sent in the last seconds.
 	Placed []Placement
 	// Used is the usage of the limited callers in the domain, counted by the instance with the
 	// incarnation Counter.
