--- a/pkg/mirror/entries.go
+++ b/pkg/mirror/entries.go
@@ -157,9 +157,9 @@
 	m.snapshot.Store(snapshot)
 }
 
-// sweep drops expired retained entries while no answer of the store does. While the store does
-// not answer, the local knowledge that an entry was missing may be out of date, and only that of
-// an instance that reaches the store is used.
+// sweep drops the retained entries that have expired when no answer of the store leads to a new
+// snapshot. While the store does not answer, the local knowledge that an entry was missing may be
+// out of date, and only that of an instance that reaches the store is used.
 func (m *Mirror) sweep() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -199,5 +199,5 @@
 	return left
 }
 
-// minWait is the minimum wait of a call while an entry is about to expire.
+// minWait is the minimum wait of a call, which keeps calls apart while an entry is about to expire.
 const minWait = 50 * time.Millisecond
--- a/pkg/mirror/mirror_test.go
+++ b/pkg/mirror/mirror_test.go
@@ -30,7 +30,7 @@
 	// from is the revision from which the history is retained.
 	from int64
 	down bool
-	// watchesStalled: watches get no changes.
+	// watchesStalled is true while watches return no changes.
 	watchesStalled bool
 	// era counts restores from a backup. Watches from a future revision wait for it if
 	// futureWatchesWait is true, and fail otherwise.
--- a/pkg/mirror/registration.go
+++ b/pkg/mirror/registration.go
@@ -41,14 +41,15 @@
 	renewalsPerTTL = 3
 	// registerTimeout bounds each call.
 	registerTimeout = time.Second
-	// registerPause follows a first failed call. It doubles up to maxRegisterPause, and a random
-	// half of it is omitted. With four retries a second, failed ones were a seventh of all calls
-	// in a scenario in which the store rejected a third of 295 instances and later was
+	// registerPause follows a first failed call. It doubles up to maxRegisterPause, and each wait
+	// is shortened at random by up to half. With four attempts a second, failed ones were a seventh
+	// of all calls in a scenario in which the store rejected a third of 295 instances and later was
 	// unavailable for 4 s. Instances without an entry stay known through their peers meanwhile.
 	registerPause    = 250 * time.Millisecond
 	maxRegisterPause = 2 * time.Second
 	// registerSpread is the time over which entries are written again. An event that deletes one
-	// instance's entry deletes all, and hundreds would be written within a tenth of a second.
+	// instance's entry deletes those of all, and hundreds would be written within a tenth of a
+	// second.
 	registerSpread = 500 * time.Millisecond
 )
 
--- a/pkg/mirror/restore_test.go
+++ b/pkg/mirror/restore_test.go
@@ -27,8 +27,8 @@
 
 // restoreModes are the ways in which a store is restored from a backup.
 var restoreModes = map[string]struct {
-	// futureWatchesWait: watches from a future revision wait for it. outage is the time without
-	// answers before the restore.
+	// futureWatchesWait is true if watches from a future revision wait for it. outage is the time
+	// without answers before the restore.
 	futureWatchesWait bool
 	outage            time.Duration
 }{
--- a/pkg/mirror/urgent.go
+++ b/pkg/mirror/urgent.go
@@ -10,12 +10,14 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// Under many changes, several are read by one call, which is too late for urgent ones: an
-// evacuation that starts and ends within a pause leaves upstreams cold that get full load until
-// the pause is over. Urgent changes have a waiting call of their own, which ends the pause.
+// While many entries change, a pause before each call lets it read several changes, which is too
+// late for urgent ones: an evacuation that starts and ends within a pause leaves upstreams cold
+// that get full load until the pause is over. Urgent changes have a waiting call of their own,
+// which ends the pause.
 
-// urgentWait is the wait of one such call. Each call has a cost, and the store retains its
-// history for longer; a call on a stalled connection delays changes by no more than a pause.
+// urgentWait is the wait of one such call. It is long because each call has a cost, and the store
+// retains its history for longer; a call on a stalled connection delays changes by no more than a
+// pause.
 const urgentWait = 9 * time.Second
 
 // watchUrgent waits for changes below Options.UrgentPrefix after a position until it is stopped.
