--- a/pkg/peer/columns_test.go
+++ b/pkg/peer/columns_test.go
@@ -56,7 +56,7 @@
 	is.Equal(newDictionary(view, "nowhere").fingerprint, uint64(0))
 }
 
-// TestMismatchedColumnsAreRejected: the sums received before stay valid.
+// TestMismatchedColumnsAreRejected also checks that the sums received before stay valid.
 func TestMismatchedColumnsAreRejected(t *testing.T) {
 	is := is.New(t)
 	l := newDictionary(sampleFleet(3), "region")
--- a/pkg/peer/gossip_test.go
+++ b/pkg/peer/gossip_test.go
@@ -173,8 +173,8 @@
 	m.is.Equal(observer.view().Upstream("u-2"), Load{})
 }
 
-// TestLargeDomainLearnsThroughItsHub: the instances exchange with the hub only, and each learns
-// the state of all.
+// TestLargeDomainLearnsThroughItsHub checks that the instances exchange with the hub only, and that
+// each learns the state of all.
 func TestLargeDomainLearnsThroughItsHub(t *testing.T) {
 	m := newMesh(t, 9, "north-a", "south-a")
 	for _, n := range m.nodes {
@@ -405,8 +405,8 @@
 	m.is.True(!g.HasUnreachableDomain())
 }
 
-// TestRepliesInLargeDomainsStaySmall: sixteen instances have load at each of 28 upstreams and
-// have just made 64 placements each, in all six domains.
+// TestRepliesInLargeDomainsStaySmall bounds the replies when sixteen instances have load at each of
+// 28 upstreams and have just made 64 placements each, in all six domains.
 func TestRepliesInLargeDomainsStaySmall(t *testing.T) {
 	is := is.New(t)
 	g := newHub("north-a", "north")
--- a/pkg/peer/roster_test.go
+++ b/pkg/peer/roster_test.go
@@ -41,9 +41,9 @@
 	return reply
 }
 
-// TestReplySizeDoesNotGrowWithTheDomain: hundreds of instances, most of them behind 20 Mbit/s,
-// learn of each other through their domains' hubs. Without changes a reply holds only the loads
-// at engines, which are as many in a small domain as in a large one.
+// TestReplySizeDoesNotGrowWithTheDomain guards against full links. Hundreds of instances, most of
+// them behind 20 Mbit/s, learn of each other through their domains' hubs. Without changes a reply
+// holds only the loads at engines, which are as many in a small domain as in a large one.
 func TestReplySizeDoesNotGrowWithTheDomain(t *testing.T) {
 	is := is.New(t)
 	replySize := func(instances int) int {
@@ -87,8 +87,8 @@
 	is.True(member.reports["n-5"].value.Leaving)
 }
 
-// TestRosterDoesNotKeepASilentInstanceLive: a member considers an instance unreachable soon
-// after its hub does, though the roster was not sent again.
+// TestRosterDoesNotKeepASilentInstanceLive checks that a member considers an instance unreachable
+// soon after its hub does, though the roster was not sent again.
 func TestRosterDoesNotKeepASilentInstanceLive(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
--- a/pkg/peer/usage_test.go
+++ b/pkg/peer/usage_test.go
@@ -30,9 +30,9 @@
 
 func (l *limited) balance() float64 { return l.limiter.States()[0].Balance }
 
-// TestUsageIsChargedOnceEverywhere: an instance of a large domain admits a request. Its hub,
-// another instance of the domain, the hub of another region and an instance there charge the
-// same, however often the sums are sent.
+// TestUsageIsChargedOnceEverywhere checks that, when an instance of a large domain admits a
+// request, its hub, another instance of the domain, the hub of another region and an instance there
+// charge the same, however often the sums are sent.
 func TestUsageIsChargedOnceEverywhere(t *testing.T) {
 	is := is.New(t)
 	// The limit refills so slowly that refilling does not matter here.
