--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -1,10 +1,10 @@
 // Package mirror keeps a local replica of some prefixes of the platform's key-value store and
 // follows their changes, so that the request path reads only memory.
 //
-// Guarantees: a replica's position never goes back. Leased entries that are missing after the
-// store was unavailable are retained for a while, since their owners may be about to write them
-// again. When the store is restored from a backup, its new revisions are followed from there,
-// and entries whose content is newer than the backup's stay valid until they are written again.
+// Guarantees: a replica's position never goes back. Leased entries that are missing after the store
+// was unavailable are retained for a while, since their owners may be about to write them again.
+// When the store is restored from a backup, its new revisions are followed from there, and entries
+// with newer content than the backup's stay valid until they are written again.
 package mirror
 
 import (
--- a/pkg/mirror/mirror_test.go
+++ b/pkg/mirror/mirror_test.go
@@ -214,9 +214,10 @@
 	})
 }
 
-// TestRetainedEntriesExpireInCopiesToo: the expiry causes no new revision of the store, so that
-// no instance would request a newer snapshot. A copy retains an entry no longer than its source,
-// also on an instance that cannot reach the store.
+// TestRetainedEntriesExpireInCopiesToo guards against entries that outlive their source in a copy.
+// Their expiry causes no new revision of the store, so that no instance would request a newer
+// snapshot. A copy retains an entry no longer than its source, also on an instance that cannot
+// reach the store.
 func TestRetainedEntriesExpireInCopiesToo(t *testing.T) {
 	for name, active := range map[string]bool{"does not follow the store": false, "does not reach the store": true} {
 		t.Run(name, func(t *testing.T) {
@@ -255,8 +256,8 @@
 	}
 }
 
-// TestEntriesDeletedWhileTheStoreAnswersDisappearAtOnce: there is no grace period without an
-// outage.
+// TestEntriesDeletedWhileTheStoreAnswersDisappearAtOnce checks that there is no grace period
+// without an outage.
 func TestEntriesDeletedWhileTheStoreAnswersDisappearAtOnce(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "1")
@@ -267,8 +268,7 @@
 	})
 }
 
-// TestMissedChangesAreFoundByTheNextListing: changes that no watch returned are found by the
-// next listing.
+// TestMissedChangesAreFoundByTheNextListing covers changes that no watch returned.
 func TestMissedChangesAreFoundByTheNextListing(t *testing.T) {
 	follow(t, func(is *is.I, s *store, m *mirror.Mirror) {
 		s.put("servers/a", "ready")
@@ -314,9 +314,9 @@
 	return c.store.Changes(ctx, prefix, after, wait)
 }
 
-// TestManyChangesAreReadByFewCalls: while 300 instances are replaced an entry is written every
-// 20 ms. One and a half calls a second are enough, each entry is known within a second of its
-// write, and once the writes stop the next change is known at once.
+// TestManyChangesAreReadByFewCalls guards against a call for each change. While 300 instances are
+// replaced an entry is written every 20 ms. One and a half calls a second are enough, each entry is
+// known within a second of its write, and once the writes stop the next change is known at once.
 func TestManyChangesAreReadByFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -341,7 +341,7 @@
 	})
 }
 
-// TestIdleStoreIsPolledSeldom: a waiting call costs as much as any other.
+// TestIdleStoreIsPolledSeldom bounds the waiting calls, each of which costs as much as any other.
 func TestIdleStoreIsPolledSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &counted{store: newStore()}
@@ -352,9 +352,9 @@
 	})
 }
 
-// TestReplicaThatStoppedFollowingIsNotCurrent: an instance follows the store while a watcher of
-// its domain restarts, and stops when that one is back. From then on it must accept others'
-// snapshots at once, not only when its own last answer is old.
+// TestReplicaThatStoppedFollowingIsNotCurrent guards against ignored snapshots. An instance follows
+// the store while a watcher of its domain restarts, and stops when that one is back. From then on
+// it must accept others' snapshots at once, not only when its own last answer is old.
 func TestReplicaThatStoppedFollowingIsNotCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/pkg/mirror/urgent.go
+++ b/pkg/mirror/urgent.go
@@ -10,9 +10,9 @@
 	"github.com/lilacweir/lilacweir/pkg/platform"
 )
 
-// While many entries change, a pause before each call lets it read several changes, which is too
-// late for urgent ones: an evacuation that starts and ends within a pause leaves upstreams cold
-// that get full load until the pause is over. Urgent changes have a waiting call of their own,
+// While many entries change, a pause after each call lets the next one read several changes, which
+// is too late for urgent ones: an evacuation that starts and ends within a pause leaves upstreams
+// cold that get full load until the pause is over. Urgent changes have a waiting call of their own,
 // which ends the pause.
 
 // urgentWait is the wait of one such call. It is long because each call has a cost, and the store
