--- a/pkg/agent/agent_test.go
+++ b/pkg/agent/agent_test.go
@@ -12,7 +12,7 @@
 	"github.com/lilacweir/lilacweir/pkg/spread"
 )
 
-// acceptedHead returns a head whose caller has another share in each revision.
+// acceptedHead returns a head with a caller that has another share in each revision.
 func acceptedHead(revision config.Revision) *config.Head {
 	head := &config.Head{Revision: revision, Declaration: &config.Declaration{
 		Callers: []config.Caller{{Name: "residents-app", Home: "region-a", Regions: []string{"region-a"}, Share: int(revision)}},
--- a/pkg/agent/domains.go
+++ b/pkg/agent/domains.go
@@ -108,8 +108,8 @@
 	next   int
 	seen   uint64
 	whole  bool
-	// unreadable is a revision whose whole head could not be decoded; it is not
-	// requested again.
+	// unreadable is a revision of which the whole head could not be decoded; it is not requested
+	// again.
 	unreadable config.Revision
 	failed     int
 }
--- a/pkg/agent/mesh_query.go
+++ b/pkg/agent/mesh_query.go
@@ -140,8 +140,8 @@
 	return &board.Upstreams{ByName: byName}
 }
 
-// leavingUpstreams merges the marks of the platform's list and of every instance
-// whose last message is at most MarkTTL old.
+// leavingUpstreams merges the marks of the platform's list and of every instance with a last
+// message that is at most MarkTTL old.
 func (m *mesh) leavingUpstreams(now time.Time) map[string]bool {
 	leaving := make(map[string]bool)
 	if m.list != nil {
--- a/pkg/agent/mesh_test.go
+++ b/pkg/agent/mesh_test.go
@@ -94,7 +94,7 @@
 	return upstreams.ByName["nurse-1"].State
 }
 
-// A leaving mark from any source overrides a live report until its source withdraws
+// A leaving mark from any source overrides a live report until all of its sources have withdrawn
 // it.
 func TestLeavingMarkOverridesLiveReport(t *testing.T) {
 	start := time.Now()
