--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -78,8 +78,8 @@
 	halt    context.CancelFunc
 
 	phase atomic.Int32
-	// leavingReported and successorReported are set once a reply to the agent has
-	// carried that.
+	// leavingReported and successorReported are set once a reply to the agent has reported that the
+	// gateway is leaving, and its successor.
 	leavingReported, successorReported signal
 }
 
