--- a/pkg/config/fake_test.go
+++ b/pkg/config/fake_test.go
@@ -38,7 +38,7 @@
 	return config.NewStore(kv, clock.Func(func() time.Time { return testTime }), pause, func() float64 { return 1 })
 }
 
-// limitedStore returns a store that fails after so many pauses.
+// limitedStore returns a store that fails after the given number of pauses.
 func limitedStore(kv platform.KeyValue, pauses int) *config.Store {
 	pause := func(ctx context.Context, _ time.Duration) error {
 		pauses--
--- a/pkg/config/head.go
+++ b/pkg/config/head.go
@@ -26,7 +26,7 @@
 type VoidedChange struct {
 	// ID is the change's identity.
 	ID string `json:"id"`
-	// At is the time of that, by the marking instance's clock.
+	// At is the time of the marking, by the marking instance's clock.
 	At time.Time `json:"at"`
 }
 
--- a/pkg/config/index.go
+++ b/pkg/config/index.go
@@ -133,7 +133,7 @@
 	return upstream, ok
 }
 
-// Pool returns the upstreams of a model or service in all domains.
+// Pool returns the upstreams of a model or service in all domains, sorted by name.
 func (x *Index) Pool(serves string) []*Upstream { return x.pools[serves] }
 
 // Model returns a model by name.
