--- a/pkg/peer/gossip_test.go
+++ b/pkg/peer/gossip_test.go
@@ -173,8 +173,8 @@
 	m.is.Equal(observer.view().Upstream("u-2"), Load{})
 }
 
-// TestLargeDomainLearnsThroughItsHub checks that the instances exchange with the hub only, and that
-// each learns the state of all.
+// TestLargeDomainLearnsThroughItsHub checks that each instance learns the state of all, although
+// the instances exchange with the hub only.
 func TestLargeDomainLearnsThroughItsHub(t *testing.T) {
 	m := newMesh(t, 9, "north-a", "south-a")
 	for _, n := range m.nodes {
@@ -221,8 +221,8 @@
 	m.is.True(observer.view().Find("north-a-1").Leaving)
 }
 
-// TestStoreReplicaReachesInstancesWithoutTheStore also checks that deltas suffice, across domains
-// and regions.
+// TestStoreReplicaReachesInstancesWithoutTheStore covers the transfer of deltas across domains and
+// regions.
 func TestStoreReplicaReachesInstancesWithoutTheStore(t *testing.T) {
 	m := newMesh(t, 3, "north-a", "south-a")
 	setStore := func(revision int64, value string) {
@@ -393,7 +393,8 @@
 	m.is.True(rounds <= 2)
 }
 
-// TestUnreachableRegionIsAskedInEachRound also checks that a reachable one is asked in every third.
+// TestUnreachableRegionIsAskedInEachRound checks the condition for that. A reachable region is
+// asked in every third round.
 func TestUnreachableRegionIsAskedInEachRound(t *testing.T) {
 	m := newMesh(t, 1, "north-a")
 	g := m.nodes["north-a-0"].gossip
