--- a/pkg/mirror/delta.go
+++ b/pkg/mirror/delta.go
@@ -96,7 +96,7 @@
 	}
 	m.expiring, m.expiryFromPeer = make(map[string]time.Time, len(delta.Lapsed)), true
 	for _, lapse := range delta.Lapsed {
-		m.expiring[lapse.Key] = now.Add(min(lapse.Left, max(leaseGrace, m.options.Order.Kept(lapse.Key))))
+		m.expiring[lapse.Key] = now.Add(min(lapse.Left, max(leaseGrace, m.options.Order.RetainFor(lapse.Key))))
 	}
 	m.hidden = make(map[string]hidden, len(delta.Hidden))
 	for _, expiryFromPeer := range delta.Hidden {
--- a/pkg/mirror/position.go
+++ b/pkg/mirror/position.go
@@ -37,9 +37,9 @@
 type Order interface {
 	// Older reports whether entry is an earlier state of its key than the other entry.
 	Older(entry, than *platform.Entry) bool
-	// Kept returns the time after a restore for which an entry stays valid that the backup
+	// RetainFor returns the time after a restore for which an entry stays valid that the backup
 	// lacks, until its owner writes it again. Zero means not at all.
-	Kept(key string) time.Duration
+	RetainFor(key string) time.Duration
 	// Gone returns the time after a restore for which a deleted entry that the backup still
 	// contains is ignored. Zero means not at all.
 	Gone(key string) time.Duration
@@ -49,7 +49,7 @@
 type noOrder struct{}
 
 func (noOrder) Older(_, _ *platform.Entry) bool { return false }
-func (noOrder) Kept(string) time.Duration       { return 0 }
+func (noOrder) RetainFor(string) time.Duration  { return 0 }
 func (noOrder) Gone(string) time.Duration       { return 0 }
 
 // Deletions are remembered for removalTTL, longer than the age of a backup of the store;
@@ -108,7 +108,7 @@
 			continue
 		}
 		listed, exists := entries[key]
-		switch until := m.recoveredAt.Add(m.options.Order.Kept(key)); {
+		switch until := m.recoveredAt.Add(m.options.Order.RetainFor(key)); {
 		case exists && m.options.Order.Older(&listed, &known):
 			entries[key] = known
 		case !exists && now.Before(until):
