--- a/pkg/mirror/delta.go
+++ b/pkg/mirror/delta.go
@@ -100,7 +100,7 @@
 	}
 	m.hidden = make(map[string]hidden, len(delta.Hidden))
 	for _, expiryFromPeer := range delta.Hidden {
-		m.hidden[expiryFromPeer.Entry.Key] = hidden{entry: expiryFromPeer.Entry, until: now.Add(min(expiryFromPeer.Left, m.options.Order.Gone(expiryFromPeer.Entry.Key)))}
+		m.hidden[expiryFromPeer.Entry.Key] = hidden{entry: expiryFromPeer.Entry, until: now.Add(min(expiryFromPeer.Left, m.options.Order.SuppressFor(expiryFromPeer.Entry.Key)))}
 	}
 	if present != nil {
 		m.recordMissing(present, entries, now)
--- a/pkg/mirror/position.go
+++ b/pkg/mirror/position.go
@@ -40,17 +40,17 @@
 	// RetainFor returns the time after a restore for which an entry stays valid that the backup
 	// lacks, until its owner writes it again. Zero means not at all.
 	RetainFor(key string) time.Duration
-	// Gone returns the time after a restore for which a deleted entry that the backup still
+	// SuppressFor returns the time after a restore for which a deleted entry that the backup still
 	// contains is ignored. Zero means not at all.
-	Gone(key string) time.Duration
+	SuppressFor(key string) time.Duration
 }
 
 // noOrder always uses the store's state.
 type noOrder struct{}
 
-func (noOrder) Older(_, _ *platform.Entry) bool { return false }
-func (noOrder) RetainFor(string) time.Duration  { return 0 }
-func (noOrder) Gone(string) time.Duration       { return 0 }
+func (noOrder) Older(_, _ *platform.Entry) bool  { return false }
+func (noOrder) RetainFor(string) time.Duration   { return 0 }
+func (noOrder) SuppressFor(string) time.Duration { return 0 }
 
 // Deletions are remembered for removalTTL, longer than the age of a backup of the store;
 // maxRemovals bounds their number.
@@ -82,7 +82,7 @@
 // recordRemoved remembers a deleted entry in case the store is restored from a backup that
 // contains it. The caller holds m.mu.
 func (m *Mirror) recordRemoved(entry platform.Entry, now time.Time) {
-	if m.options.Order.Gone(entry.Key) == 0 {
+	if m.options.Order.SuppressFor(entry.Key) == 0 {
 		return
 	}
 	if len(m.removed) >= maxRemovals {
@@ -120,7 +120,7 @@
 		if _, before := present.Entries[key]; before || !m.isSuppressed(&listed, now) {
 			continue
 		}
-		m.hidden[key] = hidden{entry: listed, until: m.recoveredAt.Add(m.options.Order.Gone(key))}
+		m.hidden[key] = hidden{entry: listed, until: m.recoveredAt.Add(m.options.Order.SuppressFor(key))}
 		delete(entries, key)
 	}
 }
@@ -128,7 +128,7 @@
 // isSuppressed reports whether an entry was deleted in a former epoch.
 func (m *Mirror) isSuppressed(listed *platform.Entry, now time.Time) bool {
 	removed, known := m.removed[listed.Key]
-	if !known || removed.entry.Era == listed.Era || !now.Before(m.recoveredAt.Add(m.options.Order.Gone(listed.Key))) {
+	if !known || removed.entry.Era == listed.Era || !now.Before(m.recoveredAt.Add(m.options.Order.SuppressFor(listed.Key))) {
 		return false
 	}
 	return bytes.Equal(listed.Value, removed.entry.Value) || m.options.Order.Older(listed, &removed.entry)
--- a/pkg/mirror/restore_test.go
+++ b/pkg/mirror/restore_test.go
@@ -85,8 +85,8 @@
 func (numbered) Older(entry, than *platform.Entry) bool {
 	return number(entry.Value) < number(than.Value)
 }
-func (numbered) RetainFor(string) time.Duration { return keptFor }
-func (numbered) Gone(string) time.Duration      { return goneFor }
+func (numbered) RetainFor(string) time.Duration   { return keptFor }
+func (numbered) SuppressFor(string) time.Duration { return goneFor }
 
 func number(value []byte) int {
 	n, err := strconv.Atoi(string(value))
