--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -80,7 +80,7 @@
 func (e *Edge) followEpochs(ctx context.Context) {
 	known := e.store.Era()
 	for {
-		changed := e.store.Eras().Changed()
+		changed := e.store.Epochs().Changed()
 		if epoch := e.store.Era(); epoch != known {
 			known = epoch
 			clock.Sleep(ctx, epochSettleTime)
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -212,8 +212,8 @@
 	return m.epoch
 }
 
-// Eras returns the section that holds the highest observed epoch of the store.
-func (m *Mirror) Eras() *board.Section[uint64] { return &m.epochs }
+// Epochs returns the section that holds the highest observed epoch of the store.
+func (m *Mirror) Epochs() *board.Section[uint64] { return &m.epochs }
 
 // ObserveEpoch records the epoch in an answer of the store to this or another instance. A higher
 // one cancels the call that waits for changes, because the awaited revision may never come.
