--- a/pkg/mirror/entries.go
+++ b/pkg/mirror/entries.go
@@ -153,7 +153,7 @@
 		Era: position.Era, Revision: position.Revision, Entries: entries,
 		Lapsed: maps.Clone(m.expiring), hidden: maps.Clone(m.hidden), Removals: m.removals, Gap: m.gap,
 	}
-	snapshot.Held = fingerprint(snapshot.retained())
+	snapshot.RetainedSum = fingerprint(snapshot.retained())
 	m.snapshot.Store(snapshot)
 }
 
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -33,8 +33,8 @@
 	Lapsed map[string]time.Time
 	// hidden holds the entries that are in the store and not valid yet.
 	hidden map[string]hidden
-	// Held is the fingerprint of the retained entries; zero if there are none.
-	Held uint64
+	// RetainedSum is the fingerprint of the retained entries; zero if there are none.
+	RetainedSum uint64
 	// Removals holds the position of the last deletion of each key below the prefixes with
 	// tracked deletions. It must not be changed.
 	Removals map[string]Position
@@ -196,7 +196,7 @@
 // none.
 func (m *Mirror) Held() uint64 {
 	if present := m.snapshot.Load(); present != nil {
-		return present.Held
+		return present.RetainedSum
 	}
 	return 0
 }
--- a/pkg/mirror/restore_random_test.go
+++ b/pkg/mirror/restore_random_test.go
@@ -166,8 +166,8 @@
 				h.Errorf("mirror %d holds %q under %s, the store %q", n, entry.Value, key, stored.Value)
 			}
 		}
-		if snapshot.Held != 0 || snapshot.Era != h.store.era {
-			h.Errorf("mirror %d is in epoch %d of %d and retains entries: %v", n, snapshot.Era, h.store.era, snapshot.Held != 0)
+		if snapshot.RetainedSum != 0 || snapshot.Era != h.store.era {
+			h.Errorf("mirror %d is in epoch %d of %d and retains entries: %v", n, snapshot.Era, h.store.era, snapshot.RetainedSum != 0)
 		}
 	}
 	if h.Failed() {
