--- a/pkg/edge/report.go
+++ b/pkg/edge/report.go
@@ -18,7 +18,7 @@
 		Ready:       e.board.Routes.Load() != nil,
 		Store:       position.Revision,
 		Era:         position.Era,
-		Held:        e.store.Held(),
+		Held:        e.store.RetainedSum(),
 		Upstreams:   e.loads(),
 		Placed:      e.recent.Told(e.now()),
 		Used:        e.limiter.LocalUsage(),
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -192,9 +192,9 @@
 // empty.
 func (m *Mirror) Position() Position { return m.snapshot.Load().Position() }
 
-// Held returns the fingerprint of the entries retained from former epochs; zero if there are
+// RetainedSum returns the fingerprint of the entries retained from former epochs; zero if there are
 // none.
-func (m *Mirror) Held() uint64 {
+func (m *Mirror) RetainedSum() uint64 {
 	if present := m.snapshot.Load(); present != nil {
 		return present.RetainedSum
 	}
--- a/pkg/mirror/restore_test.go
+++ b/pkg/mirror/restore_test.go
@@ -139,7 +139,7 @@
 		is.Equal(value(m, "config"), "3")
 		is.Equal(value(m, "servers/new"), "2")
 		is.True(has(m, "servers/gone")) // its owner did not delete it again
-		is.Equal(m.Held(), uint64(0))
+		is.Equal(m.RetainedSum(), uint64(0))
 	})
 }
 
@@ -155,7 +155,7 @@
 		s.restore(backup)
 		time.Sleep(keptFor + time.Second)
 		is.True(!has(m, "servers/new"))
-		is.Equal(m.Held(), uint64(0))
+		is.Equal(m.RetainedSum(), uint64(0))
 	})
 }
 
@@ -175,13 +175,13 @@
 		s.put("servers/a", "2") // still older than what is known
 		time.Sleep(time.Second)
 		is.Equal(value(m, "servers/a"), "5")
-		is.True(m.Held() != 0)
+		is.True(m.RetainedSum() != 0)
 		s.put("servers/a", "6")
 		s.remove("servers/b")
 		time.Sleep(time.Second)
 		is.Equal(value(m, "servers/a"), "6")
 		is.True(!has(m, "servers/b"))
-		is.Equal(m.Held(), uint64(0))
+		is.Equal(m.RetainedSum(), uint64(0))
 	})
 }
 
--- a/pkg/peer/copy.go
+++ b/pkg/peer/copy.go
@@ -32,7 +32,7 @@
 		from = g.newestSource(since)
 	}
 	if from == nil && since.Era > 0 {
-		from = g.retainedSource(store.Held())
+		from = g.retainedSource(store.RetainedSum())
 	}
 	if from == nil {
 		return
--- a/pkg/peer/gossip_test.go
+++ b/pkg/peer/gossip_test.go
@@ -57,7 +57,7 @@
 	position := n.store.Position()
 	return Report{
 		Name: n.instance.Name, Incarnation: n.instance.Incarnation, Sequence: n.sequence.Add(1),
-		Leaving: n.leaving.Load(), Ready: true, Store: position.Revision, Era: position.Era, Held: n.store.Held(), Upstreams: n.loads,
+		Leaving: n.leaving.Load(), Ready: true, Store: position.Revision, Era: position.Era, Held: n.store.RetainedSum(), Upstreams: n.loads,
 	}
 }
 
