--- a/pkg/mirror/delta.go
+++ b/pkg/mirror/delta.go
@@ -48,7 +48,7 @@
 		return Delta{}
 	}
 	delta := Delta{Era: s.Era, Revision: s.Revision, Held: s.retained()}
-	for key, end := range s.Lapsed {
+	for key, end := range s.Expiring {
 		delta.Lapsed = append(delta.Lapsed, Lapse{Key: key, Left: end.Sub(now)})
 	}
 	if !from.Before(s.Position()) {
--- a/pkg/mirror/entries.go
+++ b/pkg/mirror/entries.go
@@ -151,7 +151,7 @@
 	}
 	snapshot := &Snapshot{
 		Era: position.Era, Revision: position.Revision, Entries: entries,
-		Lapsed: maps.Clone(m.expiring), hidden: maps.Clone(m.hidden), Removals: m.removals, Gap: m.gap,
+		Expiring: maps.Clone(m.expiring), hidden: maps.Clone(m.hidden), Removals: m.removals, Gap: m.gap,
 	}
 	snapshot.RetainedSum = fingerprint(snapshot.retained())
 	m.snapshot.Store(snapshot)
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -28,9 +28,9 @@
 	Revision int64
 	// Entries of an epoch below Era are retained: the store has received no write of them since.
 	Entries map[string]platform.Entry
-	// Lapsed holds the entries that are missing in the store and still valid, with their expiry
+	// Expiring holds the entries that are missing in the store and still valid, with their expiry
 	// by this process's clock.
-	Lapsed map[string]time.Time
+	Expiring map[string]time.Time
 	// hidden holds the entries that are in the store and not valid yet.
 	hidden map[string]hidden
 	// RetainedSum is the fingerprint of the retained entries; zero if there are none.
@@ -53,7 +53,7 @@
 
 // HasTemporary reports whether the snapshot holds retained entries that will expire, or hidden
 // ones.
-func (s *Snapshot) HasTemporary() bool { return len(s.Lapsed) > 0 || len(s.hidden) > 0 }
+func (s *Snapshot) HasTemporary() bool { return len(s.Expiring) > 0 || len(s.hidden) > 0 }
 
 // Options of a Mirror.
 type Options struct {
--- a/pkg/mirror/mirror_test.go
+++ b/pkg/mirror/mirror_test.go
@@ -247,7 +247,7 @@
 				is.True(!has(m, "servers/a"))
 				is.True(!has(follower, "servers/a"))
 				is.True(has(follower, "servers/b"))
-				is.Equal(len(follower.Snapshot().Load().Lapsed), 0)
+				is.Equal(len(follower.Snapshot().Load().Expiring), 0)
 				cancel()
 				<-done
 			})
