--- a/pkg/edge/report.go
+++ b/pkg/edge/report.go
@@ -20,7 +20,7 @@
 		Era:         position.Era,
 		Held:        e.store.RetainedSum(),
 		Upstreams:   e.loads(),
-		Placed:      e.recent.Told(e.now()),
+		Placed:      e.recent.ToPublish(e.now()),
 		Used:        e.limiter.LocalUsage(),
 	}
 }
--- a/pkg/steer/recent.go
+++ b/pkg/steer/recent.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Told returns this instance's own placements that are to be published to others.
-func (r *Recent) Told(now time.Time) []peer.Placement {
+// ToPublish returns this instance's own placements that are to be published to others.
+func (r *Recent) ToPublish(now time.Time) []peer.Placement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := 0
