--- a/pkg/edge/upstream_state.go
+++ b/pkg/edge/upstream_state.go
@@ -58,7 +58,7 @@
 	if !e.departures.Any() {
 		return nil
 	}
-	return e.departures.Told(e.discovered)
+	return e.departures.ToPublish(e.discovered)
 }
 
 // backoffLogStep is the time by which an upstream must prolong its backoff to be logged again:
--- a/pkg/limit/departures.go
+++ b/pkg/limit/departures.go
@@ -65,9 +65,9 @@
 	return true
 }
 
-// Told returns the leaving upstreams to publish to other instances now, of those that still
+// ToPublish returns the leaving upstreams to publish to other instances now, of those that still
 // exist: recent ones, and the others at intervals.
-func (d *Departures) Told(exists func(upstream string) bool) []string {
+func (d *Departures) ToPublish(exists func(upstream string) bool) []string {
 	now := d.now()
 	var published []string
 	for upstream, known := range *d.byID.Load() {
