--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -105,7 +105,7 @@
 	// quarantineWrites holds the requests with quarantine records to be written to the store.
 	quarantineWrites chan quarantineWrite
 	overload         *steer.Overload
-	recent           *steer.Recent
+	recent           *steer.RecentPlacements
 	pace             *steer.CallTimes
 	estimates        *steer.Estimator
 	flow             *steer.Flow
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -65,7 +65,7 @@
 // instance is one emulated instance.
 type instance struct {
 	tracker   *limit.Tracker
-	recent    *steer.Recent
+	recent    *steer.RecentPlacements
 	estimates *steer.Estimator
 	overload  *steer.Overload
 	flow      *steer.Flow
--- a/pkg/steer/recent.go
+++ b/pkg/steer/recent.go
@@ -7,9 +7,9 @@
 	"github.com/lilacweir/lilacweir/pkg/peer"
 )
 
-// Recent records to which upstreams prompt segments were sent recently, by this instance
+// RecentPlacements records to which upstreams prompt segments were sent recently, by this instance
 // and, as far as reported, by others. It is safe for concurrent use; its size is bounded.
-type Recent struct {
+type RecentPlacements struct {
 	mu      sync.Mutex
 	holders map[string]map[string]time.Time
 	// published holds this instance's own placements of large segments, oldest first.
@@ -39,10 +39,12 @@
 )
 
 // NewRecent returns an empty Recent.
-func NewRecent() *Recent { return &Recent{holders: make(map[string]map[string]time.Time)} }
+func NewRecent() *RecentPlacements {
+	return &RecentPlacements{holders: make(map[string]map[string]time.Time)}
+}
 
 // Held reports whether the upstream is assumed to cache the segment.
-func (r *Recent) Held(segment, upstream string, now time.Time) bool {
+func (r *RecentPlacements) Held(segment, upstream string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at, ok := r.holders[segment][upstream]
@@ -51,7 +53,7 @@
 
 // Holders returns the upstreams that are assumed to cache the segment, and the regions to
 // which this instance has forwarded it.
-func (r *Recent) Holders(segment string, now time.Time) []string {
+func (r *RecentPlacements) Holders(segment string, now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var names []string
@@ -64,7 +66,7 @@
 }
 
 // Add records that this instance has sent the segments to the upstream.
-func (r *Recent) Add(segments []Segment, upstream string, now time.Time) {
+func (r *RecentPlacements) Add(segments []Segment, upstream string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, segment := range segments {
@@ -81,7 +83,7 @@
 
 // Sent records that this instance has forwarded the segments to another region; the
 // instances there publish the upstream.
-func (r *Recent) Sent(segments []Segment, region string, now time.Time) {
+func (r *RecentPlacements) Sent(segments []Segment, region string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, segment := range segments {
@@ -92,7 +94,7 @@
 }
 
 // Learn records a placement by another instance.
-func (r *Recent) Learn(placement peer.Placement, at time.Time) {
+func (r *RecentPlacements) Learn(placement peer.Placement, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at.After(r.holders[placement.Part][placement.Upstream]) {
@@ -101,7 +103,7 @@
 }
 
 // ToPublish returns this instance's own placements that are to be published to others.
-func (r *Recent) ToPublish(now time.Time) []peer.Placement {
+func (r *RecentPlacements) ToPublish(now time.Time) []peer.Placement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := 0
@@ -117,7 +119,7 @@
 }
 
 // record records a placement. The caller holds r.mu.
-func (r *Recent) record(segment, upstream string, at time.Time) {
+func (r *RecentPlacements) record(segment, upstream string, at time.Time) {
 	held := r.holders[segment]
 	if held == nil {
 		r.shrink(at)
@@ -128,7 +130,7 @@
 }
 
 // shrink makes space for one more segment.
-func (r *Recent) shrink(now time.Time) {
+func (r *RecentPlacements) shrink(now time.Time) {
 	if len(r.holders) < maxSegments {
 		return
 	}
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -61,7 +61,7 @@
 	Leaving func(upstream string) bool
 	// Recent records where prompt segments were sent recently, CallTimes how long plain
 	// calls take, Estimates how long engines take to begin an answer.
-	Recent    *Recent
+	Recent    *RecentPlacements
 	CallTimes *CallTimes
 	Estimates *Estimator
 	// Flow measures what this instance sends.
