--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -176,7 +176,7 @@
 		crashProbes:      newCrashProbes(),
 		quarantineWrites: make(chan quarantineWrite, maxPendingWrites),
 		overload:         steer.NewOverload(),
-		recent:           steer.NewRecent(),
+		recent:           steer.NewRecentPlacements(),
 		pace:             steer.NewCallTimes(),
 		estimates:        steer.NewEstimator(),
 		flow:             steer.NewFlow(),
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -125,7 +125,7 @@
 	for range m.options.Instances {
 		m.instances = append(m.instances, &instance{
 			tracker: limit.NewTracker(&m.Timeline, nil),
-			recent:  steer.NewRecent(), estimates: steer.NewEstimator(), overload: steer.NewOverload(),
+			recent:  steer.NewRecentPlacements(), estimates: steer.NewEstimator(), overload: steer.NewOverload(),
 			flow: steer.NewFlow(), others: peer.NewView(nil, nil, m.Now()),
 		})
 	}
--- a/pkg/emulator/plain.go
+++ b/pkg/emulator/plain.go
@@ -152,7 +152,7 @@
 // decide has an instance send a call, or refuse it.
 func (d *plainDay) decide(i *plainInstance, c *plainCall) {
 	world := &steer.Snapshot{
-		Region: i.region, Fleet: d.view, Peers: i.others, Local: i.tracker, Recent: steer.NewRecent(), CallTimes: i.pace,
+		Region: i.region, Fleet: d.view, Peers: i.others, Local: i.tracker, Recent: steer.NewRecentPlacements(), CallTimes: i.pace,
 		Estimates: steer.NewEstimator(), Flow: steer.NewFlow(), Now: d.Now(), Random: d.random.Uint64(),
 		Admits: func(*fleet.Upstream, *httproute.Service) bool { return true },
 	}
--- a/pkg/steer/recent.go
+++ b/pkg/steer/recent.go
@@ -38,8 +38,8 @@
 	maxPublished = 64
 )
 
-// NewRecent returns an empty Recent.
-func NewRecent() *RecentPlacements {
+// NewRecentPlacements returns an empty Recent.
+func NewRecentPlacements() *RecentPlacements {
 	return &RecentPlacements{holders: make(map[string]map[string]time.Time)}
 }
 
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -38,7 +38,7 @@
 	view := &fleet.View{Upstreams: upstreams, Evacuated: map[string]bool{}}
 	view.Index()
 	return &steer.Snapshot{
-		Region: "north", Fleet: view, Local: local, Recent: steer.NewRecent(), CallTimes: steer.NewCallTimes(), Estimates: steer.NewEstimator(), Flow: steer.NewFlow(), Now: now,
+		Region: "north", Fleet: view, Local: local, Recent: steer.NewRecentPlacements(), CallTimes: steer.NewCallTimes(), Estimates: steer.NewEstimator(), Flow: steer.NewFlow(), Now: now,
 		Admits: func(u *fleet.Upstream, _ *httproute.Service) bool { return !u.Cold(now) },
 	}
 }
