--- a/pkg/steer/recent.go
+++ b/pkg/steer/recent.go
@@ -43,8 +43,8 @@
 	return &RecentPlacements{holders: make(map[string]map[string]time.Time)}
 }
 
-// Held reports whether the upstream is assumed to cache the segment.
-func (r *RecentPlacements) Held(segment, upstream string, now time.Time) bool {
+// Caches reports whether the upstream is assumed to cache the segment.
+func (r *RecentPlacements) Caches(segment, upstream string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at, ok := r.holders[segment][upstream]
--- a/pkg/steer/sharing.go
+++ b/pkg/steer/sharing.go
@@ -72,7 +72,7 @@
 	s := prefixLocation{tokens: sharedTokens(req), holders: make(map[string]bool), copies: req.Service.Engine != nil && req.Service.Engine.Copies}
 	favourite := hashedUpstream(segment, upstreams)
 	for _, upstream := range upstreams {
-		if w.Recent.Held(segment.ID, upstream.ID, w.Now) {
+		if w.Recent.Caches(segment.ID, upstream.ID, w.Now) {
 			s.holders[upstream.ID] = true
 			if s.holder == nil || upstream == favourite {
 				s.holder = upstream
