--- a/pkg/steer/admit.go
+++ b/pkg/steer/admit.go
@@ -65,7 +65,7 @@
 	own := factor * forecast.Reading(float64(c.Uncached))
 	ahead := slotWait(c.InFlight, c.Upstream.Slots, holding) + factor*forecast.perToken*float64(c.Prefill)
 	expected := waitTime{queued: ahead, own: own}
-	c.First = expected.total()
+	c.TimeToFirstToken = expected.total()
 	c.Late = expected.tooLate(req, forecast)
 }
 
@@ -87,7 +87,7 @@
 	for i := range regions {
 		remote := &regions[i]
 		there := w.remoteWait(req, remote, &forecast)
-		if there.tooLate(req, &forecast) || there.total()+milliseconds(forecast.meanError) > here.First {
+		if there.tooLate(req, &forecast) || there.total()+milliseconds(forecast.meanError) > here.TimeToFirstToken {
 			continue
 		}
 		if best == nil || w.remoteCost(req, remote) < w.remoteCost(req, best) {
--- a/pkg/steer/estimate.go
+++ b/pkg/steer/estimate.go
@@ -114,8 +114,8 @@
 	p.factor += factorSmoothing * (ratio - p.factor)
 	p.factor = max(minFactor, p.factor)
 	f.add(x, min(y, outlier*expected))
-	if at.First > 0 {
-		f.meanError += errorSmoothing * (math.Abs(min(y, outlier*expected)-inMilliseconds(at.First)) - f.meanError)
+	if at.TimeToFirstToken > 0 {
+		f.meanError += errorSmoothing * (math.Abs(min(y, outlier*expected)-inMilliseconds(at.TimeToFirstToken)) - f.meanError)
 	}
 }
 
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -118,10 +118,10 @@
 	InFlight, Prefill int
 	// Uncached estimates the prompt tokens that the upstream would have to read.
 	Uncached int
-	// First is, for engines, the predicted time until the answer begins; Late is true if
+	// TimeToFirstToken is, for engines, the predicted time until the answer begins; Late is true if
 	// that is too late for the route's target.
-	First time.Duration
-	Late  bool
+	TimeToFirstToken time.Duration
+	Late             bool
 	// Source is the upstream from which it should copy the cached segments of the prompt;
 	// nil if no upstream is known to cache more.
 	Source *fleet.Upstream
