--- a/pkg/edge/identity.go
+++ b/pkg/edge/identity.go
@@ -23,7 +23,7 @@
 	}
 	key, given := bearer(j.request.Header)
 	if given {
-		j.organisation, j.keyDigest = j.config.Holder(key)
+		j.organisation, j.keyDigest = j.config.KeyOwner(key)
 	}
 	switch {
 	case j.organisation != nil || j.route.Public:
--- a/pkg/httproute/organisation.go
+++ b/pkg/httproute/organisation.go
@@ -93,9 +93,9 @@
 	return all
 }
 
-// Holder returns the organisation that owns the key, nil if there is none, and the digest
+// KeyOwner returns the organisation that owns the key, nil if there is none, and the digest
 // of the key.
-func (c *Configuration) Holder(key string) (*Organisation, KeyDigest) {
+func (c *Configuration) KeyOwner(key string) (*Organisation, KeyDigest) {
 	digest := DigestKey(key)
 	holder := c.byKey[digest]
 	if holder == nil {
--- a/pkg/httproute/organisation_test.go
+++ b/pkg/httproute/organisation_test.go
@@ -27,10 +27,10 @@
 	is.NoErr(err)
 	is.True(config.Keyed())
 	is.Equal(config.Organisations()[0].Name, "a")
-	holder, digest := config.Holder("k")
+	holder, digest := config.KeyOwner("k")
 	is.Equal(holder.Name, "a")
 	is.Equal(digest, shared[0])
-	unknown, _ := config.Holder("K")
+	unknown, _ := config.KeyOwner("K")
 	is.Equal(unknown, nil)
 }
 
