--- a/pkg/edge/identity.go
+++ b/pkg/edge/identity.go
@@ -44,7 +44,7 @@
 	if name == "" && j.route.Public {
 		return nil
 	}
-	j.organisation, j.keyDigest = j.config.Proven(name, j.attributes.RequestID, j.request.Header.Get(header.CallerProof))
+	j.organisation, j.keyDigest = j.config.VerifyProof(name, j.attributes.RequestID, j.request.Header.Get(header.CallerProof))
 	if j.organisation == nil {
 		return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonUnauthenticated, noConfigurationRetry, "the organisation of the forwarded request is not proven")
 	}
--- a/pkg/httproute/organisation.go
+++ b/pkg/httproute/organisation.go
@@ -121,9 +121,9 @@
 	return hex.EncodeToString(code.Sum(nil))
 }
 
-// Proven returns the organisation of a forwarded request with a valid proof by one of its
+// VerifyProof returns the organisation of a forwarded request with a valid proof by one of its
 // present keys, and that key's digest; nil if there is none.
-func (c *Configuration) Proven(organisation, requestID, proof string) (*Organisation, KeyDigest) {
+func (c *Configuration) VerifyProof(organisation, requestID, proof string) (*Organisation, KeyDigest) {
 	holder := c.organisations[organisation]
 	if holder == nil {
 		return nil, KeyDigest{}
