--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -141,7 +141,7 @@
 	}
 	for _, route := range m.routes {
 		if route.Priority > 0 {
-			route.Yields = least
+			route.UrgentTarget = least
 		}
 	}
 }
--- a/pkg/httproute/configuration.go
+++ b/pkg/httproute/configuration.go
@@ -88,8 +88,8 @@
 	if other.Priority >= r.Priority || other.TargetLatency == 0 {
 		return
 	}
-	if r.Yields == 0 || other.TargetLatency < r.Yields {
-		r.Yields = other.TargetLatency
+	if r.UrgentTarget == 0 || other.TargetLatency < r.UrgentTarget {
+		r.UrgentTarget = other.TargetLatency
 	}
 }
 
--- a/pkg/httproute/configuration_test.go
+++ b/pkg/httproute/configuration_test.go
@@ -115,7 +115,7 @@
 		return r
 	}
 	config := compile(t, 1, ranked("first", "/1/", 0, 600*time.Millisecond), ranked("also", "/2/", 0, time.Second), ranked("second", "/3/", 1, 800*time.Millisecond), ranked("third", "/4/", 2, 100*time.Millisecond))
-	yields := func(path string) time.Duration { return config.Match("a.example", path).Yields }
+	yields := func(path string) time.Duration { return config.Match("a.example", path).UrgentTarget }
 	is.Equal(yields("/1/"), time.Duration(0))
 	is.Equal(yields("/2/"), time.Duration(0))
 	is.Equal(yields("/3/"), 600*time.Millisecond)
--- a/pkg/httproute/route.go
+++ b/pkg/httproute/route.go
@@ -42,9 +42,9 @@
 	TargetGap time.Duration
 	// Priority is the rank under overload; 0 is the most urgent.
 	Priority int
-	// Yields is the shortest target of the more urgent routes that share a service with
+	// UrgentTarget is the shortest target of the more urgent routes that share a service with
 	// this one; zero if there are none. Compile sets it.
-	Yields time.Duration
+	UrgentTarget time.Duration
 	// MaxAttempts is the number of upstreams on which one request may run.
 	MaxAttempts int
 	// Backends are the services that share the route's requests by weight.
--- a/pkg/steer/admit.go
+++ b/pkg/steer/admit.go
@@ -43,7 +43,7 @@
 		return false
 	}
 	bound := max(targetShare*target-w.own, minWaitShare*target)
-	if urgent := inMilliseconds(req.Route.Yields); req.Contended && urgent > 0 {
+	if urgent := inMilliseconds(req.Route.UrgentTarget); req.Contended && urgent > 0 {
 		bound = min(bound, yieldShare*(targetShare*urgent-forecast.base))
 	}
 	return w.queued-forecast.meanError > bound
--- a/pkg/steer/admit_test.go
+++ b/pkg/steer/admit_test.go
@@ -74,7 +74,7 @@
 // timedRequest returns a request of a route with a target.
 func timedRequest(priority int, target, yields time.Duration) *steer.Request {
 	route := *prompt
-	route.TargetLatency, route.Priority, route.Yields = target, priority, yields
+	route.TargetLatency, route.Priority, route.UrgentTarget = target, priority, yields
 	return &steer.Request{Route: &route, Service: engine, PromptTokens: 1000, Segments: []steer.Segment{{ID: "own", Tokens: 1000}}}
 }
 
