--- a/pkg/steer/recent.go
+++ b/pkg/steer/recent.go
@@ -38,7 +38,7 @@
 	maxPublished = 64
 )
 
-// NewRecentPlacements returns an empty Recent.
+// NewRecentPlacements returns an empty RecentPlacements.
 func NewRecentPlacements() *RecentPlacements {
 	return &RecentPlacements{holders: make(map[string]map[string]time.Time)}
 }
