--- a/pkg/limit/named.go
+++ b/pkg/limit/named.go
@@ -227,9 +227,9 @@
 	return turn > 0 && place < senders
 }
 
-// Told returns what to publish to other instances now: recent changes, and each of the
+// ToPublish returns what to publish to other instances now: recent changes, and each of the
 // other limits at intervals.
-func (n *NamedLimits) Told() []ToldLimit {
+func (n *NamedLimits) ToPublish() []ToldLimit {
 	if n.size.Load() == 0 {
 		return nil
 	}
--- a/pkg/limit/named_test.go
+++ b/pkg/limit/named_test.go
@@ -103,21 +103,21 @@
 	clock := func() time.Time { return now }
 	a, b := limit.NewNamedLimits(clock), limit.NewNamedLimits(clock)
 	a.Answered("u", limit.Named{PerSecond: 2, Limited: true}, now)
-	reports := a.Told()
+	reports := a.ToPublish()
 	is.Equal(len(reports), 1)
 	is.True(b.Learn(reports[0]))
 	is.True(!b.Learn(reports[0]))
 	now = now.Add(2 * time.Second)
 	a.Answered("u", limit.Named{PerSecond: 5, Limited: true}, now)
-	old := b.Told()
+	old := b.ToPublish()
 	for _, report := range old {
 		is.True(!a.Learn(report)) // older than what it knows
 	}
-	is.True(b.Learn(a.Told()[0]))
+	is.True(b.Learn(a.ToPublish()[0]))
 	is.Equal(b.Of("u").PerSecond, 5.0)
 	now = now.Add(2 * time.Second)
 	a.Answered("u", limit.Named{}, now)
-	is.True(b.Learn(a.Told()[0]))
+	is.True(b.Learn(a.ToPublish()[0]))
 	is.True(!b.Of("u").Limited)
 
 	// Without changes each limit is published once in three seconds, in more than one
@@ -127,7 +127,7 @@
 	rounds := 0
 	for range 300 {
 		now = now.Add(10 * time.Millisecond)
-		rounds += len(a.Told())
+		rounds += len(a.ToPublish())
 	}
 	is.Equal(rounds, 15)
 	is.True(!b.Learn(limit.ToldLimit{Upstream: "v"})) // the absence of an unknown limit is no change
--- a/pkg/peer/gossip.go
+++ b/pkg/peer/gossip.go
@@ -55,7 +55,7 @@
 }
 
 // LimitSource returns the limits that upstreams advertise.
-type LimitSource interface{ Told() []limit.ToldLimit }
+type LimitSource interface{ ToPublish() []limit.ToldLimit }
 
 // Times and sizes of the exchange.
 const (
--- a/pkg/peer/service.go
+++ b/pkg/peer/service.go
@@ -263,7 +263,7 @@
 	if g.options.Limits == nil {
 		return nil
 	}
-	return g.options.Limits.Told()
+	return g.options.Limits.ToPublish()
 }
 
 // forwardLimits passes received limits on.
