--- a/pkg/httproute/configuration.go
+++ b/pkg/httproute/configuration.go
@@ -61,13 +61,13 @@
 	if fault := c.setOrganisations(organisations); fault != nil {
 		return nil, fault
 	}
-	c.setYields()
+	c.setUrgentTargets()
 	return c, nil
 }
 
-// setYields sets for each route the target of more urgent routes that it must reserve
+// setUrgentTargets sets for each route the target of more urgent routes that it must reserve
 // capacity for.
-func (c *Configuration) setYields() {
+func (c *Configuration) setUrgentTargets() {
 	byService := make(map[string][]*Route)
 	for i := range c.Routes {
 		for _, backend := range c.Routes[i].Backends {
