--- a/pkg/httproute/configuration.go
+++ b/pkg/httproute/configuration.go
@@ -77,14 +77,14 @@
 	for _, sharing := range byService {
 		for _, route := range sharing {
 			for _, other := range sharing {
-				route.yieldTo(other)
+				route.applyTargetOf(other)
 			}
 		}
 	}
 }
 
-// yieldTo applies the target of another route of the same service.
-func (r *Route) yieldTo(other *Route) {
+// applyTargetOf applies the target of another route of the same service.
+func (r *Route) applyTargetOf(other *Route) {
 	if other.Priority >= r.Priority || other.TargetLatency == 0 {
 		return
 	}
