--- a/pkg/edge/attempt.go
+++ b/pkg/edge/attempt.go
@@ -35,7 +35,7 @@
 	if j.mayBeCold(upstream, j.service) {
 		j.counts.sentCold(upstream.ID)
 	}
-	j.recent.Add(j.attributes.Parts, upstream.ID, j.now())
+	j.recent.Add(j.attributes.Segments, upstream.ID, j.now())
 	j.flow.Add(j.service.Name, to.survey.Best.Uncached, j.now())
 	call := &call{
 		job:    j,
@@ -102,7 +102,7 @@
 	if !ok {
 		return notRun
 	}
-	j.recent.Sent(j.attributes.Parts, to.peer.Instance.Region, j.now())
+	j.recent.Sent(j.attributes.Segments, to.peer.Instance.Region, j.now())
 	call := &call{
 		job:      j,
 		to:       to,
--- a/pkg/edge/dialect.go
+++ b/pkg/edge/dialect.go
@@ -18,8 +18,8 @@
 	// PromptTokens is the size of the prompt, and Tokens that of the prompt and the longest
 	// permitted answer. They are zero if they are not given.
 	PromptTokens, Tokens int
-	// Parts are the prompt's segments in order.
-	Parts []steer.Segment
+	// Segments are the prompt's segments in order.
+	Segments []steer.Segment
 	// After is the ID of the event after which a stream resumes, empty to start at its beginning.
 	After string
 }
--- a/pkg/edge/job.go
+++ b/pkg/edge/job.go
@@ -208,7 +208,7 @@
 	query := &steer.Request{
 		Route:        j.route,
 		Service:      j.service,
-		Segments:     j.attributes.Parts,
+		Segments:     j.attributes.Segments,
 		PromptTokens: j.attributes.PromptTokens,
 		Contended:    j.overload.Contended(j.service.Name, j.route.Priority, j.now()),
 		Tried:        j.tried,
--- a/pkg/edge/request_log.go
+++ b/pkg/edge/request_log.go
@@ -73,7 +73,7 @@
 			Int64(event.KeyStoreAgeMS, storeAge).
 			Int(event.KeyPrompt, j.attributes.PromptTokens).Int(event.KeyUncached, best.Uncached).
 			Int(event.KeyInFlight, best.InFlight).Int(event.KeyPrefill, best.Prefill).
-			Float64(event.KeyCost, best.Cost).Dur(event.KeyPredictedMS, best.TimeToFirstToken).Str(event.KeyPart, lastSharedSegment(j.attributes.Parts)).
+			Float64(event.KeyCost, best.Cost).Dur(event.KeyPredictedMS, best.TimeToFirstToken).Str(event.KeyPart, lastSharedSegment(j.attributes.Segments)).
 			Bool(event.KeyCopy, best.Source != nil).Int(event.KeyUsable, chosen.survey.Usable)
 		if chosen.peer != nil {
 			line.Int64(event.KeyHeardMS, world.Now.Sub(chosen.peer.Heard).Milliseconds())
