--- a/pkg/edge/attempt.go
+++ b/pkg/edge/attempt.go
@@ -136,7 +136,7 @@
 	if j.writer.lastEvent != "" {
 		return j.writer.lastEvent
 	}
-	return j.attributes.After
+	return j.attributes.ResumeAfter
 }
 
 // connectionShare returns this instance's share of the connections to one upstream, zero if they
--- a/pkg/edge/dialect.go
+++ b/pkg/edge/dialect.go
@@ -20,8 +20,8 @@
 	PromptTokens, Tokens int
 	// Segments are the prompt's segments in order.
 	Segments []steer.Segment
-	// After is the ID of the event after which a stream resumes, empty to start at its beginning.
-	After string
+	// ResumeAfter is the ID of the event after which a stream resumes, empty to start at its beginning.
+	ResumeAfter string
 }
 
 // Send holds the header values that this instance sets on a request that it sends.
@@ -35,7 +35,7 @@
 	// Source is the address of an engine from which the upstream should copy the cache blocks of
 	// the prompt that it lacks, empty for none.
 	Source string
-	// After overrides Attributes.After when a stream is resumed.
+	// After overrides Attributes.ResumeAfter when a stream is resumed.
 	After string
 	// Keyed is true if callers authenticate with keys, which must not be passed on. Organisation
 	// is the owner of the request for an upstream, empty if it is anonymous.
