--- a/pkg/edge/dialect.go
+++ b/pkg/edge/dialect.go
@@ -35,8 +35,8 @@
 	// Source is the address of an engine from which the upstream should copy the cache blocks of
 	// the prompt that it lacks, empty for none.
 	Source string
-	// After overrides Attributes.ResumeAfter when a stream is resumed.
-	After string
+	// ResumeAfter overrides Attributes.ResumeAfter when a stream is resumed.
+	ResumeAfter string
 	// Keyed is true if callers authenticate with keys, which must not be passed on. Organisation
 	// is the owner of the request for an upstream, empty if it is anonymous.
 	Keyed        bool
--- a/pkg/edge/harness_test.go
+++ b/pkg/edge/harness_test.go
@@ -65,8 +65,8 @@
 	if send.Upstream != "" {
 		fields.Set(testUpstream, send.Upstream)
 	}
-	if send.After != "" {
-		fields.Set(testAfter, send.After)
+	if send.ResumeAfter != "" {
+		fields.Set(testAfter, send.ResumeAfter)
 	}
 	fields.Del(testOrganisation)
 	if send.Organisation != "" {
