--- a/pkg/edge/attempt.go
+++ b/pkg/edge/attempt.go
@@ -42,7 +42,7 @@
 		to:     to,
 		pool:   j.upstreams,
 		target: exchange.Target{ID: upstream.ID, Address: upstream.Address, MaxConnections: j.connectionShare()},
-		send:   Send{Left: j.deadline.Sub(j.now()), Upstream: upstream.Name, Priority: j.route.Priority, ResumeAfter: j.resumeAfter()},
+		send:   Send{TimeLeft: j.deadline.Sub(j.now()), Upstream: upstream.Name, Priority: j.route.Priority, ResumeAfter: j.resumeAfter()},
 		onPart: j.firstByteObserver(flight, &to.survey.Best),
 	}
 	if source := to.survey.Best.Source; source != nil {
@@ -108,7 +108,7 @@
 		to:       to,
 		pool:     j.peers,
 		target:   exchange.Target{ID: to.peer.Instance.Peers, Address: to.peer.Instance.Peers},
-		send:     Send{Left: j.deadline.Sub(j.now()), ResumeAfter: j.resumeAfter()},
+		send:     Send{TimeLeft: j.deadline.Sub(j.now()), ResumeAfter: j.resumeAfter()},
 		onPart:   flight.FirstByte,
 		peer:     true,
 		attempts: to.grantedAttempts(j),
--- a/pkg/edge/dialect.go
+++ b/pkg/edge/dialect.go
@@ -26,8 +26,8 @@
 
 // Send holds the header values that this instance sets on a request that it sends.
 type Send struct {
-	// Left is the time within which the answer must be complete.
-	Left time.Duration
+	// TimeLeft is the time within which the answer must be complete.
+	TimeLeft time.Duration
 	// Upstream is the name of the upstream that must answer, empty for an instance.
 	Upstream string
 	// Priority is the priority at the upstream. Zero is served first.
--- a/pkg/edge/harness_test.go
+++ b/pkg/edge/harness_test.go
@@ -61,7 +61,7 @@
 func (testDialect) Outgoing(from http.Header, send Send) http.Header {
 	fields := from.Clone()
 	fields.Del("Content-Length")
-	fields.Set(testDeadline, strconv.FormatInt(send.Left.Milliseconds(), 10))
+	fields.Set(testDeadline, strconv.FormatInt(send.TimeLeft.Milliseconds(), 10))
 	if send.Upstream != "" {
 		fields.Set(testUpstream, send.Upstream)
 	}
