--- a/pkg/edge/call.go
+++ b/pkg/edge/call.go
@@ -117,7 +117,7 @@
 		c.logRejection()
 		return notRun
 	}
-	if !reading.Proven && answer.Status < http.StatusMultipleChoices {
+	if !reading.Signed && answer.Status < http.StatusMultipleChoices {
 		answer.DisableReuse()
 		return c.rejectAnswer("answer without the server's signature")
 	}
--- a/pkg/edge/dialect.go
+++ b/pkg/edge/dialect.go
@@ -49,8 +49,8 @@
 	RequestID string
 	// NotRun is true if the server states that it did not run the request and never will.
 	NotRun bool
-	// Proven is true if the server has signed the answer as its own.
-	Proven bool
+	// Signed is true if the server has signed the answer as its own.
+	Signed bool
 	// RetryAfter is the time after which the server asks to return, zero if it is not given.
 	// BackingOff is true if the server rejected the request and asks this instance to send
 	// nothing until then.
--- a/pkg/edge/harness_test.go
+++ b/pkg/edge/harness_test.go
@@ -79,7 +79,7 @@
 }
 
 func (testDialect) Reading(status int, fields http.Header) Reading {
-	reading := Reading{RequestID: fields.Get(testID), NotRun: fields.Get(testNotRun) != "", Proven: fields.Get(testProof) != "", Leaving: fields.Get(testLeaving) != ""}
+	reading := Reading{RequestID: fields.Get(testID), NotRun: fields.Get(testNotRun) != "", Signed: fields.Get(testProof) != "", Leaving: fields.Get(testLeaving) != ""}
 	if seconds, err := strconv.ParseFloat(fields.Get("Retry-After"), 64); err == nil {
 		reading.RetryAfter = time.Duration(seconds * float64(time.Second))
 		reading.BackingOff = status == http.StatusServiceUnavailable
--- a/pkg/edge/upstream_limit.go
+++ b/pkg/edge/upstream_limit.go
@@ -20,7 +20,7 @@
 	switch {
 	case reading.LimitErr != nil:
 		e.failedLog.Warn().Err(reading.LimitErr).Str(event.KeyUpstream, upstream.ID).Msg(string(event.UpstreamLimitOdd))
-	case (reading.Limit.Limited || reading.Proven) && e.upstreamLimits.Answered(upstream.ID, reading.Limit, sent):
+	case (reading.Limit.Limited || reading.Signed) && e.upstreamLimits.Answered(upstream.ID, reading.Limit, sent):
 		e.logLimit(upstream.ID)
 	}
 }
