--- a/pkg/edge/backoff_test.go
+++ b/pkg/edge/backoff_test.go
@@ -152,7 +152,7 @@
 			u := newUpstream(t, startedAt(1000))
 			h := newHarness(t, safeRoute, u)
 			known, service := &h.edge.board.Fleet.Load().Upstreams[0], h.edge.board.Routes.Load().Service(testService)
-			known.Began, service.ColdRate = 1000, coldRate
+			known.StartedAt, service.ColdRate = 1000, coldRate
 			h.edge.tracker.RequestBackoff(known.ID, backoff)
 			cause(h, known)
 			for end := time.Now().Add(backoff / 2); time.Now().Before(end); {
--- a/pkg/edge/suspicion.go
+++ b/pkg/edge/suspicion.go
@@ -225,7 +225,7 @@
 // another.
 func (e *Edge) suspect(upstream *fleet.Upstream, err error) {
 	var failure *exchange.Error
-	if upstream.Began == 0 || !errors.As(err, &failure) || errors.Is(err, exchange.ErrFull) || errors.Is(err, context.Canceled) {
+	if upstream.StartedAt == 0 || !errors.As(err, &failure) || errors.Is(err, exchange.ErrFull) || errors.Is(err, context.Canceled) {
 		return
 	}
 	e.suspicions.raise(upstream.ID, failure.Stage == exchange.Unsent, e.now())
@@ -254,11 +254,11 @@
 	defer cancel()
 	reported, err := e.fetchSelfReport(ctx, upstream)
 	now := e.now()
-	e.suspicions.finishQuery(upstream.ID, err == nil, reported, upstream.Began, now)
+	e.suspicions.finishQuery(upstream.ID, err == nil, reported, upstream.StartedAt, now)
 	switch {
 	case err != nil:
 		e.log.Debug().Err(err).Str(event.KeyUpstream, upstream.ID).Msg(string(event.UpstreamSilent))
-	case reported.startTime > upstream.Began:
+	case reported.startTime > upstream.StartedAt:
 		e.log.Warn().Str(event.KeyUpstream, upstream.ID).Int64(event.KeyBegan, reported.startTime).Msg(string(event.UpstreamReborn))
 	case reported.coldFor > 0 && !upstream.Cold(now):
 		e.suspicions.recordTurnedCold(upstream.Domain, now)
@@ -269,7 +269,7 @@
 // fetchSelfReport queries an upstream for its report. An upstream with a new name at each start
 // is not queried for its start time.
 func (e *Edge) fetchSelfReport(ctx context.Context, upstream *fleet.Upstream) (reported selfReport, err error) {
-	if upstream.Began != 0 {
+	if upstream.StartedAt != 0 {
 		if reported.startTime, err = e.fetchStartTime(ctx, upstream); err != nil {
 			return reported, err
 		}
--- a/pkg/edge/suspicion_test.go
+++ b/pkg/edge/suspicion_test.go
@@ -33,7 +33,7 @@
 	h.edge.startedAt = time.Now().Add(-time.Minute)
 	h.edge.board.Routes.Load().Service(testService).ColdRate = coldRate
 	view := h.edge.board.Fleet.Load()
-	view.Upstreams[0].Began = 1000
+	view.Upstreams[0].StartedAt = 1000
 	address := unreachable.listener.Addr().String()
 	h.is.NoErr(unreachable.listener.Close())
 	h.is.Equal(h.ask(http.MethodGet, "/r/", "").status, http.StatusServiceUnavailable)
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -15,10 +15,10 @@
 	ID string
 	// Name is the upstream's own name, which may stay the same across restarts.
 	Name string
-	// Began is the start time by the upstream's clock in Unix milliseconds; zero if it does not
+	// StartedAt is the start time by the upstream's clock in Unix milliseconds; zero if it does not
 	// report it, and then each incarnation has a name of its own.
-	Began   int64
-	Service string
+	StartedAt int64
+	Service   string
 	// Address is an IP address and a port; another upstream may reuse it after this one has
 	// stopped.
 	Address string
