--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -30,9 +30,9 @@
 	Draining bool
 	// ColdUntil is the end of its cold period, by this process's clock; zero if it is not cold.
 	ColdUntil time.Time
-	// Heard is the time at which its present entry in the platform's store was read, by this
+	// EntryReadAt is the time at which its present entry in the platform's store was read, by this
 	// process's clock.
-	Heard time.Time
+	EntryReadAt time.Time
 	// Missing is the time since which the store lacks its entry, which is retained for a while;
 	// zero if it has one.
 	Missing time.Time
--- a/pkg/fleet/history.go
+++ b/pkg/fleet/history.go
@@ -46,14 +46,14 @@
 	since := upstream.Missing
 	if len(v.Returned) == 0 {
 		// The usual case.
-	} else if returned := v.Returned[upstream.Domain]; returned.After(since) && !upstream.Heard.After(returned) {
+	} else if returned := v.Returned[upstream.Domain]; returned.After(since) && !upstream.EntryReadAt.After(returned) {
 		since = returned
 	}
-	if v.HistoryLost.After(since) && !upstream.Heard.After(v.HistoryLost) {
+	if v.HistoryLost.After(since) && !upstream.EntryReadAt.After(v.HistoryLost) {
 		since = v.HistoryLost
 	}
 	end := upstream.ColdUntil
-	if !now.Before(end) && end.After(since) && end.Sub(upstream.Heard) > coldReportInterval {
+	if !now.Before(end) && end.After(since) && end.Sub(upstream.EntryReadAt) > coldReportInterval {
 		since = end
 	}
 	return since
