--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -49,9 +49,9 @@
 	Upstreams []Upstream
 	// Evacuated holds the failure domains with upstreams that must get no requests.
 	Evacuated map[string]bool
-	// Returned holds recently evacuated failure domains with the time since which they get
+	// Readmitted holds recently evacuated failure domains with the time since which they get
 	// requests again, by this process's clock.
-	Returned map[string]time.Time
+	Readmitted map[string]time.Time
 	// HistoryLost is the time at which a part of the platform's history was last found to be
 	// lost, by this process's clock; evacuations may have started and ended in it. It is zero if
 	// there was none recently.
--- a/pkg/fleet/history.go
+++ b/pkg/fleet/history.go
@@ -13,26 +13,26 @@
 // InheritHistory copies the history of the previous view; last may be nil. It must be called
 // before the view is shared.
 func (v *View) InheritHistory(last *View, now time.Time) {
-	v.Returned = make(map[string]time.Time)
+	v.Readmitted = make(map[string]time.Time)
 	if last == nil {
 		return
 	}
 	if now.Sub(last.HistoryLost) < returnedTTL {
 		v.HistoryLost = last.HistoryLost
 	}
-	for domain, since := range last.Returned {
+	for domain, since := range last.Readmitted {
 		if now.Sub(since) < returnedTTL {
-			v.Returned[domain] = since
+			v.Readmitted[domain] = since
 		}
 	}
 	for domain, evacuated := range last.Evacuated {
 		if evacuated {
-			v.Returned[domain] = now
+			v.Readmitted[domain] = now
 		}
 	}
 	for domain, evacuated := range v.Evacuated {
 		if evacuated {
-			delete(v.Returned, domain)
+			delete(v.Readmitted, domain)
 		}
 	}
 }
@@ -44,9 +44,9 @@
 // which it has not reported for longer than its report interval then.
 func (v *View) UncertainSince(upstream *Upstream, now time.Time) time.Time {
 	since := upstream.Missing
-	if len(v.Returned) == 0 {
+	if len(v.Readmitted) == 0 {
 		// The usual case.
-	} else if returned := v.Returned[upstream.Domain]; returned.After(since) && !upstream.EntryReadAt.After(returned) {
+	} else if returned := v.Readmitted[upstream.Domain]; returned.After(since) && !upstream.EntryReadAt.After(returned) {
 		since = returned
 	}
 	if v.HistoryLost.After(since) && !upstream.EntryReadAt.After(v.HistoryLost) {
