--- a/pkg/edge/metrics.go
+++ b/pkg/edge/metrics.go
@@ -161,7 +161,7 @@
 	if view := e.gossip.View().Load(); view != nil {
 		for i := range view.Others {
 			if known := &view.Others[i]; known.Live(now) {
-				oldest = max(oldest, now.Sub(known.Heard).Milliseconds())
+				oldest = max(oldest, now.Sub(known.ReportedAt).Milliseconds())
 			}
 		}
 	}
--- a/pkg/edge/request_log.go
+++ b/pkg/edge/request_log.go
@@ -76,7 +76,7 @@
 			Float64(event.KeyCost, best.Cost).Dur(event.KeyPredictedMS, best.TimeToFirstToken).Str(event.KeyPart, lastSharedSegment(j.attributes.Segments)).
 			Bool(event.KeyCopy, best.Source != nil).Int(event.KeyUsable, chosen.survey.Usable)
 		if chosen.peer != nil {
-			line.Int64(event.KeyHeardMS, world.Now.Sub(chosen.peer.Heard).Milliseconds())
+			line.Int64(event.KeyHeardMS, world.Now.Sub(chosen.peer.ReportedAt).Milliseconds())
 		}
 		if after != "" {
 			line.Str(event.KeyAfter, after)
--- a/pkg/emulator/plain.go
+++ b/pkg/emulator/plain.go
@@ -276,7 +276,7 @@
 		}
 	}
 	for n := range others {
-		others[n].Heard = d.Now()
+		others[n].ReportedAt = d.Now()
 	}
 	return others
 }
--- a/pkg/peer/state.go
+++ b/pkg/peer/state.go
@@ -107,9 +107,9 @@
 type Known struct {
 	Instance       fleet.Instance
 	Leaving, Ready bool
-	// Heard is the time of its last report, directly or through its domain's hub, by this
+	// ReportedAt is the time of its last report, directly or through its domain's hub, by this
 	// process's clock; zero if its hub has no current report.
-	Heard time.Time
+	ReportedAt time.Time
 }
 
 // SilentAfter is the time without reports after which an instance counts as unreachable: several
@@ -117,7 +117,7 @@
 const SilentAfter = 2500 * time.Millisecond
 
 // Live reports whether the last report of an instance is recent.
-func (k *Known) Live(now time.Time) bool { return now.Sub(k.Heard) <= SilentAfter }
+func (k *Known) Live(now time.Time) bool { return now.Sub(k.ReportedAt) <= SilentAfter }
 
 // View is the state of the other instances at one moment.
 type View struct {
--- a/pkg/steer/admit_test.go
+++ b/pkg/steer/admit_test.go
@@ -111,7 +111,7 @@
 	is := is.New(t)
 	request := timedRequest(0, time.Second, 0)
 	w := newSnapshot(loads{}, upstream("u1", "llm", "south"))
-	w.Peers = &peer.View{Others: []peer.Known{{Instance: fleet.Instance{Name: "s-1", Region: "south"}, Ready: true, Heard: now}}}
+	w.Peers = &peer.View{Others: []peer.Known{{Instance: fleet.Instance{Name: "s-1", Region: "south"}, Ready: true, ReportedAt: now}}}
 	is.Equal(len(w.Regions(request)), 1)
 	w.Local = loads{steer.RegionKey("south", request): limit.Load{Backoff: time.Second}}
 	is.Equal(len(w.Regions(request)), 0)
--- a/pkg/steer/steer_test.go
+++ b/pkg/steer/steer_test.go
@@ -230,13 +230,13 @@
 	is := is.New(t)
 	w := newSnapshot(loads{}, upstream("u1", "api", "south"), upstream("u2", "api", "west"), upstream("u3", "api", "east"))
 	known := func(name, region string, change func(*peer.Known)) peer.Known {
-		k := peer.Known{Instance: fleet.Instance{Name: name, Region: region}, Ready: true, Heard: now}
+		k := peer.Known{Instance: fleet.Instance{Name: name, Region: region}, Ready: true, ReportedAt: now}
 		change(&k)
 		return k
 	}
 	same := func(*peer.Known) {}
 	w.Peers = &peer.View{Others: []peer.Known{
-		known("e-1", "east", func(k *peer.Known) { k.Heard = now.Add(-time.Minute) }),
+		known("e-1", "east", func(k *peer.Known) { k.ReportedAt = now.Add(-time.Minute) }),
 		known("e-2", "east", func(k *peer.Known) { k.Leaving = true }),
 		known("e-3", "east", func(k *peer.Known) { k.Ready = false }),
 		known("s-1", "south", same), known("s-2", "south", same), known("w-1", "west", same),
@@ -269,7 +269,7 @@
 			w := newSnapshot(loads{}, upstreams...)
 			var others []peer.Known
 			for i := range size.instances {
-				others = append(others, peer.Known{Instance: fleet.Instance{Name: fmt.Sprint("n", i), Region: regions[i%3]}, Ready: true, Heard: now})
+				others = append(others, peer.Known{Instance: fleet.Instance{Name: fmt.Sprint("n", i), Region: regions[i%3]}, Ready: true, ReportedAt: now})
 			}
 			w.Peers = peer.NewView(others, nil, now)
 			req := longRequest("p")
