--- a/pkg/edge/cold.go
+++ b/pkg/edge/cold.go
@@ -105,6 +105,6 @@
 // isPartitioned reports whether there was no recent contact with the store or another region. An
 // instance that has never received a report of another region cannot know.
 func (e *Edge) isPartitioned(now time.Time) bool {
-	lastRemote := e.gossip.View().Load().OtherRegionHeardAt()
+	lastRemote := e.gossip.View().Load().OtherRegionReportedAt()
 	return !lastRemote.IsZero() && now.Sub(lastRemote) > partitionedAfter && now.Sub(e.store.Reached()) > partitionedAfter
 }
--- a/pkg/peer/state.go
+++ b/pkg/peer/state.go
@@ -217,9 +217,9 @@
 	return loads
 }
 
-// OtherRegionHeardAt returns the time of the last digest from another region, directly or
+// OtherRegionReportedAt returns the time of the last digest from another region, directly or
 // through a hub, by this process's clock; zero if there was none.
-func (v *View) OtherRegionHeardAt() time.Time {
+func (v *View) OtherRegionReportedAt() time.Time {
 	if v == nil {
 		return time.Time{}
 	}
