--- a/pkg/edge/call.go
+++ b/pkg/edge/call.go
@@ -193,7 +193,7 @@
 		return c.classifyFailure(ctx, &exchange.Error{Stage: exchange.Sent, Target: c.target, Err: err})
 	}
 	c.onPart()
-	if !answer.Whole() && len(body) == maxBuffered {
+	if !answer.Complete() && len(body) == maxBuffered {
 		return c.relayLongAnswer(ctx, answer, body)
 	}
 	c.complete = true
--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -159,8 +159,8 @@
 	return n, err
 }
 
-// Whole reports whether the body was read to its end.
-func (a *Answer) Whole() bool { return a.complete }
+// Complete reports whether the body was read to its end.
+func (a *Answer) Complete() bool { return a.complete }
 
 // DisableReuse prevents the reuse of the connection.
 func (a *Answer) DisableReuse() { a.reuse = false }
