--- a/pkg/dispatch/dispatch.go
+++ b/pkg/dispatch/dispatch.go
@@ -30,7 +30,7 @@
 
 // Router chooses targets from the latest snapshots.
 type Router interface {
-	// Route starts routing one request. The caller must call End on the result.
+	// Route starts routing one request. The caller must call Release on the result.
 	Route(request *Request) Route
 	// Permitted checks a choice against the configuration now in force.
 	Permitted(request *Request, choice *Choice) *outcome.Refusal
@@ -45,8 +45,8 @@
 	Next(ctx context.Context, tried []string) (choice Choice, done func(relay.Report), refusal *outcome.Refusal)
 	// LocalUpstreams returns the own failure domain's upstreams that serve the request.
 	LocalUpstreams() []string
-	// End releases the request's resources.
-	End()
+	// Release releases the request's resources.
+	Release()
 }
 
 // Claims grants the right to run requests that may not be repeated.
@@ -118,7 +118,7 @@
 // waiting, work the attempts.
 func (r *run) serve(ctx, work context.Context) *outcome.Refusal {
 	route := r.Router.Route(r.request)
-	defer route.End()
+	defer route.Release()
 	for {
 		choice, done, refusal := r.next(ctx, route)
 		if refusal != nil {
--- a/pkg/dispatch/dispatch_test.go
+++ b/pkg/dispatch/dispatch_test.go
@@ -47,7 +47,7 @@
 
 func (s *script) LocalUpstreams() []string               { return s.own }
 func (s *script) Route(*dispatch.Request) dispatch.Route { return s }
-func (s *script) End()                                   {}
+func (s *script) Release()                               {}
 
 func (s *script) Next(context.Context, []string) (dispatch.Choice, func(relay.Report), *outcome.Refusal) {
 	if s.next >= len(s.steps) {
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -188,7 +188,7 @@
 	h := newHarness(t)
 	request := h.north.requestOf(t, "resident")
 	route := h.north.Route(request)
-	defer route.End()
+	defer route.Release()
 	choice, done, refusal := route.Next(testContext(t), nil)
 	is.True(refusal == nil)
 	defer done(relay.Report{})
--- a/pkg/gateway/router.go
+++ b/pkg/gateway/router.go
@@ -45,8 +45,8 @@
 	return &requestRoute{Gateway: g, request: request, query: newQuery(request)}
 }
 
-// End implements dispatch.Route.
-func (r *requestRoute) End() {
+// Release implements dispatch.Route.
+func (r *requestRoute) Release() {
 	if r.release != nil {
 		r.release()
 	}
