--- a/pkg/api/accept.go
+++ b/pkg/api/accept.go
@@ -54,7 +54,7 @@
 	}
 	request.Caller = caller
 	if c.Request().Header.Get(header.RequestID) != "" {
-		request.ID = trace.ScopedID(caller.Name, request.ID, request.Roll)
+		request.ID = trace.ScopedID(caller.Name, request.ID, request.SplitRandom)
 	}
 	return nil
 }
--- a/pkg/api/server.go
+++ b/pkg/api/server.go
@@ -177,7 +177,7 @@
 	return func(c echo.Context) error {
 		s.metrics.Active.Inc(1)
 		defer s.metrics.Active.Dec(1)
-		request := &dispatch.Request{Method: c.Request().Method, URI: c.Request().URL.RequestURI(), Roll: s.source.Roll()}
+		request := &dispatch.Request{Method: c.Request().Method, URI: c.Request().URL.RequestURI(), SplitRandom: s.source.Roll()}
 		index, refusal := s.open(c, request, from)
 		if refusal != nil {
 			return s.refuse(c, request, refusal)
--- a/pkg/dispatch/request.go
+++ b/pkg/dispatch/request.go
@@ -53,6 +53,6 @@
 	Offset int
 	// Version is the model version that must answer; empty means any.
 	Version string
-	// Roll is the random number for the version split, the same at each attempt.
-	Roll uint64
+	// SplitRandom is the random number for the version split, the same at each attempt.
+	SplitRandom uint64
 }
--- a/pkg/gateway/router.go
+++ b/pkg/gateway/router.go
@@ -180,7 +180,7 @@
 		MaxTokens:    request.MaxTokens,
 		Deadline:     request.Deadline,
 		Origin:       request.Origin,
-		Roll:         request.Roll,
+		Roll:         request.SplitRandom,
 	}
 	if request.Origin != "" {
 		query.Class = route.ClassDomain
