--- a/pkg/gateway/router.go
+++ b/pkg/gateway/router.go
@@ -180,7 +180,7 @@
 		MaxTokens:    request.MaxTokens,
 		Deadline:     request.Deadline,
 		Origin:       request.Origin,
-		Roll:         request.SplitRandom,
+		SplitRandom:  request.SplitRandom,
 	}
 	if request.Origin != "" {
 		query.Class = route.ClassDomain
--- a/pkg/load/decide/gateway.go
+++ b/pkg/load/decide/gateway.go
@@ -145,7 +145,7 @@
 	r := &route.Request{
 		Caller: g.caller(j), Serves: model, Kind: config.KindEngine,
 		Prefixes: j.prefixes, PrefixTokens: j.tokens,
-		PromptTokens: j.prompt(), MaxTokens: j.kind.answer, Roll: j.roll,
+		PromptTokens: j.prompt(), MaxTokens: j.kind.answer, SplitRandom: j.roll,
 		Deadline: j.deadline(),
 	}
 	if g.failureDomain.index != j.failureDomain {
--- a/pkg/route/pick_test.go
+++ b/pkg/route/pick_test.go
@@ -30,7 +30,7 @@
 		w.input.Now = epoch.Add(age)
 		req := request(some.Draw(t, "caller's regions")...)
 		req.Class = route.Class(rapid.IntRange(0, 1).Draw(t, "class"))
-		req.Roll = rapid.Uint64().Draw(t, "roll")
+		req.SplitRandom = rapid.Uint64().Draw(t, "roll")
 		decision, refusal := w.pick(w.table(), req)
 		if refusal != nil {
 			if refusal.Outcome != outcome.NotRun || decision.Upstream != nil || decision.Domain != nil {
@@ -175,7 +175,7 @@
 	counts := map[string]int{}
 	for roll := range uint64(700) {
 		req := request("ra")
-		req.Roll = roll
+		req.SplitRandom = roll
 		decision, refusal := w.pick(table, req)
 		is.True(refusal == nil)
 		counts[decision.Version]++
--- a/pkg/route/request.go
+++ b/pkg/route/request.go
@@ -56,8 +56,8 @@
 	// Tried names the upstreams and failure domains that have failed this
 	// request; they are not picked again.
 	Tried []string
-	// Roll is a random number that decides the version split.
-	Roll uint64
+	// SplitRandom is a random number that decides the version split.
+	SplitRandom uint64
 	// Waiting is the predicted wait in this gateway's own queue, if the request
 	// runs in this domain.
 	Waiting time.Duration
--- a/pkg/route/spill.go
+++ b/pkg/route/spill.go
@@ -120,7 +120,7 @@
 		return false
 	}
 	share := 1 - float64(since)/float64(returnTime)
-	return float64(mix(req.Roll))/math.MaxUint64 < share
+	return float64(mix(req.SplitRandom))/math.MaxUint64 < share
 }
 
 func (t *Table) margin() float64 {
--- a/pkg/route/spill_test.go
+++ b/pkg/route/spill_test.go
@@ -27,7 +27,7 @@
 // decide sends one request and reports whether it was forwarded.
 func (w *harness) decide(t interface{ Fatal(...any) }, table *route.Table, roll uint64) bool {
 	req := request("ra", "rb")
-	req.Roll = roll
+	req.SplitRandom = roll
 	decision, refusal := w.pick(table, req)
 	if refusal != nil {
 		t.Fatal(refusal)
@@ -97,7 +97,7 @@
 				table := w.table()
 				for roll := range uint64(30) {
 					req := request("ra", "rb", "rc")
-					req.Roll = roll
+					req.SplitRandom = roll
 					if decision, _ := w.pick(table, req); decision.Domain != nil {
 						sent++
 					}
@@ -144,7 +144,7 @@
 		for roll := range uint64(10) {
 			arrived++
 			req := request("ra", "rb")
-			req.Roll = roll
+			req.SplitRandom = roll
 			for _, waiting := range []time.Duration{0, time.Second} {
 				req.Waiting = waiting
 				if decision, _ := w.pick(table, req); decision.Domain != nil {
--- a/pkg/route/version.go
+++ b/pkg/route/version.go
@@ -23,7 +23,7 @@
 	if sum == 0 {
 		return nil
 	}
-	point := int(req.Roll % uint64(sum))
+	point := int(req.SplitRandom % uint64(sum))
 	for i := range versions {
 		p := t.usablePool(poolID{req.Serves, versions[i].Name}, req, placement, here, now)
 		if p == nil {
