--- a/pkg/control/transport.go
+++ b/pkg/control/transport.go
@@ -37,8 +37,8 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Medium carries connections between processes.
-type Medium interface {
+// Transport carries connections between processes.
+type Transport interface {
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
 	Listen(ctx context.Context, network, address string) (net.Listener, error)
 }
@@ -48,7 +48,7 @@
 // certificate.
 type Network struct {
 	// medium carries the connections; nil means TCP.
-	medium      Medium
+	medium      Transport
 	via         map[string]string
 	credentials *credential.Store
 	client      *credential.Client
@@ -82,7 +82,7 @@
 }
 
 // NewNetworkOver returns a network of plain connections over a medium.
-func NewNetworkOver(medium Medium) *Network { return &Network{medium: medium} }
+func NewNetworkOver(medium Transport) *Network { return &Network{medium: medium} }
 
 // Credentials returns the store of the network's certificates.
 func (n *Network) Credentials() *credential.Store { return n.credentials }
--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -57,7 +57,7 @@
 	Registrar mirror.Registrar
 	// Medium carries all connections except those to the store. If it is nil they use TCP with
 	// keep-alive probes.
-	Medium control.Medium
+	Medium control.Transport
 	// Key is the store key of the instance's registration, and Value encodes the registration.
 	Key   string
 	Value func(fleet.Instance) ([]byte, error)
--- a/pkg/edge/medium.go
+++ b/pkg/edge/medium.go
@@ -12,19 +12,19 @@
 
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 
-// Dial implements control.Medium.
+// Dial implements control.Transport.
 func (tcp) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{KeepAliveConfig: keepAlive}
 	return dialer.DialContext(ctx, network, address)
 }
 
-// Listen implements control.Medium.
+// Listen implements control.Transport.
 func (tcp) Listen(ctx context.Context, network, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: keepAlive}
 	return config.Listen(ctx, network, address)
 }
 
-func (o *Options) medium() control.Medium {
+func (o *Options) medium() control.Transport {
 	if o.Medium == nil {
 		return tcp{}
 	}
--- a/pkg/edge/sim_network_test.go
+++ b/pkg/edge/sim_network_test.go
@@ -78,13 +78,13 @@
 	return &endpoint{simNetwork: n, name: name, region: region}
 }
 
-// endpoint is one process's access to a simNetwork. It implements control.Medium.
+// endpoint is one process's access to a simNetwork. It implements control.Transport.
 type endpoint struct {
 	*simNetwork
 	name, region string
 }
 
-// Dial implements control.Medium.
+// Dial implements control.Transport.
 func (e *endpoint) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	e.mu.Lock()
 	listener, region := e.listeners[address], e.regions[address]
@@ -111,7 +111,7 @@
 	return ours, nil
 }
 
-// Listen implements control.Medium.
+// Listen implements control.Transport.
 func (e *endpoint) Listen(_ context.Context, network, address string) (net.Listener, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
