--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -55,9 +55,9 @@
 	// Store is this instance's replica of the platform's store, and Registrar the store itself.
 	Store     *mirror.Mirror
 	Registrar mirror.Registrar
-	// Medium carries all connections except those to the store. If it is nil they use TCP with
+	// Transport carries all connections except those to the store. If it is nil they use TCP with
 	// keep-alive probes.
-	Medium control.Transport
+	Transport control.Transport
 	// Key is the store key of the instance's registration, and Value encodes the registration.
 	Key   string
 	Value func(fleet.Instance) ([]byte, error)
--- a/pkg/edge/medium.go
+++ b/pkg/edge/medium.go
@@ -7,7 +7,7 @@
 	"github.com/lilacweir/lilacweir/pkg/control"
 )
 
-// tcp is the Medium of an instance that runs as a process.
+// tcp is the Transport of an instance that runs as a process.
 type tcp struct{}
 
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
@@ -25,8 +25,8 @@
 }
 
 func (o *Options) medium() control.Transport {
-	if o.Medium == nil {
+	if o.Transport == nil {
 		return tcp{}
 	}
-	return o.Medium
+	return o.Transport
 }
--- a/pkg/edge/simulation_test.go
+++ b/pkg/edge/simulation_test.go
@@ -158,7 +158,7 @@
 	settings.Limits.fill()
 	registry := metrics.NewRegistry()
 	e, err := New(Options{
-		Settings: settings, Dialect: testDialect{}, Medium: s.network.endpointOf(i.Name, i.Region),
+		Settings: settings, Dialect: testDialect{}, Transport: s.network.endpointOf(i.Name, i.Region),
 		Store:     mirror.New(mirror.Options{Source: unavailableStore{}, Clock: clock.System{}, Log: zerolog.Nop()}),
 		Registrar: s.store, QuarantineKey: func(request quarantine.Fingerprint) string { return "quarantine/" + request.Key() },
 		Value: func(fleet.Instance) ([]byte, error) { return nil, nil },
