--- a/pkg/edge/crash_probe.go
+++ b/pkg/edge/crash_probe.go
@@ -136,7 +136,7 @@
 	timer := time.NewTimer(crashProbeDelay)
 	defer timer.Stop()
 	<-timer.C
-	conn, err := e.options.medium().Dial(ctx, "tcp", upstream.Address)
+	conn, err := e.options.transport().Dial(ctx, "tcp", upstream.Address)
 	if err == nil {
 		// Nothing was sent on it.
 		_ = conn.Close()
--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -142,7 +142,7 @@
 // New returns an instance that does not serve yet.
 func New(options Options) (*Edge, error) {
 	s := options.Settings
-	medium := options.medium()
+	medium := options.transport()
 	network := control.NewNetworkOver(medium)
 	system := clock.System{}
 	ejector := limit.NewEjector(system)
--- a/pkg/edge/listen.go
+++ b/pkg/edge/listen.go
@@ -61,14 +61,14 @@
 		all.http = append(all.http, opened)
 	}
 	var err error
-	if all.control, err = control.NewServer(control.NewNetworkOver(e.options.medium()), listen.Gossip); err != nil {
+	if all.control, err = control.NewServer(control.NewNetworkOver(e.options.transport()), listen.Gossip); err != nil {
 		return nil, err
 	}
 	return all, e.gossip.Register(all.control)
 }
 
 func (e *Edge) listen(address string, handler http.Handler) (*httpListener, error) {
-	listener, err := e.options.medium().Listen(context.Background(), "tcp", address)
+	listener, err := e.options.transport().Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", address, err)
 	}
--- a/pkg/edge/medium.go
+++ b/pkg/edge/medium.go
@@ -24,7 +24,7 @@
 	return config.Listen(ctx, network, address)
 }
 
-func (o *Options) medium() control.Transport {
+func (o *Options) transport() control.Transport {
 	if o.Transport == nil {
 		return tcp{}
 	}
