--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -142,8 +142,8 @@
 // New returns an instance that does not serve yet.
 func New(options Options) (*Edge, error) {
 	s := options.Settings
-	medium := options.transport()
-	network := control.NewNetworkOver(medium)
+	transport := options.transport()
+	network := control.NewNetworkOver(transport)
 	system := clock.System{}
 	ejector := limit.NewEjector(system)
 	ejector.Changed = func(change limit.Ejection) { logEjection(options.Log, change) }
@@ -180,8 +180,8 @@
 		pace:             steer.NewCallTimes(),
 		estimates:        steer.NewEstimator(),
 		flow:             steer.NewFlow(),
-		upstreams:        exchange.NewPool(medium.Dial, upstreamDial, system.Now),
-		peers:            exchange.NewPool(medium.Dial, peerDial, system.Now),
+		upstreams:        exchange.NewPool(transport.Dial, upstreamDial, system.Now),
+		peers:            exchange.NewPool(transport.Dial, peerDial, system.Now),
 		clients:          control.NewClients(network),
 		replicaClients:   control.NewClients(network),
 		registry:         options.Registry,
