--- a/pkg/control/transport.go
+++ b/pkg/control/transport.go
@@ -47,8 +47,8 @@
 // mutual TLS unless the settings allow plain text on loopback and name no
 // certificate.
 type Network struct {
-	// medium carries the connections; nil means TCP.
-	medium      Transport
+	// transport carries the connections; nil means TCP.
+	transport   Transport
 	via         map[string]string
 	credentials *credential.Store
 	client      *credential.Client
@@ -82,7 +82,7 @@
 }
 
 // NewNetworkOver returns a network of plain connections over a medium.
-func NewNetworkOver(medium Transport) *Network { return &Network{medium: medium} }
+func NewNetworkOver(medium Transport) *Network { return &Network{transport: medium} }
 
 // Credentials returns the store of the network's certificates.
 func (n *Network) Credentials() *credential.Store { return n.credentials }
@@ -98,8 +98,8 @@
 // DialPlain connects without TLS, for the platform and upstreams.
 func (n *Network) DialPlain(ctx context.Context, _, address string) (net.Conn, error) {
 	dial := (&net.Dialer{Timeout: DialTimeout}).DialContext
-	if n.medium != nil {
-		dial = n.medium.Dial
+	if n.transport != nil {
+		dial = n.transport.Dial
 	}
 	conn, err := dial(ctx, "tcp", n.Translate(address))
 	if err != nil {
@@ -119,8 +119,8 @@
 // Listen listens for other lilacweir processes.
 func (n *Network) Listen(address string) (net.Listener, error) {
 	listen := (&net.ListenConfig{}).Listen
-	if n.medium != nil {
-		listen = n.medium.Listen
+	if n.transport != nil {
+		listen = n.transport.Listen
 	}
 	plain, err := listen(context.Background(), "tcp", address)
 	if err != nil {
