--- a/pkg/control/transport.go
+++ b/pkg/control/transport.go
@@ -81,8 +81,8 @@
 	return network, nil
 }
 
-// NewNetworkOver returns a network of plain connections over a medium.
-func NewNetworkOver(medium Transport) *Network { return &Network{transport: medium} }
+// NewNetworkOver returns a network of plain connections over a transport.
+func NewNetworkOver(transport Transport) *Network { return &Network{transport: transport} }
 
 // Credentials returns the store of the network's certificates.
 func (n *Network) Credentials() *credential.Store { return n.credentials }
