--- a/pkg/agent/platform.go
+++ b/pkg/agent/platform.go
@@ -38,7 +38,7 @@
 		Key:      a.HeadKey,
 		Decode:   config.DecodeHead,
 		Keeper:   a.keeper,
-		OnDuty:   a.watching,
+		Active:   a.watching,
 		OnResult: a.recordKeyValueResult,
 		OnFault:  func(err error) { a.Log.Error().Err(err).Msg("configuration-unreadable") },
 		Clock:    clock.System{},
--- a/pkg/spread/spread_test.go
+++ b/pkg/spread/spread_test.go
@@ -109,7 +109,7 @@
 func newWatcher(s service, keeper *Keeper, duty *atomic.Bool, faults *atomic.Int64) *Watcher {
 	return &Watcher{
 		KeyValue: s, Key: "head", Decode: decode, Keeper: keeper,
-		OnDuty:   duty.Load,
+		Active:   duty.Load,
 		OnResult: func(error) {},
 		OnFault:  func(error) { faults.Add(1) },
 		Clock:    clock.System{},
--- a/pkg/spread/watcher.go
+++ b/pkg/spread/watcher.go
@@ -36,7 +36,7 @@
 // ErrWatchEnded is returned when the watch's stream ended.
 var ErrWatchEnded = errors.New("watch ended")
 
-// Watcher follows the head key while it is on duty.
+// Watcher follows the head key while it is active.
 type Watcher struct {
 	// KeyValue is the platform's service and Key the head's key.
 	KeyValue platform.KeyValue
@@ -45,8 +45,8 @@
 	Decode func([]byte) (*config.Head, error)
 	// Keeper stores the heads.
 	Keeper *Keeper
-	// OnDuty reports whether this instance is one of its domain's watchers.
-	OnDuty func() bool
+	// Active reports whether this instance is one of its domain's watchers.
+	Active func() bool
 	// OnResult is called with the result of each call, and OnFault with the error of a
 	// value that is not a head.
 	OnResult func(err error)
@@ -65,7 +65,7 @@
 func (w *Watcher) Run(ctx context.Context) {
 	wait := RetryMin
 	for ctx.Err() == nil {
-		if !w.OnDuty() {
+		if !w.Active() {
 			sleep(ctx, DutyCheckInterval)
 			continue
 		}
@@ -88,8 +88,8 @@
 	return half + time.Duration(w.Rand()*float64(half))
 }
 
-// follow watches the head while on duty, and reads it first if necessary. It returns nil
-// when the duty or ctx has ended.
+// follow watches the head while active, and reads it first if necessary. It returns nil
+// when it is no longer active or ctx has ended.
 func (w *Watcher) follow(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -123,7 +123,7 @@
 			w.lastRevision = max(w.lastRevision, entry.ModRevision)
 			w.offer(entry.Value)
 		case <-duty.C:
-			if !w.OnDuty() {
+			if !w.Active() {
 				return nil
 			}
 		case <-ctx.Done():
