--- a/pkg/spread/spread_test.go
+++ b/pkg/spread/spread_test.go
@@ -131,7 +131,7 @@
 		is.Equal(s.calls(), 0) // no calls while not on duty
 
 		duty.Store(true)
-		time.Sleep(DutyCheckInterval)
+		time.Sleep(ActiveCheckInterval)
 		synctest.Wait()
 		is.Equal(keeper.Revision(), config.Revision(1))
 		s.write("2")
@@ -166,7 +166,7 @@
 		is.Equal(keeper.Revision(), config.Revision(4)) // recovers by itself
 
 		duty.Store(false)
-		time.Sleep(DutyCheckInterval)
+		time.Sleep(ActiveCheckInterval)
 		before = s.calls()
 		time.Sleep(time.Hour)
 		is.Equal(s.calls(), before) // no calls after the end of the duty
--- a/pkg/spread/watcher.go
+++ b/pkg/spread/watcher.go
@@ -25,8 +25,8 @@
 	StableAfter = 10 * time.Second
 	// ReadTimeout bounds one read of the head.
 	ReadTimeout = 3 * time.Second
-	// DutyCheckInterval is how often an instance checks whether it is a watcher.
-	DutyCheckInterval = 500 * time.Millisecond
+	// ActiveCheckInterval is how often an instance checks whether it is a watcher.
+	ActiveCheckInterval = 500 * time.Millisecond
 	// RereadInterval is how often a watcher reads the whole head in addition to its watch,
 	// in case the service was restored to an earlier state. A watch that ended is otherwise
 	// resumed at its last revision, without reading the value.
@@ -66,7 +66,7 @@
 	wait := RetryMin
 	for ctx.Err() == nil {
 		if !w.Active() {
-			sleep(ctx, DutyCheckInterval)
+			sleep(ctx, ActiveCheckInterval)
 			continue
 		}
 		started := w.Clock.Now()
@@ -110,7 +110,7 @@
 }
 
 func (w *Watcher) receive(ctx context.Context, changes <-chan platform.Entry) error {
-	duty := time.NewTicker(DutyCheckInterval)
+	duty := time.NewTicker(ActiveCheckInterval)
 	defer duty.Stop()
 	for {
 		select {
