--- a/pkg/spread/watcher.go
+++ b/pkg/spread/watcher.go
@@ -110,8 +110,8 @@
 }
 
 func (w *Watcher) receive(ctx context.Context, changes <-chan platform.Entry) error {
-	duty := time.NewTicker(ActiveCheckInterval)
-	defer duty.Stop()
+	check := time.NewTicker(ActiveCheckInterval)
+	defer check.Stop()
 	for {
 		select {
 		case entry, open := <-changes:
@@ -122,7 +122,7 @@
 			}
 			w.lastRevision = max(w.lastRevision, entry.ModRevision)
 			w.offer(entry.Value)
-		case <-duty.C:
+		case <-check.C:
 			if !w.Active() {
 				return nil
 			}
