--- a/pkg/agent/platform.go
+++ b/pkg/agent/platform.go
@@ -34,15 +34,15 @@
 // watch follows the head key while this instance is one of its domain's watchers.
 func (a *Agent) watch(ctx context.Context) {
 	watcher := &spread.Watcher{
-		KeyValue: a.KeyValue,
-		Key:      a.HeadKey,
-		Decode:   config.DecodeHead,
-		Keeper:   a.keeper,
-		Active:   a.watching,
-		OnResult: a.recordKeyValueResult,
-		OnFault:  func(err error) { a.Log.Error().Err(err).Msg("configuration-unreadable") },
-		Clock:    clock.System{},
-		Rand:     rand.Float64,
+		KeyValue:      a.KeyValue,
+		Key:           a.HeadKey,
+		Decode:        config.DecodeHead,
+		Keeper:        a.keeper,
+		Active:        a.watching,
+		OnResult:      a.recordKeyValueResult,
+		OnInvalidHead: func(err error) { a.Log.Error().Err(err).Msg("configuration-unreadable") },
+		Clock:         clock.System{},
+		Rand:          rand.Float64,
 	}
 	watcher.Run(ctx)
 }
--- a/pkg/spread/spread_test.go
+++ b/pkg/spread/spread_test.go
@@ -109,11 +109,11 @@
 func newWatcher(s service, keeper *Keeper, duty *atomic.Bool, faults *atomic.Int64) *Watcher {
 	return &Watcher{
 		KeyValue: s, Key: "head", Decode: decode, Keeper: keeper,
-		Active:   duty.Load,
-		OnResult: func(error) {},
-		OnFault:  func(error) { faults.Add(1) },
-		Clock:    clock.System{},
-		Rand:     func() float64 { return 0 },
+		Active:        duty.Load,
+		OnResult:      func(error) {},
+		OnInvalidHead: func(error) { faults.Add(1) },
+		Clock:         clock.System{},
+		Rand:          func() float64 { return 0 },
 	}
 }
 
--- a/pkg/spread/watcher.go
+++ b/pkg/spread/watcher.go
@@ -47,11 +47,11 @@
 	Keeper *Keeper
 	// Active reports whether this instance is one of its domain's watchers.
 	Active func() bool
-	// OnResult is called with the result of each call, and OnFault with the error of a
+	// OnResult is called with the result of each call, and OnInvalidHead with the error of a
 	// value that is not a head.
-	OnResult func(err error)
-	OnFault  func(err error)
-	Clock    clock.Clock
+	OnResult      func(err error)
+	OnInvalidHead func(err error)
+	Clock         clock.Clock
 	// Rand returns the jitter, from 0 up to 1.
 	Rand func() float64
 
@@ -155,7 +155,7 @@
 	}
 	head, err := w.Decode(value)
 	if err != nil {
-		w.OnFault(err)
+		w.OnInvalidHead(err)
 		return
 	}
 	w.Keeper.Offer(head, SourcePlatform)
