--- a/pkg/edge/request_log.go
+++ b/pkg/edge/request_log.go
@@ -177,7 +177,7 @@
 	var over *quota.OverLimitError
 	if errors.As(refusal.Err, &over) {
 		line.Float64(event.KeyBalance, math.Round(over.Balance)).Float64(event.KeyDemand, math.Round(over.Demand)).
-			Float64(event.KeyLimit, over.Limit).Float64(event.KeyHeard, over.Heard)
+			Float64(event.KeyLimit, over.Limit).Float64(event.KeyHeard, over.Reachable)
 	}
 }
 
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -139,9 +139,9 @@
 // OverLimitError reports that a caller has used up its limit.
 type OverLimitError struct {
 	Caller string
-	// Balance is in units, Demand and Limit in units a second, as known to this instance. Heard
+	// Balance is in units, Demand and Limit in units a second, as known to this instance. Reachable
 	// is the fraction of the instances that it reaches.
-	Balance, Demand, Limit, Heard float64
+	Balance, Demand, Limit, Reachable float64
 	// Wait is the time after which requests should be admitted again.
 	Wait time.Duration
 }
@@ -224,7 +224,7 @@
 	demand, limit := b.demand.perSecond(now), b.limit.Rate*l.reachable
 	seconds := max(0, -b.units)/limit + l.random()*max(0, demand/limit-1)*demandTimeConstant.Seconds()
 	wait := min(maxRetryWait, max(minRetryWait, time.Duration(seconds*float64(time.Second))))
-	return &OverLimitError{Caller: caller, Balance: b.units, Demand: demand, Limit: b.limit.Rate, Heard: l.reachable, Wait: wait}
+	return &OverLimitError{Caller: caller, Balance: b.units, Demand: demand, Limit: b.limit.Rate, Reachable: l.reachable, Wait: wait}
 }
 
 // LocalUsage returns the usage that this instance has counted, to be reported to the others.
