--- a/pkg/agent/remote.go
+++ b/pkg/agent/remote.go
@@ -136,7 +136,7 @@
 func (s *operatorService) Ask(args *control.AskArgs, reply *control.AskReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), AskTimeout)
 	defer cancel()
-	request := command.Request{Operator: args.Operator, Line: args.Line, PassedOn: true}
+	request := command.Request{Operator: args.Operator, Line: args.Line, Forwarded: true}
 	answer := s.agent.executor.ExecuteRequest(ctx, request)
 	reply.Verdict, reply.Text = string(answer.Verdict), answer.Text
 	return nil
--- a/pkg/command/executor.go
+++ b/pkg/command/executor.go
@@ -59,10 +59,10 @@
 	Repeated bool
 	// Seen is the revision that the operator saw; 0 means this instance's.
 	Seen config.Revision
-	// PassedOn is true when another instance forwarded the line. It is not forwarded
+	// Forwarded is true when another instance forwarded the line. It is not forwarded
 	// again, because two instances with different revisions could forward it back
 	// and forth, and it changes nothing.
-	PassedOn bool
+	Forwarded bool
 }
 
 // Execute executes a line.
@@ -85,7 +85,7 @@
 	if line.isQuery() {
 		return e.answer(ctx, request, line)
 	}
-	if request.PassedOn {
+	if request.Forwarded {
 		return refuse(&PassedOnError{})
 	}
 	return e.change(ctx, request, line)
--- a/pkg/command/executor_test.go
+++ b/pkg/command/executor_test.go
@@ -204,7 +204,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHarness(t)
-		passedOn := command.Request{Operator: "eleni", Line: "up nurse-3", PassedOn: true}
+		passedOn := command.Request{Operator: "eleni", Line: "up nurse-3", Forwarded: true}
 		is.Equal(h.executor.ExecuteRequest(t.Context(), passedOn).Text, "nurse-3 at larisa-hall\nserves lilac-nurse v1\nbut its domain passed this on")
 		passedOn.Line = "drain nurse-1"
 		is.Equal(h.executor.ExecuteRequest(t.Context(), passedOn).Verdict, command.Refused)
--- a/pkg/command/status.go
+++ b/pkg/command/status.go
@@ -195,7 +195,7 @@
 	if upstream.Domain == e.Self.Domain {
 		return e.upstream(upstream)
 	}
-	if request.PassedOn {
+	if request.Forwarded {
 		return reply(OK, append(declared(upstream), "but its domain passed this on")...)
 	}
 	answer, err := e.Remote.Ask(ctx, upstream.Domain, request.Operator, "up "+name)
