--- a/pkg/command/executor.go
+++ b/pkg/command/executor.go
@@ -86,17 +86,17 @@
 		return e.answer(ctx, request, line)
 	}
 	if request.Forwarded {
-		return refuse(&PassedOnError{})
+		return refuse(&ForwardedError{})
 	}
 	return e.change(ctx, request, line)
 }
 
-// PassedOnError refuses a change that another instance forwarded. A change must be
+// ForwardedError refuses a change that another instance forwarded. A change must be
 // proposed by the instance that authenticated its operator.
-type PassedOnError struct{}
+type ForwardedError struct{}
 
 // Error implements error.
-func (*PassedOnError) Error() string { return "only questions are passed on" }
+func (*ForwardedError) Error() string { return "only questions are passed on" }
 
 // isQuery reports whether the line is a query.
 func (l *Line) isQuery() bool {
