--- a/pkg/edge/poison_test.go
+++ b/pkg/edge/poison_test.go
@@ -236,7 +236,7 @@
 		clock.Sleep(s.Context(), 5*time.Second)
 		s.is.Equal(edge.board.Quarantined.Load().Held(), 0)
 		for _, i := range s.instances {
-			s.is.True(!i.edge.quarantine.Held(request))
+			s.is.True(!i.edge.quarantine.IsQuarantined(request))
 		}
 	})
 }
@@ -289,7 +289,7 @@
 
 func (s *simulation) holding(request quarantine.Fingerprint) (holding int) {
 	for _, i := range s.instances {
-		if i.edge.quarantine.Held(request) {
+		if i.edge.quarantine.IsQuarantined(request) {
 			holding++
 		}
 	}
--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -125,7 +125,7 @@
 			return
 		}
 		pause *= 2
-		held := e.quarantine.Held(write.request)
+		held := e.quarantine.IsQuarantined(write.request)
 		stored := e.board.Quarantined.Load()
 		if held == stored.Holds(write.request) && (held || !write.staleReplica) {
 			return
@@ -223,7 +223,7 @@
 			e.applyClearance(record)
 		default:
 			e.logQuarantine(record.Request, e.quarantine.Hold(record.Request, 0))
-			if !e.quarantine.Held(record.Request) {
+			if !e.quarantine.IsQuarantined(record.Request) {
 				// It succeeded while another instance wrote this.
 				e.enqueueWrite(quarantineWrite{request: record.Request})
 			}
--- a/pkg/quarantine/cluster_test.go
+++ b/pkg/quarantine/cluster_test.go
@@ -108,7 +108,7 @@
 	n := random.IntN(len(g.tables))
 	switch random.IntN(12) {
 	case 0:
-		held := g.tables[n].Held(content)
+		held := g.tables[n].IsQuarantined(content)
 		g.tables[n] = quarantine.NewTable(clock.System{})
 		if held {
 			g.tables[n].Hold(content, 0)
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -150,8 +150,8 @@
 	return e != nil && e.observedLocally
 }
 
-// Held reports whether a request is quarantined.
-func (t *Table) Held(request Fingerprint) bool {
+// IsQuarantined reports whether a request is quarantined.
+func (t *Table) IsQuarantined(request Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[request]
