--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -103,7 +103,7 @@
 // know them, so some are chosen by hashing.
 func (e *Edge) writeMissingQuarantines() {
 	stored := e.board.Quarantined.Load()
-	for _, request := range e.quarantine.AllHeld() {
+	for _, request := range e.quarantine.AllQuarantined() {
 		if !stored.Holds(request) && e.writesQuarantine(request) {
 			e.enqueueWrite(quarantineWrite{request: request})
 		}
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -158,8 +158,8 @@
 	return e != nil && e.held
 }
 
-// AllHeld returns the quarantined requests.
-func (t *Table) AllHeld() []Fingerprint {
+// AllQuarantined returns the quarantined requests.
+func (t *Table) AllQuarantined() []Fingerprint {
 	return t.collect(func(e *entry) bool { return e.held })
 }
 
