--- a/pkg/edge/call.go
+++ b/pkg/edge/call.go
@@ -161,7 +161,7 @@
 // adoptQuarantine quarantines the request if another instance refused it as quarantined.
 func (c *call) adoptQuarantine(answer *exchange.Answer, retryAfter time.Duration) {
 	if c.refusedByPeer(answer) && outcome.Reason(answer.Header.Get(header.Reason)) == outcome.ReasonQuarantined {
-		c.logQuarantine(c.fingerprint(), c.quarantine.Hold(c.fingerprint(), retryAfter))
+		c.logQuarantine(c.fingerprint(), c.quarantine.Quarantine(c.fingerprint(), retryAfter))
 	}
 }
 
--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -222,7 +222,7 @@
 		case record.ClearedBy != "":
 			e.applyClearance(record)
 		default:
-			e.logQuarantine(record.Request, e.quarantine.Hold(record.Request, 0))
+			e.logQuarantine(record.Request, e.quarantine.Quarantine(record.Request, 0))
 			if !e.quarantine.IsQuarantined(record.Request) {
 				// It succeeded while another instance wrote this.
 				e.enqueueWrite(quarantineWrite{request: record.Request})
--- a/pkg/quarantine/cluster_test.go
+++ b/pkg/quarantine/cluster_test.go
@@ -111,7 +111,7 @@
 		held := g.tables[n].IsQuarantined(content)
 		g.tables[n] = quarantine.NewTable(clock.System{})
 		if held {
-			g.tables[n].Hold(content, 0)
+			g.tables[n].Quarantine(content, 0)
 		}
 	case 1:
 		g.partitioned = n
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -287,9 +287,9 @@
 	}
 }
 
-// Hold quarantines a request on the report of another instance or the store; retryAfter is the
+// Quarantine quarantines a request on the report of another instance or the store; retryAfter is the
 // retry time given to callers, zero for RetryAfter.
-func (t *Table) Hold(request Fingerprint, retryAfter time.Duration) Change {
+func (t *Table) Quarantine(request Fingerprint, retryAfter time.Duration) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -85,8 +85,8 @@
 		for upstream := 1; upstream <= quarantine.CrashesToQuarantine; upstream++ {
 			crash(observer, "a", upstream)
 		}
-		is.Equal(receiver.Hold(request("a"), time.Minute), quarantine.Quarantined)
-		is.Equal(receiver.Hold(request("a"), time.Hour), quarantine.Unchanged)
+		is.Equal(receiver.Quarantine(request("a"), time.Minute), quarantine.Quarantined)
+		is.Equal(receiver.Quarantine(request("a"), time.Hour), quarantine.Unchanged)
 		for range 10 {
 			clock.Sleep(t.Context(), 24*time.Hour)
 			for _, table := range []*quarantine.Table{observer, receiver} {
@@ -115,7 +115,7 @@
 		for upstream := 1; upstream <= quarantine.CrashesToQuarantine; upstream++ {
 			is.Equal(crash(table, "a", upstream), quarantine.Unchanged)
 		}
-		is.Equal(table.Hold(request("a"), 0), quarantine.Unchanged)
+		is.Equal(table.Quarantine(request("a"), 0), quarantine.Unchanged)
 		is.True(!refuses(table, "a"))
 		is.Equal(table.AllReleased(), []quarantine.Fingerprint{request("a")})
 		clock.Sleep(t.Context(), time.Minute)
