--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -233,6 +233,6 @@
 
 // applyClearance releases a request that the store records as cleared.
 func (e *Edge) applyClearance(record *quarantine.Record) {
-	e.quarantine.Release(record.Request)
+	e.quarantine.Clear(record.Request)
 	e.log.Info().Stringer(event.KeyContent, record.Request).Str(event.KeyOperator, record.ClearedBy).Msg(string(event.RequestCleared))
 }
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -244,9 +244,9 @@
 	return Cleared
 }
 
-// Release clears a request that the store reports as cleared. Earlier observations no longer
+// Clear clears a request that the store reports as cleared. Earlier observations no longer
 // count.
-func (t *Table) Release(request Fingerprint) Change {
+func (t *Table) Clear(request Fingerprint) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -97,8 +97,8 @@
 		retryAfter, _ := receiver.Refuses(request("a"))
 		is.Equal(retryAfter, time.Minute) // as received
 		for _, table := range []*quarantine.Table{observer, receiver} {
-			is.Equal(table.Release(request("a")), quarantine.Cleared)
-			is.Equal(table.Release(request("a")), quarantine.Unchanged)
+			is.Equal(table.Clear(request("a")), quarantine.Cleared)
+			is.Equal(table.Clear(request("a")), quarantine.Unchanged)
 			is.True(!refuses(table, "a"))
 		}
 	})
@@ -111,7 +111,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := quarantine.NewTable(clock.System{})
-		is.Equal(table.Release(request("a")), quarantine.Unchanged) // before the crashes are reported
+		is.Equal(table.Clear(request("a")), quarantine.Unchanged) // before the crashes are reported
 		for upstream := 1; upstream <= quarantine.CrashesToQuarantine; upstream++ {
 			is.Equal(crash(table, "a", upstream), quarantine.Unchanged)
 		}
