--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -85,7 +85,7 @@
 			known = epoch
 			clock.Sleep(ctx, epochSettleTime)
 			e.writeMissingQuarantines()
-			for _, request := range e.quarantine.AllReleased() {
+			for _, request := range e.quarantine.AllCleared() {
 				if e.writesQuarantine(request) {
 					e.enqueueWrite(quarantineWrite{request: request, staleReplica: true})
 				}
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -163,12 +163,12 @@
 	return t.collect(func(e *entry) bool { return e.held })
 }
 
-// AllReleased returns the requests that were quarantined and recently cleared.
-func (t *Table) AllReleased() []Fingerprint {
+// AllCleared returns the requests that were quarantined and recently cleared.
+func (t *Table) AllCleared() []Fingerprint {
 	return t.collect(func(e *entry) bool { return !e.held && t.isReleased(e) })
 }
 
-// Released reports whether a request is one of AllReleased.
+// Released reports whether a request is one of AllCleared.
 func (t *Table) Released(request Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -117,15 +117,15 @@
 		}
 		is.Equal(table.Quarantine(request("a"), 0), quarantine.Unchanged)
 		is.True(!refuses(table, "a"))
-		is.Equal(table.AllReleased(), []quarantine.Fingerprint{request("a")})
+		is.Equal(table.AllCleared(), []quarantine.Fingerprint{request("a")})
 		clock.Sleep(t.Context(), time.Minute)
 		table.Sweep()
-		is.Equal(len(table.AllReleased()), 1) // needed after a restore of the store
+		is.Equal(len(table.AllCleared()), 1) // needed after a restore of the store
 		for upstream := 11; upstream <= 10+quarantine.CrashesToQuarantine; upstream++ {
 			crash(table, "a", upstream)
 		}
 		is.True(refuses(table, "a"))
-		is.Equal(len(table.AllReleased()), 0)
+		is.Equal(len(table.AllCleared()), 0)
 		clock.Sleep(t.Context(), time.Hour)
 		table.Sweep()
 		is.True(refuses(table, "a"))
