--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -178,7 +178,7 @@
 	}
 	for i := range stored.Records {
 		record := &stored.Records[i]
-		if record.ClearedBy != "" && !e.quarantine.Released(record.Request) && e.writesQuarantine(record.Request) {
+		if record.ClearedBy != "" && !e.quarantine.RecentlyCleared(record.Request) && e.writesQuarantine(record.Request) {
 			e.deleteRecord(ctx, record)
 		}
 	}
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -168,8 +168,8 @@
 	return t.collect(func(e *entry) bool { return !e.held && t.isReleased(e) })
 }
 
-// Released reports whether a request is one of AllCleared.
-func (t *Table) Released(request Fingerprint) bool {
+// RecentlyCleared reports whether a request is one of AllCleared.
+func (t *Table) RecentlyCleared(request Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[request]
