--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -104,7 +104,7 @@
 func (e *Edge) writeMissingQuarantines() {
 	stored := e.board.Quarantined.Load()
 	for _, request := range e.quarantine.AllQuarantined() {
-		if !stored.Holds(request) && e.writesQuarantine(request) {
+		if !stored.IsQuarantined(request) && e.writesQuarantine(request) {
 			e.enqueueWrite(quarantineWrite{request: request})
 		}
 	}
@@ -127,7 +127,7 @@
 		pause *= 2
 		held := e.quarantine.IsQuarantined(write.request)
 		stored := e.board.Quarantined.Load()
-		if held == stored.Holds(write.request) && (held || !write.staleReplica) {
+		if held == stored.IsQuarantined(write.request) && (held || !write.staleReplica) {
 			return
 		}
 		err := e.putQuarantine(ctx, write, held, stored.Find(write.request))
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// Holds reports whether a request is quarantined in the store.
-func (s *Stored) Holds(request Fingerprint) bool {
+// IsQuarantined reports whether a request is quarantined in the store.
+func (s *Stored) IsQuarantined(request Fingerprint) bool {
 	record := s.Find(request)
 	return record != nil && record.ClearedBy == ""
 }
