--- a/pkg/edge/poison_test.go
+++ b/pkg/edge/poison_test.go
@@ -230,11 +230,11 @@
 		s.runPoisonLoad(10*time.Second, 4)
 		edge := s.instances[0].edge
 		stored := edge.board.Quarantined.Load()
-		s.is.Equal(stored.Held(), 1)
+		s.is.Equal(stored.CountQuarantined(), 1)
 		request := stored.Records[0].Request
 		edge.recordObservation(quarantine.Observation{Request: request})
 		clock.Sleep(s.Context(), 5*time.Second)
-		s.is.Equal(edge.board.Quarantined.Load().Held(), 0)
+		s.is.Equal(edge.board.Quarantined.Load().CountQuarantined(), 0)
 		for _, i := range s.instances {
 			s.is.True(!i.edge.quarantine.IsQuarantined(request))
 		}
@@ -248,12 +248,12 @@
 	runSimulation(t, 10, chatRoute, threeRegions, func(s *simulation) {
 		s.store.restoreEmpty()
 		s.runPoisonLoad(10*time.Second, 4)
-		s.is.Equal(s.instances[0].edge.board.Quarantined.Load().Held(), 1)
+		s.is.Equal(s.instances[0].edge.board.Quarantined.Load().CountQuarantined(), 1)
 		before := s.store.writes
 		s.store.restoreEmpty()
-		s.is.Equal(s.instances[0].edge.board.Quarantined.Load().Held(), 0)
+		s.is.Equal(s.instances[0].edge.board.Quarantined.Load().CountQuarantined(), 0)
 		clock.Sleep(s.Context(), 5*time.Second)
-		s.is.Equal(s.instances[0].edge.board.Quarantined.Load().Held(), 1)
+		s.is.Equal(s.instances[0].edge.board.Quarantined.Load().CountQuarantined(), 1)
 		s.is.True(s.store.writes-before <= crashesAllowed)
 		s.restartAll()
 		s.runPoisonLoad(20*time.Second, 2)
@@ -327,7 +327,7 @@
 		s.runPoisonLoad(10*time.Second, 4)
 		s.store.drop()
 		s.runPoisonLoad(2*time.Minute, 4)
-		s.is.Equal(s.instances[0].edge.board.Quarantined.Load().Held(), 1) // written again
+		s.is.Equal(s.instances[0].edge.board.Quarantined.Load().CountQuarantined(), 1) // written again
 		s.restartAll()
 		s.runPoisonLoad(20*time.Second, 2)
 		s.checkPoison(t)
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -81,8 +81,8 @@
 	return record != nil && record.ClearedBy == ""
 }
 
-// Held returns the number of requests that are quarantined in the store.
-func (s *Stored) Held() int {
+// CountQuarantined returns the number of requests that are quarantined in the store.
+func (s *Stored) CountQuarantined() int {
 	held := 0
 	if s != nil {
 		for i := range s.Records {
