--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -257,12 +257,12 @@
 		return func() {}
 	}
 	registration := &mirror.Registration{
-		Store: e.options.Registrar,
-		Key:   e.options.Key,
-		Value: value,
-		TTL:   max(registrationTTL, e.settings.Store.MinimumTTL),
-		Copy:  e.store,
-		Log:   e.log,
+		Store:   e.options.Registrar,
+		Key:     e.options.Key,
+		Value:   value,
+		TTL:     max(registrationTTL, e.settings.Store.MinimumTTL),
+		Replica: e.store,
+		Log:     e.log,
 	}
 	ended := make(chan struct{})
 	go func() {
--- a/pkg/mirror/registration.go
+++ b/pkg/mirror/registration.go
@@ -27,10 +27,10 @@
 	Value []byte
 	// TTL is the time for which the entry outlives its owner.
 	TTL time.Duration
-	// Copy is a replica of the store that shows whether the entry exists, since it may be
+	// Replica is a replica of the store that shows whether the entry exists, since it may be
 	// deleted while its lease is valid. If it is nil, only the lease is checked.
-	Copy *Mirror
-	Log  zerolog.Logger
+	Replica *Mirror
+	Log     zerolog.Logger
 	// written is the store's position at the last write of the entry.
 	written Position
 }
@@ -72,8 +72,8 @@
 // leases returns the store's leases, fenced by its epoch if a replica provides it.
 func (r *Registration) leases() Leases {
 	epoch := func() uint64 { return 0 }
-	if r.Copy != nil {
-		epoch = r.Copy.Era
+	if r.Replica != nil {
+		epoch = r.Replica.Era
 	}
 	return Leases{Store: r.Store, Era: epoch}
 }
@@ -115,10 +115,10 @@
 // missing reports whether a replica that is newer than the entry lacks it or retains it from a
 // former epoch.
 func (r *Registration) missing() bool {
-	if r.Copy == nil {
+	if r.Replica == nil {
 		return false
 	}
-	snapshot := r.Copy.Snapshot().Load()
+	snapshot := r.Replica.Snapshot().Load()
 	if snapshot == nil || snapshot.Position().Before(r.written) {
 		return false
 	}
--- a/pkg/mirror/restore_load_test.go
+++ b/pkg/mirror/restore_load_test.go
@@ -109,7 +109,7 @@
 				running.Go(func() { followed.Run(ctx) })
 				for n := range instances {
 					registration := &mirror.Registration{
-						Store: r, Key: fmt.Sprintf("instances/%d", n), TTL: ttl, Copy: followed, Log: zerolog.Nop(),
+						Store: r, Key: fmt.Sprintf("instances/%d", n), TTL: ttl, Replica: followed, Log: zerolog.Nop(),
 					}
 					running.Go(func() { registration.Run(ctx) })
 					time.Sleep(ttl / 3 / time.Duration(instances))
