--- a/pkg/edge/cold.go
+++ b/pkg/edge/cold.go
@@ -106,5 +106,5 @@
 // instance that has never received a report of another region cannot know.
 func (e *Edge) isPartitioned(now time.Time) bool {
 	lastRemote := e.gossip.View().Load().OtherRegionReportedAt()
-	return !lastRemote.IsZero() && now.Sub(lastRemote) > partitionedAfter && now.Sub(e.store.Reached()) > partitionedAfter
+	return !lastRemote.IsZero() && now.Sub(lastRemote) > partitionedAfter && now.Sub(e.store.LastAnswerAt()) > partitionedAfter
 }
--- a/pkg/edge/metrics.go
+++ b/pkg/edge/metrics.go
@@ -95,7 +95,7 @@
 		"upstreams.dialed":      e.upstreams.Dialed,
 		"peers.dialed":          e.peers.Dialed,
 		"requests.active":       e.active.Load,
-		"store.age_ms":          func() int64 { return e.ageMS(e.store.Reached()) },
+		"store.age_ms":          func() int64 { return e.ageMS(e.store.LastAnswerAt()) },
 		"store.revision":        e.store.Revision,
 		"store.era":             func() int64 { return int64(e.store.Era()) },
 		"configuration.version": e.configurationVersion,
--- a/pkg/edge/request_log.go
+++ b/pkg/edge/request_log.go
@@ -63,7 +63,7 @@
 // logRouting logs the target of the request, with the inputs of the decision and their age.
 func (j *job) logRouting(world *steer.Snapshot, chosen *target) {
 	send, forwarded, runs, after := j.sends+1, j.forwarded, j.runs, j.resumeAfter()
-	storeAge := j.ageMS(j.store.Reached())
+	storeAge := j.ageMS(j.store.LastAnswerAt())
 	j.logStep(event.RequestRouted, func(line *zerolog.Event) {
 		best := &chosen.survey.Best
 		line.Str(event.KeyRoute, j.route.Name).Str(event.KeyService, j.service.Name).
--- a/pkg/edge/upstream_state.go
+++ b/pkg/edge/upstream_state.go
@@ -23,7 +23,7 @@
 	if !e.departures.Learn(upstream) {
 		return false
 	}
-	line := e.log.Info().Str(event.KeyUpstream, upstream).Int64(event.KeyStoreAgeMS, e.ageMS(e.store.Reached()))
+	line := e.log.Info().Str(event.KeyUpstream, upstream).Int64(event.KeyStoreAgeMS, e.ageMS(e.store.LastAnswerAt()))
 	if reporter != "" {
 		line.Str(event.KeyPeer, reporter)
 	}
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -181,8 +181,8 @@
 	return m.lost
 }
 
-// Reached returns the time of the store's last answer to this instance; zero if there was none.
-func (m *Mirror) Reached() time.Time {
+// LastAnswerAt returns the time of the store's last answer to this instance; zero if there was none.
+func (m *Mirror) LastAnswerAt() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.answeredAt
