--- a/pkg/edge/edge_test.go
+++ b/pkg/edge/edge_test.go
@@ -495,7 +495,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { h.edge.store.Run(ctx); close(ended) }()
-	h.eventually("the store is lost", h.edge.store.Lost)
+	h.eventually("the store is lost", h.edge.store.LastCallFailed)
 	h.is.Equal(h.ask(http.MethodGet, "/r/", "").header.Get("Retry-After"), fmt.Sprint(storeLostRetry.Seconds()))
 	cancel()
 	<-ended
--- a/pkg/edge/handler.go
+++ b/pkg/edge/handler.go
@@ -31,7 +31,7 @@
 
 // startRetry returns the Retry-After of an instance that cannot serve anything yet.
 func (e *Edge) startRetry() time.Duration {
-	if e.store.Lost() {
+	if e.store.LastCallFailed() {
 		return storeLostRetry
 	}
 	return noConfigurationRetry
--- a/pkg/edge/identity.go
+++ b/pkg/edge/identity.go
@@ -28,7 +28,7 @@
 	switch {
 	case j.organisation != nil || j.route.Public:
 		return nil
-	case given && j.store.Lost():
+	case given && j.store.LastCallFailed():
 		// The key may have been added since this instance last received a configuration.
 		return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonNoConfiguration, j.startRetry(), "the key is not known here, and the platform's store does not answer")
 	default:
--- a/pkg/edge/identity_test.go
+++ b/pkg/edge/identity_test.go
@@ -111,7 +111,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { h.edge.store.Run(ctx); close(ended) }()
-	h.eventually("the store is lost", h.edge.store.Lost)
+	h.eventually("the store is lost", h.edge.store.LastCallFailed)
 	got := h.askAt(h.caller.URL, http.MethodGet, "/r/x", "", header.Authorization, bearerOf("key-of-nobody"))
 	h.is.Equal(got.status, http.StatusServiceUnavailable)
 	h.is.Equal(h.ask(http.MethodGet, "/r/x", "").status, http.StatusUnauthorized) // no key at all
--- a/pkg/edge/start.go
+++ b/pkg/edge/start.go
@@ -37,7 +37,7 @@
 		if ready() {
 			return true
 		}
-		if ctx.Err() != nil || j.store.Lost() {
+		if ctx.Err() != nil || j.store.LastCallFailed() {
 			return false
 		}
 		select {
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -174,8 +174,8 @@
 	return m.following && !m.lost && m.epoch == m.Position().Era && !m.answeredAt.IsZero() && m.options.Clock.Now().Sub(m.answeredAt) < currentWindow
 }
 
-// Lost reports whether the store's last call failed.
-func (m *Mirror) Lost() bool {
+// LastCallFailed reports whether the store's last call failed.
+func (m *Mirror) LastCallFailed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lost
