--- a/pkg/mirror/lease.go
+++ b/pkg/mirror/lease.go
@@ -55,9 +55,9 @@
 	return nil
 }
 
-// End revokes a lease unless it belongs to a former epoch, in which case its entries expire with
+// Revoke revokes a lease unless it belongs to a former epoch, in which case its entries expire with
 // the lease of the backup. It renews the lease first, because only an answer reveals the epoch.
-func (l Leases) End(ctx context.Context, lease Lease) error {
+func (l Leases) Revoke(ctx context.Context, lease Lease) error {
 	if err := l.Renew(ctx, lease); err != nil {
 		if errors.Is(err, platform.ErrLeaseLost) {
 			return nil
--- a/pkg/mirror/lease_test.go
+++ b/pkg/mirror/lease_test.go
@@ -64,7 +64,7 @@
 		err = leases.Renew(t.Context(), lease)
 		is.Equal(err == nil, c.renewed)
 		is.True(err == nil || errors.Is(err, platform.ErrLeaseLost))
-		is.NoErr(leases.End(t.Context(), lease))
+		is.NoErr(leases.Revoke(t.Context(), lease))
 		is.Equal(len(l.revoked) > 0, c.revoked)
 	}
 }
--- a/pkg/mirror/registration.go
+++ b/pkg/mirror/registration.go
@@ -135,5 +135,5 @@
 func (r *Registration) end(ctx context.Context, lease Lease) error {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
-	return r.leases().End(ctx, lease)
+	return r.leases().Revoke(ctx, lease)
 }
