--- a/pkg/edge/handler.go
+++ b/pkg/edge/handler.go
@@ -192,7 +192,7 @@
 func (j *job) finish(refusal *outcome.Refusal) {
 	took := j.now().Sub(j.started)
 	if refusal != nil && refusal.Outcome == outcome.NotRun {
-		j.grant.Return()
+		j.grant.Refund()
 	}
 	j.counts.requestEnded(j, refusal, took)
 	if refusal == nil {
--- a/pkg/edge/identity_test.go
+++ b/pkg/edge/identity_test.go
@@ -220,7 +220,7 @@
 	forwarded := h.askAt(h.peers.URL, http.MethodPost, "/r/x", "body", testID, "id-1", header.Caller, "mill", header.CallerProof, proof)
 	h.is.Equal(forwarded.status, http.StatusServiceUnavailable)
 	h.is.True(forwarded.header.Get(header.Reason) != string(outcome.ReasonCallerLimit))
-	grant.Return()
+	grant.Refund()
 }
 
 func TestDeclaredLimitsReachTheLimiter(t *testing.T) {
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -120,8 +120,8 @@
 	units   int64
 }
 
-// Return gives back the charge of a request that did not run.
-func (g *Grant) Return() {
+// Refund gives back the charge of a request that did not run.
+func (g *Grant) Refund() {
 	if g.limiter == nil {
 		return
 	}
--- a/pkg/quota/limiter_test.go
+++ b/pkg/quota/limiter_test.go
@@ -453,13 +453,13 @@
 	grant, err := limiter.Admit("a", limit, 400)
 	is.NoErr(err) // the suggested wait was enough
 	before := limiter.States()[0].Balance
-	grant.Return()
-	grant.Return() // the second call has no effect
+	grant.Refund()
+	grant.Refund() // the second call has no effect
 	is.Equal(limiter.States()[0].Balance, before+400)
 	is.Equal(limiter.LocalUsage()[0].Used, int64(100))
 	unlimited, err := limiter.Admit("b", Limit{}, 1_000_000)
 	is.NoErr(err)
-	unlimited.Return()
+	unlimited.Refund()
 	is.Equal(len(limiter.LocalUsage()), 1)
 }
 
