--- a/pkg/api/accept.go
+++ b/pkg/api/accept.go
@@ -117,7 +117,7 @@
 func (s *Server) readHeader(c echo.Context, request *dispatch.Request) *outcome.Refusal {
 	fields := c.Request().Header
 	request.Header = make(http.Header, len(fields))
-	header.PassOn(request.Header, fields)
+	header.CopyEndToEnd(request.Header, fields)
 	request.Header.Set(header.Caller, request.Caller.Name)
 	request.IdempotencyKey = fields.Get(header.IdempotencyKey)
 	priority, ok := parsePriority(fields.Get(header.Priority))
--- a/pkg/header/header.go
+++ b/pkg/header/header.go
@@ -90,9 +90,9 @@
 	Leaving:               true,
 }
 
-// PassOn copies the end-to-end headers of from into to. Keys, connection
+// CopyEndToEnd copies the end-to-end headers of from into to. Keys, connection
 // headers and the gateways' own headers are left out.
-func PassOn(to, from http.Header) {
+func CopyEndToEnd(to, from http.Header) {
 	named := connectionHeaders(from)
 	for name, values := range from {
 		if hopByHop[name] || named[name] || strings.HasPrefix(name, ownPrefix) {
--- a/pkg/relay/answer.go
+++ b/pkg/relay/answer.go
@@ -208,7 +208,7 @@
 
 // head copies the answer's end-to-end headers.
 func (a *attempt) head(fields http.Header, response *http.Response) {
-	header.PassOn(fields, response.Header)
+	header.CopyEndToEnd(fields, response.Header)
 	if a.target.Peer {
 		copyField(fields, response.Header, header.Domain)
 		copyField(fields, response.Header, header.Upstream)
