--- a/pkg/edge/harness_test.go
+++ b/pkg/edge/harness_test.go
@@ -255,7 +255,7 @@
 	registry := metrics.NewRegistry()
 	edge, err := New(Options{
 		Settings: settings, Dialect: testDialect{}, Store: store, Log: log,
-		Registry: registry, Series: telemetry.NewSeries(registry, MostMetrics),
+		Registry: registry, Series: telemetry.NewSeries(registry, MaxMetrics),
 		Good: &h.goodSteps, Failed: zerolog.RandomSampler(1),
 	})
 	h.is.NoErr(err)
--- a/pkg/edge/metrics.go
+++ b/pkg/edge/metrics.go
@@ -11,10 +11,10 @@
 	"github.com/lilacweir/lilacweir/pkg/telemetry"
 )
 
-// MostMetrics bounds the labelled metrics of an instance. Three for each of 300 routes and 300
+// MaxMetrics bounds the labelled metrics of an instance. Three for each of 300 routes and 300
 // targets use less than half of it. A full registry, with a third of them histograms of 1.7 KB,
 // takes about 3 MB.
-const MostMetrics = 4000
+const MaxMetrics = 4000
 
 // Label names.
 const (
