--- a/pkg/route/pick.go
+++ b/pkg/route/pick.go
@@ -81,7 +81,7 @@
 		favourite = p.favourite(key)
 	}
 	_, holders := p.longestHint(req)
-	sampled := Sampled{Size: len(p.locals), Favourite: favourite, Holders: holders}
+	sampled := Sampled{Size: len(p.locals), Preferred: favourite, Holders: holders}
 	sample := t.strategy.Picker.Sample(req, sampled, rnd)
 	at := decisionTime{now: now, sinceCompile: now.Sub(t.compiled)}
 	best := t.bestOf(p, req, load, &sample, favourite, at)
--- a/pkg/route/picker.go
+++ b/pkg/route/picker.go
@@ -24,7 +24,7 @@
 		}
 		return s
 	}
-	s.Add(pool.Favourite)
+	s.Add(pool.Preferred)
 	for i := range min(maxHolders, len(pool.Holders)) {
 		s.Add(pool.Holders[(i+offset)%len(pool.Holders)])
 	}
--- a/pkg/route/strategy.go
+++ b/pkg/route/strategy.go
@@ -24,9 +24,9 @@
 type Sampled struct {
 	// Size is the number of usable upstreams.
 	Size int
-	// Favourite is the upstream to which rendezvous hashing assigns the request's prefix;
+	// Preferred is the upstream to which rendezvous hashing assigns the request's prefix;
 	// -1 if there is none.
-	Favourite int32
+	Preferred int32
 	// Holders are the upstreams that reported the longest cached prefix.
 	Holders []int32
 }
