--- a/pkg/route/pick_test.go
+++ b/pkg/route/pick_test.go
@@ -44,7 +44,7 @@
 			if req.Class != route.ClassEntry {
 				t.Fatal("a forwarded request was sent on")
 			}
-			if age > route.DigestLife {
+			if age > route.DigestTTL {
 				t.Fatal("forwarded on a stale digest")
 			}
 		}
--- a/pkg/route/remote.go
+++ b/pkg/route/remote.go
@@ -11,9 +11,9 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// DigestLife is the age from which another domain's digest is ignored: it grants no credit
+// DigestTTL is the age from which another domain's digest is ignored: it grants no credit
 // and the domain counts as unreachable.
-const DigestLife = 5 * time.Second
+const DigestTTL = 5 * time.Second
 
 // One-way network delays that are assumed where none has been measured.
 const (
@@ -33,7 +33,7 @@
 }
 
 func (r *remote) fresh(now time.Time) bool {
-	return now.Sub(r.digest.HeardAt) <= DigestLife && len(r.digest.Entries) > 0
+	return now.Sub(r.digest.HeardAt) <= DigestTTL && len(r.digest.Entries) > 0
 }
 
 func (t *Table) compileRemotes(in *Input) {
--- a/pkg/route/spill_test.go
+++ b/pkg/route/spill_test.go
@@ -55,7 +55,7 @@
 		"no rule":            {func(w *harness) { w.declaration.Spill = nil }, false},
 		"rule of 0 percent":  {func(w *harness) { w.declaration.Spill[0].Percent = 0 }, false},
 		"no spare":           {func(w *harness) { w.input.Domains.Remote[0].Pools[0].Spare = 0 }, false},
-		"stale digest":       {func(w *harness) { w.input.Now = epoch.Add(route.DigestLife + time.Second) }, false},
+		"stale digest":       {func(w *harness) { w.input.Now = epoch.Add(route.DigestTTL + time.Second) }, false},
 		"margin not reached": {func(w *harness) { w.declaration.Policy.SpillMargin = config.Duration(time.Hour) }, false},
 		"model not there":    {func(w *harness) { w.declaration.Models[0].Regions = []string{"ra"} }, false},
 	}
