--- a/pkg/api/quota.go
+++ b/pkg/api/quota.go
@@ -28,7 +28,7 @@
 	}
 	answer := request.MaxTokens
 	if answer == 0 {
-		answer = route.ExpectedAnswer
+		answer = route.ExpectedAnswerTokens
 	}
 	return request.PromptTokens + answer
 }
--- a/pkg/gateway/router.go
+++ b/pkg/gateway/router.go
@@ -136,7 +136,7 @@
 func (r *requestRoute) ticket(decision *route.Decision) admission.Ticket {
 	answer := r.request.MaxTokens
 	if answer == 0 && r.request.Kind == config.KindEngine {
-		answer = route.ExpectedAnswer
+		answer = route.ExpectedAnswerTokens
 	}
 	return admission.Ticket{
 		Caller:   r.request.Caller,
--- a/pkg/route/score.go
+++ b/pkg/route/score.go
@@ -7,9 +7,9 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// ExpectedAnswer is the assumed length of an answer in tokens, unless the request limits it
+// ExpectedAnswerTokens is the assumed length of an answer in tokens, unless the request limits it
 // to less.
-const ExpectedAnswer = 256
+const ExpectedAnswerTokens = 256
 
 // defaultHolding is the assumed duration of a service call if none has been measured.
 const defaultHolding = 100 * time.Millisecond
@@ -60,10 +60,10 @@
 
 // answerTokens is the answer's expected length.
 func answerTokens(req *Request) float64 {
-	if req.MaxTokens > 0 && req.MaxTokens < ExpectedAnswer {
+	if req.MaxTokens > 0 && req.MaxTokens < ExpectedAnswerTokens {
 		return float64(req.MaxTokens)
 	}
-	return ExpectedAnswer
+	return ExpectedAnswerTokens
 }
 
 // estimate predicts a request's times at a local upstream.
