--- a/pkg/edge/metrics.go
+++ b/pkg/edge/metrics.go
@@ -199,7 +199,7 @@
 		name := label(labelService, service)
 		e.counts.series.Gauge("upstreams.usable", name).Update(int64(usable))
 		e.counts.series.Gauge("upstreams.cold", name).Update(int64(cold))
-		e.counts.series.Gauge("retries.left", name).Update(int64(e.retries.Left(service, e.instances())))
+		e.counts.series.Gauge("retries.left", name).Update(int64(e.retries.Remaining(service, e.instances())))
 	}
 }
 
--- a/pkg/limit/window.go
+++ b/pkg/limit/window.go
@@ -64,8 +64,8 @@
 	return true
 }
 
-// Left returns how many retries the service has left now, for one of so many instances.
-func (s *RetryShares) Left(service string, instances int) int {
+// Remaining returns how many retries the service has left now, for one of so many instances.
+func (s *RetryShares) Remaining(service string, instances int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := s.counts(service)
