--- a/pkg/edge/handler.go
+++ b/pkg/edge/handler.go
@@ -87,7 +87,7 @@
 	// without deadlines (a test's recorder) has no slow reader.
 	_ = j.writer.control.SetWriteDeadline(j.deadline.Add(writeSlack))
 	if !j.forwarded {
-		j.retries.Request(j.service.Name)
+		j.retries.RecordRequest(j.service.Name)
 	}
 	return j.run(ctx)
 }
--- a/pkg/limit/window.go
+++ b/pkg/limit/window.go
@@ -44,8 +44,8 @@
 	return counts
 }
 
-// Request counts a request for the service.
-func (s *RetryShares) Request(service string) {
+// RecordRequest counts a request for the service.
+func (s *RetryShares) RecordRequest(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts(service).requests.add(s.now(), s.Window)
--- a/pkg/limit/window_test.go
+++ b/pkg/limit/window_test.go
@@ -66,7 +66,7 @@
 			clock.at = clock.at.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "pause")) * time.Millisecond)
 			share := shares[rapid.IntRange(0, instances-1).Draw(t, "instance")]
 			if rapid.Bool().Draw(t, "request") {
-				share.Request("s")
+				share.RecordRequest("s")
 				requests = append(requests, clock.at)
 			}
 			if share.Take("s", instances) {
