--- a/pkg/edge/instances.go
+++ b/pkg/edge/instances.go
@@ -92,7 +92,7 @@
 	if e.now().Sub(e.startedAt) < coldStartDelay || e.now().Sub(e.countInstances().grewAt) < coldStartDelay {
 		return false
 	}
-	return e.cold.Left(upstream.ID, e.coldAllowance(service), max(minInstances, e.regionInstances()))
+	return e.cold.Available(upstream.ID, e.coldAllowance(service), max(minInstances, e.regionInstances()))
 }
 
 // coldAllowance returns the number of requests a second that a cold upstream of a service may get
--- a/pkg/limit/window.go
+++ b/pkg/limit/window.go
@@ -132,9 +132,9 @@
 	return &ColdShares{now: now, byName: make(map[string]*window)}
 }
 
-// Left reports whether the upstream may get one more request now, where all of the
+// Available reports whether the upstream may get one more request now, where all of the
 // instances together may send it perSecond.
-func (s *ColdShares) Left(upstream string, perSecond float64, instances int) bool {
+func (s *ColdShares) Available(upstream string, perSecond float64, instances int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := s.byName[upstream]
--- a/pkg/limit/window_test.go
+++ b/pkg/limit/window_test.go
@@ -32,7 +32,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "tries") {
 			clock.at = clock.at.Add(time.Duration(rapid.IntRange(0, 120).Draw(t, "pause")) * time.Millisecond)
 			share := shares[rapid.IntRange(0, instances-1).Draw(t, "instance")]
-			if share.Left("u", perSecond, instances) {
+			if share.Available("u", perSecond, instances) {
 				share.Sent("u")
 				sent = append(sent, clock.at)
 			}
@@ -103,9 +103,9 @@
 	is := is.New(t)
 	shares := limit.NewColdShares(newManualClock().now)
 	for range 17 {
-		is.True(shares.Left("u", 17.5, 1))
+		is.True(shares.Available("u", 17.5, 1))
 		shares.Sent("u")
 	}
-	is.True(!shares.Left("u", 17.5, 1))
-	is.True(shares.Left("v", 17.5, 1))
+	is.True(!shares.Available("u", 17.5, 1))
+	is.True(shares.Available("v", 17.5, 1))
 }
