--- a/pkg/edge/attempt.go
+++ b/pkg/edge/attempt.go
@@ -29,7 +29,7 @@
 	}
 	if j.service.ColdRate > 0 {
 		// An upstream that turns cold still has to bear what it was sent just before.
-		j.cold.Sent(upstream.ID)
+		j.cold.RecordSent(upstream.ID)
 		j.countUnconfirmed(upstream)
 	}
 	if j.mayBeCold(upstream, j.service) {
--- a/pkg/limit/window.go
+++ b/pkg/limit/window.go
@@ -144,8 +144,8 @@
 	return float64(counts.sum(s.now(), ColdWindow)+1)*float64(max(1, instances)) <= perSecond
 }
 
-// Sent counts a request that was sent to the upstream.
-func (s *ColdShares) Sent(upstream string) {
+// RecordSent counts a request that was sent to the upstream.
+func (s *ColdShares) RecordSent(upstream string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := s.byName[upstream]
--- a/pkg/limit/window_test.go
+++ b/pkg/limit/window_test.go
@@ -33,7 +33,7 @@
 			clock.at = clock.at.Add(time.Duration(rapid.IntRange(0, 120).Draw(t, "pause")) * time.Millisecond)
 			share := shares[rapid.IntRange(0, instances-1).Draw(t, "instance")]
 			if share.Available("u", perSecond, instances) {
-				share.Sent("u")
+				share.RecordSent("u")
 				sent = append(sent, clock.at)
 			}
 		}
@@ -104,7 +104,7 @@
 	shares := limit.NewColdShares(newManualClock().now)
 	for range 17 {
 		is.True(shares.Available("u", 17.5, 1))
-		shares.Sent("u")
+		shares.RecordSent("u")
 	}
 	is.True(!shares.Available("u", 17.5, 1))
 	is.True(shares.Available("v", 17.5, 1))
