--- a/pkg/edge/overload.go
+++ b/pkg/edge/overload.go
@@ -38,7 +38,7 @@
 	if !j.forwarded && j.now().Sub(j.started) < patience && clock.Sleep(ctx, capacityPollInterval) {
 		return true
 	}
-	lasted := j.overload.Late(j.service.Name, j.route.Priority, j.now())
+	lasted := j.overload.RecordLate(j.service.Name, j.route.Priority, j.now())
 	refusal.RetryAfter = steer.ReturnAfter(lasted, j.deadline.Sub(j.now()), rand.Float64())
 	return false
 }
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -201,7 +201,7 @@
 		return
 	}
 	r.returned = true
-	lasted := i.overload.Late(serviceName, r.rank(), m.Now())
+	lasted := i.overload.RecordLate(serviceName, r.rank(), m.Now())
 	m.At(m.Now().Add(steer.ReturnAfter(lasted, 5*r.kind.Patience, m.random.Float64())), func() { m.arrive(r) })
 }
 
--- a/pkg/steer/overload.go
+++ b/pkg/steer/overload.go
@@ -35,9 +35,9 @@
 // NewOverload returns an Overload without episodes.
 func NewOverload() *Overload { return &Overload{byService: make(map[string]*episode)} }
 
-// Late records that a request of a priority finds no capacity in time, and returns how long
+// RecordLate records that a request of a priority finds no capacity in time, and returns how long
 // the present episode has lasted.
-func (o *Overload) Late(service string, rank int, now time.Time) time.Duration {
+func (o *Overload) RecordLate(service string, rank int, now time.Time) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e := o.byService[service]
@@ -70,7 +70,7 @@
 // served, if late. Once it has lasted for the length of the target, each further request
 // makes all later ones late too.
 func (o *Overload) Refuses(req *Request, now time.Time) bool {
-	return o.Late(req.Service.Name, req.Route.Priority, now) >= req.Route.TargetLatency
+	return o.RecordLate(req.Service.Name, req.Route.Priority, now) >= req.Route.TargetLatency
 }
 
 // ReturnAfter returns after what time a refused caller should retry. An overload that has
--- a/pkg/steer/overload_test.go
+++ b/pkg/steer/overload_test.go
@@ -35,11 +35,11 @@
 func TestOnlyMoreUrgentRequestsContend(t *testing.T) {
 	is := is.New(t)
 	o := NewOverload()
-	is.Equal(o.Late("llm", 1, began), time.Duration(0))
+	is.Equal(o.RecordLate("llm", 1, began), time.Duration(0))
 	is.True(!o.Contended("llm", 1, began))
 	is.True(o.Contended("llm", 2, began))
 	is.True(!o.Contended("api", 2, began))
 	is.True(!o.Contended("llm", 2, began.Add(2*episodeGap)))
-	is.Equal(o.Late("llm", 0, began.Add(episodeGap/2)), episodeGap/2)
-	is.Equal(o.Late("llm", 0, began.Add(3*episodeGap)), time.Duration(0))
+	is.Equal(o.RecordLate("llm", 0, began.Add(episodeGap/2)), episodeGap/2)
+	is.Equal(o.RecordLate("llm", 0, began.Add(3*episodeGap)), time.Duration(0))
 }
