--- a/pkg/edge/overload.go
+++ b/pkg/edge/overload.go
@@ -39,6 +39,6 @@
 		return true
 	}
 	lasted := j.overload.RecordLate(j.service.Name, j.route.Priority, j.now())
-	refusal.RetryAfter = steer.ReturnAfter(lasted, j.deadline.Sub(j.now()), rand.Float64())
+	refusal.RetryAfter = steer.OverloadRetryAfter(lasted, j.deadline.Sub(j.now()), rand.Float64())
 	return false
 }
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -202,7 +202,7 @@
 	}
 	r.returned = true
 	lasted := i.overload.RecordLate(serviceName, r.rank(), m.Now())
-	m.At(m.Now().Add(steer.ReturnAfter(lasted, 5*r.kind.Patience, m.random.Float64())), func() { m.arrive(r) })
+	m.At(m.Now().Add(steer.OverloadRetryAfter(lasted, 5*r.kind.Patience, m.random.Float64())), func() { m.arrive(r) })
 }
 
 // send has an engine run a request.
--- a/pkg/steer/overload.go
+++ b/pkg/steer/overload.go
@@ -73,10 +73,10 @@
 	return o.RecordLate(req.Service.Name, req.Route.Priority, now) >= req.Route.TargetLatency
 }
 
-// ReturnAfter returns after what time a refused caller should retry. An overload that has
+// OverloadRetryAfter returns after what time a refused caller should retry. An overload that has
 // lasted for some time is expected to last about as long again; callers are spread over
 // that time by a random number from 0 to 1, within maxRetryShare.
-func ReturnAfter(lasted, left time.Duration, random float64) time.Duration {
+func OverloadRetryAfter(lasted, left time.Duration, random float64) time.Duration {
 	wait := time.Duration((0.5 + random) * float64(max(minRetryAfter, lasted)))
 	return min(wait, time.Duration(maxRetryShare*float64(left)))
 }
--- a/pkg/steer/overload_test.go
+++ b/pkg/steer/overload_test.go
@@ -25,10 +25,10 @@
 // time that they are willing to wait.
 func TestReturnAfterSpreadsCallersOverTheExpectedOverload(t *testing.T) {
 	is := is.New(t)
-	is.Equal(ReturnAfter(0, time.Minute, 0), minRetryAfter/2)
-	is.Equal(ReturnAfter(4*time.Second, time.Minute, 0), 2*time.Second)
-	is.Equal(ReturnAfter(4*time.Second, time.Minute, 1), 6*time.Second)
-	is.Equal(ReturnAfter(time.Minute, 3*time.Second, 0.5), time.Second)
+	is.Equal(OverloadRetryAfter(0, time.Minute, 0), minRetryAfter/2)
+	is.Equal(OverloadRetryAfter(4*time.Second, time.Minute, 0), 2*time.Second)
+	is.Equal(OverloadRetryAfter(4*time.Second, time.Minute, 1), 6*time.Second)
+	is.Equal(OverloadRetryAfter(time.Minute, 3*time.Second, 0.5), time.Second)
 }
 
 // TestOnlyMoreUrgentRequestsContend, and only while they find no capacity.
