--- a/pkg/command/intent.go
+++ b/pkg/command/intent.go
@@ -198,7 +198,7 @@
 		return intent{}, err
 	}
 	if change.Revision == 1 {
-		return intent{}, &FirstError{}
+		return intent{}, &FirstRevisionError{}
 	}
 	return intent{
 		line:  fmt.Sprintf("undo %d", revision),
@@ -207,11 +207,11 @@
 	}, nil
 }
 
-// FirstError refuses to undo the first revision, which has nothing before it.
-type FirstError struct{}
+// FirstRevisionError refuses to undo the first revision, which has nothing before it.
+type FirstRevisionError struct{}
 
 // Error implements error.
-func (*FirstError) Error() string { return "1 is the first and cannot be undone" }
+func (*FirstRevisionError) Error() string { return "1 is the first and cannot be undone" }
 
 // revision returns an accepted change, from the local head if it holds it.
 func (e *Executor) revision(ctx context.Context, revision config.Revision) (*config.Change, error) {
