--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -68,9 +68,9 @@
 	// Registry holds the instance's metrics, and Series those with labels.
 	Registry metrics.Registry
 	Series   *telemetry.Series
-	// Good, Steps and Failed bound the log lines of successful requests, of the steps of failed
+	// SuccessSampler, Steps and Failed bound the log lines of successful requests, of the steps of failed
 	// ones, and of the ends of failed ones. If they are nil all are written.
-	Good, Steps, Failed zerolog.Sampler
+	SuccessSampler, Steps, Failed zerolog.Sampler
 }
 
 // Edge is one instance.
@@ -152,7 +152,7 @@
 		dialect:   options.Dialect,
 		options:   options,
 		log:       options.Log,
-		goodLog:   options.Log.Sample(options.Good),
+		goodLog:   options.Log.Sample(options.SuccessSampler),
 		stepLog:   options.Log.Sample(options.Steps),
 		failedLog: options.Log.Sample(options.Failed),
 		clock:     system,
