--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -68,9 +68,9 @@
 	// Registry holds the instance's metrics, and Series those with labels.
 	Registry metrics.Registry
 	Series   *telemetry.Series
-	// SuccessSampler, Steps and Failed bound the log lines of successful requests, of the steps of failed
+	// SuccessSampler, StepSampler and Failed bound the log lines of successful requests, of the steps of failed
 	// ones, and of the ends of failed ones. If they are nil all are written.
-	SuccessSampler, Steps, Failed zerolog.Sampler
+	SuccessSampler, StepSampler, Failed zerolog.Sampler
 }
 
 // Edge is one instance.
@@ -153,7 +153,7 @@
 		options:   options,
 		log:       options.Log,
 		goodLog:   options.Log.Sample(options.SuccessSampler),
-		stepLog:   options.Log.Sample(options.Steps),
+		stepLog:   options.Log.Sample(options.StepSampler),
 		failedLog: options.Log.Sample(options.Failed),
 		clock:     system,
 		self: fleet.Instance{
