--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -68,9 +68,9 @@
 	// Registry holds the instance's metrics, and Series those with labels.
 	Registry metrics.Registry
 	Series   *telemetry.Series
-	// SuccessSampler, StepSampler and Failed bound the log lines of successful requests, of the steps of failed
+	// SuccessSampler, StepSampler and FailureSampler bound the log lines of successful requests, of the steps of failed
 	// ones, and of the ends of failed ones. If they are nil all are written.
-	SuccessSampler, StepSampler, Failed zerolog.Sampler
+	SuccessSampler, StepSampler, FailureSampler zerolog.Sampler
 }
 
 // Edge is one instance.
@@ -154,7 +154,7 @@
 		log:       options.Log,
 		goodLog:   options.Log.Sample(options.SuccessSampler),
 		stepLog:   options.Log.Sample(options.StepSampler),
-		failedLog: options.Log.Sample(options.Failed),
+		failedLog: options.Log.Sample(options.FailureSampler),
 		clock:     system,
 		self: fleet.Instance{
 			Name: s.Instance, Domain: s.FailureDomain, Region: s.Region,
--- a/pkg/edge/harness_test.go
+++ b/pkg/edge/harness_test.go
@@ -256,7 +256,7 @@
 	edge, err := New(Options{
 		Settings: settings, Dialect: testDialect{}, Store: store, Log: log,
 		Registry: registry, Series: telemetry.NewSeries(registry, MaxMetrics),
-		SuccessSampler: &h.goodSteps, Failed: zerolog.RandomSampler(1),
+		SuccessSampler: &h.goodSteps, FailureSampler: zerolog.RandomSampler(1),
 	})
 	h.is.NoErr(err)
 	h.edge = edge
