--- a/pkg/edge/dialect.go
+++ b/pkg/edge/dialect.go
@@ -20,7 +20,8 @@
 	PromptTokens, Tokens int
 	// Segments are the prompt's segments in order.
 	Segments []steer.Segment
-	// ResumeAfter is the ID of the event after which a stream resumes, empty to start at its beginning.
+	// ResumeAfter is the ID of the event after which a stream resumes, empty to start at its
+	// beginning.
 	ResumeAfter string
 }
 
--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -68,8 +68,8 @@
 	// Registry holds the instance's metrics, and Series those with labels.
 	Registry metrics.Registry
 	Series   *telemetry.Series
-	// SuccessSampler, StepSampler and FailureSampler bound the log lines of successful requests, of the steps of failed
-	// ones, and of the ends of failed ones. If they are nil all are written.
+	// SuccessSampler, StepSampler and FailureSampler bound the log lines of successful requests, of
+	// the steps of failed ones, and of the ends of failed ones. If they are nil all are written.
 	SuccessSampler, StepSampler, FailureSampler zerolog.Sampler
 }
 
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -181,7 +181,8 @@
 	return m.lost
 }
 
-// LastAnswerAt returns the time of the store's last answer to this instance; zero if there was none.
+// LastAnswerAt returns the time of the store's last answer to this instance; zero if there was
+// none.
 func (m *Mirror) LastAnswerAt() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -287,8 +287,8 @@
 	}
 }
 
-// Quarantine quarantines a request on the report of another instance or the store; retryAfter is the
-// retry time given to callers, zero for RetryAfter.
+// Quarantine quarantines a request on the report of another instance or the store; retryAfter is
+// the retry time given to callers, zero for RetryAfter.
 func (t *Table) Quarantine(request Fingerprint, retryAfter time.Duration) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
