--- a/pkg/route/affinity.go
+++ b/pkg/route/affinity.go
@@ -30,9 +30,9 @@
 	return slices.DeleteFunc(groups, func(g group) bool { return len(g.members) == 0 })
 }
 
-// favourite returns the index of the candidate to which rendezvous hashing assigns a key,
+// preferred returns the index of the candidate to which rendezvous hashing assigns a key,
 // or -1.
-func (p *pool) favourite(key uint64) int32 {
+func (p *pool) preferred(key uint64) int32 {
 	if len(p.groups) == 0 {
 		return -1
 	}
@@ -109,13 +109,13 @@
 const (
 	// hintTrust is for a prefix that the upstream reported: reports arrive late.
 	hintTrust = 0.9
-	// favouriteTrust is for the upstream to which rendezvous hashing assigns a prefix: this
+	// preferredTrust is for the upstream to which rendezvous hashing assigns a prefix: this
 	// may be the first request with it, or it may have been evicted.
-	favouriteTrust = 0.5
+	preferredTrust = 0.5
 )
 
 // cachedTokens estimates how many prompt tokens of the request candidate i has cached.
-func (p *pool) cachedTokens(req *Request, i, favourite int32) float64 {
+func (p *pool) cachedTokens(req *Request, i, preferred int32) float64 {
 	cached := 0.0
 	for message := len(req.Prefixes) - 1; message >= 0; message-- {
 		if slices.Contains(p.hints[req.Prefixes[message]], i) {
@@ -123,8 +123,8 @@
 			break
 		}
 	}
-	if i != favourite {
+	if i != preferred {
 		return cached
 	}
-	return max(cached, favouriteTrust*prefixTokens(req, affinityMessage(req)))
+	return max(cached, preferredTrust*prefixTokens(req, affinityMessage(req)))
 }
--- a/pkg/route/affinity_test.go
+++ b/pkg/route/affinity_test.go
@@ -46,19 +46,19 @@
 	is := is.New(t)
 	w := newHarness(4)
 	table := w.table()
-	favourite, _ := w.pick(table, review(1, 2))
-	w.load[favourite.Upstream.Name] = limit.Load{InFlight: 12, Limit: limit.Unlimited}
+	preferred, _ := w.pick(table, review(1, 2))
+	w.load[preferred.Upstream.Name] = limit.Load{InFlight: 12, Limit: limit.Unlimited}
 	other, _ := w.pick(table, review(1, 3))
-	is.True(other.Upstream.Name != favourite.Upstream.Name)
+	is.True(other.Upstream.Name != preferred.Upstream.Name)
 }
 
 // A report that an upstream has cached the prefix takes precedence over hashing.
 func TestReportedPrefixOverridesHashing(t *testing.T) {
 	is := is.New(t)
 	w := newHarness(100)
-	favourite, _ := w.pick(w.table(), review(1, 2))
+	preferred, _ := w.pick(w.table(), review(1, 2))
 	holder := "u-7"
-	is.True(favourite.Upstream.Name != holder)
+	is.True(preferred.Upstream.Name != holder)
 	report := w.input.Upstreams.ByName[holder]
 	report.Prefixes = []uint64{1}
 	w.input.Upstreams.ByName[holder] = report
--- a/pkg/route/pick.go
+++ b/pkg/route/pick.go
@@ -76,23 +76,23 @@
 	if len(p.locals) == 0 {
 		return choice{}
 	}
-	favourite := int32(-1)
+	preferred := int32(-1)
 	if key, ok := affinityKey(req); ok {
-		favourite = p.favourite(key)
+		preferred = p.preferred(key)
 	}
 	_, holders := p.longestHint(req)
-	sampled := Sampled{Size: len(p.locals), Preferred: favourite, Holders: holders}
+	sampled := Sampled{Size: len(p.locals), Preferred: preferred, Holders: holders}
 	sample := t.strategy.Picker.Sample(req, sampled, rnd)
 	at := decisionTime{now: now, sinceCompile: now.Sub(t.compiled)}
-	best := t.bestOf(p, req, load, &sample, favourite, at)
+	best := t.bestOf(p, req, load, &sample, preferred, at)
 	if best.candidate != nil || sample.count == len(p.locals) {
 		return best
 	}
-	return t.firstUsable(p, req, load, favourite, at, int(rnd.Uint64()%uint64(len(p.locals))))
+	return t.firstUsable(p, req, load, preferred, at, int(rnd.Uint64()%uint64(len(p.locals))))
 }
 
 // bestOf scores the sampled upstreams that pass the filters.
-func (t *Table) bestOf(p *pool, req *Request, load LocalLoad, sample *Sample, favourite int32, at decisionTime) choice {
+func (t *Table) bestOf(p *pool, req *Request, load LocalLoad, sample *Sample, preferred int32, at decisionTime) choice {
 	var best choice
 	lowest := 0.0
 	for _, i := range sample.indices[:sample.count] {
@@ -102,7 +102,7 @@
 			best.exclude(own)
 			continue
 		}
-		estimate := p.estimate(req, i, favourite, own, at)
+		estimate := p.estimate(req, i, preferred, own, at)
 		score := t.strategy.Scorer.Score(req, estimate)
 		if best.candidate == nil || score < lowest {
 			best.candidate, best.estimate, lowest = c, estimate, score
@@ -112,14 +112,14 @@
 }
 
 // firstUsable searches the whole pool if no sampled upstream is usable.
-func (t *Table) firstUsable(p *pool, req *Request, load LocalLoad, favourite int32, at decisionTime, start int) choice {
+func (t *Table) firstUsable(p *pool, req *Request, load LocalLoad, preferred int32, at decisionTime, start int) choice {
 	var none choice
 	for n := range p.locals {
 		i := int32((start + n) % len(p.locals))
 		c := &p.locals[i]
 		own := load.Load(c.upstream.Name)
 		if t.keep(req, c, own) {
-			return choice{candidate: c, estimate: p.estimate(req, i, favourite, own, at)}
+			return choice{candidate: c, estimate: p.estimate(req, i, preferred, own, at)}
 		}
 		none.exclude(own)
 	}
--- a/pkg/route/score.go
+++ b/pkg/route/score.go
@@ -67,7 +67,7 @@
 }
 
 // estimate predicts a request's times at a local upstream.
-func (p *pool) estimate(req *Request, i, favourite int32, own limit.Load, clock decisionTime) Estimate {
+func (p *pool) estimate(req *Request, i, preferred int32, own limit.Load, clock decisionTime) Estimate {
 	c := &p.locals[i]
 	others := c.othersNow(own.InFlight, p.peers, p.mean, clock.sinceCompile)
 	e := Estimate{AtUpstream: others + float64(own.InFlight), Own: float64(own.InFlight)}
@@ -81,7 +81,7 @@
 		e.Decode = holding
 		return e
 	}
-	uncached := float64(req.PromptTokens) - p.cachedTokens(req, i, favourite)
+	uncached := float64(req.PromptTokens) - p.cachedTokens(req, i, preferred)
 	e.EngineSeconds = uncached / c.prefillRate
 	// A prompt in prefill is done before the peers could publish it: they are assumed to
 	// have as many there as this gateway.
