--- a/pkg/mirror/restore_random_test.go
+++ b/pkg/mirror/restore_random_test.go
@@ -153,7 +153,7 @@
 
 // settled checks that all mirrors hold the store's entries and retain none.
 func (h *history) settled() {
-	for end := time.Now().Add(goneFor + 7*time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(suppressFor + 7*time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		h.gossip()
 	}
 	want := h.store.backup().entries
--- a/pkg/mirror/restore_test.go
+++ b/pkg/mirror/restore_test.go
@@ -78,15 +78,15 @@
 type numbered struct{}
 
 const (
-	keptFor = 2 * time.Second
-	goneFor = 5 * time.Second
+	retainFor   = 2 * time.Second
+	suppressFor = 5 * time.Second
 )
 
 func (numbered) Older(entry, than *platform.Entry) bool {
 	return number(entry.Value) < number(than.Value)
 }
-func (numbered) RetainFor(string) time.Duration   { return keptFor }
-func (numbered) SuppressFor(string) time.Duration { return goneFor }
+func (numbered) RetainFor(string) time.Duration   { return retainFor }
+func (numbered) SuppressFor(string) time.Duration { return suppressFor }
 
 func number(value []byte) int {
 	n, err := strconv.Atoi(string(value))
@@ -153,7 +153,7 @@
 		s.put("servers/new", "1")
 		time.Sleep(time.Second)
 		s.restore(backup)
-		time.Sleep(keptFor + time.Second)
+		time.Sleep(retainFor + time.Second)
 		is.True(!has(m, "servers/new"))
 		is.Equal(m.RetainedSum(), uint64(0))
 	})
@@ -208,8 +208,8 @@
 		is.True(restarted.Adopt(&delta))
 		is.Equal(value(restarted, "config"), "2")
 		is.True(has(restarted, "servers/new"))
-		is.True(!restarted.Adopt(&delta))   // nothing more
-		time.Sleep(keptFor + 3*time.Second) // includes the end of the waiting call
+		is.True(!restarted.Adopt(&delta))     // nothing more
+		time.Sleep(retainFor + 3*time.Second) // includes the end of the waiting call
 		is.True(!has(restarted, "servers/new"))
 		s.put("config", "3")
 		time.Sleep(time.Second)
