--- a/pkg/command/executor_test.go
+++ b/pkg/command/executor_test.go
@@ -200,14 +200,14 @@
 	})
 }
 
-func TestPassedOnLinesAreNotPassedOnAgain(t *testing.T) {
+func TestForwardedLinesAreNotForwardedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHarness(t)
-		passedOn := command.Request{Operator: "eleni", Line: "up nurse-3", Forwarded: true}
-		is.Equal(h.executor.ExecuteRequest(t.Context(), passedOn).Text, "nurse-3 at larisa-hall\nserves lilac-nurse v1\nbut its domain passed this on")
-		passedOn.Line = "drain nurse-1"
-		is.Equal(h.executor.ExecuteRequest(t.Context(), passedOn).Verdict, command.Refused)
+		forwarded := command.Request{Operator: "eleni", Line: "up nurse-3", Forwarded: true}
+		is.Equal(h.executor.ExecuteRequest(t.Context(), forwarded).Text, "nurse-3 at larisa-hall\nserves lilac-nurse v1\nbut its domain passed this on")
+		forwarded.Line = "drain nurse-1"
+		is.Equal(h.executor.ExecuteRequest(t.Context(), forwarded).Verdict, command.Refused)
 		is.Equal(h.board.Config.Load().Revision, config.Revision(117))
 	})
 }
--- a/pkg/spread/spread_test.go
+++ b/pkg/spread/spread_test.go
@@ -106,10 +106,10 @@
 	return head(config.Revision(n)), nil
 }
 
-func newWatcher(s service, keeper *Keeper, duty *atomic.Bool, faults *atomic.Int64) *Watcher {
+func newWatcher(s service, keeper *Keeper, active *atomic.Bool, faults *atomic.Int64) *Watcher {
 	return &Watcher{
 		KeyValue: s, Key: "head", Decode: decode, Keeper: keeper,
-		Active:        duty.Load,
+		Active:        active.Load,
 		OnResult:      func(error) {},
 		OnInvalidHead: func(error) { faults.Add(1) },
 		Clock:         clock.System{},
@@ -123,14 +123,14 @@
 		s := service{platformtest.New(clock.System{})}
 		s.write("1")
 		keeper := NewKeeper(new(board.Section[config.Head]), func(*config.Head, Source) {})
-		var duty atomic.Bool
+		var active atomic.Bool
 		var faults atomic.Int64
 		ctx, cancel := context.WithCancel(t.Context())
-		go newWatcher(s, keeper, &duty, &faults).Run(ctx)
+		go newWatcher(s, keeper, &active, &faults).Run(ctx)
 		time.Sleep(10 * time.Second)
-		is.Equal(s.calls(), 0) // no calls while not on duty
+		is.Equal(s.calls(), 0) // no calls while not active
 
-		duty.Store(true)
+		active.Store(true)
 		time.Sleep(ActiveCheckInterval)
 		synctest.Wait()
 		is.Equal(keeper.Revision(), config.Revision(1))
@@ -165,11 +165,11 @@
 		synctest.Wait()
 		is.Equal(keeper.Revision(), config.Revision(4)) // recovers by itself
 
-		duty.Store(false)
+		active.Store(false)
 		time.Sleep(ActiveCheckInterval)
 		before = s.calls()
 		time.Sleep(time.Hour)
-		is.Equal(s.calls(), before) // no calls after the end of the duty
+		is.Equal(s.calls(), before) // no calls once it is no longer active
 		cancel()
 		synctest.Wait()
 	})
