--- a/pkg/edge/metrics.go
+++ b/pkg/edge/metrics.go
@@ -97,7 +97,7 @@
 		"requests.active":       e.active.Load,
 		"store.age_ms":          func() int64 { return e.ageMS(e.store.LastAnswerAt()) },
 		"store.revision":        e.store.Revision,
-		"store.era":             func() int64 { return int64(e.store.Era()) },
+		"store.era":             func() int64 { return int64(e.store.Epoch()) },
 		"configuration.version": e.configurationVersion,
 		"configuration.age_ms":  e.configurationAge,
 		"peers.live":            func() int64 { return e.countPeers(true) },
--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -78,10 +78,10 @@
 // followEpochs rewrites, until ctx ends, the quarantines and clearances that the store lost by a
 // restore from a copy.
 func (e *Edge) followEpochs(ctx context.Context) {
-	known := e.store.Era()
+	known := e.store.Epoch()
 	for {
 		changed := e.store.Epochs().Changed()
-		if epoch := e.store.Era(); epoch != known {
+		if epoch := e.store.Epoch(); epoch != known {
 			known = epoch
 			clock.Sleep(ctx, epochSettleTime)
 			e.writeMissingQuarantines()
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -205,9 +205,9 @@
 // Revision returns the store's revision that the replica reflects; zero if it is empty.
 func (m *Mirror) Revision() int64 { return m.revision() }
 
-// Era returns the highest observed epoch of the store; zero if none was observed or the store
+// Epoch returns the highest observed epoch of the store; zero if none was observed or the store
 // does not report it.
-func (m *Mirror) Era() uint64 {
+func (m *Mirror) Epoch() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.epoch
@@ -243,7 +243,7 @@
 // answer without one shows no restore.
 func (m *Mirror) observeAnswer(epoch uint64) uint64 {
 	if epoch == 0 {
-		return m.Era()
+		return m.Epoch()
 	}
 	m.ObserveEpoch(epoch)
 	return epoch
@@ -355,7 +355,7 @@
 		if first.Revision == 0 {
 			first = Position{Era: epoch, Revision: page.Revision}
 		}
-		if epoch != first.Era || epoch < m.Era() {
+		if epoch != first.Era || epoch < m.Epoch() {
 			return Position{}, errRestored
 		}
 		for _, entry := range page.Entries {
@@ -394,7 +394,7 @@
 		m.recordAnswer()
 		changes.Era = m.observeAnswer(changes.Era)
 	}
-	if after.Era != m.Era() {
+	if after.Era != m.Epoch() {
 		// This holds even if the replica has caught up meanwhile: the revision belongs to a
 		// former epoch.
 		return Position{}, errRestored
--- a/pkg/mirror/registration.go
+++ b/pkg/mirror/registration.go
@@ -73,7 +73,7 @@
 func (r *Registration) leases() Leases {
 	epoch := func() uint64 { return 0 }
 	if r.Replica != nil {
-		epoch = r.Replica.Era
+		epoch = r.Replica.Epoch
 	}
 	return Leases{Store: r.Store, Era: epoch}
 }
--- a/pkg/mirror/urgent.go
+++ b/pkg/mirror/urgent.go
@@ -26,7 +26,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	running.Go(func() {
-		for ctx.Err() == nil && after.Era == m.Era() {
+		for ctx.Err() == nil && after.Era == m.Epoch() {
 			after.Revision = m.waitUrgent(ctx, after.Revision)
 		}
 	})
