--- a/pkg/mirror/lease.go
+++ b/pkg/mirror/lease.go
@@ -12,8 +12,8 @@
 // backup may have given the number of a lease to another owner.
 type Leases struct {
 	Store platform.Leaser
-	// Era returns the highest observed epoch of the store.
-	Era func() uint64
+	// Epoch returns the highest observed epoch of the store.
+	Epoch func() uint64
 }
 
 // Lease is a lease and the epoch in which it was granted.
@@ -27,29 +27,29 @@
 
 // Grant creates a lease. The caller should retry after any error.
 func (l Leases) Grant(ctx context.Context, ttl time.Duration) (Lease, error) {
-	before := l.Era()
+	before := l.Epoch()
 	id, err := l.Store.Grant(ctx, ttl)
 	if err != nil {
 		return Lease{}, err
 	}
-	if epoch := l.Era(); epoch != before && before != 0 {
+	if epoch := l.Epoch(); epoch != before && before != 0 {
 		// It is unknown whether the grant was before or after the restore.
 		return Lease{}, errFormerEpoch
 	}
-	return Lease{ID: id, Era: l.Era()}, nil
+	return Lease{ID: id, Era: l.Epoch()}, nil
 }
 
 // Renew renews a lease once. The error is platform.ErrLeaseLost if it has expired or belongs to
 // a former epoch.
 func (l Leases) Renew(ctx context.Context, lease Lease) error {
-	if lease.Era != l.Era() {
+	if lease.Era != l.Epoch() {
 		return errFormerEpoch
 	}
 	if _, err := l.Store.KeepAlive(ctx, lease.ID); err != nil {
 		return err
 	}
 	// The answer carries the epoch. A renewal of another owner's lease only extends it a little.
-	if lease.Era != l.Era() {
+	if lease.Era != l.Epoch() {
 		return errFormerEpoch
 	}
 	return nil
--- a/pkg/mirror/lease_test.go
+++ b/pkg/mirror/lease_test.go
@@ -54,7 +54,7 @@
 	} {
 		is := is.New(t)
 		l := &leaser{era: 4, restores: restores}
-		leases := mirror.Leases{Store: l, Era: func() uint64 { return l.era }}
+		leases := mirror.Leases{Store: l, Epoch: func() uint64 { return l.era }}
 		lease, err := leases.Grant(t.Context(), time.Second)
 		is.Equal(err == nil, c.granted)
 		if err != nil {
--- a/pkg/mirror/registration.go
+++ b/pkg/mirror/registration.go
@@ -75,7 +75,7 @@
 	if r.Replica != nil {
 		epoch = r.Replica.Epoch
 	}
-	return Leases{Store: r.Store, Era: epoch}
+	return Leases{Store: r.Store, Epoch: epoch}
 }
 
 func (r *Registration) register(ctx context.Context) (Lease, error) {
