--- a/pkg/mirror/lease.go
+++ b/pkg/mirror/lease.go
@@ -18,8 +18,8 @@
 
 // Lease is a lease and the epoch in which it was granted.
 type Lease struct {
-	ID  platform.LeaseID
-	Era uint64
+	ID    platform.LeaseID
+	Epoch uint64
 }
 
 // errFormerEpoch means that the lease was granted before the store was restored.
@@ -36,20 +36,20 @@
 		// It is unknown whether the grant was before or after the restore.
 		return Lease{}, errFormerEpoch
 	}
-	return Lease{ID: id, Era: l.Epoch()}, nil
+	return Lease{ID: id, Epoch: l.Epoch()}, nil
 }
 
 // Renew renews a lease once. The error is platform.ErrLeaseLost if it has expired or belongs to
 // a former epoch.
 func (l Leases) Renew(ctx context.Context, lease Lease) error {
-	if lease.Era != l.Epoch() {
+	if lease.Epoch != l.Epoch() {
 		return errFormerEpoch
 	}
 	if _, err := l.Store.KeepAlive(ctx, lease.ID); err != nil {
 		return err
 	}
 	// The answer carries the epoch. A renewal of another owner's lease only extends it a little.
-	if lease.Era != l.Epoch() {
+	if lease.Epoch != l.Epoch() {
 		return errFormerEpoch
 	}
 	return nil
--- a/pkg/mirror/registration.go
+++ b/pkg/mirror/registration.go
@@ -90,8 +90,8 @@
 		// The write may have taken effect all the same. It expires with its lease.
 		return Lease{}, errors.Join(err, r.end(context.WithoutCancel(ctx), lease))
 	}
-	r.written = Position{Era: lease.Era, Revision: revision}
-	r.Log.Info().Str(event.KeyKey, r.Key).Uint64(event.KeyEra, lease.Era).Msg(string(event.Registered))
+	r.written = Position{Era: lease.Epoch, Revision: revision}
+	r.Log.Info().Str(event.KeyKey, r.Key).Uint64(event.KeyEra, lease.Epoch).Msg(string(event.Registered))
 	return lease, nil
 }
 
