--- a/pkg/mirror/delta.go
+++ b/pkg/mirror/delta.go
@@ -47,7 +47,7 @@
 	if s.Position().Before(from) {
 		return Delta{}
 	}
-	delta := Delta{Era: s.Era, Revision: s.Revision, Held: s.retained()}
+	delta := Delta{Era: s.Epoch, Revision: s.Revision, Held: s.retained()}
 	for key, end := range s.Expiring {
 		delta.Lapsed = append(delta.Lapsed, Lapse{Key: key, Left: end.Sub(now)})
 	}
@@ -64,7 +64,7 @@
 	delta.Keys = make([]string, 0, len(s.Entries))
 	for key, entry := range s.Entries {
 		delta.Keys = append(delta.Keys, key)
-		if entry.Era == s.Era && (from.Era != s.Era || entry.ModRevision > from.Revision) {
+		if entry.Era == s.Epoch && (from.Era != s.Epoch || entry.ModRevision > from.Revision) {
 			delta.Changed = append(delta.Changed, entry)
 		}
 	}
@@ -91,7 +91,7 @@
 		m.recordRemoval(key, removed)
 	}
 	m.mergeGap(present, delta)
-	if present != nil && present.Era < delta.Era {
+	if present != nil && present.Epoch < delta.Era {
 		m.beginEpoch(delta.position(), now)
 	}
 	m.expiring, m.expiryFromPeer = make(map[string]time.Time, len(delta.Lapsed)), true
@@ -173,7 +173,7 @@
 // mergeRetained merges the entries that another instance's snapshot of the same epoch retains
 // and that are newer than the local ones. The caller holds m.mu.
 func (m *Mirror) mergeRetained(present *Snapshot, delta *Delta, now time.Time) bool {
-	if present == nil || present.Era != delta.Era {
+	if present == nil || present.Epoch != delta.Era {
 		return false
 	}
 	entries, changed := maps.Clone(present.Entries), false
--- a/pkg/mirror/entries.go
+++ b/pkg/mirror/entries.go
@@ -42,7 +42,7 @@
 	})
 	clear(m.hidden)
 	if present != nil {
-		if present.Era < position.Era {
+		if present.Epoch < position.Era {
 			m.beginEpoch(position, now)
 		}
 		m.carryOver(present, position, entries, now)
@@ -82,7 +82,7 @@
 	defer m.mu.Unlock()
 	present := m.snapshot.Load()
 	now := m.options.Clock.Now()
-	if present == nil || present.Era != changes.Era || (len(changes.Entries) == 0 && !m.anyDue(now)) {
+	if present == nil || present.Epoch != changes.Era || (len(changes.Entries) == 0 && !m.anyDue(now)) {
 		return
 	}
 	entries := maps.Clone(present.Entries)
@@ -98,7 +98,7 @@
 	if old > 0 && changes.Revision < present.Revision {
 		m.logIgnored(old, changes.Revision)
 	}
-	m.publish(Position{Era: present.Era, Revision: max(present.Revision, changes.Revision)}, entries, now)
+	m.publish(Position{Era: present.Epoch, Revision: max(present.Revision, changes.Revision)}, entries, now)
 }
 
 func (m *Mirror) change(entries map[string]platform.Entry, change platform.Change, now time.Time) {
@@ -150,7 +150,7 @@
 		}
 	}
 	snapshot := &Snapshot{
-		Era: position.Era, Revision: position.Revision, Entries: entries,
+		Epoch: position.Era, Revision: position.Revision, Entries: entries,
 		Expiring: maps.Clone(m.expiring), hidden: maps.Clone(m.hidden), Removals: m.removals, Gap: m.gap,
 	}
 	snapshot.RetainedSum = fingerprint(snapshot.retained())
--- a/pkg/mirror/history.go
+++ b/pkg/mirror/history.go
@@ -91,7 +91,7 @@
 // part of the history itself. The caller holds m.mu.
 func (m *Mirror) mergeGap(present *Snapshot, delta *Delta) {
 	gap := delta.Gap
-	if present != nil && present.Era < delta.Era && gap.Era < delta.Era {
+	if present != nil && present.Epoch < delta.Era && gap.Era < delta.Era {
 		gap = delta.position()
 	}
 	if present.Position().Before(gap) && m.gap.Before(gap) {
--- a/pkg/mirror/history_test.go
+++ b/pkg/mirror/history_test.go
@@ -117,7 +117,7 @@
 // the store, from one that has started since and knows of no gap.
 func TestRestoreSkippedByACopyIsAGap(t *testing.T) {
 	followTracked(t, func(is *is.I, s *store, m *mirror.Mirror) {
-		newer := &mirror.Snapshot{Era: 1, Revision: 2, Entries: m.Snapshot().Load().Entries}
+		newer := &mirror.Snapshot{Epoch: 1, Revision: 2, Entries: m.Snapshot().Load().Entries}
 		copier := newTracked(newStore())
 		delta := m.Snapshot().Load().Since(copier.Position(), time.Now())
 		is.True(copier.Adopt(&delta))
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -23,10 +23,10 @@
 
 // Snapshot is an immutable copy of the store's entries.
 type Snapshot struct {
-	// Era and Revision are the epoch and revision of the store that the snapshot reflects.
-	Era      uint64
+	// Epoch and Revision are the epoch and revision of the store that the snapshot reflects.
+	Epoch    uint64
 	Revision int64
-	// Entries of an epoch below Era are retained: the store has received no write of them since.
+	// Entries of an epoch below Epoch are retained: the store has received no write of them since.
 	Entries map[string]platform.Entry
 	// Expiring holds the entries that are missing in the store and still valid, with their expiry
 	// by this process's clock.
@@ -48,7 +48,7 @@
 	if s == nil {
 		return Position{}
 	}
-	return Position{Era: s.Era, Revision: s.Revision}
+	return Position{Era: s.Epoch, Revision: s.Revision}
 }
 
 // HasTemporary reports whether the snapshot holds retained entries that will expire, or hidden
--- a/pkg/mirror/position.go
+++ b/pkg/mirror/position.go
@@ -151,12 +151,12 @@
 // retained returns the entries of former epochs, sorted by key. Since it was restored, the store
 // has received no writes of them, or only older states.
 func (s *Snapshot) retained() []platform.Entry {
-	if s.Era == 0 {
+	if s.Epoch == 0 {
 		return nil
 	}
 	var retained []platform.Entry
 	for _, entry := range s.Entries {
-		if entry.Era != s.Era {
+		if entry.Era != s.Epoch {
 			retained = append(retained, entry)
 		}
 	}
--- a/pkg/mirror/registration.go
+++ b/pkg/mirror/registration.go
@@ -123,7 +123,7 @@
 		return false
 	}
 	entry, present := snapshot.Entries[r.Key]
-	return !present || entry.Era != snapshot.Era
+	return !present || entry.Era != snapshot.Epoch
 }
 
 func (r *Registration) renew(ctx context.Context, lease Lease) error {
--- a/pkg/mirror/restore_random_test.go
+++ b/pkg/mirror/restore_random_test.go
@@ -63,7 +63,7 @@
 	for _, f := range h.mirrors {
 		other := h.mirrors[h.random.IntN(len(h.mirrors))]
 		if snapshot := other.mirror.Snapshot().Load(); other != f && snapshot != nil {
-			f.mirror.ObserveEpoch(snapshot.Era)
+			f.mirror.ObserveEpoch(snapshot.Epoch)
 			delta := snapshot.Since(f.mirror.Position(), time.Now())
 			f.mirror.Adopt(&delta)
 		}
@@ -166,8 +166,8 @@
 				h.Errorf("mirror %d holds %q under %s, the store %q", n, entry.Value, key, stored.Value)
 			}
 		}
-		if snapshot.RetainedSum != 0 || snapshot.Era != h.store.era {
-			h.Errorf("mirror %d is in epoch %d of %d and retains entries: %v", n, snapshot.Era, h.store.era, snapshot.RetainedSum != 0)
+		if snapshot.RetainedSum != 0 || snapshot.Epoch != h.store.era {
+			h.Errorf("mirror %d is in epoch %d of %d and retains entries: %v", n, snapshot.Epoch, h.store.era, snapshot.RetainedSum != 0)
 		}
 	}
 	if h.Failed() {
--- a/pkg/peer/restore_test.go
+++ b/pkg/peer/restore_test.go
@@ -22,7 +22,7 @@
 
 // setStore gives a node a value at a position, as if it had read it from the store.
 func (n *node) setStore(at mirror.Position, value string) bool {
-	snapshot := &mirror.Snapshot{Era: at.Era, Revision: at.Revision, Entries: map[string]platform.Entry{
+	snapshot := &mirror.Snapshot{Epoch: at.Era, Revision: at.Revision, Entries: map[string]platform.Entry{
 		restoredKey: {Key: restoredKey, Value: []byte(value), ModRevision: at.Revision, Era: at.Era},
 	}}
 	delta := snapshot.Since(n.store.Position(), time.Now())
