--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -218,7 +218,7 @@
 		record := &stored.Records[i]
 		known := before.Find(record.Request)
 		switch {
-		case known != nil && before.Era == stored.Era && known.Revision == record.Revision:
+		case known != nil && before.Epoch == stored.Epoch && known.Revision == record.Revision:
 		case record.ClearedBy != "":
 			e.applyClearance(record)
 		default:
--- a/pkg/edge/sim_store_test.go
+++ b/pkg/edge/sim_store_test.go
@@ -146,7 +146,7 @@
 func (s *simStore) publish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stored := quarantine.Stored{Era: s.epoch}
+	stored := quarantine.Stored{Epoch: s.epoch}
 	for key, held := range s.values {
 		request, err := quarantine.Parse(strings.TrimPrefix(key, "quarantine/"))
 		s.is.NoErr(err)
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -56,8 +56,8 @@
 
 // Stored is the state of an instance's replica of the store at one moment.
 type Stored struct {
-	// Era counts the restores of the store from a backup.
-	Era uint64
+	// Epoch counts the restores of the store from a backup.
+	Epoch uint64
 	// Records is sorted by request.
 	Records []Record
 }
