--- a/pkg/httproute/organisation.go
+++ b/pkg/httproute/organisation.go
@@ -97,13 +97,13 @@
 // of the key.
 func (c *Configuration) KeyOwner(key string) (*Organisation, KeyDigest) {
 	digest := DigestKey(key)
-	holder := c.byKey[digest]
-	if holder == nil {
+	owner := c.byKey[digest]
+	if owner == nil {
 		return nil, digest
 	}
-	for i := range holder.Keys {
-		if subtle.ConstantTimeCompare(holder.Keys[i][:], digest[:]) == 1 {
-			return holder, digest
+	for i := range owner.Keys {
+		if subtle.ConstantTimeCompare(owner.Keys[i][:], digest[:]) == 1 {
+			return owner, digest
 		}
 	}
 	return nil, digest
@@ -124,13 +124,13 @@
 // VerifyProof returns the organisation of a forwarded request with a valid proof by one of its
 // present keys, and that key's digest; nil if there is none.
 func (c *Configuration) VerifyProof(organisation, requestID, proof string) (*Organisation, KeyDigest) {
-	holder := c.organisations[organisation]
-	if holder == nil {
+	owner := c.organisations[organisation]
+	if owner == nil {
 		return nil, KeyDigest{}
 	}
-	for _, digest := range holder.Keys {
+	for _, digest := range owner.Keys {
 		if hmac.Equal([]byte(digest.Proof(organisation, requestID)), []byte(proof)) {
-			return holder, digest
+			return owner, digest
 		}
 	}
 	return nil, KeyDigest{}
--- a/pkg/httproute/route.go
+++ b/pkg/httproute/route.go
@@ -83,9 +83,9 @@
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-// Pick returns the service of a request; roll is a random number that is the same for each
+// Pick returns the service of a request; random is a random number that is the same for each
 // attempt of the request.
-func (r *Route) Pick(roll uint64) string {
+func (r *Route) Pick(random uint64) string {
 	total := 0
 	for _, backend := range r.Backends {
 		total += backend.Weight
@@ -93,7 +93,7 @@
 	if total <= 0 {
 		return ""
 	}
-	at := int(roll % uint64(total))
+	at := int(random % uint64(total))
 	for _, backend := range r.Backends {
 		if at < backend.Weight {
 			return backend.Service
--- a/pkg/route/picker.go
+++ b/pkg/route/picker.go
@@ -11,7 +11,7 @@
 )
 
 // AffinityAndChoices considers every upstream of a small pool; of a large one, the prefix's
-// preferred, some that reported the prefix, and a few at random.
+// preferred upstream, some that reported the prefix, and a few at random.
 type AffinityAndChoices struct{}
 
 // Sample implements Picker.
