--- a/pkg/edge/crash_probe.go
+++ b/pkg/edge/crash_probe.go
@@ -93,7 +93,7 @@
 	if fresh {
 		go j.probeCrash(upstream, probe)
 	}
-	if j.quarantine.Suspect(request) {
+	if j.quarantine.IsSuspect(request) {
 		select {
 		case <-probe.finished:
 		case <-ctx.Done():
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -110,8 +110,8 @@
 	return t.lengths[length] > 0
 }
 
-// Suspect reports whether an upstream has crashed with a request in flight.
-func (t *Table) Suspect(request Fingerprint) bool {
+// IsSuspect reports whether an upstream has crashed with a request in flight.
+func (t *Table) IsSuspect(request Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[request]
