--- a/pkg/dispatch/claim.go
+++ b/pkg/dispatch/claim.go
@@ -53,7 +53,7 @@
 // runGranted runs the request and records its result in every case.
 func (r *run) runGranted(ctx, work context.Context, grant *claim.Grant) *outcome.Refusal {
 	// One byte beyond the stored maximum shows that an answer is too long.
-	r.sink.Copy = &relay.Copy{Limit: claim.MaxStoredBody + 1}
+	r.sink.Copy = &relay.Capture{Limit: claim.MaxStoredBody + 1}
 	result := claim.Result{Outcome: outcome.Unknown}
 	defer func() { r.recordResult(ctx, grant, result) }()
 	refusal := r.serve(ctx, work)
@@ -85,7 +85,7 @@
 	}()
 }
 
-func resultOf(kept *relay.Copy) claim.Result {
+func resultOf(kept *relay.Capture) claim.Result {
 	result := claim.Result{Outcome: outcome.Complete, Status: kept.Status, Body: kept.Body}
 	if kept.ContentType != "" {
 		result.Header = map[string]string{header.ContentType: kept.ContentType}
--- a/pkg/relay/capture.go
+++ b/pkg/relay/capture.go
@@ -1,8 +1,8 @@
 package relay
 
-// Copy stores the beginning of an answer, for repeats of a request that may not run
+// Capture stores the beginning of an answer, for repeats of a request that may not run
 // again.
-type Copy struct {
+type Capture struct {
 	// Limit bounds Body in bytes.
 	Limit       int
 	Status      int
@@ -11,13 +11,13 @@
 	Body []byte
 }
 
-func (c *Copy) begin(status int, contentType string) {
+func (c *Capture) begin(status int, contentType string) {
 	c.Status = status
 	c.ContentType = contentType
 	c.Body = c.Body[:0]
 }
 
-func (c *Copy) add(p []byte) {
+func (c *Capture) add(p []byte) {
 	room := c.Limit - len(c.Body)
 	c.Body = append(c.Body, p[:min(room, len(p))]...)
 }
--- a/pkg/relay/sink.go
+++ b/pkg/relay/sink.go
@@ -43,7 +43,7 @@
 	// Chunks counts the relayed chunks.
 	Chunks int
 	// Copy receives the beginning of the answer for repeats, unless nil.
-	Copy *Copy
+	Copy *Capture
 	// Received is true once the upstream's complete answer was received, whether or not
 	// the caller read it.
 	Received bool
