--- a/pkg/dispatch/claim.go
+++ b/pkg/dispatch/claim.go
@@ -53,13 +53,13 @@
 // runGranted runs the request and records its result in every case.
 func (r *run) runGranted(ctx, work context.Context, grant *claim.Grant) *outcome.Refusal {
 	// One byte beyond the stored maximum shows that an answer is too long.
-	r.sink.Copy = &relay.Capture{Limit: claim.MaxStoredBody + 1}
+	r.sink.Capture = &relay.Capture{Limit: claim.MaxStoredBody + 1}
 	result := claim.Result{Outcome: outcome.Unknown}
 	defer func() { r.recordResult(ctx, grant, result) }()
 	refusal := r.serve(ctx, work)
 	switch {
 	case refusal == nil || r.sink.Received:
-		result = resultOf(r.sink.Copy)
+		result = resultOf(r.sink.Capture)
 	case !r.mayHaveRun:
 		result.Outcome = outcome.NotRun
 	}
--- a/pkg/relay/answer.go
+++ b/pkg/relay/answer.go
@@ -163,7 +163,7 @@
 	// Flushing here avoids waiting for the request's log line. An answer that is
 	// stored for repeats is not flushed: its result is recorded before it is sent.
 	pass := a.sink.write
-	if a.sink.Copy != nil {
+	if a.sink.Capture != nil {
 		pass = a.sink.writeUnflushed
 	}
 	if err := pass(data); err != nil {
--- a/pkg/relay/sink.go
+++ b/pkg/relay/sink.go
@@ -42,8 +42,8 @@
 	Stream bool
 	// Chunks counts the relayed chunks.
 	Chunks int
-	// Copy receives the beginning of the answer for repeats, unless nil.
-	Copy *Capture
+	// Capture receives the beginning of the answer for repeats, unless nil.
+	Capture *Capture
 	// Received is true once the upstream's complete answer was received, whether or not
 	// the caller read it.
 	Received bool
@@ -78,8 +78,8 @@
 	s.extendDeadline()
 	s.HeadWritten = true
 	s.writer.WriteHeader(status)
-	if s.Copy != nil {
-		s.Copy.begin(status, s.writer.Header().Get(header.ContentType))
+	if s.Capture != nil {
+		s.Capture.begin(status, s.writer.Header().Get(header.ContentType))
 	}
 }
 
@@ -106,8 +106,8 @@
 func (s *Sink) writeUnflushedLocked(p []byte) error {
 	s.extendDeadline()
 	s.idle = false
-	if s.Copy != nil {
-		s.Copy.add(p)
+	if s.Capture != nil {
+		s.Capture.add(p)
 	}
 	if _, err := s.writer.Write(p); err != nil {
 		return &CallerError{Err: err}
