--- a/pkg/api/accept.go
+++ b/pkg/api/accept.go
@@ -55,7 +55,7 @@
 	}
 	request.Caller = caller
 	if c.Request().Header.Get(header.RequestID) != "" {
-		request.ID = trace.ScopedID(caller.Name, request.ID, request.Roll)
+		request.ID = trace.ScopedID(caller.Name, request.ID, request.SplitRandom)
 	}
 	return nil
 }
@@ -118,7 +118,7 @@
 func (s *Server) readHeader(c echo.Context, request *dispatch.Request) *outcome.Refusal {
 	fields := c.Request().Header
 	request.Header = make(http.Header, len(fields))
-	header.PassOn(request.Header, fields)
+	header.CopyEndToEnd(request.Header, fields)
 	request.Header.Set(header.Caller, request.Caller.Name)
 	request.IdempotencyKey = fields.Get(header.IdempotencyKey)
 	priority, ok := parsePriority(fields.Get(header.Priority))
--- a/pkg/command/executor.go
+++ b/pkg/command/executor.go
@@ -59,10 +59,10 @@
 	Repeated bool
 	// Seen is the revision that the operator saw; 0 means this instance's.
 	Seen config.Revision
-	// PassedOn is true when another instance forwarded the line. It is not forwarded
+	// Forwarded is true when another instance forwarded the line. It is not forwarded
 	// again, because two instances with different revisions could forward it back
 	// and forth, and it changes nothing.
-	PassedOn bool
+	Forwarded bool
 }
 
 // Execute executes a line.
@@ -85,18 +85,18 @@
 	if line.isQuery() {
 		return e.answer(ctx, request, line)
 	}
-	if request.PassedOn {
-		return refuse(&PassedOnError{})
+	if request.Forwarded {
+		return refuse(&ForwardedError{})
 	}
 	return e.change(ctx, request, line)
 }
 
-// PassedOnError refuses a change that another instance forwarded. A change must be
+// ForwardedError refuses a change that another instance forwarded. A change must be
 // proposed by the instance that authenticated its operator.
-type PassedOnError struct{}
+type ForwardedError struct{}
 
 // Error implements error.
-func (*PassedOnError) Error() string { return "only questions are passed on" }
+func (*ForwardedError) Error() string { return "only questions are passed on" }
 
 // isQuery reports whether the line is a query.
 func (l *Line) isQuery() bool {
--- a/pkg/edge/attempt.go
+++ b/pkg/edge/attempt.go
@@ -29,20 +29,20 @@
 	}
 	if j.service.ColdRate > 0 {
 		// An upstream that turns cold still has to bear what it was sent just before.
-		j.cold.Sent(upstream.ID)
+		j.cold.RecordSent(upstream.ID)
 		j.countUnconfirmed(upstream)
 	}
 	if j.mayBeCold(upstream, j.service) {
 		j.counts.sentCold(upstream.ID)
 	}
-	j.recent.Add(j.attributes.Parts, upstream.ID, j.now())
+	j.recent.Add(j.attributes.Segments, upstream.ID, j.now())
 	j.flow.Add(j.service.Name, to.survey.Best.Uncached, j.now())
 	call := &call{
 		job:    j,
 		to:     to,
 		pool:   j.upstreams,
 		target: exchange.Target{ID: upstream.ID, Address: upstream.Address, MaxConnections: j.connectionShare()},
-		send:   Send{Left: j.deadline.Sub(j.now()), Upstream: upstream.Name, Priority: j.route.Priority, After: j.resumeAfter()},
+		send:   Send{TimeLeft: j.deadline.Sub(j.now()), Upstream: upstream.Name, Priority: j.route.Priority, ResumeAfter: j.resumeAfter()},
 		onPart: j.firstByteObserver(flight, &to.survey.Best),
 	}
 	if source := to.survey.Best.Source; source != nil {
@@ -102,13 +102,13 @@
 	if !ok {
 		return notRun
 	}
-	j.recent.Sent(j.attributes.Parts, to.peer.Instance.Region, j.now())
+	j.recent.Sent(j.attributes.Segments, to.peer.Instance.Region, j.now())
 	call := &call{
 		job:      j,
 		to:       to,
 		pool:     j.peers,
 		target:   exchange.Target{ID: to.peer.Instance.Peers, Address: to.peer.Instance.Peers},
-		send:     Send{Left: j.deadline.Sub(j.now()), After: j.resumeAfter()},
+		send:     Send{TimeLeft: j.deadline.Sub(j.now()), ResumeAfter: j.resumeAfter()},
 		onPart:   flight.FirstByte,
 		peer:     true,
 		attempts: to.grantedAttempts(j),
@@ -136,7 +136,7 @@
 	if j.writer.lastEvent != "" {
 		return j.writer.lastEvent
 	}
-	return j.attributes.After
+	return j.attributes.ResumeAfter
 }
 
 // connectionShare returns this instance's share of the connections to one upstream, zero if they
--- a/pkg/edge/call.go
+++ b/pkg/edge/call.go
@@ -117,7 +117,7 @@
 		c.logRejection()
 		return notRun
 	}
-	if !reading.Proven && answer.Status < http.StatusMultipleChoices {
+	if !reading.Signed && answer.Status < http.StatusMultipleChoices {
 		answer.DisableReuse()
 		return c.rejectAnswer("answer without the server's signature")
 	}
@@ -161,7 +161,7 @@
 // adoptQuarantine quarantines the request if another instance refused it as quarantined.
 func (c *call) adoptQuarantine(answer *exchange.Answer, retryAfter time.Duration) {
 	if c.refusedByPeer(answer) && outcome.Reason(answer.Header.Get(header.Reason)) == outcome.ReasonQuarantined {
-		c.logQuarantine(c.fingerprint(), c.quarantine.Hold(c.fingerprint(), retryAfter))
+		c.logQuarantine(c.fingerprint(), c.quarantine.Quarantine(c.fingerprint(), retryAfter))
 	}
 }
 
@@ -193,7 +193,7 @@
 		return c.classifyFailure(ctx, &exchange.Error{Stage: exchange.Sent, Target: c.target, Err: err})
 	}
 	c.onPart()
-	if !answer.Whole() && len(body) == maxBuffered {
+	if !answer.Complete() && len(body) == maxBuffered {
 		return c.relayLongAnswer(ctx, answer, body)
 	}
 	c.complete = true
--- a/pkg/edge/crash_probe.go
+++ b/pkg/edge/crash_probe.go
@@ -93,7 +93,7 @@
 	if fresh {
 		go j.probeCrash(upstream, probe)
 	}
-	if j.quarantine.Suspect(request) {
+	if j.quarantine.IsSuspect(request) {
 		select {
 		case <-probe.finished:
 		case <-ctx.Done():
@@ -136,7 +136,7 @@
 	timer := time.NewTimer(crashProbeDelay)
 	defer timer.Stop()
 	<-timer.C
-	conn, err := e.options.medium().Dial(ctx, "tcp", upstream.Address)
+	conn, err := e.options.transport().Dial(ctx, "tcp", upstream.Address)
 	if err == nil {
 		// Nothing was sent on it.
 		_ = conn.Close()
--- a/pkg/edge/dialect.go
+++ b/pkg/edge/dialect.go
@@ -18,16 +18,17 @@
 	// PromptTokens is the size of the prompt, and Tokens that of the prompt and the longest
 	// permitted answer. They are zero if they are not given.
 	PromptTokens, Tokens int
-	// Parts are the prompt's segments in order.
-	Parts []steer.Segment
-	// After is the ID of the event after which a stream resumes, empty to start at its beginning.
-	After string
+	// Segments are the prompt's segments in order.
+	Segments []steer.Segment
+	// ResumeAfter is the ID of the event after which a stream resumes, empty to start at its
+	// beginning.
+	ResumeAfter string
 }
 
 // Send holds the header values that this instance sets on a request that it sends.
 type Send struct {
-	// Left is the time within which the answer must be complete.
-	Left time.Duration
+	// TimeLeft is the time within which the answer must be complete.
+	TimeLeft time.Duration
 	// Upstream is the name of the upstream that must answer, empty for an instance.
 	Upstream string
 	// Priority is the priority at the upstream. Zero is served first.
@@ -35,8 +36,8 @@
 	// Source is the address of an engine from which the upstream should copy the cache blocks of
 	// the prompt that it lacks, empty for none.
 	Source string
-	// After overrides Attributes.After when a stream is resumed.
-	After string
+	// ResumeAfter overrides Attributes.ResumeAfter when a stream is resumed.
+	ResumeAfter string
 	// Keyed is true if callers authenticate with keys, which must not be passed on. Organisation
 	// is the owner of the request for an upstream, empty if it is anonymous.
 	Keyed        bool
@@ -49,8 +50,8 @@
 	RequestID string
 	// NotRun is true if the server states that it did not run the request and never will.
 	NotRun bool
-	// Proven is true if the server has signed the answer as its own.
-	Proven bool
+	// Signed is true if the server has signed the answer as its own.
+	Signed bool
 	// RetryAfter is the time after which the server accepts a retry, zero if it is not given.
 	// BackingOff is true if the server rejected the request and asks this instance to send
 	// nothing until then.
--- a/pkg/edge/edge.go
+++ b/pkg/edge/edge.go
@@ -55,9 +55,9 @@
 	// Store is this instance's replica of the platform's store, and Registrar the store itself.
 	Store     *mirror.Mirror
 	Registrar mirror.Registrar
-	// Medium carries all connections except those to the store. If it is nil they use TCP with
+	// Transport carries all connections except those to the store. If it is nil they use TCP with
 	// keep-alive probes.
-	Medium control.Medium
+	Transport control.Transport
 	// Key is the store key of the instance's registration, and Value encodes the registration.
 	Key   string
 	Value func(fleet.Instance) ([]byte, error)
@@ -68,9 +68,9 @@
 	// Registry holds the instance's metrics, and Series those with labels.
 	Registry metrics.Registry
 	Series   *telemetry.Series
-	// Good, Steps and Failed bound the log lines of successful requests, of the steps of failed
-	// ones, and of the ends of failed ones. If they are nil all are written.
-	Good, Steps, Failed zerolog.Sampler
+	// SuccessSampler, StepSampler and FailureSampler bound the log lines of successful requests, of
+	// the steps of failed ones, and of the ends of failed ones. If they are nil all are written.
+	SuccessSampler, StepSampler, FailureSampler zerolog.Sampler
 }
 
 // Edge is one instance.
@@ -105,7 +105,7 @@
 	// quarantineWrites holds the requests with quarantine records to be written to the store.
 	quarantineWrites chan quarantineWrite
 	overload         *steer.Overload
-	recent           *steer.Recent
+	recent           *steer.RecentPlacements
 	pace             *steer.CallTimes
 	estimates        *steer.Estimator
 	flow             *steer.Flow
@@ -142,8 +142,8 @@
 // New returns an instance that does not serve yet.
 func New(options Options) (*Edge, error) {
 	s := options.Settings
-	medium := options.medium()
-	network := control.NewNetworkOver(medium)
+	transport := options.transport()
+	network := control.NewNetworkOver(transport)
 	system := clock.System{}
 	ejector := limit.NewEjector(system)
 	ejector.Changed = func(change limit.Ejection) { logEjection(options.Log, change) }
@@ -152,9 +152,9 @@
 		dialect:   options.Dialect,
 		options:   options,
 		log:       options.Log,
-		goodLog:   options.Log.Sample(options.Good),
-		stepLog:   options.Log.Sample(options.Steps),
-		failedLog: options.Log.Sample(options.Failed),
+		goodLog:   options.Log.Sample(options.SuccessSampler),
+		stepLog:   options.Log.Sample(options.StepSampler),
+		failedLog: options.Log.Sample(options.FailureSampler),
 		clock:     system,
 		self: fleet.Instance{
 			Name: s.Instance, Domain: s.FailureDomain, Region: s.Region,
@@ -176,12 +176,12 @@
 		crashProbes:      newCrashProbes(),
 		quarantineWrites: make(chan quarantineWrite, maxPendingWrites),
 		overload:         steer.NewOverload(),
-		recent:           steer.NewRecent(),
+		recent:           steer.NewRecentPlacements(),
 		pace:             steer.NewCallTimes(),
 		estimates:        steer.NewEstimator(),
 		flow:             steer.NewFlow(),
-		upstreams:        exchange.NewPool(medium.Dial, upstreamDial, system.Now),
-		peers:            exchange.NewPool(medium.Dial, peerDial, system.Now),
+		upstreams:        exchange.NewPool(transport.Dial, upstreamDial, system.Now),
+		peers:            exchange.NewPool(transport.Dial, peerDial, system.Now),
 		clients:          control.NewClients(network),
 		replicaClients:   control.NewClients(network),
 		registry:         options.Registry,
@@ -257,12 +257,12 @@
 		return func() {}
 	}
 	registration := &mirror.Registration{
-		Store: e.options.Registrar,
-		Key:   e.options.Key,
-		Value: value,
-		TTL:   max(registrationTTL, e.settings.Store.MinimumTTL),
-		Copy:  e.store,
-		Log:   e.log,
+		Store:   e.options.Registrar,
+		Key:     e.options.Key,
+		Value:   value,
+		TTL:     max(registrationTTL, e.settings.Store.MinimumTTL),
+		Replica: e.store,
+		Log:     e.log,
 	}
 	ended := make(chan struct{})
 	go func() {
--- a/pkg/edge/handler.go
+++ b/pkg/edge/handler.go
@@ -31,7 +31,7 @@
 
 // startRetry returns the Retry-After of an instance that cannot serve anything yet.
 func (e *Edge) startRetry() time.Duration {
-	if e.store.Lost() {
+	if e.store.LastCallFailed() {
 		return storeLostRetry
 	}
 	return noConfigurationRetry
@@ -87,7 +87,7 @@
 	// without deadlines (a test's recorder) has no slow reader.
 	_ = j.writer.control.SetWriteDeadline(j.deadline.Add(writeSlack))
 	if !j.forwarded {
-		j.retries.Request(j.service.Name)
+		j.retries.RecordRequest(j.service.Name)
 	}
 	return j.run(ctx)
 }
@@ -192,7 +192,7 @@
 func (j *job) finish(refusal *outcome.Refusal) {
 	took := j.now().Sub(j.started)
 	if refusal != nil && refusal.Outcome == outcome.NotRun {
-		j.grant.Return()
+		j.grant.Refund()
 	}
 	j.counts.requestEnded(j, refusal, took)
 	if refusal == nil {
--- a/pkg/edge/harness_test.go
+++ b/pkg/edge/harness_test.go
@@ -55,18 +55,18 @@
 func (testDialect) Attributes(fields http.Header) (Attributes, error) {
 	ms, _ := strconv.Atoi(fields.Get(testDeadline))
 	tokens, _ := strconv.Atoi(fields.Get(testTokens))
-	return Attributes{RequestID: fields.Get(testID), Tokens: tokens, Deadline: time.Duration(ms) * time.Millisecond, After: fields.Get(testAfter)}, nil
+	return Attributes{RequestID: fields.Get(testID), Tokens: tokens, Deadline: time.Duration(ms) * time.Millisecond, ResumeAfter: fields.Get(testAfter)}, nil
 }
 
 func (testDialect) Outgoing(from http.Header, send Send) http.Header {
 	fields := from.Clone()
 	fields.Del("Content-Length")
-	fields.Set(testDeadline, strconv.FormatInt(send.Left.Milliseconds(), 10))
+	fields.Set(testDeadline, strconv.FormatInt(send.TimeLeft.Milliseconds(), 10))
 	if send.Upstream != "" {
 		fields.Set(testUpstream, send.Upstream)
 	}
-	if send.After != "" {
-		fields.Set(testAfter, send.After)
+	if send.ResumeAfter != "" {
+		fields.Set(testAfter, send.ResumeAfter)
 	}
 	fields.Del(testOrganisation)
 	if send.Organisation != "" {
@@ -79,7 +79,7 @@
 }
 
 func (testDialect) Reading(status int, fields http.Header) Reading {
-	reading := Reading{RequestID: fields.Get(testID), NotRun: fields.Get(testNotRun) != "", Proven: fields.Get(testProof) != "", Leaving: fields.Get(testLeaving) != ""}
+	reading := Reading{RequestID: fields.Get(testID), NotRun: fields.Get(testNotRun) != "", Signed: fields.Get(testProof) != "", Leaving: fields.Get(testLeaving) != ""}
 	if seconds, err := strconv.ParseFloat(fields.Get("Retry-After"), 64); err == nil {
 		reading.RetryAfter = time.Duration(seconds * float64(time.Second))
 		reading.BackingOff = status == http.StatusServiceUnavailable
@@ -255,8 +255,8 @@
 	registry := metrics.NewRegistry()
 	edge, err := New(Options{
 		Settings: settings, Dialect: testDialect{}, Store: store, Log: log,
-		Registry: registry, Series: telemetry.NewSeries(registry, MostMetrics),
-		Good: &h.goodSteps, Failed: zerolog.RandomSampler(1),
+		Registry: registry, Series: telemetry.NewSeries(registry, MaxMetrics),
+		SuccessSampler: &h.goodSteps, FailureSampler: zerolog.RandomSampler(1),
 	})
 	h.is.NoErr(err)
 	h.edge = edge
--- a/pkg/edge/identity.go
+++ b/pkg/edge/identity.go
@@ -23,12 +23,12 @@
 	}
 	key, given := bearer(j.request.Header)
 	if given {
-		j.organisation, j.keyDigest = j.config.Holder(key)
+		j.organisation, j.keyDigest = j.config.KeyOwner(key)
 	}
 	switch {
 	case j.organisation != nil || j.route.Public:
 		return nil
-	case given && j.store.Lost():
+	case given && j.store.LastCallFailed():
 		// The key may have been added since this instance last received a configuration.
 		return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonNoConfiguration, j.startRetry(), "the key is not known here, and the platform's store does not answer")
 	default:
@@ -44,7 +44,7 @@
 	if name == "" && j.route.Public {
 		return nil
 	}
-	j.organisation, j.keyDigest = j.config.Proven(name, j.attributes.RequestID, j.request.Header.Get(header.CallerProof))
+	j.organisation, j.keyDigest = j.config.VerifyProof(name, j.attributes.RequestID, j.request.Header.Get(header.CallerProof))
 	if j.organisation == nil {
 		return outcome.Refuse(http.StatusServiceUnavailable, outcome.ReasonUnauthenticated, noConfigurationRetry, "the organisation of the forwarded request is not proven")
 	}
--- a/pkg/edge/metrics.go
+++ b/pkg/edge/metrics.go
@@ -11,10 +11,10 @@
 	"github.com/lilacweir/lilacweir/pkg/telemetry"
 )
 
-// MostMetrics bounds the labelled metrics of an instance. Three for each of 300 routes and 300
+// MaxMetrics bounds the labelled metrics of an instance. Three for each of 300 routes and 300
 // targets use less than half of it. A full registry, with a third of them histograms of 1.7 KB,
 // takes about 3 MB.
-const MostMetrics = 4000
+const MaxMetrics = 4000
 
 // Label names.
 const (
@@ -95,9 +95,9 @@
 		"upstreams.dialed":      e.upstreams.Dialed,
 		"peers.dialed":          e.peers.Dialed,
 		"requests.active":       e.active.Load,
-		"store.age_ms":          func() int64 { return e.ageMS(e.store.Reached()) },
+		"store.age_ms":          func() int64 { return e.ageMS(e.store.LastAnswerAt()) },
 		"store.revision":        e.store.Revision,
-		"store.era":             func() int64 { return int64(e.store.Era()) },
+		"store.era":             func() int64 { return int64(e.store.Epoch()) },
 		"configuration.version": e.configurationVersion,
 		"configuration.age_ms":  e.configurationAge,
 		"peers.live":            func() int64 { return e.countPeers(true) },
@@ -161,7 +161,7 @@
 	if view := e.gossip.View().Load(); view != nil {
 		for i := range view.Others {
 			if known := &view.Others[i]; known.Live(now) {
-				oldest = max(oldest, now.Sub(known.Heard).Milliseconds())
+				oldest = max(oldest, now.Sub(known.ReportedAt).Milliseconds())
 			}
 		}
 	}
@@ -199,7 +199,7 @@
 		name := label(labelService, service)
 		e.counts.series.Gauge("upstreams.usable", name).Update(int64(usable))
 		e.counts.series.Gauge("upstreams.cold", name).Update(int64(cold))
-		e.counts.series.Gauge("retries.left", name).Update(int64(e.retries.Left(service, e.instances())))
+		e.counts.series.Gauge("retries.left", name).Update(int64(e.retries.Remaining(service, e.instances())))
 	}
 }
 
--- a/pkg/edge/quarantine_store.go
+++ b/pkg/edge/quarantine_store.go
@@ -78,14 +78,14 @@
 // followEpochs rewrites, until ctx ends, the quarantines and clearances that the store lost by a
 // restore from a copy.
 func (e *Edge) followEpochs(ctx context.Context) {
-	known := e.store.Era()
+	known := e.store.Epoch()
 	for {
-		changed := e.store.Eras().Changed()
-		if epoch := e.store.Era(); epoch != known {
+		changed := e.store.Epochs().Changed()
+		if epoch := e.store.Epoch(); epoch != known {
 			known = epoch
 			clock.Sleep(ctx, epochSettleTime)
 			e.writeMissingQuarantines()
-			for _, request := range e.quarantine.AllReleased() {
+			for _, request := range e.quarantine.AllCleared() {
 				if e.writesQuarantine(request) {
 					e.enqueueWrite(quarantineWrite{request: request, staleReplica: true})
 				}
@@ -103,8 +103,8 @@
 // know them, so some are chosen by hashing.
 func (e *Edge) writeMissingQuarantines() {
 	stored := e.board.Quarantined.Load()
-	for _, request := range e.quarantine.AllHeld() {
-		if !stored.Holds(request) && e.writesQuarantine(request) {
+	for _, request := range e.quarantine.AllQuarantined() {
+		if !stored.IsQuarantined(request) && e.writesQuarantine(request) {
 			e.enqueueWrite(quarantineWrite{request: request})
 		}
 	}
@@ -125,9 +125,9 @@
 			return
 		}
 		pause *= 2
-		held := e.quarantine.Held(write.request)
+		held := e.quarantine.IsQuarantined(write.request)
 		stored := e.board.Quarantined.Load()
-		if held == stored.Holds(write.request) && (held || !write.staleReplica) {
+		if held == stored.IsQuarantined(write.request) && (held || !write.staleReplica) {
 			return
 		}
 		err := e.putQuarantine(ctx, write, held, stored.Find(write.request))
@@ -178,7 +178,7 @@
 	}
 	for i := range stored.Records {
 		record := &stored.Records[i]
-		if record.ClearedBy != "" && !e.quarantine.Released(record.Request) && e.writesQuarantine(record.Request) {
+		if record.ClearedBy != "" && !e.quarantine.RecentlyCleared(record.Request) && e.writesQuarantine(record.Request) {
 			e.deleteRecord(ctx, record)
 		}
 	}
@@ -218,12 +218,12 @@
 		record := &stored.Records[i]
 		known := before.Find(record.Request)
 		switch {
-		case known != nil && before.Era == stored.Era && known.Revision == record.Revision:
+		case known != nil && before.Epoch == stored.Epoch && known.Revision == record.Revision:
 		case record.ClearedBy != "":
 			e.applyClearance(record)
 		default:
-			e.logQuarantine(record.Request, e.quarantine.Hold(record.Request, 0))
-			if !e.quarantine.Held(record.Request) {
+			e.logQuarantine(record.Request, e.quarantine.Quarantine(record.Request, 0))
+			if !e.quarantine.IsQuarantined(record.Request) {
 				// It succeeded while another instance wrote this.
 				e.enqueueWrite(quarantineWrite{request: record.Request})
 			}
@@ -233,6 +233,6 @@
 
 // applyClearance releases a request that the store records as cleared.
 func (e *Edge) applyClearance(record *quarantine.Record) {
-	e.quarantine.Release(record.Request)
+	e.quarantine.Clear(record.Request)
 	e.log.Info().Stringer(event.KeyContent, record.Request).Str(event.KeyOperator, record.ClearedBy).Msg(string(event.RequestCleared))
 }
--- a/pkg/edge/request_log.go
+++ b/pkg/edge/request_log.go
@@ -63,7 +63,7 @@
 // logRouting logs the target of the request, with the inputs of the decision and their age.
 func (j *job) logRouting(world *steer.Snapshot, chosen *target) {
 	send, forwarded, runs, after := j.sends+1, j.forwarded, j.runs, j.resumeAfter()
-	storeAge := j.ageMS(j.store.Reached())
+	storeAge := j.ageMS(j.store.LastAnswerAt())
 	j.logStep(event.RequestRouted, func(line *zerolog.Event) {
 		best := &chosen.survey.Best
 		line.Str(event.KeyRoute, j.route.Name).Str(event.KeyService, j.service.Name).
@@ -73,10 +73,10 @@
 			Int64(event.KeyStoreAgeMS, storeAge).
 			Int(event.KeyPrompt, j.attributes.PromptTokens).Int(event.KeyUncached, best.Uncached).
 			Int(event.KeyInFlight, best.InFlight).Int(event.KeyPrefill, best.Prefill).
-			Float64(event.KeyCost, best.Cost).Dur(event.KeyPredictedMS, best.First).Str(event.KeyPart, lastSharedSegment(j.attributes.Parts)).
+			Float64(event.KeyCost, best.Cost).Dur(event.KeyPredictedMS, best.TimeToFirstToken).Str(event.KeyPart, lastSharedSegment(j.attributes.Segments)).
 			Bool(event.KeyCopy, best.Source != nil).Int(event.KeyUsable, chosen.survey.Usable)
 		if chosen.peer != nil {
-			line.Int64(event.KeyHeardMS, world.Now.Sub(chosen.peer.Heard).Milliseconds())
+			line.Int64(event.KeyHeardMS, world.Now.Sub(chosen.peer.ReportedAt).Milliseconds())
 		}
 		if after != "" {
 			line.Str(event.KeyAfter, after)
@@ -177,7 +177,7 @@
 	var over *quota.OverLimitError
 	if errors.As(refusal.Err, &over) {
 		line.Float64(event.KeyBalance, math.Round(over.Balance)).Float64(event.KeyDemand, math.Round(over.Demand)).
-			Float64(event.KeyLimit, over.Limit).Float64(event.KeyHeard, over.Heard)
+			Float64(event.KeyLimit, over.Limit).Float64(event.KeyHeard, over.Reachable)
 	}
 }
 
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -66,7 +66,7 @@
 // instance is an emulated instance.
 type instance struct {
 	tracker   *limit.Tracker
-	recent    *steer.Recent
+	recent    *steer.RecentPlacements
 	estimates *steer.Estimator
 	overload  *steer.Overload
 	flow      *steer.Flow
@@ -126,7 +126,7 @@
 	for range m.options.Instances {
 		m.instances = append(m.instances, &instance{
 			tracker: limit.NewTracker(&m.Timeline, nil),
-			recent:  steer.NewRecent(), estimates: steer.NewEstimator(), overload: steer.NewOverload(),
+			recent:  steer.NewRecentPlacements(), estimates: steer.NewEstimator(), overload: steer.NewOverload(),
 			flow: steer.NewFlow(), peers: peer.NewView(nil, nil, m.Now()),
 		})
 	}
@@ -142,7 +142,7 @@
 	}
 	for _, route := range m.routes {
 		if route.Priority > 0 {
-			route.Yields = topTarget
+			route.UrgentTarget = topTarget
 		}
 	}
 }
@@ -202,8 +202,8 @@
 		return
 	}
 	r.retried = true
-	overloadedFor := i.overload.Late(serviceName, r.rank(), m.Now())
-	m.At(m.Now().Add(steer.ReturnAfter(overloadedFor, 5*r.kind.Patience, m.random.Float64())), func() { m.arrive(r) })
+	overloadedFor := i.overload.RecordLate(serviceName, r.rank(), m.Now())
+	m.At(m.Now().Add(steer.OverloadRetryAfter(overloadedFor, 5*r.kind.Patience, m.random.Float64())), func() { m.arrive(r) })
 }
 
 // send sends a request to an engine.
--- a/pkg/emulator/plain.go
+++ b/pkg/emulator/plain.go
@@ -152,7 +152,7 @@
 // decide sends, forwards or refuses a call at an instance.
 func (d *plainEmulation) decide(i *plainInstance, c *plainCall) {
 	snapshot := &steer.Snapshot{
-		Region: i.region, Fleet: d.view, Peers: i.peers, Local: i.tracker, Recent: steer.NewRecent(), CallTimes: i.callTimes,
+		Region: i.region, Fleet: d.view, Peers: i.peers, Local: i.tracker, Recent: steer.NewRecentPlacements(), CallTimes: i.callTimes,
 		Estimates: steer.NewEstimator(), Flow: steer.NewFlow(), Now: d.Now(), Random: d.random.Uint64(),
 		Admits: func(*fleet.Upstream, *httproute.Service) bool { return true },
 	}
@@ -276,7 +276,7 @@
 		}
 	}
 	for n := range knownPeers {
-		knownPeers[n].Heard = d.Now()
+		knownPeers[n].ReportedAt = d.Now()
 	}
 	return knownPeers
 }
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -15,10 +15,10 @@
 	ID string
 	// Name is the upstream's own name, which may stay the same across restarts.
 	Name string
-	// Began is the start time by the upstream's clock in Unix milliseconds; zero if it does not
+	// StartedAt is the start time by the upstream's clock in Unix milliseconds; zero if it does not
 	// report it, and then each incarnation has a name of its own.
-	Began   int64
-	Service string
+	StartedAt int64
+	Service   string
 	// Address is an IP address and a port; another upstream may reuse it after this one has
 	// stopped.
 	Address string
@@ -30,9 +30,9 @@
 	Draining bool
 	// ColdUntil is the end of its cold period, by this process's clock; zero if it is not cold.
 	ColdUntil time.Time
-	// Heard is the time at which its present entry in the platform's store was read, by this
+	// EntryReadAt is the time at which its present entry in the platform's store was read, by this
 	// process's clock.
-	Heard time.Time
+	EntryReadAt time.Time
 	// Missing is the time since which the store lacks its entry, which is retained for a while;
 	// zero if it has one.
 	Missing time.Time
@@ -49,9 +49,9 @@
 	Upstreams []Upstream
 	// Evacuated holds the failure domains with upstreams that must get no requests.
 	Evacuated map[string]bool
-	// Returned holds recently evacuated failure domains with the time since which they get
+	// Readmitted holds recently evacuated failure domains with the time since which they get
 	// requests again, by this process's clock.
-	Returned map[string]time.Time
+	Readmitted map[string]time.Time
 	// HistoryLost is the time at which a part of the platform's history was last found to be
 	// lost, by this process's clock; evacuations may have started and ended in it. It is zero if
 	// there was none recently.
--- a/pkg/gateway/router.go
+++ b/pkg/gateway/router.go
@@ -45,8 +45,8 @@
 	return &requestRoute{Gateway: g, request: request, query: newQuery(request)}
 }
 
-// End implements dispatch.Route.
-func (r *requestRoute) End() {
+// Release implements dispatch.Route.
+func (r *requestRoute) Release() {
 	if r.release != nil {
 		r.release()
 	}
@@ -136,7 +136,7 @@
 func (r *requestRoute) ticket(decision *route.Decision) admission.Ticket {
 	answer := r.request.MaxTokens
 	if answer == 0 && r.request.Kind == config.KindEngine {
-		answer = route.ExpectedAnswer
+		answer = route.ExpectedAnswerTokens
 	}
 	return admission.Ticket{
 		Caller:   r.request.Caller,
@@ -180,7 +180,7 @@
 		MaxTokens:    request.MaxTokens,
 		Deadline:     request.Deadline,
 		Origin:       request.Origin,
-		Roll:         request.Roll,
+		SplitRandom:  request.SplitRandom,
 	}
 	if request.Origin != "" {
 		query.Class = route.ClassDomain
--- a/pkg/httproute/configuration.go
+++ b/pkg/httproute/configuration.go
@@ -61,13 +61,13 @@
 	if fault := c.setOrganisations(organisations); fault != nil {
 		return nil, fault
 	}
-	c.setYields()
+	c.setUrgentTargets()
 	return c, nil
 }
 
-// setYields sets for each route the target of more urgent routes that it must reserve
+// setUrgentTargets sets for each route the target of more urgent routes that it must reserve
 // capacity for.
-func (c *Configuration) setYields() {
+func (c *Configuration) setUrgentTargets() {
 	byService := make(map[string][]*Route)
 	for i := range c.Routes {
 		for _, backend := range c.Routes[i].Backends {
@@ -77,19 +77,19 @@
 	for _, sharing := range byService {
 		for _, route := range sharing {
 			for _, other := range sharing {
-				route.yieldTo(other)
+				route.applyTargetOf(other)
 			}
 		}
 	}
 }
 
-// yieldTo applies the target of another route of the same service.
-func (r *Route) yieldTo(other *Route) {
+// applyTargetOf applies the target of another route of the same service.
+func (r *Route) applyTargetOf(other *Route) {
 	if other.Priority >= r.Priority || other.TargetLatency == 0 {
 		return
 	}
-	if r.Yields == 0 || other.TargetLatency < r.Yields {
-		r.Yields = other.TargetLatency
+	if r.UrgentTarget == 0 || other.TargetLatency < r.UrgentTarget {
+		r.UrgentTarget = other.TargetLatency
 	}
 }
 
--- a/pkg/httproute/organisation.go
+++ b/pkg/httproute/organisation.go
@@ -93,17 +93,17 @@
 	return all
 }
 
-// Holder returns the organisation that owns the key, nil if there is none, and the digest
+// KeyOwner returns the organisation that owns the key, nil if there is none, and the digest
 // of the key.
-func (c *Configuration) Holder(key string) (*Organisation, KeyDigest) {
+func (c *Configuration) KeyOwner(key string) (*Organisation, KeyDigest) {
 	digest := DigestKey(key)
-	holder := c.byKey[digest]
-	if holder == nil {
+	owner := c.byKey[digest]
+	if owner == nil {
 		return nil, digest
 	}
-	for i := range holder.Keys {
-		if subtle.ConstantTimeCompare(holder.Keys[i][:], digest[:]) == 1 {
-			return holder, digest
+	for i := range owner.Keys {
+		if subtle.ConstantTimeCompare(owner.Keys[i][:], digest[:]) == 1 {
+			return owner, digest
 		}
 	}
 	return nil, digest
@@ -121,16 +121,16 @@
 	return hex.EncodeToString(code.Sum(nil))
 }
 
-// Proven returns the organisation of a forwarded request with a valid proof by one of its
+// VerifyProof returns the organisation of a forwarded request with a valid proof by one of its
 // present keys, and that key's digest; nil if there is none.
-func (c *Configuration) Proven(organisation, requestID, proof string) (*Organisation, KeyDigest) {
-	holder := c.organisations[organisation]
-	if holder == nil {
+func (c *Configuration) VerifyProof(organisation, requestID, proof string) (*Organisation, KeyDigest) {
+	owner := c.organisations[organisation]
+	if owner == nil {
 		return nil, KeyDigest{}
 	}
-	for _, digest := range holder.Keys {
+	for _, digest := range owner.Keys {
 		if hmac.Equal([]byte(digest.Proof(organisation, requestID)), []byte(proof)) {
-			return holder, digest
+			return owner, digest
 		}
 	}
 	return nil, KeyDigest{}
--- a/pkg/httproute/route.go
+++ b/pkg/httproute/route.go
@@ -42,9 +42,9 @@
 	TargetGap time.Duration
 	// Priority is the rank under overload; 0 is the most urgent.
 	Priority int
-	// Yields is the shortest target of the more urgent routes that share a service with
+	// UrgentTarget is the shortest target of the more urgent routes that share a service with
 	// this one; zero if there are none. Compile sets it.
-	Yields time.Duration
+	UrgentTarget time.Duration
 	// MaxAttempts is the number of upstreams on which one request may run.
 	MaxAttempts int
 	// Backends are the services that share the route's requests by weight.
@@ -83,9 +83,9 @@
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-// Pick returns the service of a request; roll is a random number that is the same for each
+// Pick returns the service of a request; random is a random number that is the same for each
 // attempt of the request.
-func (r *Route) Pick(roll uint64) string {
+func (r *Route) Pick(random uint64) string {
 	total := 0
 	for _, backend := range r.Backends {
 		total += backend.Weight
@@ -93,7 +93,7 @@
 	if total <= 0 {
 		return ""
 	}
-	at := int(roll % uint64(total))
+	at := int(random % uint64(total))
 	for _, backend := range r.Backends {
 		if at < backend.Weight {
 			return backend.Service
--- a/pkg/limit/window.go
+++ b/pkg/limit/window.go
@@ -44,8 +44,8 @@
 	return counts
 }
 
-// Request counts a request for the service.
-func (s *RetryShares) Request(service string) {
+// RecordRequest counts a request for the service.
+func (s *RetryShares) RecordRequest(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts(service).requests.add(s.now(), s.Window)
@@ -64,8 +64,8 @@
 	return true
 }
 
-// Left returns how many retries the service has left now, for one of so many instances.
-func (s *RetryShares) Left(service string, instances int) int {
+// Remaining returns how many retries the service has left now, for one of so many instances.
+func (s *RetryShares) Remaining(service string, instances int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := s.counts(service)
@@ -131,9 +131,9 @@
 	return &ColdShares{now: now, byName: make(map[string]*window)}
 }
 
-// Left reports whether the upstream may get one more request now, where all of the
+// Available reports whether the upstream may get one more request now, where all of the
 // instances together may send it perSecond.
-func (s *ColdShares) Left(upstream string, perSecond float64, instances int) bool {
+func (s *ColdShares) Available(upstream string, perSecond float64, instances int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := s.byName[upstream]
@@ -143,8 +143,8 @@
 	return float64(counts.sum(s.now(), ColdWindow)+1)*float64(max(1, instances)) <= perSecond
 }
 
-// Sent counts a request that was sent to the upstream.
-func (s *ColdShares) Sent(upstream string) {
+// RecordSent counts a request that was sent to the upstream.
+func (s *ColdShares) RecordSent(upstream string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := s.byName[upstream]
--- a/pkg/mirror/lease_test.go
+++ b/pkg/mirror/lease_test.go
@@ -54,7 +54,7 @@
 	} {
 		is := is.New(t)
 		l := &leaser{era: 4, restores: restores}
-		leases := mirror.Leases{Store: l, Era: func() uint64 { return l.era }}
+		leases := mirror.Leases{Store: l, Epoch: func() uint64 { return l.era }}
 		lease, err := leases.Grant(t.Context(), time.Second)
 		is.Equal(err == nil, c.granted)
 		if err != nil {
@@ -64,7 +64,7 @@
 		err = leases.Renew(t.Context(), lease)
 		is.Equal(err == nil, c.renewed)
 		is.True(err == nil || errors.Is(err, platform.ErrLeaseLost))
-		is.NoErr(leases.End(t.Context(), lease))
+		is.NoErr(leases.Revoke(t.Context(), lease))
 		is.Equal(len(l.revoked) > 0, c.revoked)
 	}
 }
--- a/pkg/mirror/mirror.go
+++ b/pkg/mirror/mirror.go
@@ -23,18 +23,18 @@
 
 // Snapshot is an immutable copy of the store's entries.
 type Snapshot struct {
-	// Era and Revision are the epoch and revision of the store that the snapshot reflects.
-	Era      uint64
+	// Epoch and Revision are the epoch and revision of the store that the snapshot reflects.
+	Epoch    uint64
 	Revision int64
-	// Entries of an epoch below Era are retained: the store has received no write of them since.
+	// Entries of an epoch below Epoch are retained: the store has received no write of them since.
 	Entries map[string]platform.Entry
-	// Lapsed holds the entries that are missing in the store and still valid, with their expiry
+	// Expiring holds the entries that are missing in the store and still valid, with their expiry
 	// by this process's clock.
-	Lapsed map[string]time.Time
+	Expiring map[string]time.Time
 	// hidden holds the entries that are in the store and not valid yet.
 	hidden map[string]hidden
-	// Held is the fingerprint of the retained entries; zero if there are none.
-	Held uint64
+	// RetainedSum is the fingerprint of the retained entries; zero if there are none.
+	RetainedSum uint64
 	// Removals holds the position of the last deletion of each key below the prefixes with
 	// tracked deletions. It must not be changed.
 	Removals map[string]Position
@@ -48,12 +48,12 @@
 	if s == nil {
 		return Position{}
 	}
-	return Position{Era: s.Era, Revision: s.Revision}
+	return Position{Era: s.Epoch, Revision: s.Revision}
 }
 
 // HasTemporary reports whether the snapshot holds retained entries that will expire, or hidden
 // ones.
-func (s *Snapshot) HasTemporary() bool { return len(s.Lapsed) > 0 || len(s.hidden) > 0 }
+func (s *Snapshot) HasTemporary() bool { return len(s.Expiring) > 0 || len(s.hidden) > 0 }
 
 // Options of a Mirror.
 type Options struct {
@@ -174,15 +174,16 @@
 	return m.following && !m.lost && m.epoch == m.Position().Era && !m.answeredAt.IsZero() && m.options.Clock.Now().Sub(m.answeredAt) < currentWindow
 }
 
-// Lost reports whether the store's last call failed.
-func (m *Mirror) Lost() bool {
+// LastCallFailed reports whether the store's last call failed.
+func (m *Mirror) LastCallFailed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lost
 }
 
-// Reached returns the time of the store's last answer to this instance; zero if there was none.
-func (m *Mirror) Reached() time.Time {
+// LastAnswerAt returns the time of the store's last answer to this instance; zero if there was
+// none.
+func (m *Mirror) LastAnswerAt() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.answeredAt
@@ -192,11 +193,11 @@
 // empty.
 func (m *Mirror) Position() Position { return m.snapshot.Load().Position() }
 
-// Held returns the fingerprint of the entries retained from former epochs; zero if there are
+// RetainedSum returns the fingerprint of the entries retained from former epochs; zero if there are
 // none.
-func (m *Mirror) Held() uint64 {
+func (m *Mirror) RetainedSum() uint64 {
 	if present := m.snapshot.Load(); present != nil {
-		return present.Held
+		return present.RetainedSum
 	}
 	return 0
 }
@@ -204,16 +205,16 @@
 // Revision returns the store's revision that the replica reflects; zero if it is empty.
 func (m *Mirror) Revision() int64 { return m.revision() }
 
-// Era returns the highest observed epoch of the store; zero if none was observed or the store
+// Epoch returns the highest observed epoch of the store; zero if none was observed or the store
 // does not report it.
-func (m *Mirror) Era() uint64 {
+func (m *Mirror) Epoch() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.epoch
 }
 
-// Eras returns the section that holds the highest observed epoch of the store.
-func (m *Mirror) Eras() *board.Section[uint64] { return &m.epochs }
+// Epochs returns the section that holds the highest observed epoch of the store.
+func (m *Mirror) Epochs() *board.Section[uint64] { return &m.epochs }
 
 // ObserveEpoch records the epoch in an answer of the store to this or another instance. A higher
 // one cancels the call that waits for changes, because the awaited revision may never come.
@@ -242,7 +243,7 @@
 // answer without one shows no restore.
 func (m *Mirror) observeAnswer(epoch uint64) uint64 {
 	if epoch == 0 {
-		return m.Era()
+		return m.Epoch()
 	}
 	m.ObserveEpoch(epoch)
 	return epoch
@@ -354,7 +355,7 @@
 		if first.Revision == 0 {
 			first = Position{Era: epoch, Revision: page.Revision}
 		}
-		if epoch != first.Era || epoch < m.Era() {
+		if epoch != first.Era || epoch < m.Epoch() {
 			return Position{}, errRestored
 		}
 		for _, entry := range page.Entries {
@@ -393,7 +394,7 @@
 		m.recordAnswer()
 		changes.Era = m.observeAnswer(changes.Era)
 	}
-	if after.Era != m.Era() {
+	if after.Era != m.Epoch() {
 		// This holds even if the replica has caught up meanwhile: the revision belongs to a
 		// former epoch.
 		return Position{}, errRestored
--- a/pkg/mirror/registration.go
+++ b/pkg/mirror/registration.go
@@ -27,10 +27,10 @@
 	Value []byte
 	// TTL is the time for which the entry outlives its owner.
 	TTL time.Duration
-	// Copy is a replica of the store that shows whether the entry exists, since it may be
+	// Replica is a replica of the store that shows whether the entry exists, since it may be
 	// deleted while its lease is valid. If it is nil, only the lease is checked.
-	Copy *Mirror
-	Log  zerolog.Logger
+	Replica *Mirror
+	Log     zerolog.Logger
 	// written is the store's position at the last write of the entry.
 	written Position
 }
@@ -73,10 +73,10 @@
 // leases returns the store's leases, fenced by its epoch if a replica provides it.
 func (r *Registration) leases() Leases {
 	epoch := func() uint64 { return 0 }
-	if r.Copy != nil {
-		epoch = r.Copy.Era
+	if r.Replica != nil {
+		epoch = r.Replica.Epoch
 	}
-	return Leases{Store: r.Store, Era: epoch}
+	return Leases{Store: r.Store, Epoch: epoch}
 }
 
 func (r *Registration) register(ctx context.Context) (Lease, error) {
@@ -91,8 +91,8 @@
 		// The write may have taken effect all the same. It expires with its lease.
 		return Lease{}, errors.Join(err, r.end(context.WithoutCancel(ctx), lease))
 	}
-	r.written = Position{Era: lease.Era, Revision: revision}
-	r.Log.Info().Str(event.KeyKey, r.Key).Uint64(event.KeyEra, lease.Era).Msg(string(event.Registered))
+	r.written = Position{Era: lease.Epoch, Revision: revision}
+	r.Log.Info().Str(event.KeyKey, r.Key).Uint64(event.KeyEra, lease.Epoch).Msg(string(event.Registered))
 	return lease, nil
 }
 
@@ -116,15 +116,15 @@
 // missing reports whether a replica that is newer than the entry lacks it or retains it from a
 // former epoch.
 func (r *Registration) missing() bool {
-	if r.Copy == nil {
+	if r.Replica == nil {
 		return false
 	}
-	snapshot := r.Copy.Snapshot().Load()
+	snapshot := r.Replica.Snapshot().Load()
 	if snapshot == nil || snapshot.Position().Before(r.written) {
 		return false
 	}
 	entry, present := snapshot.Entries[r.Key]
-	return !present || entry.Era != snapshot.Era
+	return !present || entry.Era != snapshot.Epoch
 }
 
 func (r *Registration) renew(ctx context.Context, lease Lease) error {
@@ -136,5 +136,5 @@
 func (r *Registration) end(ctx context.Context, lease Lease) error {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
-	return r.leases().End(ctx, lease)
+	return r.leases().Revoke(ctx, lease)
 }
--- a/pkg/peer/restore_test.go
+++ b/pkg/peer/restore_test.go
@@ -15,14 +15,14 @@
 func (byValue) Older(entry, than *platform.Entry) bool {
 	return bytes.Compare(entry.Value, than.Value) < 0
 }
-func (byValue) Kept(string) time.Duration { return 0 }
-func (byValue) Gone(string) time.Duration { return 0 }
+func (byValue) RetainFor(string) time.Duration   { return 0 }
+func (byValue) SuppressFor(string) time.Duration { return 0 }
 
 const restoredKey = "declared/config"
 
 // setStore gives a node a value at a position, as if it had read it from the store.
 func (n *node) setStore(at mirror.Position, value string) bool {
-	snapshot := &mirror.Snapshot{Era: at.Era, Revision: at.Revision, Entries: map[string]platform.Entry{
+	snapshot := &mirror.Snapshot{Epoch: at.Era, Revision: at.Revision, Entries: map[string]platform.Entry{
 		restoredKey: {Key: restoredKey, Value: []byte(value), ModRevision: at.Revision, Era: at.Era},
 	}}
 	delta := snapshot.Since(n.store.Position(), time.Now())
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -56,8 +56,8 @@
 
 // Stored is the state of an instance's replica of the store at one moment.
 type Stored struct {
-	// Era counts the restores of the store from a backup.
-	Era uint64
+	// Epoch counts the restores of the store from a backup.
+	Epoch uint64
 	// Records is sorted by request.
 	Records []Record
 }
@@ -75,14 +75,14 @@
 	return nil
 }
 
-// Holds reports whether a request is quarantined in the store.
-func (s *Stored) Holds(request Fingerprint) bool {
+// IsQuarantined reports whether a request is quarantined in the store.
+func (s *Stored) IsQuarantined(request Fingerprint) bool {
 	record := s.Find(request)
 	return record != nil && record.ClearedBy == ""
 }
 
-// Held returns the number of requests that are quarantined in the store.
-func (s *Stored) Held() int {
+// CountQuarantined returns the number of requests that are quarantined in the store.
+func (s *Stored) CountQuarantined() int {
 	held := 0
 	if s != nil {
 		for i := range s.Records {
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -110,8 +110,8 @@
 	return t.lengths[length] > 0
 }
 
-// Suspect reports whether an upstream has crashed with a request in flight.
-func (t *Table) Suspect(request Fingerprint) bool {
+// IsSuspect reports whether an upstream has crashed with a request in flight.
+func (t *Table) IsSuspect(request Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[request]
@@ -150,26 +150,26 @@
 	return e != nil && e.observedLocally
 }
 
-// Held reports whether a request is quarantined.
-func (t *Table) Held(request Fingerprint) bool {
+// IsQuarantined reports whether a request is quarantined.
+func (t *Table) IsQuarantined(request Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[request]
 	return e != nil && e.held
 }
 
-// AllHeld returns the quarantined requests.
-func (t *Table) AllHeld() []Fingerprint {
+// AllQuarantined returns the quarantined requests.
+func (t *Table) AllQuarantined() []Fingerprint {
 	return t.collect(func(e *entry) bool { return e.held })
 }
 
-// AllReleased returns the requests that were quarantined and recently cleared.
-func (t *Table) AllReleased() []Fingerprint {
+// AllCleared returns the requests that were quarantined and recently cleared.
+func (t *Table) AllCleared() []Fingerprint {
 	return t.collect(func(e *entry) bool { return !e.held && t.isReleased(e) })
 }
 
-// Released reports whether a request is one of AllReleased.
-func (t *Table) Released(request Fingerprint) bool {
+// RecentlyCleared reports whether a request is one of AllCleared.
+func (t *Table) RecentlyCleared(request Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[request]
@@ -244,9 +244,9 @@
 	return Cleared
 }
 
-// Release clears a request that the store reports as cleared. Earlier observations no longer
+// Clear clears a request that the store reports as cleared. Earlier observations no longer
 // count.
-func (t *Table) Release(request Fingerprint) Change {
+func (t *Table) Clear(request Fingerprint) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -287,9 +287,9 @@
 	}
 }
 
-// Hold quarantines a request on the report of another instance or the store; retryAfter is the
-// retry time given to callers, zero for RetryAfter.
-func (t *Table) Hold(request Fingerprint, retryAfter time.Duration) Change {
+// Quarantine quarantines a request on the report of another instance or the store; retryAfter is
+// the retry time given to callers, zero for RetryAfter.
+func (t *Table) Quarantine(request Fingerprint, retryAfter time.Duration) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -85,8 +85,8 @@
 		for upstream := 1; upstream <= quarantine.CrashesToQuarantine; upstream++ {
 			crash(observer, "a", upstream)
 		}
-		is.Equal(receiver.Hold(request("a"), time.Minute), quarantine.Quarantined)
-		is.Equal(receiver.Hold(request("a"), time.Hour), quarantine.Unchanged)
+		is.Equal(receiver.Quarantine(request("a"), time.Minute), quarantine.Quarantined)
+		is.Equal(receiver.Quarantine(request("a"), time.Hour), quarantine.Unchanged)
 		for range 10 {
 			clock.Sleep(t.Context(), 24*time.Hour)
 			for _, table := range []*quarantine.Table{observer, receiver} {
@@ -97,8 +97,8 @@
 		retryAfter, _ := receiver.Refuses(request("a"))
 		is.Equal(retryAfter, time.Minute) // as received
 		for _, table := range []*quarantine.Table{observer, receiver} {
-			is.Equal(table.Release(request("a")), quarantine.Cleared)
-			is.Equal(table.Release(request("a")), quarantine.Unchanged)
+			is.Equal(table.Clear(request("a")), quarantine.Cleared)
+			is.Equal(table.Clear(request("a")), quarantine.Unchanged)
 			is.True(!refuses(table, "a"))
 		}
 	})
@@ -111,21 +111,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := quarantine.NewTable(clock.System{})
-		is.Equal(table.Release(request("a")), quarantine.Unchanged) // before the crashes are reported
+		is.Equal(table.Clear(request("a")), quarantine.Unchanged) // before the crashes are reported
 		for upstream := 1; upstream <= quarantine.CrashesToQuarantine; upstream++ {
 			is.Equal(crash(table, "a", upstream), quarantine.Unchanged)
 		}
-		is.Equal(table.Hold(request("a"), 0), quarantine.Unchanged)
+		is.Equal(table.Quarantine(request("a"), 0), quarantine.Unchanged)
 		is.True(!refuses(table, "a"))
-		is.Equal(table.AllReleased(), []quarantine.Fingerprint{request("a")})
+		is.Equal(table.AllCleared(), []quarantine.Fingerprint{request("a")})
 		clock.Sleep(t.Context(), time.Minute)
 		table.Sweep()
-		is.Equal(len(table.AllReleased()), 1) // needed after a restore of the store
+		is.Equal(len(table.AllCleared()), 1) // needed after a restore of the store
 		for upstream := 11; upstream <= 10+quarantine.CrashesToQuarantine; upstream++ {
 			crash(table, "a", upstream)
 		}
 		is.True(refuses(table, "a"))
-		is.Equal(len(table.AllReleased()), 0)
+		is.Equal(len(table.AllCleared()), 0)
 		clock.Sleep(t.Context(), time.Hour)
 		table.Sweep()
 		is.True(refuses(table, "a"))
--- a/pkg/relay/answer.go
+++ b/pkg/relay/answer.go
@@ -163,7 +163,7 @@
 	// Flushing here avoids waiting for the request's log line. An answer that is
 	// stored for repeats is not flushed: its result is recorded before it is sent.
 	pass := a.sink.write
-	if a.sink.Copy != nil {
+	if a.sink.Capture != nil {
 		pass = a.sink.writeUnflushed
 	}
 	if err := pass(data); err != nil {
@@ -208,7 +208,7 @@
 
 // head copies the answer's end-to-end headers.
 func (a *attempt) head(fields http.Header, response *http.Response) {
-	header.PassOn(fields, response.Header)
+	header.CopyEndToEnd(fields, response.Header)
 	if a.target.Peer {
 		copyField(fields, response.Header, header.Domain)
 		copyField(fields, response.Header, header.Upstream)
--- a/pkg/route/picker.go
+++ b/pkg/route/picker.go
@@ -11,7 +11,7 @@
 )
 
 // AffinityAndChoices considers every upstream of a small pool; of a large one, the prefix's
-// favourite, some that reported the prefix, and a few at random.
+// preferred upstream, some that reported the prefix, and a few at random.
 type AffinityAndChoices struct{}
 
 // Sample implements Picker.
@@ -24,7 +24,7 @@
 		}
 		return s
 	}
-	s.Add(pool.Favourite)
+	s.Add(pool.Preferred)
 	for i := range min(maxHolders, len(pool.Holders)) {
 		s.Add(pool.Holders[(i+offset)%len(pool.Holders)])
 	}
--- a/pkg/route/score.go
+++ b/pkg/route/score.go
@@ -7,9 +7,9 @@
 	"github.com/lilacweir/lilacweir/pkg/limit"
 )
 
-// ExpectedAnswer is the assumed length of an answer in tokens, unless the request limits it
+// ExpectedAnswerTokens is the assumed length of an answer in tokens, unless the request limits it
 // to less.
-const ExpectedAnswer = 256
+const ExpectedAnswerTokens = 256
 
 // defaultHolding is the assumed duration of a service call if none has been measured.
 const defaultHolding = 100 * time.Millisecond
@@ -60,14 +60,14 @@
 
 // answerTokens is the answer's expected length.
 func answerTokens(req *Request) float64 {
-	if req.MaxTokens > 0 && req.MaxTokens < ExpectedAnswer {
+	if req.MaxTokens > 0 && req.MaxTokens < ExpectedAnswerTokens {
 		return float64(req.MaxTokens)
 	}
-	return ExpectedAnswer
+	return ExpectedAnswerTokens
 }
 
 // estimate predicts a request's times at a local upstream.
-func (p *pool) estimate(req *Request, i, favourite int32, own limit.Load, clock decisionTime) Estimate {
+func (p *pool) estimate(req *Request, i, preferred int32, own limit.Load, clock decisionTime) Estimate {
 	c := &p.locals[i]
 	others := c.othersNow(own.InFlight, p.peers, p.mean, clock.sinceCompile)
 	e := Estimate{AtUpstream: others + float64(own.InFlight), Own: float64(own.InFlight)}
@@ -81,7 +81,7 @@
 		e.Decode = holding
 		return e
 	}
-	uncached := float64(req.PromptTokens) - p.cachedTokens(req, i, favourite)
+	uncached := float64(req.PromptTokens) - p.cachedTokens(req, i, preferred)
 	e.EngineSeconds = uncached / c.prefillRate
 	// A prompt in prefill is done before the peers could publish it: they are assumed to
 	// have as many there as this gateway.
--- a/pkg/spread/watcher.go
+++ b/pkg/spread/watcher.go
@@ -25,8 +25,8 @@
 	StableAfter = 10 * time.Second
 	// ReadTimeout bounds one read of the head.
 	ReadTimeout = 3 * time.Second
-	// DutyCheckInterval is how often an instance checks whether it is a watcher.
-	DutyCheckInterval = 500 * time.Millisecond
+	// ActiveCheckInterval is how often an instance checks whether it is a watcher.
+	ActiveCheckInterval = 500 * time.Millisecond
 	// RereadInterval is how often a watcher reads the whole head in addition to its watch,
 	// in case the service was restored to an earlier state. A watch that ended is otherwise
 	// resumed at its last revision, without reading the value.
@@ -36,7 +36,7 @@
 // ErrWatchEnded is returned when the watch's stream ended.
 var ErrWatchEnded = errors.New("watch ended")
 
-// Watcher follows the head key while it is on duty.
+// Watcher follows the head key while it is active.
 type Watcher struct {
 	// KeyValue is the platform's service and Key the head's key.
 	KeyValue platform.KeyValue
@@ -45,13 +45,13 @@
 	Decode func([]byte) (*config.Head, error)
 	// Keeper stores the heads.
 	Keeper *Keeper
-	// OnDuty reports whether this instance is one of its domain's watchers.
-	OnDuty func() bool
-	// OnResult is called with the result of each call, and OnFault with the error of a
+	// Active reports whether this instance is one of its domain's watchers.
+	Active func() bool
+	// OnResult is called with the result of each call, and OnInvalidHead with the error of a
 	// value that is not a head.
-	OnResult func(err error)
-	OnFault  func(err error)
-	Clock    clock.Clock
+	OnResult      func(err error)
+	OnInvalidHead func(err error)
+	Clock         clock.Clock
 	// Rand returns the jitter, from 0 up to 1.
 	Rand func() float64
 
@@ -65,8 +65,8 @@
 func (w *Watcher) Run(ctx context.Context) {
 	wait := RetryMin
 	for ctx.Err() == nil {
-		if !w.OnDuty() {
-			sleep(ctx, DutyCheckInterval)
+		if !w.Active() {
+			sleep(ctx, ActiveCheckInterval)
 			continue
 		}
 		started := w.Clock.Now()
@@ -88,8 +88,8 @@
 	return half + time.Duration(w.Rand()*float64(half))
 }
 
-// follow watches the head while on duty, and reads it first if necessary. It returns nil
-// when the duty or ctx has ended.
+// follow watches the head while active, and reads it first if necessary. It returns nil
+// when it is no longer active or ctx has ended.
 func (w *Watcher) follow(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -110,8 +110,8 @@
 }
 
 func (w *Watcher) receive(ctx context.Context, changes <-chan platform.Entry) error {
-	duty := time.NewTicker(DutyCheckInterval)
-	defer duty.Stop()
+	check := time.NewTicker(ActiveCheckInterval)
+	defer check.Stop()
 	for {
 		select {
 		case entry, open := <-changes:
@@ -122,8 +122,8 @@
 			}
 			w.lastRevision = max(w.lastRevision, entry.ModRevision)
 			w.offer(entry.Value)
-		case <-duty.C:
-			if !w.OnDuty() {
+		case <-check.C:
+			if !w.Active() {
 				return nil
 			}
 		case <-ctx.Done():
@@ -155,7 +155,7 @@
 	}
 	head, err := w.Decode(value)
 	if err != nil {
-		w.OnFault(err)
+		w.OnInvalidHead(err)
 		return
 	}
 	w.Keeper.Offer(head, SourcePlatform)
--- a/pkg/steer/admit_test.go
+++ b/pkg/steer/admit_test.go
@@ -75,7 +75,7 @@
 // timedRequest returns a request of a route with a target.
 func timedRequest(priority int, target, yields time.Duration) *steer.Request {
 	route := *prompt
-	route.TargetLatency, route.Priority, route.Yields = target, priority, yields
+	route.TargetLatency, route.Priority, route.UrgentTarget = target, priority, yields
 	return &steer.Request{Route: &route, Service: engine, PromptTokens: 1000, Segments: []steer.Segment{{ID: "own", Tokens: 1000}}}
 }
 
@@ -112,7 +112,7 @@
 	is := is.New(t)
 	request := timedRequest(0, time.Second, 0)
 	w := newSnapshot(loads{}, upstream("u1", "llm", "south"))
-	w.Peers = &peer.View{Others: []peer.Known{{Instance: fleet.Instance{Name: "s-1", Region: "south"}, Ready: true, Heard: now}}}
+	w.Peers = &peer.View{Others: []peer.Known{{Instance: fleet.Instance{Name: "s-1", Region: "south"}, Ready: true, ReportedAt: now}}}
 	is.Equal(len(w.Regions(request)), 1)
 	w.Local = loads{steer.RegionKey("south", request): limit.Load{Backoff: time.Second}}
 	is.Equal(len(w.Regions(request)), 0)
--- a/pkg/steer/steer.go
+++ b/pkg/steer/steer.go
@@ -61,7 +61,7 @@
 	Leaving func(upstream string) bool
 	// Recent records where prompt segments were sent recently, CallTimes how long plain
 	// calls take, Estimates how long engines take to begin an answer.
-	Recent    *Recent
+	Recent    *RecentPlacements
 	CallTimes *CallTimes
 	Estimates *Estimator
 	// Flow measures what this instance sends.
@@ -118,10 +118,10 @@
 	InFlight, Prefill int
 	// Uncached estimates the prompt tokens that the upstream would have to read.
 	Uncached int
-	// First is, for engines, the predicted time until the answer begins; Late is true if
+	// TimeToFirstToken is, for engines, the predicted time until the answer begins; Late is true if
 	// that is too late for the route's target.
-	First time.Duration
-	Late  bool
+	TimeToFirstToken time.Duration
+	Late             bool
 	// Source is the upstream from which it should copy the cached segments of the prompt;
 	// nil if no upstream is known to cache more.
 	Source *fleet.Upstream
