--- a/pkg/agent/beat.go
+++ b/pkg/agent/beat.go
@@ -234,5 +234,5 @@
 
 // Error implements error.
 func (e *ForeignError) Error() string {
-	return "heartbeat from another failure domain or an earlier epoch: " + e.From
+	return "heartbeat of a foreign or former instance: " + e.From
 }
--- a/pkg/peer/pack.go
+++ b/pkg/peer/pack.go
@@ -26,7 +26,7 @@
 type PackError struct{ Err error }
 
 // Error implements error.
-func (e *PackError) Error() string { return fmt.Sprintf("encode or decode a store delta: %v", e.Err) }
+func (e *PackError) Error() string { return fmt.Sprintf("copy of the store: %v", e.Err) }
 
 // Unwrap returns the cause.
 func (e *PackError) Unwrap() error { return e.Err }
