--- a/pkg/explain/line.go
+++ b/pkg/explain/line.go
@@ -41,7 +41,7 @@
 // Unwrap returns the cause.
 func (e *IncompleteLineError) Unwrap() error { return e.Err }
 
-// Causes of a CutError.
+// Causes of an IncompleteLineError.
 var (
 	errNoTime     = errors.New("time is missing")
 	errNoEvent    = errors.New("event is missing")
@@ -51,7 +51,7 @@
 // linePrefix is the start of a line. A prefix that a log collector added is skipped.
 const linePrefix = event.KeyTime + "="
 
-// Parse parses a line. The error is a *CutError.
+// Parse parses a line. The error is an *IncompleteLineError.
 func Parse(text string) (*Line, error) {
 	line := &Line{}
 	at := strings.Index(text, linePrefix)
